--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -12,7 +12,8 @@
 
 #: lowest first; a module may import from its own layer's package and from layers before it
 LAYERS = (
-    "clocks", "states", "measures", "wire", "settings", "books", "limits", "outside", "reach", "records", "features",
+    "clocks", "errors",
+    "states", "measures", "wire", "settings", "books", "limits", "outside", "reach", "records", "features",
     "decisions", "reports", "leading", "relays", "doors", "federation", "process", "standin", "rehearsal",
     "commands", "cli", "__main__",
 )  # fmt: skip
