--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -12,7 +12,7 @@
 
 #: lowest first; a module may import from its own layer's package and from layers before it
 LAYERS = (
-    "clocks", "errors",
+    "clocks", "log_events", "errors",
     "states", "measures", "wire", "settings", "books", "limits", "outside", "reach", "records", "features",
     "decisions", "reports", "leading", "relays", "doors", "federation", "process", "standin", "rehearsal",
     "commands", "cli", "__main__",
