--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,42 +1,28 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is not mended yet, three at most, and nothing else.
+"""Holds the test run to KNOWN-RED.txt, the list of tests that may fail (`support.known_red` has its form).
 
-A line each: `tests/test_x.py::test_y, cause, issue`. A listed test has to fail: it is printed and passed over. A name
-that no test has, a fourth line, a line of another form, and a listed test that passes end the run with an error.
+A listed test has to fail: it is printed and passed over. A listed test that passes, a name that no test has, and a list
+that is missing, malformed or too long end the run with an error.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from pathlib import Path
 from typing import Any
 
 import pytest
 
-NAME = "KNOWN-RED.txt"
-MOST = 3
-
-
-def known_red(root: Path) -> dict[str, str]:
-    """What is listed, with cause and issue; raises `pytest.UsageError` for what must not stand there."""
-    path = root / NAME
-    lines = path.read_text("utf-8").splitlines() if path.exists() else []
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{NAME}: {len(lines)} lines, {MOST} are allowed")
-    listed: dict[str, str] = {}
-    for line in lines:
-        name, *rest = (part.strip() for part in line.split(",", 2))
-        if len(rest) != 2 or not all((name, *rest)) or name in listed:
-            raise pytest.UsageError(f"{NAME}: not 'test, cause, issue': {line!r}")
-        listed[name] = ", ".join(rest)
-    return listed
-
+from support.known_red import FILE_NAME, KnownFailure, KnownRedError, read_known_failures
 
+LISTED = pytest.StashKey[dict[str, KnownFailure]]()
 UNKNOWN = pytest.StashKey[set[str]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
     config.stash[UNKNOWN] = set()
-    known_red(config.rootpath)
+    try:
+        config.stash[LISTED] = read_known_failures(config.rootpath)
+    except KnownRedError as error:
+        raise pytest.UsageError(str(error)) from error
 
 
 def runs_all(config: pytest.Config) -> bool:
@@ -58,7 +44,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    listed, unknown = known_red(config.rootpath), config.stash[UNKNOWN]
+    listed, unknown = config.stash[LISTED], config.stash[UNKNOWN]
     found = {item.nodeid: item for item in items if item.nodeid in listed}
     whole = getattr(config, "workerinput", {}).get("whole", runs_all(config))
     for name in sorted(listed.keys() - found.keys()):
@@ -67,7 +53,7 @@
     if hasattr(config, "workeroutput"):
         config.workeroutput["unknown"] = sorted(unknown)
     for name, item in found.items():
-        item.add_marker(pytest.mark.xfail(reason=listed[name], strict=True))
+        item.add_marker(pytest.mark.xfail(reason=str(listed[name]), strict=True))
 
 
 @pytest.hookimpl(wrapper=True, tryfirst=True)
@@ -79,9 +65,9 @@
 
 @pytest.hookimpl(wrapper=True)
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> Iterator[None]:
-    for name, why in known_red(config.rootpath).items():
-        terminalreporter.write_line(f"known red: {name}: {why}")
+    for failure in config.stash[LISTED].values():
+        terminalreporter.write_line(f"known red: {failure}")
     unknown: set[str] = config.stash[UNKNOWN]
     for name in sorted(unknown):
-        terminalreporter.write_line(f"{NAME}: no test has the name {name}", red=True)
+        terminalreporter.write_line(f"{FILE_NAME}: no test has the name {name}", red=True)
     yield
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""What several test modules and the test run itself share."""
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,9 +6,14 @@
 
 import pytest
 
+from support.known_red import KnownFailure, KnownRedError, parse_known_failures
+
 pytest_plugins = ["pytester"]
 
 TESTS = "def test_good():\n    pass\n\n\ndef test_bad():\n    assert False\n"
+HEADER = "# test id | command and seed | what was seen | issue"
+BAD = "test_it.py::test_bad | pytest -q, no seed | a cause | 7"
+GOOD = "test_it.py::test_good | pytest -q, no seed | a cause | 7"
 
 
 @pytest.fixture(params=[(), ("-n", "2")], ids=["in one process", "in several"], autouse=True)
@@ -21,32 +26,77 @@
 
 
 def run(pytester: pytest.Pytester, *lines: str) -> tuple[int, str]:
+    """Run two tests, one of which fails, under a list of these lines; without lines the file is missing."""
     pytester.makepyfile(test_it=TESTS)
-    pytester.path.joinpath("conftest.py").write_text(Path(__file__).with_name("conftest.py").read_text("utf-8"))
+    here = Path(__file__).parent
+    pytester.mkpydir("support")
+    for name in ("conftest.py", "support/known_red.py"):
+        pytester.path.joinpath(name).write_text(here.joinpath(name).read_text("utf-8"))
     if lines:
         pytester.path.joinpath("KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
     result = pytester.runpytest_subprocess("-q", "-p", "no:cacheprovider", *PROCESSES)
     return int(result.ret), "\n".join(result.outlines + result.errlines)
 
 
-def test_without_a_list_a_failure_is_one(pytester: pytest.Pytester) -> None:
-    assert run(pytester)[0] == 1
+@pytest.mark.parametrize("lines", [("none",), (HEADER, "none")])
+def test_with_an_empty_list_a_failure_is_one(pytester: pytest.Pytester, lines: tuple[str, ...]) -> None:
+    status, said = run(pytester, *lines)
+    assert status == pytest.ExitCode.TESTS_FAILED and "FAILED test_it.py::test_bad" in said
+
+
+def test_without_a_list_no_test_runs(pytester: pytest.Pytester) -> None:
+    status, said = run(pytester)
+    assert status == pytest.ExitCode.USAGE_ERROR and "KNOWN-RED.txt is missing" in said
 
 
 def test_a_listed_failure_is_passed_over_and_printed(pytester: pytest.Pytester) -> None:
-    status, said = run(pytester, "test_it.py::test_bad, the cause, issue 7")
-    assert status == 0 and "known red: test_it.py::test_bad: the cause, issue 7" in said
+    status, said = run(pytester, HEADER, "test_it.py::test_bad | pytest -q, seed 3 | the cause | issue 7")
+    assert status == 0 and "known red: test_it.py::test_bad: the cause (pytest -q, seed 3); issue 7" in said
 
 
 @pytest.mark.parametrize(
     ("lines", "told"),
     [
-        (["test_it.py::test_bad, a cause, 7", "test_it.py::test_good, a cause, 7"], "FAILED test_it.py::test_good"),
-        (["test_it.py::test_bad, a cause, 7", "test_it.py::test_none, a cause, 7"], "no test has the name"),
-        ([f"test_it.py::test_bad{i}, a cause, 7" for i in range(4)], "4 lines, 3 are allowed"),
-        (["test_it.py::test_bad"], "not 'test, cause, issue'"),
+        ([HEADER, BAD, GOOD], "FAILED test_it.py::test_good"),
+        ([HEADER, BAD, BAD.replace("test_bad", "test_none")], "no test has the name"),
+        ([HEADER, *(BAD.replace("test_bad", f"test_bad{i}") for i in range(4))], "4 entries, 3 are allowed"),
+        ([HEADER, "test_it.py::test_bad"], "not 'test id | command and seed | what was seen | issue'"),
+        ([HEADER, BAD, BAD], "listed twice"),
+        ([""], "the header"),
     ],
 )
 def test_what_must_not_stand_there_fails_the_run(pytester: pytest.Pytester, lines: list[str], told: str) -> None:
     status, said = run(pytester, *lines)
     assert status != 0 and told in said
+
+
+def test_an_entry_has_four_fields() -> None:
+    listed = parse_known_failures(f"{HEADER}\ntests/test_x.py::test_y[a|b] | run.py x, seed 3 |  two leaders | 12 \n")
+    name = "tests/test_x.py::test_y[a|b]"
+    assert listed == {name: KnownFailure(name, "run.py x, seed 3", "two leaders", "12")}
+
+
+@pytest.mark.parametrize(
+    ("lines", "told"),
+    [
+        ([], "neither 'none' nor entries"),
+        ([HEADER], "neither 'none' nor entries"),
+        ([BAD], "the header"),
+        (["none", "none"], "the header"),
+        (["none", HEADER, BAD], "the header"),
+        ([HEADER, "none", BAD], "not 'test id"),
+        ([HEADER, BAD, "none"], "not 'test id"),
+        ([HEADER, BAD, ""], "not 'test id"),
+        ([HEADER, HEADER, "none"], "not 'test id"),
+        ([HEADER, "test_it.py::test_bad, a cause, 7"], "not 'test id"),
+        ([HEADER, BAD.removesuffix(" | 7")], "not 'test id"),
+        ([HEADER, f"{BAD} | more"], "not 'test id"),
+        ([HEADER, BAD.replace("a cause", "")], "not 'test id"),
+        ([HEADER, BAD.replace(" | ", "|")], "not 'test id"),
+        ([HEADER, BAD, BAD.replace("a cause", "another")], "listed twice"),
+        ([HEADER, *[BAD] * 4], "4 entries, 3 are allowed"),
+    ],
+)
+def test_a_malformed_list_is_refused(lines: list[str], told: str) -> None:
+    with pytest.raises(KnownRedError, match=told):
+        parse_known_failures("".join(f"{line}\n" for line in lines))
