--- /dev/null
+++ b/src/grebestand/api/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP handlers for users, workers and other controllers."""
--- a/src/grebestand/doors/server.py
+++ b/src/grebestand/api/http_server.py
@@ -11,12 +11,12 @@
 from gevent.pywsgi import WSGIHandler, WSGIServer, headers_factory
 
 from ..features.hooks import Gate
-from ..limits.sockets import SocketPlan
+from ..flow_control.connection_limits import ConnectionPlan
 from ..settings.platform import parse_address
 from ..wire.jobs import MAX_BODY
-from .answer import Answer
+from .response import Response
 
-log = logging.getLogger("grebestand.http")
+log = logging.getLogger(__name__)
 
 REASONS = {
     200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
@@ -168,7 +168,7 @@
 
 
 def listen_bounded(
-    address: str, field: str, app: App, shares: SocketPlan, on_end: Callable[[object], None]
+    address: str, field: str, app: App, shares: ConnectionPlan, on_end: Callable[[object], None]
 ) -> WSGIServer:
     """A server that holds as many connections as are its share, and answers once on some more.
 
@@ -191,7 +191,7 @@
     return bytes(environ["wsgi.input"].read(MAX_BODY + 1))
 
 
-def respond(answer: Answer, start: Callable[..., Any]) -> list[bytes]:
+def respond(answer: Response, start: Callable[..., Any]) -> list[bytes]:
     headers = [("Content-Type", "application/json"), ("Content-Length", str(len(answer.body)))]
     if answer.retry_after is not None:
         headers.append(("Retry-After", str(answer.retry_after)))
--- a/src/grebestand/doors/peers.py
+++ b/src/grebestand/api/peer_api.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
+from ..clients.peer import PeerClient
+from ..connectivity.store_proxy import PATH, StoreProxyHandler
 from ..features.hooks import Features
-from ..outside.peer import Peer
-from ..reach.relay import PATH, RelayDoor
-from ..relays.receiver import Refused
-from ..relays.sender import PATH as REPORTS
-from ..wire.peers import CachedImages, Hello, Resigned
+from ..heartbeat_relay.batch_receiver import BatchRefusedError
+from ..heartbeat_relay.forwarder import PATH as REPORTS
+from ..wire.peers import CachedImages, PeerStatus, ResignationNotice
 
-log = logging.getLogger("grebestand.peers")
+log = logging.getLogger(__name__)
 
 #: a greeting that took so long to fail was not refused; if that lasts for so long, in seconds, nobody is sent there
 HANGS_S, SILENT_S = 0.5, 2.0
@@ -27,17 +27,17 @@
 TOLD_S, TOLD_WHOLE_S, MOST_TOLD = 30.0, 25.0, 500
 
 
-class PeerDoor:
+class PeerApi:
     """What this controller knows of the others, tells them, and answers them."""
 
     def __init__(
         self,
-        peers: list[Peer],
+        peers: list[PeerClient],
         clock: Callable[[], float],
-        hello: Callable[[], Hello],
-        resigned: Callable[[Resigned], None],
+        hello: Callable[[], PeerStatus],
+        resigned: Callable[[ResignationNotice], None],
         features: Features,
-        relay: RelayDoor | None = None,
+        relay: StoreProxyHandler | None = None,
     ) -> None:
         self.peers = peers
         self.relay = relay
@@ -58,20 +58,20 @@
         #: addresses of workers, as the leader last told
         self.samples: list[str] = []
         #: called with what another controller has answered to a greeting
-        self.on_greeting: Callable[[Hello], None] = lambda hello: None
+        self.on_greeting: Callable[[PeerStatus], None] = lambda hello: None
         #: as the leader last told
         self.cached_images = CachedImages()
 
-    def _take_hello(self, hello: Hello) -> None:
+    def _take_hello(self, hello: PeerStatus) -> None:
         if hello.cancelled:
             self.on_cancelled(hello.cancelled)
         if hello.token:
             self.leader_counts = hello.counts
             self.samples = hello.samples or self.samples
 
-    def greet(self, peer: Peer) -> None:
+    def greet(self, peer: PeerClient) -> None:
         sent = self.clock()
-        answer = peer.tell("/hello", self.hello(), Hello)
+        answer = peer.tell("/hello", self.hello(), PeerStatus)
         if answer is not None or self.clock() - sent < HANGS_S:
             hung, peer.hangs_since = peer.hangs_since < math.inf, math.inf
             if hung:
@@ -89,11 +89,11 @@
                 log.info("%s has begun anew", peer.name)
                 if peer.last.token:
                     self.ended(peer.name)
-            peer.heard_at, peer.last = self.clock(), answer
+            peer.last_heard_at, peer.last = self.clock(), answer
             self._take_hello(answer)
             self.on_greeting(answer)
 
-    def told_up_to(self, known_at: float) -> float:
+    def cancellations_confirmed_up_to(self, known_at: float) -> float:
         """Up to when all others have told of every cancellation that they confirmed, given what was read at `known_at`.
 
         Nobody else confirms any. What an earlier process of theirs had told nobody of was committed before that read,
@@ -124,12 +124,12 @@
     def tell_resigned(self, name: str, token: int, heir: str = "") -> None:
         """Tells all others, the one that is to lead next first."""
         for peer in sorted(self.peers, key=lambda p: p.name != heir):
-            peer.tell("/resigned", Resigned(name, token, heir), Hello)
+            peer.tell("/resigned", ResignationNotice(name, token, heir), PeerStatus)
 
     def answer(self, path: str, body: bytes) -> bytes | None:
         """The answer to a message, or None if there is no such path."""
         if path == "/hello":
-            self._take_hello(msgspec.msgpack.decode(body, type=Hello))
+            self._take_hello(msgspec.msgpack.decode(body, type=PeerStatus))
         elif path == "/images":
             told = msgspec.msgpack.decode(body, type=CachedImages)
             if told.machines:
@@ -138,7 +138,7 @@
                 told = self.cached_images
             return msgspec.msgpack.encode(told)
         elif path == "/resigned":
-            self.resigned(msgspec.msgpack.decode(body, type=Resigned))
+            self.resigned(msgspec.msgpack.decode(body, type=ResignationNotice))
         elif path == PATH:
             return self.relay.answer(body) if self.relay is not None else None
         elif path == REPORTS:
@@ -152,7 +152,7 @@
     def app(self, environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
         try:
             answer = self.answer(environ.get("PATH_INFO", ""), environ["wsgi.input"].read(1 << 22))
-        except (msgspec.DecodeError, Refused, OSError):
+        except (msgspec.DecodeError, BatchRefusedError, OSError):
             start("400 Bad Request", [])
             return [b""]
         if answer is None:
--- a/src/grebestand/doors/current.py
+++ b/src/grebestand/api/read_batching.py
@@ -12,9 +12,9 @@
 from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
-from ..limits.budget import Urgency
-from ..outside.state import StateClient, StateError, at
-from ..records.jobs import live_key
+from ..clients.kv_store import KeyValueStoreClient, StoreError, at
+from ..flow_control.rate_limiter import Urgency
+from ..storage.job_records import live_key
 
 #: versions of live records that are remembered
 MOST_KNOWN = 20_000
@@ -24,21 +24,21 @@
 PATIENCE_S = 1.9
 
 
-class _Batch:
+class _ReadBatch:
     def __init__(self) -> None:
         self.versions: dict[str, int] = {}
         self.live: set[str] = set()
-        self.error: StateError | None = None
+        self.error: StoreError | None = None
         self.done = Event()
 
 
-class CurrentReads:
-    def __init__(self, state: StateClient, most: int) -> None:
+class BatchedReads:
+    def __init__(self, state: KeyValueStoreClient, most: int) -> None:
         """`most` conditions fit one transaction."""
-        self.state = state
+        self.store = state
         self.most = most
         self._versions: OrderedDict[str, int] = OrderedDict()
-        self._open: _Batch | None = None
+        self._open: _ReadBatch | None = None
         self._turn = BoundedSemaphore(MOST_UNDER_WAY)
 
     def learn(self, ident: str, version: int) -> None:
@@ -55,41 +55,41 @@
     def live(self, ident: str) -> int:
         """The version of a job's live record if that is known to stand now; 0 if it has to be read.
 
-        Raises `StateError` if the state service did not answer in time.
+        Raises `StoreError` if the state service did not answer in time.
         """
         version = self._versions.get(ident)
         if version is None:
             return 0
         batch = self._open
         if batch is None or len(batch.versions) >= self.most:
-            batch = self._open = _Batch()
+            batch = self._open = _ReadBatch()
             gevent.spawn(self._compare, batch)
         batch.versions[ident] = version
         if not batch.done.wait(PATIENCE_S):
-            raise StateError("the state service is slow, or too much is asked", maybe=False)
+            raise StoreError("the state service is slow, or too much is asked", maybe=False)
         if batch.error is not None:
             raise batch.error
         return version if ident in batch.live else 0
 
-    def _compare(self, batch: _Batch) -> None:
+    def _compare(self, batch: _ReadBatch) -> None:
         with self._turn:
             try:
                 # waits for its share of the requests; whoever comes meanwhile is still in time
-                self.state.wait_to_read(Urgency.POLL, PATIENCE_S)
+                self.store.wait_to_read(Urgency.POLL, PATIENCE_S)
                 if self._open is batch:
                     self._open = None
                 self._ask(batch)
-            except StateError as e:
+            except StoreError as e:
                 batch.error = e
             finally:
                 if self._open is batch:
                     self._open = None
                 batch.done.set()
 
-    def _ask(self, batch: _Batch) -> None:
+    def _ask(self, batch: _ReadBatch) -> None:
         left = dict(batch.versions)
         while left:
-            _, failed = self.state.commit([at(live_key(i), v) for i, v in left.items()], [], None)
+            _, failed = self.store.commit([at(live_key(i), v) for i, v in left.items()], [], None)
             if not failed:
                 batch.live.update(left)
                 return
--- a/src/grebestand/doors/answer.py
+++ b/src/grebestand/api/response.py
@@ -6,7 +6,7 @@
 
 
 @dataclass
-class Answer:
+class Response:
     status: int
     body: bytes = b""
     retry_after: int | None = None
--- a/src/grebestand/cli.py
+++ b/src/grebestand/cli.py
@@ -55,7 +55,7 @@
     except ExpressionError as e:
         print(f"grebestand: feature: {e.faults[0]}", file=sys.stderr)
         return 2
-    from .process.controller import Controller
+    from .controller.controller import Controller
 
     # what the imports made stays for good; full collections need not go over it each time
     gc.freeze()
--- /dev/null
+++ b/src/grebestand/clients/__init__.py
@@ -0,0 +1,1 @@
+"""Clients of the key-value store, the cloud and other controllers, over HTTP."""
--- a/src/grebestand/outside/cloud.py
+++ b/src/grebestand/clients/cloud.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from ..limits.budget import Budget, Shed, Urgency
+from ..flow_control.rate_limiter import RateLimitedError, RateLimiter, Urgency
 from ..wire.cloud import ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, Rented, RentRequest
-from .http import Transport, Unreachable
+from .http import Transport, UnreachableError
 
 T = TypeVar("T")
 
@@ -17,12 +17,12 @@
     """No useful answer; the request may have been carried out."""
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     """None available for this type, zone and kind."""
 
 
 class CloudClient:
-    def __init__(self, transport: Transport, budget: Budget) -> None:
+    def __init__(self, transport: Transport, budget: RateLimiter) -> None:
         self._transport = transport
         self.budget = budget
 
@@ -31,7 +31,7 @@
         try:
             self.budget.take(urgency, 1, patience_s=5.0)
             return self._transport.request(method, path, data, 5.0)
-        except (Shed, Unreachable) as e:
+        except (RateLimitedError, UnreachableError) as e:
             raise CloudError(str(e)) from e
 
     @staticmethod
@@ -49,7 +49,7 @@
     def rent(self, request: RentRequest) -> list[str]:
         status, answer = self._call("POST", "/machines", request, Urgency.ACCEPT)
         if status == 503 and b"no capacity" in answer:
-            raise NoCapacity
+            raise NoCapacityError
         return self._decode(status, answer, Rented).machines
 
     def remove(self, names: list[str]) -> None:
--- a/src/grebestand/outside/http.py
+++ b/src/grebestand/clients/http.py
@@ -15,7 +15,7 @@
 from geventhttpclient import HTTPClient
 
 
-class Unreachable(Exception):
+class UnreachableError(Exception):
     """No answer: the request may have been executed, or may still be."""
 
 
@@ -53,9 +53,9 @@
         except gevent.Timeout as e:
             if e is not limit:
                 raise
-            raise Unreachable("timeout") from None
+            raise UnreachableError("timeout") from None
         except (OSError, RuntimeError, ValueError, ConcurrentObjectUseError, HTTPException) as e:
-            raise Unreachable(str(e)) from e
+            raise UnreachableError(str(e)) from e
         finally:
             limit.close()
 
--- a/src/grebestand/outside/state.py
+++ b/src/grebestand/clients/kv_store.py
@@ -7,9 +7,19 @@
 
 import msgspec
 
-from ..limits.budget import Budget, Shed, Urgency
-from ..wire.store import Change, Condition, Events, Hold, NewHold, Pair, PairList, Revision, Transaction
-from .http import Transport, Unreachable
+from ..flow_control.rate_limiter import RateLimitedError, RateLimiter, Urgency
+from ..wire.store import (
+    Change,
+    ChangeEvents,
+    CommitResult,
+    Condition,
+    KeyValue,
+    KeyValuePage,
+    LeaseGrant,
+    LeaseRequest,
+    Transaction,
+)
+from .http import Transport, UnreachableError
 
 T = TypeVar("T")
 
@@ -17,7 +27,7 @@
 _encoder = msgspec.json.Encoder()
 
 
-class StateError(Exception):
+class StoreError(Exception):
     """The state service did not answer usefully. `maybe`: a change may still have been made."""
 
     def __init__(self, text: str, maybe: bool) -> None:
@@ -25,11 +35,11 @@
         self.maybe = maybe
 
 
-class HoldGone(Exception):
+class LeaseExpiredError(Exception):
     """The hold has ended, and with it the keys attached to it."""
 
 
-class TooOld(Exception):
+class RevisionCompactedError(Exception):
     """The changes asked for are no longer kept: read the keys again."""
 
 
@@ -49,8 +59,8 @@
     return Condition(key=key, version=version)
 
 
-class StateClient:
-    def __init__(self, transport: Transport, watches: Transport, reads: Budget, writes: Budget) -> None:
+class KeyValueStoreClient:
+    def __init__(self, transport: Transport, watches: Transport, reads: RateLimiter, writes: RateLimiter) -> None:
         self._transport = transport
         self._watches = watches
         self.reads = reads
@@ -60,8 +70,8 @@
         """Takes a request from the budget ahead of the request itself."""
         try:
             self.reads.take(urgency, 1, patience_s=patience_s)
-        except Shed as e:
-            raise StateError(str(e), maybe=False) from e
+        except RateLimitedError as e:
+            raise StoreError(str(e), maybe=False) from e
 
     def _call(
         self, method: str, path: str, body: Any, urgency: Urgency | None, timeout: float, writes: int = 0
@@ -72,15 +82,15 @@
                 if writes:
                     self.writes.take(urgency, writes, patience_s=timeout)
                 self.reads.take(urgency, 1, patience_s=timeout)
-            except Shed as e:
-                raise StateError(str(e), maybe=False) from e
+            except RateLimitedError as e:
+                raise StoreError(str(e), maybe=False) from e
         data = b"" if body is None else _encoder.encode(body)
         try:
             status, answer = self._transport.request(method, path, data, timeout)
-        except Unreachable as e:
-            raise StateError(str(e), maybe=True) from e
+        except UnreachableError as e:
+            raise StoreError(str(e), maybe=True) from e
         if status in (429, 503):
-            raise StateError(f"status {status}", maybe=False)
+            raise StoreError(f"status {status}", maybe=False)
         return status, answer
 
     @staticmethod
@@ -88,24 +98,24 @@
         try:
             return msgspec.json.decode(answer, type=kind)
         except msgspec.DecodeError as e:
-            raise StateError(f"unreadable answer: {e}", maybe=True) from e
+            raise StoreError(f"unreadable answer: {e}", maybe=True) from e
 
-    def get(self, key: str, urgency: Urgency = Urgency.POLL, timeout: float = 1.5) -> Pair | None:
+    def get(self, key: str, urgency: Urgency = Urgency.POLL, timeout: float = 1.5) -> KeyValue | None:
         status, answer = self._call("GET", f"/store/{key}", None, urgency, timeout)
         if status == 200:
-            return self._decode(answer, Pair)
+            return self._decode(answer, KeyValue)
         if status == 404:
             return None
-        raise StateError(f"status {status}", maybe=False)
+        raise StoreError(f"status {status}", maybe=False)
 
-    def page(self, prefix: str, since: str, urgency: Urgency, limit: int = 200) -> PairList:
+    def page(self, prefix: str, since: str, urgency: Urgency, limit: int = 200) -> KeyValuePage:
         path = f"/store?prefix={prefix}&page={limit}" + (f"&since={since}" if since else "")
         status, answer = self._call("GET", path, None, urgency, 4.0)
         if status != 200:
-            raise StateError(f"status {status}", maybe=False)
-        return self._decode(answer, PairList)
+            raise StoreError(f"status {status}", maybe=False)
+        return self._decode(answer, KeyValuePage)
 
-    def scan(self, prefix: str, urgency: Urgency = Urgency.TAKEOVER) -> Iterator[PairList]:
+    def scan(self, prefix: str, urgency: Urgency = Urgency.TAKEOVER) -> Iterator[KeyValuePage]:
         since = ""
         while True:
             page = self.page(prefix, since, urgency)
@@ -114,7 +124,7 @@
                 return
             since = page.items[-1].key
 
-    def pairs(self, prefix: str) -> Iterator[Pair]:
+    def pairs(self, prefix: str) -> Iterator[KeyValue]:
         """All keys under a prefix, where the revision does not matter."""
         for page in self.scan(prefix):
             yield from page.items
@@ -126,38 +136,38 @@
         body = Transaction(conditions=conditions, changes=changes)
         status, answer = self._call("POST", "/commit", body, urgency, timeout, writes=len(changes))
         if status == 200:
-            return self._decode(answer, Revision).revision, []
+            return self._decode(answer, CommitResult).revision, []
         if status == 409:
-            return 0, self._decode(answer, Revision).failed
+            return 0, self._decode(answer, CommitResult).failed
         if status == 400 and b"lease" in answer:
-            raise HoldGone(answer.decode("utf-8", "replace"))
-        raise StateError(f"status {status}: {answer[:200]!r}", maybe=False)
+            raise LeaseExpiredError(answer.decode("utf-8", "replace"))
+        raise StoreError(f"status {status}: {answer[:200]!r}", maybe=False)
 
-    def create_hold(self, ttl_ms: int) -> int:
-        status, answer = self._call("POST", "/holds", NewHold(ttl_ms=ttl_ms), Urgency.HOLD, 1.5)
+    def grant_lease(self, ttl_ms: int) -> int:
+        status, answer = self._call("POST", "/holds", LeaseRequest(ttl_ms=ttl_ms), Urgency.HOLD, 1.5)
         if status != 200:
-            raise StateError(f"status {status}", maybe=False)
-        return self._decode(answer, Hold).hold
+            raise StoreError(f"status {status}", maybe=False)
+        return self._decode(answer, LeaseGrant).hold
 
-    def touch(self, hold: int) -> None:
+    def keep_alive(self, hold: int) -> None:
         status, _ = self._call("POST", f"/holds/{hold}/touch", None, Urgency.HOLD, 1.5)
         if status == 404:
-            raise HoldGone("the hold has ended")
+            raise LeaseExpiredError("the hold has ended")
         if status != 200:
-            raise StateError(f"status {status}", maybe=False)
+            raise StoreError(f"status {status}", maybe=False)
 
-    def end_hold(self, hold: int) -> None:
+    def revoke_lease(self, hold: int) -> None:
         self._call("DELETE", f"/holds/{hold}", None, Urgency.HOLD, 1.5)
 
-    def changes(self, prefix: str, since: int, wait_ms: int) -> Events:
+    def changes(self, prefix: str, since: int, wait_ms: int) -> ChangeEvents:
         try:
             self.reads.take(Urgency.TAKEOVER)
             path = f"/changes?prefix={prefix}&since={since}&waitMs={wait_ms}"
             status, answer = self._watches.request("GET", path, b"", wait_ms / 1000 + 2.0)
-        except (Shed, Unreachable) as e:
-            raise StateError(str(e), maybe=False) from e
+        except (RateLimitedError, UnreachableError) as e:
+            raise StoreError(str(e), maybe=False) from e
         if status == 410:
-            raise TooOld
+            raise RevisionCompactedError
         if status != 200:
-            raise StateError(f"status {status}", maybe=False)
-        return self._decode(answer, Events)
+            raise StoreError(f"status {status}", maybe=False)
+        return self._decode(answer, ChangeEvents)
--- a/src/grebestand/outside/peer.py
+++ b/src/grebestand/clients/peer.py
@@ -7,20 +7,20 @@
 
 import msgspec
 
-from ..wire.peers import Hello
-from .http import Transport, Unreachable
+from ..wire.peers import PeerStatus
+from .http import Transport, UnreachableError
 
-log = logging.getLogger("grebestand.peer")
+log = logging.getLogger(__name__)
 
 M = TypeVar("M")
 
 
-class Peer:
+class PeerClient:
     def __init__(self, name: str, transport: Transport) -> None:
         self.name = name
         self.transport = transport
-        self.heard_at = float("-inf")
-        self.last: Hello | None = None
+        self.last_heard_at = float("-inf")
+        self.last: PeerStatus | None = None
         #: when the greeting that it answered last had been sent; and since when each of its answers has followed the
         #: one before so soon that no cancellation it confirmed can have been left out
         self.told_at = float("-inf")
@@ -32,7 +32,7 @@
         """The answer to a message as it stands, or None."""
         try:
             status, answer = self.transport.request("POST", path, body, timeout)
-        except Unreachable as e:
+        except UnreachableError as e:
             log.debug("peer %s does not answer: %s", self.name, e)
             return None
         return answer if status == 200 else None
--- a/src/grebestand/outside/network.py
+++ b/src/grebestand/clients/runtime.py
@@ -7,10 +7,10 @@
 from typing import Protocol
 
 from ..settings.platform import parse_address
-from .http import HttpTransport, Transport, Unreachable
+from .http import HttpTransport, Transport, UnreachableError
 
 
-class Network(Protocol):
+class Runtime(Protocol):
     rng: random.Random
 
     def clock(self) -> float:
@@ -23,10 +23,10 @@
         """A way to a server that is asked again and again; `field` names the address in an error."""
 
     def once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        """One request over a connection of its own; raises `Unreachable`."""
+        """One request over a connection of its own; raises `UnreachableError`."""
 
 
-class Tcp:
+class SystemRuntime:
     """The real one."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         try:
             host, port = parse_address(address, "addr")
         except ValueError as e:
-            raise Unreachable(str(e)) from e
+            raise UnreachableError(str(e)) from e
         transport = HttpTransport(host, port, 1)
         try:
             return transport.request(method, path, body, timeout)
--- a/src/grebestand/books/dispatch.py
+++ b/src/grebestand/cluster_state/dispatch.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from ..states import JobState, PlaceState
-from .fleet import Fleet
-from .jobs import Job, Place
-from .ledger import Ledger
+from ..state_machines import AllocationState, JobState
+from .job_registry import JobRegistry
+from .jobs import Allocation, Job
 from .machine import Machine
+from .machine_inventory import MachineInventory
 
 #: how many attempts a leader can name under one token before it would run into the next one's
 ATTEMPTS_PER_TOKEN = 1 << 24
 
 
 class Dispatch:
-    def __init__(self, ledger: Ledger, fleet: Fleet, token: int) -> None:
-        self.ledger = ledger
-        self.fleet = fleet
+    def __init__(self, registry: JobRegistry, inventory: MachineInventory, token: int) -> None:
+        self.registry = registry
+        self.inventory = inventory
         self.token = token
         #: machines with a stop that should not wait for the next report
         self.urgent: set[int] = set()
@@ -28,38 +28,38 @@
         self._attempts += 1
         return self.token * ATTEMPTS_PER_TOKEN + self._attempts
 
-    def start(self, job: Job, index: int, m: Machine, attempt: int, now: float) -> Place:
-        place = self.ledger.open_place(job, index, m.index, attempt, now)
-        place.session = m.session
-        self.fleet.occupy(m, place)
-        if not job.covers(place):
+    def start(self, job: Job, index: int, m: Machine, attempt: int, now: float) -> Allocation:
+        allocation = self.registry.open_allocation(job, index, m.index, attempt, now)
+        allocation.epoch = m.epoch
+        self.inventory.add_allocation(m, allocation)
+        if not job.covers(allocation):
             self.to_cover[job.spec.id] = job
-        return place
+        return allocation
 
-    def stop(self, place: Place, why: str, grace: float, now: float) -> None:
+    def stop(self, allocation: Allocation, why: str, grace: float, now: float) -> None:
         """Asks for a task's end. What was never sent is simply taken back."""
-        m = self.fleet.at(place.machine)
-        if m is None or place.state is PlaceState.GONE:
+        m = self.inventory.at(allocation.machine)
+        if m is None or allocation.state is AllocationState.GONE:
             return
-        if place.state is PlaceState.QUEUED:
-            self.fleet.release(m, place, now)
+        if allocation.state is AllocationState.QUEUED:
+            self.inventory.release(m, allocation, now)
             return
-        if place.stop is not None and grace >= place.grace:
+        if allocation.stop is not None and grace >= allocation.grace:
             return
-        if place.stop is None:
+        if allocation.stop is None:
             m.leaving += 1
-            m.edits += 1
-        place.stop, place.grace = why, grace
+            m.change_count += 1
+        allocation.stop, allocation.grace = why, grace
         self.urgent.add(m.index)
 
     def stop_job(self, job: Job, why: str, grace: float, now: float) -> None:
-        for place in list(job.places.values()):
-            self.stop(place, why, grace, now)
+        for allocation in list(job.allocations.values()):
+            self.stop(allocation, why, grace, now)
 
     def cancel(self, job: Job, now: float) -> None:
         """The cancellation is committed: nothing more starts, and what is anywhere is stopped."""
         if job.state in (JobState.DONE, JobState.CANCELLED):
             return
-        self.ledger.move_job(job, JobState.CANCELLED, now)
+        self.registry.move_job(job, JobState.CANCELLED, now)
         self.stop_job(job, "cancelled", 0.0, now)
-        self.ledger.drop_if_settled(job)
+        self.registry.drop_if_settled(job)
--- a/src/grebestand/books/names.py
+++ b/src/grebestand/cluster_state/interning.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Names:
+class InternTable:
     """Gives each name the next free index and remembers both ways."""
 
     def __init__(self, names: list[str] | None = None) -> None:
--- a/src/grebestand/books/ledger.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -5,36 +5,36 @@
 from collections.abc import Iterator
 
 from ..settings.platform import Team
-from ..states import JOB_STEPS, PLACE_STEPS, JobState, PlaceState, step
+from ..state_machines import ALLOCATION_TRANSITIONS, JOB_TRANSITIONS, AllocationState, JobState, check_transition
 from ..wire.jobs import JobSpec
-from .amounts import micro_down
-from .jobs import Job, Place
-from .names import Names
+from .interning import InternTable
+from .jobs import Allocation, Job
+from .resources import to_micro_rounded_down
 from .task_types import TaskType, _bucket
-from .teams import TeamUse, limit_of
+from .teams import TeamUsage, effective_limit
 
 
-class Ledger:
+class JobRegistry:
     """All live jobs. The only writer of job and place states is here."""
 
     def __init__(self, teams: list[Team], zones: list[str]) -> None:
         self.teams = [
-            TeamUse(
+            TeamUsage(
                 t.name,
-                (micro_down(t.cpus), micro_down(t.gpus)),
-                limit_of(t),
+                (to_micro_rounded_down(t.cpus), to_micro_rounded_down(t.gpus)),
+                effective_limit(t),
             )
             for t in teams
         ]
-        self.team_names = Names([t.name for t in teams])
-        self.zones = Names(list(zones))
-        self.machine_types = Names()
-        self.images = Names()
+        self.team_names = InternTable([t.name for t in teams])
+        self.zones = InternTable(list(zones))
+        self.machine_types = InternTable()
+        self.images = InternTable()
         #: gigabytes of each image
         self.image_gb: list[float] = []
         self.jobs: dict[str, Job] = {}
         #: jobs all of whose tasks are done, until their final record is committed
-        self.closing: dict[str, Job] = {}
+        self.finishing: dict[str, Job] = {}
         #: machines on record that have not been proved since the takeover, for all jobs whose tasks may be on any
         self.anywhere: set[int] = set()
         #: by machine, the jobs that wait for its proof among others that they name
@@ -52,7 +52,7 @@
         team = self.team_names.find(spec.team)
         if team is None:  # a team that the settings no longer name: nothing of it may run
             team = self.team_names.index(spec.team)
-            self.teams.append(TeamUse(spec.team, (0, 0), (0, 0)))
+            self.teams.append(TeamUsage(spec.team, (0, 0), (0, 0)))
         job = Job(spec, version, accepted_at, team)
         job.zone = self.zones.index(spec.zone) if spec.zone else -1
         job.image = self.image(spec.image, spec.image_gb)
@@ -99,18 +99,18 @@
         """The one function that changes a job's state."""
         if job.state is new:
             return
-        step(JOB_STEPS, job.state, new, job.spec.id)
+        check_transition(JOB_TRANSITIONS, job.state, new, job.spec.id)
         job.state = new
         job.live = new is JobState.WAITING or new is JobState.ACTIVE
         if new is JobState.WAITING:
             job.wait_since = now
         elif new is JobState.CLOSING:
-            self.closing[job.spec.id] = job
+            self.finishing[job.spec.id] = job
         self.changed = True
 
     def drop_if_settled(self, job: Job) -> bool:
         """A job that is over and has no place left is no longer kept in memory."""
-        if job.state in (JobState.DONE, JobState.CANCELLED) and not job.places:
+        if job.state in (JobState.DONE, JobState.CANCELLED) and not job.allocations:
             self.jobs.pop(job.spec.id, None)
             return True
         return False
@@ -138,63 +138,63 @@
 
     # places -----------------------------------------------------------------------------------------------
 
-    def open_place(self, job: Job, index: int, machine: int, attempt: int, now: float) -> Place:
-        place = Place(job, index, machine, attempt, now)
-        assert index not in job.places, f"{job.spec.id}/{index} has a place already"
-        job.places[index] = place
+    def open_allocation(self, job: Job, index: int, machine: int, attempt: int, now: float) -> Allocation:
+        allocation = Allocation(job, index, machine, attempt, now)
+        assert index not in job.allocations, f"{job.spec.id}/{index} has a place already"
+        job.allocations[index] = allocation
         use = self.teams[job.team].used
         use[0] += job.size[0]
         use[1] += job.size[1]
         if job.state is JobState.WAITING:
             self.move_job(job, JobState.ACTIVE, now)
         self.changed = True
-        return place
+        return allocation
 
-    def move_place(self, place: Place, new: PlaceState, now: float) -> None:
+    def move_allocation(self, allocation: Allocation, new: AllocationState, now: float) -> None:
         """The one function that changes a place's state; leaving the last one frees what it counted."""
-        old = place.state
-        if old is new and new is not PlaceState.SENT:
+        old = allocation.state
+        if old is new and new is not AllocationState.SENT:
             return
-        step(PLACE_STEPS, old, new, f"{place.job.spec.id}/{place.index}")
-        place.state = new
-        if new not in (PlaceState.QUEUED, PlaceState.SENT, PlaceState.GONE) and place.on_at is None:
-            place.on_at = now
-        if new is PlaceState.RUNNING and place.run_at is None:
-            place.run_at = now
-        if new is not PlaceState.GONE:
+        check_transition(ALLOCATION_TRANSITIONS, old, new, f"{allocation.job.spec.id}/{allocation.index}")
+        allocation.state = new
+        if new not in (AllocationState.QUEUED, AllocationState.SENT, AllocationState.GONE) and allocation.on_at is None:
+            allocation.on_at = now
+        if new is AllocationState.RUNNING and allocation.run_at is None:
+            allocation.run_at = now
+        if new is not AllocationState.GONE:
             return
-        job = place.job
-        del job.places[place.index]
+        job = allocation.job
+        del job.allocations[allocation.index]
         use = self.teams[job.team].used
         use[0] -= job.size[0]
         use[1] -= job.size[1]
-        if not job.is_done(place.index):
-            job.returned.append(place.index)
-        if not job.places and job.state is JobState.ACTIVE:
+        if not job.is_done(allocation.index):
+            job.returned.append(allocation.index)
+        if not job.allocations and job.state is JobState.ACTIVE:
             self.move_job(job, JobState.WAITING, now)
         self.changed = True
 
-    def suspect(self, job: Job, machines: set[int] | None, hi: int) -> None:
+    def add_possible_holders(self, job: Job, machines: set[int] | None, hi: int) -> None:
         """An earlier leader may have started tasks below `hi` on these machines (None: on any that is on record):
         they wait for proof."""
         job.unseen_below = job.fresh = hi
         # jobs that may be anywhere share one set: with one each, a takeover of 5000 machines held millions of entries
-        job.suspects = self.anywhere if machines is None else machines
+        job.possible_holders = self.anywhere if machines is None else machines
         for machine in machines or ():
             self._suspected.setdefault(machine, []).append(job)
-        if not job.suspects:
+        if not job.possible_holders:
             self._clear(job)
 
-    def prove(self, machine: int) -> list[Job]:
+    def clear_possible_holder(self, machine: int) -> list[Job]:
         """A machine is proved. Returns the jobs of which no machine is left to prove."""
         settled = []
         if machine in self.anywhere:
             self.anywhere.discard(machine)
             if not self.anywhere:
-                settled += [j for j in self.jobs.values() if j.suspects is self.anywhere]
+                settled += [j for j in self.jobs.values() if j.possible_holders is self.anywhere]
         for job in self._suspected.pop(machine, ()):
-            job.suspects.discard(machine)
-            if not job.suspects:
+            job.possible_holders.discard(machine)
+            if not job.possible_holders:
                 settled.append(job)
         for job in settled:
             self._clear(job)
@@ -202,10 +202,10 @@
 
     def _clear(self, job: Job) -> None:
         """The tasks that nobody has seen are nowhere and wait like others."""
-        job.suspects = set()
+        job.possible_holders = set()
         unseen = range(job.unseen_below)
         # added to what came back meanwhile; `take` passes over what is listed twice
-        job.returned += [i for i in reversed(unseen) if not job.is_done(i) and i not in job.places]
+        job.returned += [i for i in reversed(unseen) if not job.is_done(i) and i not in job.allocations]
         job.unseen_below = 0
         self.changed = True
 
--- a/src/grebestand/books/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -4,18 +4,36 @@
 
 import math
 
-from ..states import JobState, PlaceState
-from ..wire.abroad import Abroad
+from ..state_machines import AllocationState, JobState
 from ..wire.jobs import PRIORITIES, JobSpec, Kind, task_name
-from .amounts import size_of
+from ..wire.remote_assignment import RemoteAssignment
+from .resources import task_resources
 
 
-class Place:
+class Allocation:
     """One attempt of a task on one machine. It counts against every limit until it is proved gone."""
 
     __slots__ = (
-        "attempt", "first", "grace", "held", "index", "job", "machine", "made_at", "name", "on_at", "run_at",
-        "seen_seq", "sent_seq", "sent_session", "session", "state", "stop", "stop_sent_at", "told_at", "warms",
+        "attempt",
+        "epoch",
+        "first",
+        "grace",
+        "held",
+        "index",
+        "job",
+        "machine",
+        "made_at",
+        "name",
+        "on_at",
+        "run_at",
+        "seen_sequence",
+        "sent_epoch",
+        "sent_sequence",
+        "state",
+        "stop",
+        "stop_sent_at",
+        "told_at",
+        "warms",
     )  # fmt: skip
 
     def __init__(self, job: Job, index: int, machine: int, attempt: int, now: float) -> None:
@@ -25,12 +43,12 @@
         self.name = task_name(job.spec.id, index)
         self.machine = machine
         self.attempt = attempt
-        self.state = PlaceState.QUEUED
-        self.session = 0
-        self.sent_session = 0
-        self.sent_seq = 0
+        self.state = AllocationState.QUEUED
+        self.epoch = 0
+        self.sent_epoch = 0
+        self.sent_sequence = 0
         #: the newest report of the session that named it
-        self.seen_seq = -1
+        self.seen_sequence = -1
         self.made_at = now
         #: the task had no place before, so it began at its beginning
         self.first = False
@@ -47,7 +65,7 @@
         self.told_at = math.inf
 
 
-class Stages:
+class GangStartTimeline:
     """When the last task of a gang's attempt came so far; the clock's seconds."""
 
     __slots__ = ("attempt", "covered", "placed", "reported", "room", "sent")
@@ -63,11 +81,50 @@
     """A live job. Only tasks that have a place cost an object; the rest are bits and a cursor."""
 
     __slots__ = (
-        "abroad", "abroad_running", "accepted_at", "answers_until", "avoid", "away", "begun", "dirty", "displaced",
-        "done", "done_count", "doubtful", "durable", "earned", "ends", "errors", "failed_at", "fails_after_s",
-        "fresh", "granted", "granted_hi", "guaranteed", "guest", "hold_until", "image", "live", "places",
-        "preempt_at", "rank", "returned", "runs", "size", "spec", "stages", "started_at", "state",
-        "suspects", "team", "type", "unasked", "unseen_below", "version", "wait_since", "why_waiting",
+        "abroad",
+        "abroad_running",
+        "accepted_at",
+        "allocations",
+        "avoid",
+        "away",
+        "begun",
+        "dirty",
+        "displaced",
+        "done",
+        "done_count",
+        "doubtful",
+        "durable",
+        "earned",
+        "ends",
+        "errors",
+        "failed_at",
+        "fails_after_s",
+        "fresh",
+        "granted",
+        "granted_hi",
+        "guaranteed",
+        "guest",
+        "hold_until",
+        "image",
+        "live",
+        "may_answer_until",
+        "possible_holders",
+        "preempt_at",
+        "rank",
+        "returned",
+        "runs",
+        "size",
+        "spec",
+        "stages",
+        "started_at",
+        "state",
+        "team",
+        "type",
+        "unasked",
+        "unseen_below",
+        "version",
+        "wait_since",
+        "why_waiting",
         "zone",
     )  # fmt: skip
 
@@ -76,9 +133,9 @@
         self.version = version
         self.accepted_at = accepted_at
         #: of a cancelled one: a machine that still has a task of it is answered until then, so its lease ends in time
-        self.answers_until = math.inf
+        self.may_answer_until = math.inf
         self.team = team
-        self.size = size_of(spec)
+        self.size = task_resources(spec)
         #: of its priority, the highest being 0
         self.rank = PRIORITIES.index(spec.priority)
         self.type = -1
@@ -91,15 +148,15 @@
         self.durable = bytearray((spec.tasks + 7) // 8)
         self.done_count = 0
         self.dirty: dict[int, float] = {}
-        self.places: dict[int, Place] = {}
+        self.allocations: dict[int, Allocation] = {}
         self.fresh = 0
         self.returned: list[int] = []
         #: what finished tasks took, by machine, the latest
         self.runs: list[tuple[int, float]] = []
         #: of a gang that was placed
-        self.stages: Stages | None = None
+        self.stages: GangStartTimeline | None = None
         #: the cluster named in its live record, and how many of its tasks run there
-        self.abroad: Abroad | None = None
+        self.abroad: RemoteAssignment | None = None
         self.abroad_running = 0
         #: another cluster runs it or may come to run it: nothing of it may start here
         self.away = False
@@ -110,7 +167,7 @@
         self.errors = 0
         self.failed_at = -math.inf
         self.fails_after_s = 0.0
-        #: it fails wherever it is started: one task, or one gang, of it is tried at a time (`decisions.health`)
+        #: it fails wherever it is started: one task, or one gang, of it is tried at a time
         self.doubtful = False
         self.earned = False
         #: how often the whole gang was stopped to make room
@@ -121,7 +178,7 @@
         self.granted: set[int] | None = set()
         self.granted_hi = 0
         #: machines that may hold tasks of an earlier leader's, not yet proved; such tasks are below unseen_below
-        self.suspects: set[int] = set()
+        self.possible_holders: set[int] = set()
         self.unseen_below = 0
         self.guaranteed = False
         self.wait_since = accepted_at
@@ -151,7 +208,7 @@
         """Tasks that are neither done nor anywhere."""
         if not self.live or self.away or self.unasked:
             return 0
-        return max(0, self.spec.tasks - self.done_count - len(self.places))
+        return max(0, self.spec.tasks - self.done_count - len(self.allocations))
 
     def wanted(self) -> int:
         """Waiting tasks that room should be found for."""
@@ -163,32 +220,32 @@
 
         Where the zones of a job's other tasks matter, all of them wait: what has not been seen may be in any zone.
         """
-        if self.doubtful and not self.gang and self.places:
+        if self.doubtful and not self.gang and self.allocations:
             return 0
-        if not self.suspects or not self.live:
+        if not self.possible_holders or not self.live:
             return self.wanted()
         if self.gang or self.spec.one_zone or self.spec.spread:
             return 0
-        back = sum(1 for i in set(self.returned) if not self.is_done(i) and i not in self.places)
+        back = sum(1 for i in set(self.returned) if not self.is_done(i) and i not in self.allocations)
         free = back + self.spec.tasks - self.fresh
         return min(free, 1) if self.doubtful else free
 
-    def covers(self, place: Place) -> bool:
+    def covers(self, allocation: Allocation) -> bool:
         """Whether the durable grant tells a later leader that this task may be on that machine."""
-        return place.index < self.granted_hi and (self.granted is None or place.machine in self.granted)
+        return allocation.index < self.granted_hi and (self.granted is None or allocation.machine in self.granted)
 
     def running(self) -> int:
-        return self.abroad_running + sum(1 for p in self.places.values() if p.state is PlaceState.RUNNING)
+        return self.abroad_running + sum(1 for p in self.allocations.values() if p.state is AllocationState.RUNNING)
 
     def take(self) -> int | None:
         """The next waiting task; the caller gives it a place at once."""
         while self.returned:
             index = self.returned.pop()
-            if not self.is_done(index) and index not in self.places:
+            if not self.is_done(index) and index not in self.allocations:
                 return index
         while self.fresh < self.spec.tasks:
             index = self.fresh
             self.fresh += 1
-            if not self.is_done(index) and index not in self.places:
+            if not self.is_done(index) and index not in self.allocations:
                 return index
         return None
--- a/src/grebestand/books/fleet.py
+++ b/src/grebestand/cluster_state/machine_inventory.py
@@ -6,34 +6,41 @@
 import math
 
 from ..clocks import DRIFT, MARGIN_S
-from ..states import MACHINE_STEPS, RECEPTION_STEPS, MachineState, PlaceState, Reception, step
+from ..state_machines import (
+    MACHINE_TRANSITIONS,
+    RECEPTION_TRANSITIONS,
+    AllocationState,
+    MachineState,
+    Reception,
+    check_transition,
+)
 from ..wire.cloud import MachineType
-from .amounts import Amounts, minus, plus, room_of
-from .jobs import Place
-from .ledger import Ledger
+from .job_registry import JobRegistry
+from .jobs import Allocation
 from .machine import Machine
+from .resources import Resources, add, machine_capacity, subtract
 
-log = logging.getLogger("grebestand.fleet")
+log = logging.getLogger(__name__)
 
-ANY_AMOUNT = 1 << 60
+UNKNOWN_USAGE = 1 << 60
 #: for so many leases it is remembered that a machine is gone, and of so many machines
-GONE_LEASES, MOST_GONE = 6.0, 4000
+DELETED_MEMORY_LEASES, MAX_DELETED_REMEMBERED = 6.0, 4000
 #: silence is looked for at least so often, in seconds, unless this controller stands still
-AWAKE_S = 4.0
+MAX_OBSERVATION_GAP_S = 4.0
 #: a machine that has not reported for so many intervals is silent
-SILENT_REPORTS = 2.2
+SILENT_AFTER_INTERVALS = 2.2
 #: so many reports in a row that ignore what they were answered are doubtful; one answer is lost now and then
-DOUBTFUL = 2
+MISSED_RESPONSES_BEFORE_SUSPICION = 2
 
 
-class Fleet:
-    def __init__(self, ledger: Ledger, lease_s: float, report_s: float) -> None:
-        self.ledger = ledger
+class MachineInventory:
+    def __init__(self, registry: JobRegistry, lease_s: float, report_s: float) -> None:
+        self.registry = registry
         self.machines: list[Machine] = []
         self.by_name: dict[str, Machine] = {}
         self.kinds: dict[int, MachineType] = {}
         #: of each machine type
-        self.rooms: list[Amounts] = []
+        self.rooms: list[Resources] = []
         self.lease_s = lease_s
         self.report_s = report_s
         #: jobs that machines are reserved for though they are not in the books: other clusters' gangs that may come
@@ -41,21 +48,21 @@
         #: machines that the cloud has deleted, and when: whatever still comes under their names is a late copy
         self.gone: dict[str, float] = {}
         #: machines to be asked directly, by index: what they report, or do not, has to be explained
-        self.to_ask: set[int] = set()
+        self.to_query: set[int] = set()
         #: machines proved since the last look
         self.proved: list[int] = []
         #: when silence was last looked for, and since when that was done without a break
         self._looked_at = self._awake_at = -math.inf
         self._by_index: dict[int, Machine] = {}
         self._next_index = 0
-        self.unproved_count = 0
+        self.unreconciled_count = 0
         self._sizeless = 0
         self._unknown = [0, 0]
 
     def learn_types(self, types: list[MachineType]) -> None:
         for t in types:
-            self.kinds[self.ledger.machine_types.index(t.name)] = t
-        self.rooms = [room_of(t) for t in self.kinds.values()]
+            self.kinds[self.registry.machine_types.index(t.name)] = t
+        self.rooms = [machine_capacity(t) for t in self.kinds.values()]
         for m in self.by_name.values():
             self._measure(m)
         self.count_unknown()
@@ -63,19 +70,21 @@
     def _measure(self, m: Machine) -> None:
         kind = self.kinds.get(m.kind)
         if kind is not None:
-            m.room = room_of(kind)
-            m.free = minus(m.room, m.used)
+            m.capacity = machine_capacity(kind)
+            m.free = subtract(m.capacity, m.used)
 
     def add(
         self, name: str, addr: str, kind: str, zone: str, spot: bool, now: float, recorded: bool = False
     ) -> Machine:
         """A machine begins as new, or, on record already, as one that may hold an earlier leader's tasks."""
-        ledger = self.ledger
-        m = Machine(self._next_index, name, addr, ledger.machine_types.index(kind), ledger.zones.index(zone), spot, now)
+        registry = self.registry
+        m = Machine(
+            self._next_index, name, addr, registry.machine_types.index(kind), registry.zones.index(zone), spot, now
+        )
         self._by_index[self._next_index] = m
         self._next_index += 1
         if recorded:
-            m.recorded, m.state = True, MachineState.UNPROVED
+            m.recorded, m.state = True, MachineState.UNRECONCILED
         self._measure(m)
         self.machines.append(m)
         self.by_name[name] = m
@@ -88,10 +97,10 @@
         """The one function that changes a machine's state. A lapsed or gone machine holds nothing."""
         if m.state is new:
             return
-        step(MACHINE_STEPS, m.state, new, m.name)
+        check_transition(MACHINE_TRANSITIONS, m.state, new, m.name)
         old, m.state = m.state, new
-        m.edits += 1
-        if new in (MachineState.LAPSED, MachineState.GONE):
+        m.change_count += 1
+        if new in (MachineState.LEASE_EXPIRED, MachineState.GONE):
             self.release_all(m, now)
             if m.reserved_for is not None:
                 m.reserved_for = None
@@ -99,66 +108,66 @@
             m.news = True
         elif new is MachineState.SUSPECT:
             # decided but never sent: nobody else can have it
-            for place in [p for p in m.places.values() if p.state is PlaceState.QUEUED]:
-                self.release(m, place, now)
+            for allocation in [p for p in m.allocations.values() if p.state is AllocationState.QUEUED]:
+                self.release(m, allocation, now)
         if new is MachineState.GONE:
             self.machines.remove(m)
             del self.by_name[m.name]
             del self._by_index[m.index]
             self.gone[m.name] = now
-            if len(self.gone) > MOST_GONE:
+            if len(self.gone) > MAX_DELETED_REMEMBERED:
                 del self.gone[next(iter(self.gone))]
-        if old is MachineState.UNPROVED:
+        if old is MachineState.UNRECONCILED:
             self._count_proved(m)
             self.proved.append(m.index)
-        self.ledger.changed = True
+        self.registry.changed = True
 
     def was_deleted(self, name: str, now: float) -> bool:
         """Whether the cloud has deleted it lately."""
-        return now - self.gone.get(name, -math.inf) < GONE_LEASES * self.lease_s
+        return now - self.gone.get(name, -math.inf) < DELETED_MEMORY_LEASES * self.lease_s
 
     def receive(self, m: Machine, new: Reception, why: str, now: float) -> None:
         """The one function that changes what is known of a machine's reception."""
         if m.reception is new:
             return
-        step(RECEPTION_STEPS, m.reception, new, m.name)
+        check_transition(RECEPTION_TRANSITIONS, m.reception, new, m.name)
         old, m.reception = m.reception, new
-        m.edits += 1
-        m.deaf_at = now if new is Reception.DEAF else math.inf
-        if new is Reception.HEARS:
-            m.missed = 0
+        m.change_count += 1
+        m.unreachable_since = now if new is Reception.UNREACHABLE else math.inf
+        if new is Reception.REACHABLE:
+            m.missed_responses = 0
             m.news = True
-        elif new is Reception.DEAF and m.state is MachineState.READY:
+        elif new is Reception.UNREACHABLE and m.state is MachineState.READY:
             self.move(m, MachineState.SUSPECT, now)
-        self.ledger.changed = True
-        if Reception.DEAF in (old, new):
+        self.registry.changed = True
+        if Reception.UNREACHABLE in (old, new):
             log.info("machine %s: %s -> %s: %s", m.name, old.name, new.name, why)
 
     def doubt(self, m: Machine, why: str, now: float, weight: int = 1) -> None:
         """A report that goes on as if the answer to the one before had not come."""
-        m.missed += weight
-        if m.missed >= DOUBTFUL and m.reception is Reception.HEARS:
-            self.receive(m, Reception.DOUBTED, why, now)
-        if m.reception is not Reception.HEARS:
-            self.to_ask.add(m.index)
+        m.missed_responses += weight
+        if m.missed_responses >= MISSED_RESPONSES_BEFORE_SUSPICION and m.reception is Reception.REACHABLE:
+            self.receive(m, Reception.SUSPECTED, why, now)
+        if m.reception is not Reception.REACHABLE:
+            self.to_query.add(m.index)
 
-    def occupy(self, m: Machine, place: Place) -> None:
-        job = place.job
-        m.used = plus(m.used, job.size)
-        m.free = minus(m.room, m.used)
+    def add_allocation(self, m: Machine, allocation: Allocation) -> None:
+        job = allocation.job
+        m.used = add(m.used, job.size)
+        m.free = subtract(m.capacity, m.used)
         m.slots[job.type] = m.slots.get(job.type, 0) + 1
         m.rank_cpus[job.rank] += job.size[0]
         whose = job.rank, job.team
         m.team_cpus[whose] = m.team_cpus.get(whose, 0) + job.size[0]
-        m.edits += 1
+        m.change_count += 1
         if job.image not in m.images:
             m.pulls[job.image] = m.pulls.get(job.image, 0) + 1
-        m.places[place.name] = place
+        m.allocations[allocation.name] = allocation
 
-    def release(self, m: Machine, place: Place, now: float) -> None:
-        job = place.job
-        m.used = minus(m.used, job.size)
-        m.free = minus(m.room, m.used)
+    def release(self, m: Machine, allocation: Allocation, now: float) -> None:
+        job = allocation.job
+        m.used = subtract(m.used, job.size)
+        m.free = subtract(m.capacity, m.used)
         m.slots[job.type] -= 1
         m.freed_at = now
         m.rank_cpus[job.rank] -= job.size[0]
@@ -166,7 +175,7 @@
         m.team_cpus[whose] -= job.size[0]
         if not m.team_cpus[whose]:
             del m.team_cpus[whose]
-        m.edits += 1
+        m.change_count += 1
         m.news = True
         if job.image in m.pulls:
             m.pulls[job.image] -= 1
@@ -174,25 +183,25 @@
                 del m.pulls[job.image]  # nobody waits for it any more, so the machine gives it up
         elif job.image in m.images:
             m.images.move_to_end(job.image)  # used until now
-        if place.stop is not None:
+        if allocation.stop is not None:
             m.leaving -= 1
-        del m.places[place.name]
-        if not m.places:
+        del m.allocations[allocation.name]
+        if not m.allocations:
             m.empty_since = now
-        self.ledger.move_place(place, PlaceState.GONE, now)
-        self.ledger.drop_if_settled(job)  # also where a lease or a deletion ended its last task
+        self.registry.move_allocation(allocation, AllocationState.GONE, now)
+        self.registry.drop_if_settled(job)  # also where a lease or a deletion ended its last task
 
     def release_all(self, m: Machine, now: float) -> None:
-        for place in list(m.places.values()):
-            self.release(m, place, now)
+        for allocation in list(m.allocations.values()):
+            self.release(m, allocation, now)
 
-    def lease_over(self, m: Machine, now: float) -> bool:
+    def lease_expired(self, m: Machine, now: float) -> bool:
         """Whether the worker has killed its tasks by its own clock, at the latest.
 
         Its lease runs from when it sent the report that was answered last, which was before that answer left here. That
         it goes on reporting proves nothing of that: answers may not reach it.
         """
-        return now - m.given_at > self.lease_s * (1 + 2 * DRIFT) + MARGIN_S
+        return now - m.last_response_at > self.lease_s * (1 + 2 * DRIFT) + MARGIN_S
 
     def count_unknown(self) -> None:
         """Unproved machines may run anything up to their size: each team's limit has to allow for it.
@@ -200,71 +209,76 @@
         A machine whose size is not known yet may run any amount. A leader that restarted takes over before it
         has read the machine types; counting such machines as nothing once put a team over its limit.
         """
-        unproved = self.unproved()
-        self.unproved_count = len(unproved)
-        self._sizeless = sum(1 for m in unproved if m.room == (0, 0, 0))
-        self._unknown = [sum(m.room[0] for m in unproved), sum(m.room[1] for m in unproved)]
+        unreconciled = self.unreconciled()
+        self.unreconciled_count = len(unreconciled)
+        self._sizeless = sum(1 for m in unreconciled if m.capacity == (0, 0, 0))
+        self._unknown = [sum(m.capacity[0] for m in unreconciled), sum(m.capacity[1] for m in unreconciled)]
         self._share_unknown()
 
     def _count_proved(self, m: Machine) -> None:
         """One machine fewer that is not proved; counting all of them anew grew with the square of their number."""
-        self.unproved_count -= 1
-        self._sizeless -= m.room == (0, 0, 0)
-        self._unknown[0] -= m.room[0]
-        self._unknown[1] -= m.room[1]
+        self.unreconciled_count -= 1
+        self._sizeless -= m.capacity == (0, 0, 0)
+        self._unknown[0] -= m.capacity[0]
+        self._unknown[1] -= m.capacity[1]
         self._share_unknown()
 
     def _share_unknown(self) -> None:
-        for team in self.ledger.teams:
-            team.unknown = [ANY_AMOUNT, ANY_AMOUNT] if self._sizeless else list(self._unknown)
+        for team in self.registry.teams:
+            team.unknown = [UNKNOWN_USAGE, UNKNOWN_USAGE] if self._sizeless else list(self._unknown)
 
-    def unproved(self) -> list[Machine]:
-        return [m for m in self.machines if m.state is MachineState.UNPROVED]
+    def unreconciled(self) -> list[Machine]:
+        return [m for m in self.machines if m.state is MachineState.UNRECONCILED]
 
-    def sweep_silence(self, now: float) -> list[Machine]:
+    def detect_silent_machines(self, now: float) -> list[Machine]:
         """Notices who fell silent; returns the machines whose lease has just run out.
 
         Nobody is silent because this controller stood still: it begins to wait anew when it looks again.
         """
-        if now - self._looked_at > AWAKE_S:
+        if now - self._looked_at > MAX_OBSERVATION_GAP_S:
             self._awake_at = now
         self._looked_at = now
         lapsed = []
         for m in list(self.machines):
-            if m.state is MachineState.READY and now - max(m.heard_at, self._awake_at) > SILENT_REPORTS * self.report_s:
+            if (
+                m.state is MachineState.READY
+                and now - max(m.last_heard_at, self._awake_at) > SILENT_AFTER_INTERVALS * self.report_s
+            ):
                 self.move(m, MachineState.SUSPECT, now)
-            if m.state in (MachineState.SUSPECT, MachineState.UNPROVED, MachineState.NEW) and self.lease_over(m, now):
-                self.move(m, MachineState.LAPSED, now)
+            if m.state in (MachineState.SUSPECT, MachineState.UNRECONCILED, MachineState.NEW) and self.lease_expired(
+                m, now
+            ):
+                self.move(m, MachineState.LEASE_EXPIRED, now)
                 lapsed.append(m)
         return lapsed
 
     def counts(self, m: Machine) -> bool:
         """Whether a machine's template counts in the plan, even if it may not be given tasks right now."""
-        here = m.state in (MachineState.READY, MachineState.SUSPECT) and m.reception is not Reception.DEAF
-        return here and m.recorded and m.drain is None and any(m.room)
+        here = m.state in (MachineState.READY, MachineState.SUSPECT) and m.reception is not Reception.UNREACHABLE
+        return here and m.recorded and m.drain is None and any(m.capacity)
 
     def usable(self, m: Machine, now: float) -> bool:
         return (
             m.state is MachineState.READY
-            and m.reception is Reception.HEARS
+            and m.reception is Reception.REACHABLE
             and m.recorded
             and m.drain is None
             and now >= m.blocked_until
-            and m.room != (0, 0, 0)
+            and m.capacity != (0, 0, 0)
         )
 
     def note_image(self, m: Machine, image: int, gigabytes: float) -> None:
         """Workers keep the most recently used images up to their cache size; this mirrors that guess."""
         m.pulls.pop(image, None)
         m.news = True
-        m.edits += 1
+        m.change_count += 1
         m.images[image] = gigabytes
         m.images.move_to_end(image)
         kind = self.kinds.get(m.kind)
         limit = kind.cache_gb if kind else 0.0
         if sum(m.images.values()) <= limit:
             return
-        in_use = {p.job.image for p in m.places.values()}
+        in_use = {p.job.image for p in m.allocations.values()}
         for old in [i for i in m.images if i not in in_use and i != image]:
             del m.images[old]
             if sum(m.images.values()) <= limit:
--- a/src/grebestand/books/learned.py
+++ b/src/grebestand/cluster_state/run_time_estimates.py
@@ -5,7 +5,7 @@
 from .jobs import Job
 
 
-class RunTimes:
+class RunTimeEstimates:
     def __init__(self) -> None:
         #: by class: run time as a multiple of what owners estimate
         self.ratio: dict[str, float] = {}
--- a/src/grebestand/books/slots.py
+++ b/src/grebestand/cluster_state/slots.py
@@ -4,17 +4,17 @@
 
 from dataclasses import dataclass
 
-from .amounts import Amounts
+from .resources import Resources
 
 #: slots of each task type, by its index
-Config = tuple[int, ...]
+SlotTemplate = tuple[int, ...]
 
 
 @dataclass(frozen=True)
 class Slot:
     """What the algorithm knows of a task type."""
 
-    size: Amounts
+    size: Resources
     payoff: float
     spot: bool = True
     machine_types: frozenset[int] | None = None
--- a/src/grebestand/books/task_types.py
+++ b/src/grebestand/cluster_state/task_types.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from .amounts import Amounts
+from .resources import Resources
 from .slots import Slot
 
 
@@ -15,7 +15,7 @@
 
     key: tuple[object, ...]
     rank: int
-    size: Amounts
+    size: Resources
     spot: bool
     machine_types: frozenset[int] | None
     zone: int | None
--- a/src/grebestand/books/teams.py
+++ b/src/grebestand/cluster_state/teams.py
@@ -5,23 +5,25 @@
 from dataclasses import dataclass, field
 
 from ..settings.platform import Team
-from .amounts import Amounts, micro_down
+from .resources import Resources, to_micro_rounded_down
 
 #: a limit that is none, in millionths
-NO_LIMIT = 1 << 62
+UNLIMITED = 1 << 62
 
 
-def limit_of(team: Team) -> tuple[int, int]:
+def effective_limit(team: Team) -> tuple[int, int]:
     """What a team may use at the most, in millionths of a CPU and of a card.
 
     A `cpus_max` of 0 is no limit: read as "may use nothing" it would leave a guest team nothing that it could ever run,
     and all its submissions were answered 422. Cards stay at none, as no team needs them to run at all.
     """
-    return (micro_down(team.cpus_max) if team.cpus_max > 0 else NO_LIMIT), micro_down(team.gpus_max)
+    return (to_micro_rounded_down(team.cpus_max) if team.cpus_max > 0 else UNLIMITED), to_micro_rounded_down(
+        team.gpus_max
+    )
 
 
 @dataclass
-class TeamUse:
+class TeamUsage:
     name: str
     guaranteed: tuple[int, int]
     limit: tuple[int, int]
@@ -39,10 +41,10 @@
     def borrows(self) -> bool:
         return self.used[0] > self.guaranteed[0] or self.used[1] > self.guaranteed[1]
 
-    def headroom(self, size: Amounts) -> int:
+    def headroom(self, size: Resources) -> int:
         """How many more tasks of this size the team's limit allows, counting what may still be somewhere."""
         rooms = []
         for need, used, unknown, limit in zip(size[:2], self.used, self.unknown, self.limit, strict=True):
-            if need > 0 and limit < NO_LIMIT:
+            if need > 0 and limit < UNLIMITED:
                 rooms.append((limit - used - unknown) // need)
         return max(0, min(rooms)) if rooms else 1 << 30
--- a/src/grebestand/commands/federation.py
+++ b/src/grebestand/commands/federation.py
@@ -58,7 +58,7 @@
         return 1
     try:
         return _keys(arguments)
-    except keys.KeyFault as e:
+    except keys.KeyFileError as e:
         print(f"grebestand: federation: {e}", file=sys.stderr)
         return 2
     except OSError as e:
@@ -72,7 +72,7 @@
     root, now = Path(arguments.dir), dt.datetime.now(dt.UTC)
     if arguments.action in ("create", "rotate"):
         if not 0 < arguments.days <= 3650:
-            raise keys.KeyFault("--days: must be above 0 and at most 3650")
+            raise keys.KeyFileError("--days: must be above 0 and at most 3650")
         if arguments.action == "create":
             made = keys.create(root, arguments.cluster, arguments.days, now)
         else:
@@ -95,10 +95,10 @@
 
 
 def _settle(arguments: argparse.Namespace) -> int:
-    from ..federation.settle import away, settle
-    from ..limits.budget import Budget
-    from ..outside.http import HttpTransport
-    from ..outside.state import StateClient, StateError
+    from ..clients.http import HttpTransport
+    from ..clients.kv_store import KeyValueStoreClient, StoreError
+    from ..federation.settlement import remote_gangs, settle
+    from ..flow_control.rate_limiter import RateLimiter
 
     try:
         settings = platform.load(arguments.config)
@@ -106,11 +106,11 @@
         print(f"grebestand: settings: {e}", file=sys.stderr)
         return 2
     host, port = parse_address(settings.outside.state, "outside.state")
-    budget = Budget(10.0, 10.0, time.monotonic, lambda s, f: None)
+    budget = RateLimiter(10.0, 10.0, time.monotonic, lambda s, f: None)
     transport = HttpTransport(host, port, 1)
-    state = StateClient(transport, transport, budget, budget)
+    state = KeyValueStoreClient(transport, transport, budget, budget)
     try:
-        gangs = away(state, arguments.cluster)
+        gangs = remote_gangs(state, arguments.cluster)
         if not gangs:
             print(f"no gang of this cluster is in {arguments.cluster}")
             return 0
@@ -132,6 +132,6 @@
             else:
                 print(f"{g.ref}: has changed meanwhile, left as it is")
         return 0 if changed == len(gangs) else 1
-    except StateError as e:
+    except StoreError as e:
         print(f"grebestand: federation: the state service does not answer: {e}", file=sys.stderr)
         return 1
--- a/src/grebestand/commands/rehearse.py
+++ b/src/grebestand/commands/rehearse.py
@@ -55,12 +55,12 @@
 
 
 def _check(path: Path) -> int:
-    from ..rehearsal.check import check
-    from ..rehearsal.history import HistoryFault, read
+    from ..fault_test.history import HistoryFileError, read
+    from ..fault_test.history_checker import check
 
     try:
         verdict = check(read(path))
-    except HistoryFault as e:
+    except HistoryFileError as e:
         print(f"grebestand: check-history: {e}", file=sys.stderr)
         return 2
     for fault in verdict.faults:
@@ -85,7 +85,7 @@
     import gevent
     import msgspec
 
-    from ..rehearsal.scale import Plan, rehearse
+    from ..load_test.scale_run import ScaleRunPlan, rehearse
 
     if not (
         1 <= arguments.workers <= 10_000 and 2 <= arguments.controllers <= 20 and 1 <= arguments.teams <= 5_000
@@ -96,7 +96,7 @@
             "--rate above 0 and at most 10000, --seconds 5 to 3600", file=sys.stderr,
         )  # fmt: skip
         return 2
-    plan = Plan(
+    plan = ScaleRunPlan(
         workers=arguments.workers, controllers=arguments.controllers, teams=arguments.teams, rate=arguments.rate,
         seconds=arguments.seconds, seed=arguments.seed,
     )  # fmt: skip
@@ -139,15 +139,15 @@
 def _rehearse(arguments: argparse.Namespace) -> int:
     if arguments.name == "scale":
         return _scale(arguments)
-    from ..rehearsal.federation import Plan, rehearse
-    from ..rehearsal.history import write
+    from ..fault_test.federation import FaultTestPlan, rehearse
+    from ..fault_test.history import write
 
     most = 50 if arguments.name == "clusters" else 4
     if not 2 <= arguments.clusters <= most or not 0 < arguments.load <= 4:
         print(f"grebestand: rehearse: --clusters must be 2 to {most}, --load above 0 and at most 4", file=sys.stderr)
         return 2
     if arguments.name == "clusters":
-        from ..rehearsal.many import simulate
+        from ..fault_test.many_clusters import simulate
 
         with _errors_only():
             print(simulate(arguments.clusters, arguments.load, arguments.seed).row())
@@ -155,7 +155,7 @@
     if not 1 <= arguments.gangs <= 10_000 or not 3 <= arguments.machines <= 200:
         print("grebestand: rehearse: --gangs must be 1 to 10000, --machines 3 to 200", file=sys.stderr)
         return 2
-    plan = Plan(
+    plan = FaultTestPlan(
         seed=arguments.seed, clusters=arguments.clusters, gangs=arguments.gangs, machines=arguments.machines,
         arrive_s=arguments.arrive, most_s=arguments.most, faults=not arguments.no_faults, federation=not arguments.off,
     )  # fmt: skip
--- a/src/grebestand/commands/up.py
+++ b/src/grebestand/commands/up.py
@@ -36,14 +36,14 @@
     if not 1 <= arguments.machines <= 200:
         print("grebestand: up: --machines must be 1 to 200", file=sys.stderr)
         return 2
-    from ..standin.processes import Controllers
-    from ..standin.site import Site
+    from ..emulators.controller_processes import Controllers
+    from ..emulators.site import EmulatedSite
 
     for number in (signal.SIGINT, signal.SIGTERM):
         gevent.signal_handler(number, _stop)
     with tempfile.TemporaryDirectory(prefix="grebestand-") as directory:
         types = [MachineType("m16", 16.0, 0.0, 64.0, ["a"], 100.0, 1.0, 1.0, 0.4, 3.0)]
-        site = Site("up", types, WORKERS, lambda row: None, os.getpid())
+        site = EmulatedSite("up", types, WORKERS, lambda row: None, os.getpid())
         workers = "[params.workers]\n" + "".join(f"{k} = {v}\n" for k, v in WORKERS.items())
         limits = "[params.state]\nrps = 1000.0\nwrite_rps = 200.0\nvalue_kb = 4.0\ntxn_ops = 12\n"
         params = f'zones = ["a"]\n{TEAMS}{workers}{limits}[params.cloud]\nrps = 50.0\nlist_lag_s = 2.0\n'
--- a/src/grebestand/reach/links.py
+++ b/src/grebestand/connectivity/link_health.py
@@ -6,18 +6,18 @@
 import math
 from collections.abc import Callable
 
-from ..states import LINK_STEPS, LinkState, step
+from ..state_machines import LINK_TRANSITIONS, LinkState, check_transition
 
-log = logging.getLogger("grebestand.reach")
+log = logging.getLogger(__name__)
 
 
-class Link:
+class LinkHealth:
     """One link, as its own requests and answers show it. A silent link is known by its silence only."""
 
     def __init__(self, name: str, clock: Callable[[], float]) -> None:
         self.name = name
         self.clock = clock
-        self.state = LinkState.DOUBTFUL
+        self.state = LinkState.SUSPECT
         #: when something last came over it
         self.ok_at = -math.inf
         #: when the first of the requests that have failed since was sent
@@ -27,7 +27,7 @@
         """The one function that changes what is thought of a link."""
         if new is self.state:
             return
-        step(LINK_STEPS, self.state, new, self.name)
+        check_transition(LINK_TRANSITIONS, self.state, new, self.name)
         log.info("link to %s: %s -> %s: %s", self.name, self.state.name, new.name, why)
         self.state = new
 
@@ -43,16 +43,16 @@
         if self.failed_at is None:
             self.failed_at = sent
         if self.state is LinkState.UP:
-            self.move(LinkState.DOUBTFUL, why)
-        if self.state is LinkState.DOUBTFUL and self.clock() - self.failed_at >= down_after_s:
+            self.move(LinkState.SUSPECT, why)
+        if self.state is LinkState.SUSPECT and self.clock() - self.failed_at >= down_after_s:
             self.move(LinkState.DOWN, why)
 
     def silent(self, doubtful_s: float, down_s: float) -> None:
         """Nothing comes that would come by itself: after so long it is doubtful, after so long down."""
         silence = self.clock() - self.ok_at
         if self.state is LinkState.UP and silence >= doubtful_s:
-            self.move(LinkState.DOUBTFUL, f"silent for {silence:.1f} s")
-        if self.state is LinkState.DOUBTFUL and down_s <= silence < math.inf:
+            self.move(LinkState.SUSPECT, f"silent for {silence:.1f} s")
+        if self.state is LinkState.SUSPECT and down_s <= silence < math.inf:
             self.move(LinkState.DOWN, f"silent for {silence:.1f} s")
 
     @property
--- a/src/grebestand/reach/relay.py
+++ b/src/grebestand/connectivity/store_proxy.py
@@ -1,9 +1,9 @@
 """The state service over one other controller, for one that is cut off from it or refused by it.
 
-`RelayedStore` stands where the client's transport stood, `RelayDoor` answers at the other end. Why a relayed answer is
-as good as a direct one is argued in docs/cuts.md; in short: the caller counts its authority from before it asked,
-nothing is asked twice by anybody but the caller, what has no answer stays unknown, and a helper asks the state service
-itself or not at all, so that there are no loops.
+`ProxiedStoreTransport` stands where the client's transport stood, `StoreProxyHandler` answers at the other end.
+Why a relayed answer is as good as a direct one is argued in docs/cuts.md; in short:
+the caller counts its authority from before it asked, nothing is asked twice by anybody but the caller, what has no
+answer stays unknown, and a helper asks the state service itself or not at all, so that there are no loops.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from ..limits.sockets import RELAYED
-from ..outside.http import Transport, Unreachable
-from ..outside.peer import Peer
-from ..states import LinkState
-from ..wire.peers import Relayed, RelayedAnswer
-from .links import Link
+from ..clients.http import Transport, UnreachableError
+from ..clients.peer import PeerClient
+from ..flow_control.connection_limits import RELAYED
+from ..state_machines import LinkState
+from ..wire.peers import ProxiedRequest, ProxiedResponse
+from .link_health import LinkHealth
 
 PATH = "/state"
 #: failing for so long the direct way is given up; other controllers may have been answered meanwhile
@@ -33,10 +33,10 @@
 WATCH_MS = 1000
 
 
-class RelayedStore:
+class ProxiedStoreTransport:
     """A transport to the state service: the direct one, and in its place another controller while that one is down."""
 
-    def __init__(self, direct: Transport, link: Link, peers: Callable[[], list[Peer]]) -> None:
+    def __init__(self, direct: Transport, link: LinkHealth, peers: Callable[[], list[PeerClient]]) -> None:
         self.direct = direct
         self.link = link
         self.peers = peers
@@ -60,7 +60,7 @@
         sent = self.link.clock()
         try:
             status, answer = self.direct.request(method, path, body, timeout)
-        except Unreachable as e:
+        except UnreachableError as e:
             self.link.failed(sent, str(e), DOWN_AFTER_S)
             raise
         if status == 503:
@@ -69,7 +69,7 @@
             self.link.answered()
         return status, answer
 
-    def helpers(self) -> Iterator[Peer]:
+    def helpers(self) -> Iterator[PeerClient]:
         """Controllers that are served now, the one answered last first; in an outage of all there is none.
 
         A helper counts only if it was answered after this controller had begun to fail: before that, all were.
@@ -79,49 +79,55 @@
             return
         found = []
         for peer in self.peers():
-            if peer.last is None or now - peer.heard_at >= HEARD_S or self._resting.get(peer.name, -math.inf) > now:
+            if (
+                peer.last is None
+                or now - peer.last_heard_at >= HEARD_S
+                or self._resting.get(peer.name, -math.inf) > now
+            ):
                 continue
-            served_at = peer.heard_at - peer.last.state_age_s
+            served_at = peer.last_heard_at - peer.last.state_age_s
             if served_at > failed + OUTAGE_S and now - served_at < HEARD_S + SERVED_S:
                 found.append((served_at, peer))
         for _, peer in sorted(found, key=lambda f: -f[0]):
             yield peer
 
-    def _over(self, helper: Peer, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+    def _over(self, helper: PeerClient, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         self.relayed += 1
-        question = Relayed(method, path, body, int(1000 * timeout))
+        question = ProxiedRequest(method, path, body, int(1000 * timeout))
         answer = helper.send(PATH, msgspec.msgpack.encode(question), timeout)
         try:
-            told = msgspec.msgpack.decode(answer, type=RelayedAnswer) if answer is not None else None
+            told = msgspec.msgpack.decode(answer, type=ProxiedResponse) if answer is not None else None
         except msgspec.DecodeError:
             told = None
         if told is None:
             self._resting[helper.name] = self.link.clock() + REST_S
-            raise Unreachable(f"no answer over {helper.name}")
+            raise UnreachableError(f"no answer over {helper.name}")
         if not told.status:
-            raise Unreachable(f"{helper.name} got no answer")
+            raise UnreachableError(f"{helper.name} got no answer")
         return told.status, told.body
 
 
-class RelayDoor:
+class StoreProxyHandler:
     """Asks the state service for another controller: once, directly, and only while this one is served itself."""
 
-    def __init__(self, store: RelayedStore) -> None:
+    def __init__(self, store: ProxiedStoreTransport) -> None:
         self.store = store
         self.busy = 0
 
     def answer(self, body: bytes) -> bytes:
-        q = msgspec.msgpack.decode(body, type=Relayed)
+        q = msgspec.msgpack.decode(body, type=ProxiedRequest)
         return msgspec.msgpack.encode(self._ask(q))
 
-    def _ask(self, q: Relayed) -> RelayedAnswer:
+    def _ask(self, q: ProxiedRequest) -> ProxiedResponse:
         if self.store.link.state is LinkState.DOWN or self.busy >= RELAYED:
-            return RelayedAnswer(503, b"")  # not executed, and said so at once
+            return ProxiedResponse(503, b"")  # not executed, and said so at once
         self.busy += 1
         try:
-            return RelayedAnswer(*self.store.ask(q.method, _shortened(q.path), q.body, max(0.1, 0.001 * q.timeout_ms)))
-        except Unreachable:
-            return RelayedAnswer(0, b"")
+            return ProxiedResponse(
+                *self.store.ask(q.method, _shortened(q.path), q.body, max(0.1, 0.001 * q.timeout_ms))
+            )
+        except UnreachableError:
+            return ProxiedResponse(0, b"")
         finally:
             self.busy -= 1
 
--- /dev/null
+++ b/src/grebestand/controller/__init__.py
@@ -0,0 +1,1 @@
+"""One controller process: its parts, its loops and its servers."""
--- a/src/grebestand/process/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -13,43 +13,51 @@
 from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
-from ..doors.answer import Answer
-from ..doors.current import CurrentReads
-from ..doors.peers import IMAGES_S, MOST_TOLD, TOLD_S, PeerDoor
-from ..doors.server import listen, listen_bounded, read_body, respond
-from ..doors.users import UserDoor
-from ..doors.workers import KEPT_S, WorkerDoor
+from ..api.heartbeat_api import KEPT_S, HeartbeatApi
+from ..api.http_server import listen, listen_bounded, read_body, respond
+from ..api.job_api import JobApi
+from ..api.peer_api import IMAGES_S, MOST_TOLD, TOLD_S, PeerApi
+from ..api.read_batching import BatchedReads
+from ..api.response import Response
+from ..clients.cloud import CloudClient, CloudError
+from ..clients.http import UnreachableError
+from ..clients.kv_store import KeyValueStoreClient, StoreError
+from ..clients.peer import PeerClient
+from ..clients.runtime import Runtime, SystemRuntime
+from ..connectivity.link_health import LinkHealth
+from ..connectivity.store_proxy import ProxiedStoreTransport, StoreProxyHandler
 from ..features.hooks import Features
-from ..leading.knowledge import Knowledge, allowance_s
-from ..leading.leadership import KEY, Fenced, Leadership
-from ..leading.pen import Pen
-from ..leading.term import Term
-from ..limits.budget import Budget
-from ..limits.collection import by_time
-from ..limits.load import LOOK_S, Load
-from ..limits.sockets import BATCHES, CLOUD, GREETINGS, RELAYED, STATE_REQUESTS, STATE_WATCHES, plan
-from ..outside.cloud import CloudClient, CloudError
-from ..outside.http import Unreachable
-from ..outside.network import Network, Tcp
-from ..outside.peer import Peer
-from ..outside.state import StateClient, StateError
-from ..reach.links import Link
-from ..reach.relay import RelayDoor, RelayedStore
-from ..records.finals import Finals
-from ..records.jobs import OverRecord
-from ..relays.receiver import Receiver
-from ..relays.sender import Sender
-from ..relays.spread import Other, Spread, spread_on
+from ..flow_control.connection_limits import (
+    BATCHES,
+    CLOUD,
+    GREETINGS,
+    RELAYED,
+    STATE_REQUESTS,
+    STATE_WATCHES,
+    plan_connections,
+)
+from ..flow_control.garbage_collection import collect_garbage_by_time
+from ..flow_control.overload import LAG_SAMPLE_INTERVAL_S, OverloadMonitor
+from ..flow_control.rate_limiter import RateLimiter
+from ..heartbeat_relay.batch_receiver import BatchReceiver
+from ..heartbeat_relay.forwarder import HeartbeatForwarder
+from ..heartbeat_relay.worker_assignment import PeerCapacity, WorkerAssignment, assignment_enabled
+from ..leader.cancellation_horizon import CancellationHorizon, allowance_s
+from ..leader.election import LEADER_KEY, FencedError, LeaderElection
+from ..leader.fenced_writes import FencedWriter
+from ..leader.term import Term
 from ..settings.expressions import Expressions
 from ..settings.platform import Settings
 from ..settings.policy import VARIABLES
-from ..states import LeaderState, LinkState, LoadState, MachineState
-from ..wire.jobs import JobView
-from ..wire.peers import Hello, Resigned
-from .handover import Handover
-from .types import KnownTypes
+from ..state_machines import LeaderState, LinkState, LoadState, MachineState
+from ..storage.completed_jobs import CompletedJobs
+from ..storage.job_records import CompletedJobRecord
+from ..wire.jobs import JobStatus
+from ..wire.peers import PeerStatus, ResignationNotice
+from .leadership_transfer import LeadershipTransfer
+from .machine_type_catalog import MachineTypeCatalog
 
-log = logging.getLogger("grebestand.controller")
+log = logging.getLogger(__name__)
 
 #: authority counts from the last renewal before an outage, so its life is shortened by this much at worst
 RENEW_S = 0.5
@@ -74,76 +82,85 @@
         settings: Settings,
         policy: Expressions,
         features: Features | None = None,
-        network: Network | None = None,
+        network: Runtime | None = None,
     ) -> None:
         self.settings = settings
         self.policy = policy
         self.features = features if features is not None else Features()
         p = settings.params
-        self.network: Network = network if network is not None else Tcp()
+        self.network: Runtime = network if network is not None else SystemRuntime()
         self.clock: Callable[[], float] = self.network.clock
         self.rng = self.network.rng
         connect = self.network.connect
         others = max(1, p.nodes - 1)
         self._leader_share, self._follower_share = 0.7, 0.3 / others
-        reads = Budget(p.state.rps * 0.9 / max(1, p.nodes), p.state.rps * 0.3, self.clock, gevent.spawn_later)
-        writes = Budget(
+        reads = RateLimiter(p.state.rps * 0.9 / max(1, p.nodes), p.state.rps * 0.3, self.clock, gevent.spawn_later)
+        writes = RateLimiter(
             p.state.write_rps * self._follower_share, p.state.write_rps * 0.3, self.clock, gevent.spawn_later
         )
-        self.state_link, self.workers_link = Link("the state service", self.clock), Link("workers", self.clock)
-        others_ask: Callable[[], list[Peer]] = lambda: self.peers.peers  # noqa: E731
-        store, watches = (
-            RelayedStore(connect(settings.outside.state, "outside.state", n), self.state_link, others_ask)
+        self.state_link, self.workers_link = (
+            LinkHealth("the state service", self.clock),
+            LinkHealth("workers", self.clock),
+        )
+        others_ask: Callable[[], list[PeerClient]] = lambda: self.peers.peers  # noqa: E731
+        store_transport, watches = (
+            ProxiedStoreTransport(connect(settings.outside.state, "outside.state", n), self.state_link, others_ask)
             for n in (STATE_REQUESTS, STATE_WATCHES)
         )
-        self.store = store
-        self.state = StateClient(store, watches, reads, writes)
+        self.store_transport = store_transport
+        self.store = KeyValueStoreClient(store_transport, watches, reads, writes)
         self.cloud = CloudClient(
             connect(settings.outside.cloud, "outside.cloud", CLOUD),
-            Budget(p.cloud.rps * 0.8, p.cloud.rps, self.clock, gevent.spawn_later),
+            RateLimiter(p.cloud.rps * 0.8, p.cloud.rps, self.clock, gevent.spawn_later),
         )
         names = {name: low for name, (low, _) in VARIABLES.items()}
         names["lease_s"] = p.workers.lease_s
         names["report_s"] = p.workers.report_s
-        knowledge = Knowledge(self.clock, allowance_s(p.workers))
-        knowledge.tell(p.workers)
-        self.leadership = Leadership(settings.name, self.state, self.clock, policy.value("hold_s", names), knowledge)
-        self.leadership.on_move = self._moved
+        cancellation_horizon = CancellationHorizon(self.clock, allowance_s(p.workers))
+        cancellation_horizon.tell(p.workers)
+        self.election = LeaderElection(
+            settings.name, self.store, self.clock, policy.value("hold_s", names), cancellation_horizon
+        )
+        self.election.on_move = self._moved
         self.value_bytes = int(p.state.value_kb * 1024) - 16
-        self.finals = Finals()
-        self.known_types = KnownTypes(self.state, self.cloud, self.value_bytes)
-        self.users = UserDoor(
-            self.state, p.teams, p.zones, self.value_bytes, self.network.wall, self.clock,
-            lambda: self.known_types.types, self._counts, self.finals, self.features,
-            CurrentReads(self.state, CONDITIONS * p.state.txn_ops),
+        self.completed_jobs = CompletedJobs()
+        self.known_types = MachineTypeCatalog(self.store, self.cloud, self.value_bytes)
+        self.users = JobApi(
+            self.store, p.teams, p.zones, self.value_bytes, self.network.wall, self.clock,
+            lambda: self.known_types.types, self._counts, self.completed_jobs, self.features,
+            BatchedReads(self.store, CONDITIONS * p.state.txn_ops),
         )  # fmt: skip
-        self.pressure = Load(p.quota, self.clock)
-        self.sockets = plan(p.quota, len(settings.peers))
+        self.overload = OverloadMonitor(p.quota, self.clock)
+        self.sockets = plan_connections(p.quota, len(settings.peers))
         self._directs = BoundedSemaphore(self.sockets.direct)
         self.zones = {known.name: known.zone for known in settings.peers}
-        self.spread = Spread(
+        self.spread = WorkerAssignment(
             settings.name, settings.zone, self.sockets.workers, p.workers.report_s, self.clock, self._answering,
-            lambda: self.pressure.state is LoadState.OVERLOADED,
+            lambda: self.overload.state is LoadState.OVERLOADED,
         )  # fmt: skip
         self.spread.followers = len(settings.peers)
-        self.sender = Sender(settings.name, self.clock, self._leading_peer)
-        self.workers = WorkerDoor(settings.name, self.leadership, self._term, self.spread, self.sender)
+        self.sender = HeartbeatForwarder(settings.name, self.clock, self._leading_peer)
+        self.workers = HeartbeatApi(settings.name, self.election, self._term, self.spread, self.sender)
         peers = []
         for known in settings.peers:
-            peers.append(Peer(known.name, connect(known.address, "known.address", GREETINGS + RELAYED + BATCHES, 0.8)))
-        self.peers = PeerDoor(peers, self.clock, self._hello, self._resigned, self.features, RelayDoor(store))
-        self.receiver = Receiver(
-            self.zones, self.leadership, self._term, self.pressure, self.clock, self._while_loading
+            peers.append(
+                PeerClient(known.name, connect(known.address, "known.address", GREETINGS + RELAYED + BATCHES, 0.8))
+            )
+        self.peers = PeerApi(
+            peers, self.clock, self._hello, self._resigned, self.features, StoreProxyHandler(store_transport)
+        )
+        self.receiver = BatchReceiver(
+            self.zones, self.election, self._term, self.overload, self.clock, self._while_loading
         )
         self.peers.reports, self.peers.on_greeting = self.receiver.answer, self._greeted
         self.workers.hangs, self.workers.wait = self.peers.hangs, lambda seconds: self._news.wait(seconds)
         self._news = Event()
-        self.leadership.on_news = self.peers.on_news = self._tell_news
+        self.election.on_news = self.peers.on_news = self._tell_news
         self.name = settings.name
         #: of this process among all that ever had its name
         self.incarnation = self.rng.getrandbits(62)
-        self.peers.ended = self.leadership.ended
-        knowledge.told_up_to = self.peers.told_up_to
+        self.peers.ended = self.election.ended
+        cancellation_horizon.cancellations_confirmed_up_to = self.peers.cancellations_confirmed_up_to
         self.users.recall = self._recall
         #: cancelled here lately, and when: told to the others, who may not hear of it otherwise
         self.cancelled: OrderedDict[str, float] = OrderedDict()
@@ -151,30 +168,30 @@
         self.users.on_cancelled, self.peers.on_cancelled = self._cancelled, self._hear_cancelled
         self.term: Term | None = None
         self.users_busy = 0
-        self.handover = Handover(
-            settings.name, p.workers.report_s, self.leadership, self.peers, self.pressure, self.clock, self._term,
+        self.leadership_transfer = LeadershipTransfer(
+            settings.name, p.workers.report_s, self.election, self.peers, self.overload, self.clock, self._term,
             self.state_link, self.workers_link,
         )  # fmt: skip
-        self.leadership.patience = self.handover.patience
+        self.election.patience = self.leadership_transfer.patience
 
         for hook in self.features.hosts:
             hook(self)
 
-    # what features are offered (`features.hooks.Host`) ----------------------------------------------------
+    # what features are offered (`features.hooks.SimulatedRuntime`) ----------------------------------------------------
 
     def present(self) -> Term | None:
         term = self.term
-        return term if term is not None and term.loaded and term.pen.entitled() else None
+        return term if term is not None and term.loaded and term.writer.is_leader() else None
 
     def leader(self) -> str | None:
-        return self.leadership.leader
+        return self.election.leader
 
     def cancel(self, ref: str) -> bool:
         return self.users.cancel(ref).status == 200
 
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
         for peer in self.peers.peers:
-            if peer.last is not None and peer.last.token and peer.name == self.leadership.leader:
+            if peer.last is not None and peer.last.token and peer.name == self.election.leader:
                 return peer.send(path, body)
         return None
 
@@ -196,12 +213,12 @@
         p = self.settings.params
         leads = new in (LeaderState.LOADING, LeaderState.LEADING, LeaderState.PAUSED)
         share = self._leader_share if leads else self._follower_share
-        self.state.writes.set_rate(p.state.write_rps * share, p.state.write_rps * share)
-        if new is LeaderState.LOADING and (self.term is None or self.term.token != self.leadership.token):
-            pen = Pen(self.leadership, self.state, self.value_bytes, p.state.txn_ops)
+        self.store.writes.set_rate(p.state.write_rps * share, p.state.write_rps * share)
+        if new is LeaderState.LOADING and (self.term is None or self.term.token != self.election.token):
+            writer = FencedWriter(self.election, self.store, self.value_bytes, p.state.txn_ops)
             term = Term(
-                self.settings, self.policy, pen, self.cloud, self._direct, self.clock, self.network.wall, self.finals,
-                lambda: self.known_types.types, self.pressure, self.features,
+                self.settings, self.policy, writer, self.cloud, self._direct, self.clock, self.network.wall,
+                self.completed_jobs, lambda: self.known_types.types, self.overload, self.features,
             )  # fmt: skip
             self.term = term
             gevent.spawn(self._run_term, term)
@@ -218,27 +235,27 @@
                 for hook in self.features.terms:
                     hook(term)
                 ready = True
-            except StateError as e:
+            except StoreError as e:
                 log.info("records not read yet: %s", e)
                 gevent.sleep(0.3)
         if self.term is term:
-            term.gossip.learn_images(self.peers.known_images())
-        while self.term is term and self.leadership.state is LeaderState.PAUSED:
+            term.status_broadcast.learn_images(self.peers.known_images())
+        while self.term is term and self.election.state is LeaderState.PAUSED:
             gevent.sleep(0.1)
         if self.term is not term:
             return
-        if self.leadership.state is LeaderState.LOADING:
+        if self.election.state is LeaderState.LOADING:
             self._decide_spread(term)
-            self.leadership.move(LeaderState.LEADING, "records read")
+            self.election.move(LeaderState.LEADING, "records read")
         steps: list[tuple[Callable[[], None], float]] = [
-            (term.jobs.watch, 0.0),
-            (term.roster.record, 0.2),
-            (term.closing.close_jobs, 0.05),
+            (term.job_watch.watch, 0.0),
+            (term.machine_records.record, 0.2),
+            (term.job_completion.close_jobs, 0.05),
             (term.progress.save, 0.4),
             (term.grants.cover, 0.1),
-            (term.rentals.clear_orphans, 1.0),
+            (term.provisioning.clear_orphans, 1.0),
             (term.step_fleet, 1.0),
-            (term.sweep.step, SWEEP_S),
+            (term.job_audit.step, SWEEP_S),
         ]
         if self.features.records:
             steps.append((term.save_features, 0.4))
@@ -250,14 +267,14 @@
     def _repeat(self, term: Term, step: Callable[[], None], pause: float) -> None:
         """Runs one step of a term over and over until the term ends."""
         while self.term is term:
-            if self.leadership.state is LeaderState.PAUSED:
+            if self.election.state is LeaderState.PAUSED:
                 gevent.sleep(0.1)
                 continue
             try:
                 step()
-            except Fenced:
+            except FencedError:
                 gevent.sleep(0.2)
-            except (StateError, CloudError) as e:
+            except (StoreError, CloudError) as e:
                 log.info("%s: %s", step.__name__, e)
                 gevent.sleep(0.3 + self.rng.random() * 0.4)
             except Exception:
@@ -272,22 +289,22 @@
         while self.term is term:
             now = self.clock()
             try:
-                if self.leadership.entitled():
-                    term.pace.step(now)
-                    while term.pace.busy and self.term is term:
+                if self.election.is_leader():
+                    term.scheduling_loop.step(now)
+                    while term.scheduling_loop.busy and self.term is term:
                         gevent.sleep(0)  # reports and users in between
-                        term.pace.go_on()
+                        term.scheduling_loop.go_on()
                     if now - swept >= 1.5:
                         swept = now
-                        term.fleet.sweep_silence(now)
-                        term.proof.check(now)
-                    for m in term.proof.to_ask(now):
-                        gevent.spawn(term.proof.ask, m)
+                        term.inventory.detect_silent_machines(now)
+                        term.machine_reconciliation.check(now)
+                    for m in term.machine_reconciliation.to_query(now):
+                        gevent.spawn(term.machine_reconciliation.ask, m)
                     urgent, term.dispatch.urgent = term.dispatch.urgent, set()
                     for index in urgent:
-                        m2 = term.fleet.at(index)
+                        m2 = term.inventory.at(index)
                         if m2 is not None and m2.state is MachineState.READY:
-                            gevent.spawn(term.proof.order_stops, m2)
+                            gevent.spawn(term.machine_reconciliation.order_stops, m2)
             except Exception:
                 log.exception("tick failed")
             gevent.sleep(0.1)
@@ -295,17 +312,17 @@
     def _feel_loop(self) -> None:
         """Notices how late this controller is with what it has to do."""
         while True:
-            due = self.clock() + LOOK_S
-            gevent.sleep(LOOK_S)
-            self.pressure.felt(self.clock() - due)
+            due = self.clock() + LAG_SAMPLE_INTERVAL_S
+            gevent.sleep(LAG_SAMPLE_INTERVAL_S)
+            self.overload.felt(self.clock() - due)
 
     def _probe_loop(self) -> None:
         """While the state service does not answer, and others are asked in its place, tries the direct way."""
         while True:
             gevent.sleep(0.8 + 0.4 * self.rng.random())
             if self.state_link.state is not LinkState.UP:
-                with contextlib.suppress(Unreachable):
-                    self.store.ask("GET", f"/store/{KEY}", b"", 1.0)
+                with contextlib.suppress(UnreachableError):
+                    self.store_transport.ask("GET", f"/store/{LEADER_KEY}", b"", 1.0)
 
     def _look_loop(self) -> None:
         """Followers hear of workers only once their leader is lost; until then they look whether some answer."""
@@ -320,12 +337,12 @@
             try:
                 self.network.once("GET", addr, "/show", b"", 1.0)
                 self.workers_link.answered()
-            except Unreachable as e:
+            except UnreachableError as e:
                 self.workers_link.failed(sent, str(e), report_s)
 
     def _lead_loop(self) -> None:
         """Follows or renews, whichever applies; gives way where others can do better."""
-        lead = self.leadership
+        lead = self.election
         while True:
             try:
                 lead.check_clock()
@@ -337,14 +354,14 @@
                 if lead.renew():
                     if lead.state is LeaderState.PAUSED:
                         self._resume()
-                    self.handover.check_workers()
+                    self.leadership_transfer.check_workers()
                     if lead.state is LeaderState.LEADING:
-                        self.handover.check_pace()
+                        self.leadership_transfer.check_pace()
                     gevent.sleep(min(RENEW_S, lead.ttl_s / 6))
                 else:
-                    self.handover.consider_state()
+                    self.leadership_transfer.consider_state()
                     gevent.sleep(0.3)
-            except StateError as e:
+            except StoreError as e:
                 log.debug("leadership: %s", e)
                 gevent.sleep(0.3 + 0.3 * self.rng.random())
             except Exception:
@@ -353,28 +370,28 @@
 
     def _resume(self) -> None:
         """Back to authority. What was cancelled meanwhile is read before anything is answered."""
-        lead, term = self.leadership, self.term
+        lead, term = self.election, self.term
         if term is None or not term.loaded:
             lead.move(LeaderState.LOADING, "the hold outlived the silence")
             return
-        term.jobs.catch_up()
+        term.job_watch.catch_up()
         # the question took a while: a term may have ended meanwhile, or been asked about a higher token
         if self.term is term and lead.state is LeaderState.PAUSED and not lead.challenged:
             lead.move(LeaderState.LEADING, "the hold outlived the silence, and all cancellations are known")
 
     # others -----------------------------------------------------------------------------------------------
 
-    def _hello(self) -> Hello:
+    def _hello(self) -> PeerStatus:
         term = self.term
-        leads = self.leadership.entitled() and term is not None and term.loaded
-        return Hello(
+        leads = self.election.is_leader() and term is not None and term.loaded
+        return PeerStatus(
             self.settings.name,
-            self.leadership.token if leads else 0,
+            self.election.token if leads else 0,
             self.state_link.age_s,
-            term.gossip.counts() if leads and term is not None else {},
-            self.pressure.state.value,
+            term.status_broadcast.counts() if leads and term is not None else {},
+            self.overload.state.value,
             self.workers_link.age_s if self.workers_link.ok_at > -math.inf else -1.0,
-            term.gossip.samples(self.rng) if leads and term is not None else [],
+            term.status_broadcast.samples(self.rng) if leads and term is not None else [],
             self.incarnation,
             self._told_lately(),
             len(self.spread.kept),
@@ -383,17 +400,17 @@
             self.spread.machines if leads else 0,
         )
 
-    def _greeted(self, hello: Hello) -> None:
+    def _greeted(self, hello: PeerStatus) -> None:
         """Another controller has said how it is; the leader, also who answers reports."""
         self.spread.heard(hello.name)
         if hello.token and self.term is None:
             self.spread.told(hello.spread)
 
-    def _answering(self) -> list[Other]:
+    def _answering(self) -> list[PeerCapacity]:
         """The other controllers that answer reports, as they said lately."""
         now = self.clock()
         return [
-            Other(
+            PeerCapacity(
                 p.name,
                 self.zones[p.name],
                 p.last.token > 0,
@@ -403,29 +420,29 @@
                 p.last.reports,
             )
             for p in self.peers.peers
-            if p.last is not None and p.last.room >= 0 and now - p.heard_at < ANSWERING_S
+            if p.last is not None and p.last.room >= 0 and now - p.last_heard_at < ANSWERING_S
         ]
 
-    def _leading_peer(self) -> Peer | None:
+    def _leading_peer(self) -> PeerClient | None:
         """The controller that leads by its own word, said lately; of two, the one with the higher token.
 
         The key is not asked: whoever is sent a batch says itself whether it is entitled to answer it.
         """
         now, found = self.clock(), None
         for p in self.peers.peers if self.term is None else ():
-            if p.last is not None and p.last.token and now - p.heard_at < ANSWERING_S:
+            if p.last is not None and p.last.token and now - p.last_heard_at < ANSWERING_S:
                 found = p if found is None or found.last is None or p.last.token > found.last.token else found
         return found
 
     def _while_loading(self) -> None:
         """What came while the records are read is kept for a moment."""
-        if self.leadership.state is LeaderState.LOADING:
+        if self.election.state is LeaderState.LOADING:
             self._news.wait(KEPT_S)
 
     def _decide_spread(self, term: Term) -> None:
         """The leader's word on whether reports are spread, by the policy and by what its own sockets bear."""
-        machines = len(term.fleet.machines) if self.peers.peers else 0
-        on = spread_on(term.wants_spread, self.spread.machines > 0, machines)
+        machines = len(term.inventory.machines) if self.peers.peers else 0
+        on = assignment_enabled(term.wants_spread, self.spread.machines > 0, machines)
         self.spread.told(machines if on or machines > self.sockets.workers else 0)
 
     def _spread_loop(self) -> None:
@@ -444,7 +461,7 @@
                     self.sender.batches, self.receiver.reports, self.spread.redirected,
                 )  # fmt: skip
             term = self.term
-            if term is not None and term.loaded and self.leadership.entitled():
+            if term is not None and term.loaded and self.election.is_leader():
                 self._decide_spread(term)
 
     def _told_lately(self) -> list[str]:
@@ -475,19 +492,19 @@
     def _hear_cancelled(self, idents: list[str]) -> None:
         """A help, and never more: what is cancelled stays so, however late this came, and nothing else follows."""
         for ident in idents:
-            if self.finals.get(ident) is None:
-                self.finals.remember(ident, OverRecord(JobView.CANCELLED, 0))
+            if self.completed_jobs.get(ident) is None:
+                self.completed_jobs.remember(ident, CompletedJobRecord(JobStatus.CANCELLED, 0))
                 self._stop_cancelled(ident)
 
     def _stop_cancelled(self, ident: str) -> None:
         term = self.term
         if term is not None and term.loaded:
-            term.jobs.removed(ident, self.clock())
+            term.job_watch.removed(ident, self.clock())
 
-    def _resigned(self, gone: Resigned) -> None:
-        gevent.spawn(self.handover.succeed, gone)
+    def _resigned(self, gone: ResignationNotice) -> None:
+        gevent.spawn(self.leadership_transfer.succeed, gone)
 
-    def _peer_loop(self, peer: Peer) -> None:
+    def _peer_loop(self, peer: PeerClient) -> None:
         while True:
             self.peers.greet(peer)
             gevent.sleep(0.9 + 0.2 * self.rng.random())
@@ -496,20 +513,20 @@
         while True:
             gevent.sleep(IMAGES_S)
             term = self.term
-            if term is not None and term.loaded and self.leadership.entitled() and self.pressure.spare:
-                self.peers.tell_images(term.gossip.cached_images())
+            if term is not None and term.loaded and self.election.is_leader() and self.overload.spare:
+                self.peers.tell_images(term.status_broadcast.cached_images())
 
     def _counts(self, ident: str) -> tuple[int, int]:
         term = self.term
         if term is not None and term.loaded:
-            job = term.ledger.jobs.get(ident)
+            job = term.registry.jobs.get(ident)
             return (job.done_count, job.running()) if job is not None else (0, 0)
         return self.peers.leader_counts.get(ident, (0, 0))
 
     def _direct(self, addr: str, path: str, body: bytes) -> tuple[int, bytes]:
         """One order straight to a worker; these connections are bounded on their own."""
         if not self._directs.acquire(timeout=1.0):
-            raise Unreachable("too many direct orders are under way")
+            raise UnreachableError("too many direct orders are under way")
         try:
             return self.network.once("POST", addr, path, body, 3.0)
         finally:
@@ -517,50 +534,50 @@
 
     def _types_loop(self) -> None:
         while True:
-            if self.known_types.read(record=self.leadership.state is LeaderState.LEADING):
+            if self.known_types.read(record=self.election.state is LeaderState.LEADING):
                 if self.term is not None:
-                    self.term.fleet.learn_types(self.known_types.types or [])
+                    self.term.inventory.learn_types(self.known_types.types or [])
                 gevent.sleep(120 + 60 * self.rng.random())
             else:
                 gevent.sleep(0.5 + self.rng.random() if self.known_types.types is None else 10.0)
 
     # serving ----------------------------------------------------------------------------------------------
 
-    def _answer(self, environ: dict[str, Any]) -> Answer:
+    def _answer(self, environ: dict[str, Any]) -> Response:
         method, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
         if path == "/checkin":
             if method != "POST":
-                return Answer(405, b"{}", allow="POST")
+                return Response(405, b"{}", allow="POST")
             connection = environ.get("grebestand.connection")
-            return self.checkin(read_body(environ), connection, bool(environ.get("grebestand.surplus")))
+            return self.handle_heartbeat(read_body(environ), connection, bool(environ.get("grebestand.surplus")))
         if path == "/healthz":
             if method != "GET":
-                return Answer(405, b"{}", allow="GET")
-            return Answer(200 if self.handover.healthy() else 503, b"{}")
+                return Response(405, b"{}", allow="GET")
+            return Response(200 if self.leadership_transfer.healthy() else 503, b"{}")
         if environ.get("grebestand.surplus"):
-            return Answer(503, b'{"error":"no connection is free"}', retry_after=1, close=True)
-        if not self.pressure.takes(self.users_busy, poll=method == "GET"):
+            return Response(503, b'{"error":"no connection is free"}', retry_after=1, close=True)
+        if not self.overload.takes(self.users_busy, poll=method == "GET"):
             # reports from workers go first; users are told at once and come back
-            return Answer(503, b'{"error":"overloaded"}', retry_after=1)
+            return Response(503, b'{"error":"overloaded"}', retry_after=1)
         self.users_busy += 1
         try:
             return self.users.route(method, path, lambda: read_body(environ))
         finally:
             self.users_busy -= 1
 
-    def checkin(self, body: bytes, connection: object = None, surplus: bool = False) -> Answer:
+    def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
         """A worker's report; whatever it is answered, it shows that workers reach this controller."""
         self.workers_link.answered()
-        return self.workers.checkin(body, connection, surplus)
+        return self.workers.handle_heartbeat(body, connection, surplus)
 
     def app(self, environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
         try:
             answer = self._answer(environ)
         except OSError:
-            answer = Answer(400, b'{"error":"unreadable request"}')
+            answer = Response(400, b'{"error":"unreadable request"}')
         except Exception:
             log.exception("request failed")
-            answer = Answer(503, b'{"error":"internal"}', retry_after=1)
+            answer = Response(503, b'{"error":"internal"}', retry_after=1)
         return respond(answer, start)
 
     def begin(self) -> None:
@@ -583,6 +600,6 @@
         for extra in self.features.listeners:
             listen(extra.address, extra.field, extra.app, extra.connections, extra.gate).start()
         self.begin()
-        gevent.spawn(by_time, gevent.sleep, lambda: self.pressure.spare)
+        gevent.spawn(collect_garbage_by_time, gevent.sleep, lambda: self.overload.spare)
         log.info("%s serves on %s", self.settings.name, self.settings.listen)
         server.serve_forever()
--- a/src/grebestand/process/handover.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -6,17 +6,17 @@
 import math
 from collections.abc import Callable, Iterator
 
-from ..doors.peers import PeerDoor
-from ..leading.leadership import Leadership
-from ..leading.term import Term
-from ..limits.load import Load
-from ..outside.peer import Peer
-from ..outside.state import StateError
-from ..reach.links import Link
-from ..states import LeaderState, LinkState, LoadState
-from ..wire.peers import Hello, Resigned
-
-log = logging.getLogger("grebestand.handover")
+from ..api.peer_api import PeerApi
+from ..clients.kv_store import StoreError
+from ..clients.peer import PeerClient
+from ..connectivity.link_health import LinkHealth
+from ..flow_control.overload import OverloadMonitor
+from ..leader.election import LeaderElection
+from ..leader.term import Term
+from ..state_machines import LeaderState, LinkState, LoadState
+from ..wire.peers import PeerStatus, ResignationNotice
+
+log = logging.getLogger(__name__)
 
 #: a peer's word on when it last reached the state service is as old as this at most
 OUTAGE_MARGIN_S = 1.5
@@ -40,22 +40,22 @@
 HEIR_S, DOUBTFUL_S, WORSE_S, BETTER_S = 1.5, 0.9, 2.5, 2.5
 
 
-class Handover:
+class LeadershipTransfer:
     def __init__(
         self,
         name: str,
         report_s: float,
-        leadership: Leadership,
-        peers: PeerDoor,
-        load: Load,
+        election: LeaderElection,
+        peers: PeerApi,
+        load: OverloadMonitor,
         clock: Callable[[], float],
         term: Callable[[], Term | None],
-        state: Link,
-        workers: Link,
+        state: LinkHealth,
+        workers: LinkHealth,
     ) -> None:
         self.name = name
         self.report_s = report_s
-        self.leadership = leadership
+        self.election = election
         self.peers = peers
         self.load = load
         self.clock = clock
@@ -71,14 +71,14 @@
         self.lost_workers = 0
         self.slow_terms = 0
 
-    def _heard(self, seconds: float) -> Iterator[tuple[Peer, Hello]]:
+    def _heard(self, seconds: float) -> Iterator[tuple[PeerClient, PeerStatus]]:
         """Peers that answered lately, with what they said."""
         now = self.clock()
         for peer in self.peers.peers:
-            if peer.last is not None and now - peer.heard_at < seconds:
+            if peer.last is not None and now - peer.last_heard_at < seconds:
                 yield peer, peer.last
 
-    def better_placed(self) -> Peer | None:
+    def better_placed(self) -> PeerClient | None:
         """A peer that reached the state service after this controller had failed to for a while.
 
         That the peer's last success is recent is not enough: in an outage all are served until the same moment, and
@@ -88,7 +88,7 @@
         if failed is None:
             return None
         for peer, last in self._heard(2.5):
-            if peer.heard_at - last.state_age_s > failed + OUTAGE_MARGIN_S:
+            if peer.last_heard_at - last.state_age_s > failed + OUTAGE_MARGIN_S:
                 return peer
         return None
 
@@ -109,8 +109,8 @@
             return
         peer = self.better_placed()
         if peer is not None:
-            token = self.leadership.resign(f"{peer.name} reaches the state service and this one does not", 10.0)
-            peer.tell("/resigned", Resigned(self.name, token, peer.name), Hello)
+            token = self.election.resign(f"{peer.name} reaches the state service and this one does not", 10.0)
+            peer.tell("/resigned", ResignationNotice(self.name, token, peer.name), PeerStatus)
 
     def check_workers(self) -> None:
         """A leader that no worker can reach keeps everybody waiting: it gives way, whoever else can be heard.
@@ -124,13 +124,13 @@
             self.awake_since = now
         self.looked_at = now
         term = self.term()
-        if term is None or not term.loaded or not self.peers.peers or not term.fleet.machines:
+        if term is None or not term.loaded or not self.peers.peers or not term.inventory.machines:
             return
-        sure = term.checkins.first_heard and len(term.fleet.machines) >= MANY_MACHINES
+        sure = term.heartbeat_handler.first_heard and len(term.inventory.machines) >= MANY_MACHINES
         limit = (SURE_REPORTS if sure else UNSURE_REPORTS) * self.report_s * (1 + self.lost_workers)
-        silence = now - max(term.checkins.heard_at, self.awake_since)
+        silence = now - max(term.heartbeat_handler.last_heard_at, self.awake_since)
         if silence < limit:
-            if term.checkins.first_heard and now - term.checkins.heard_at < self.report_s:
+            if term.heartbeat_handler.first_heard and now - term.heartbeat_handler.last_heard_at < self.report_s:
                 self.lost_workers = 0
             return
         self.lost_workers = min(self.lost_workers + 1, 6)
@@ -166,7 +166,7 @@
         load, now = self.load, self.clock()
         term = self.term()
         patience = SLOW_S * (1 + self.slow_terms)
-        if term is not None and not term.proof.proved:
+        if term is not None and not term.machine_reconciliation.proved:
             # whoever takes over is late with thousands of machines, and the next would begin with all of them again
             patience *= TAKING_OVER
         if load.state is not LoadState.OVERLOADED or now - load.since < patience:
@@ -179,22 +179,22 @@
                 return
 
     def _give_way(self, why: str, heir: str) -> None:
-        token = self.leadership.resign(why, 20.0)
+        token = self.election.resign(why, 20.0)
         try:
-            self.leadership.clear_key(token)
-        except StateError as e:
+            self.election.clear_key(token)
+        except StoreError as e:
             log.info("the key is left to others to remove: %s", e)
         self.peers.tell_resigned(self.name, token, heir)
 
-    def succeed(self, gone: Resigned) -> None:
+    def succeed(self, gone: ResignationNotice) -> None:
         """A peer has resigned: its key may go, and this controller takes the lead or leaves it to the heir for now."""
         mine = gone.heir in ("", self.name)
         if not mine:
             self.heir_until = self.clock() + HEIR_S
         try:
             # the one that resigned may have reached nobody but this controller
-            self.leadership.clear_key(gone.token)
-            if mine and self.leadership.state is LeaderState.FOLLOWING:
-                self.leadership.look()
-        except StateError as e:
+            self.election.clear_key(gone.token)
+            if mine and self.election.state is LeaderState.FOLLOWING:
+                self.election.look()
+        except StoreError as e:
             log.info("the key of %s could not be cleared: %s", gone.name, e)
--- a/src/grebestand/process/types.py
+++ b/src/grebestand/controller/machine_type_catalog.py
@@ -6,29 +6,29 @@
 
 import msgspec
 
-from ..limits.budget import Urgency
-from ..outside.cloud import CloudClient, CloudError
-from ..outside.state import StateClient, StateError, absent, at, put
+from ..clients.cloud import CloudClient, CloudError
+from ..clients.kv_store import KeyValueStoreClient, StoreError, absent, at, put
+from ..flow_control.rate_limiter import Urgency
 from ..wire.cloud import MachineType, MachineTypes
 
-log = logging.getLogger("grebestand.types")
+log = logging.getLogger(__name__)
 
 TYPES_KEY = "meta/types"
 
 
-class KnownTypes:
-    def __init__(self, state: StateClient, cloud: CloudClient, value_bytes: int) -> None:
-        self.state = state
+class MachineTypeCatalog:
+    def __init__(self, state: KeyValueStoreClient, cloud: CloudClient, value_bytes: int) -> None:
+        self.store = state
         self.cloud = cloud
         self.value_bytes = value_bytes
         self.types: list[MachineType] | None = None
 
     def _record(self, value: object) -> None:
         """Conditional on what stands there, so that a write that is carried out late puts nothing older over it."""
-        found = self.state.get(TYPES_KEY, Urgency.PROGRESS)
+        found = self.store.get(TYPES_KEY, Urgency.PROGRESS)
         if found is None or found.value != value:
             condition = absent(TYPES_KEY) if found is None else at(TYPES_KEY, found.version)
-            self.state.commit([condition], [put(TYPES_KEY, value)], Urgency.PROGRESS)
+            self.store.commit([condition], [put(TYPES_KEY, value)], Urgency.PROGRESS)
 
     def read(self, record: bool) -> bool:
         """Asks the cloud, and has the answer recorded by who leads; False if that has to be tried again."""
@@ -39,13 +39,13 @@
                 if len(msgspec.json.encode(value)) < self.value_bytes:
                     self._record(value)
             return True
-        except (CloudError, StateError) as e:
+        except (CloudError, StoreError) as e:
             log.info("machine types: %s", e)
         if self.types is None:
             try:
-                found = self.state.get(TYPES_KEY)
+                found = self.store.get(TYPES_KEY)
                 if found is not None:
                     self.types = msgspec.convert(found.value, MachineTypes).types
-            except (StateError, msgspec.ValidationError) as e:
+            except (StoreError, msgspec.ValidationError) as e:
                 log.info("machine types on record: %s", e)
         return False
--- a/src/grebestand/standin/cloud.py
+++ b/src/grebestand/emulators/cloud.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-from ..outside.http import Unreachable
+from ..clients.http import UnreachableError
 from ..wire.cloud import MachineType, MachineTypes
 
 #: machines in one answer
 MOST_LISTED = 500
 
 
-class CloudModel:
+class CloudEmulator:
     """The cloud's protocol: what was rented is listed only by who plays its machines."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
                 self.rented(self.requests[want["charter"]], want)
             if self.lose_answers:
                 self.lose_answers -= 1
-                raise Unreachable("the answer was lost")
+                raise UnreachableError("the answer was lost")
             return 200, json.dumps({"vessels": self.requests[want["charter"]]}).encode()
         if path == "/machines/delete":
             gone = json.loads(body)["vessels"]
--- a/src/grebestand/standin/processes.py
+++ b/src/grebestand/emulators/controller_processes.py
@@ -11,7 +11,7 @@
 import gevent
 from gevent import socket, subprocess
 
-from .site import HOST, Site
+from .site import HOST, EmulatedSite
 
 
 def free_port() -> int:
@@ -131,7 +131,7 @@
 class Controllers(ControllerProcesses):
     """The controllers of one site."""
 
-    def __init__(self, site: Site, count: int, root: Path, params: str, policy: str) -> None:
+    def __init__(self, site: EmulatedSite, count: int, root: Path, params: str, policy: str) -> None:
         names = {f"{site.name}-{i}": "a" for i in range(count)}
         outside = {"cloud": site.cloud_address, "state": site.store.address}
         super().__init__(names, outside, root, params, policy)
--- a/src/grebestand/standin/store.py
+++ b/src/grebestand/emulators/kv_store.py
@@ -9,13 +9,13 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from ..outside.http import Unreachable
+from ..clients.http import UnreachableError
 
 #: changes that are kept for watchers
 MOST_LOGGED = 10_000
 
 
-class StoreModel:
+class KeyValueStoreEmulator:
     """The state service's protocol over dictionaries, on any clock."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -63,7 +63,7 @@
         status, answer = self._route(method, url.path, query, content)
         if self.lose_answers and method == "POST" and url.path == "/commit":
             self.lose_answers -= 1
-            raise Unreachable("the answer was lost")
+            raise UnreachableError("the answer was lost")
         return status, json.dumps(answer).encode()
 
     def _too_many(self, what: str, rate: float, count: int) -> bool:
--- a/src/grebestand/standin/site.py
+++ b/src/grebestand/emulators/site.py
@@ -15,14 +15,14 @@
 from gevent.event import Event
 from gevent.pywsgi import WSGIServer
 
-from ..outside.http import HttpTransport, Unreachable
-from ..records.jobs import live_key
+from ..clients.http import HttpTransport, UnreachableError
+from ..storage.job_records import live_key
 from ..wire.cloud import MachineType
 from ..wire.jobs import JobSpec
-from ..wire.workers import DirectOrders, Elsewhere, Orders
-from .cloud import CloudModel
-from .store import StoreModel
-from .yard import Player, Tell, Yard
+from ..wire.workers import DirectCommands, HeartbeatResponse, Redirect
+from .cloud import CloudEmulator
+from .kv_store import KeyValueStoreEmulator
+from .task_execution import TaskExecution, TaskRunner, Tell
 
 HOST = "127.0.0.1"
 REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 409: "Conflict", 410: "Gone", 429: "Too Many Requests",
@@ -47,11 +47,11 @@
     return server
 
 
-class Store:
+class HttpStoreEmulator:
     """The state service behind HTTP: watches wait, requests are limited, and it can fall silent, refuse or be late."""
 
     def __init__(self, clock: Callable[[], float], rps: float = 2000.0, write_rps: float = math.inf) -> None:
-        self.model = StoreModel(clock)
+        self.model = KeyValueStoreEmulator(clock)
         self.model.rps, self.model.write_rps = rps, write_rps
         self.clock = clock
         self.silent = False
@@ -116,7 +116,7 @@
             self.model.holds[hold] = (life, self.clock() + life)
 
 
-class Site:
+class EmulatedSite:
     """A cluster without its controllers; those are started by `processes`."""
 
     def __init__(self, name: str, types: list[MachineType], workers: dict[str, float], tell: Tell, seed: int) -> None:
@@ -125,14 +125,16 @@
         self.rng = random.Random(f"{seed} {name}")
         self.types = {t.name: t for t in types}
         self.report_s = workers["report_s"]
-        self.store = Store(self.clock)
-        self.cloud = CloudModel()
+        self.store = HttpStoreEmulator(self.clock)
+        self.cloud = CloudEmulator()
         self.cloud.types = types
         self.cloud.capacity = 0
         self.cloud.rented, self.cloud.removed = self._rented, self._removed
         self._cloud_server = serve(lambda method, path, body: self.cloud.request(method, path, body, 0.0))
         self.cloud_address = f"{HOST}:{self._cloud_server.server_port}"
-        self.yard = Yard(name, workers["lease_s"], workers["gang_wait_s"], workers["gang_peer_s"], self._describe, tell)
+        self.yard = TaskExecution(
+            name, workers["lease_s"], workers["gang_wait_s"], workers["gang_peer_s"], self._describe, tell
+        )
         self._specs: dict[str, JobSpec] = {}
         #: controllers that workers report to, by name
         self.controllers: dict[str, str] = {}
@@ -155,12 +157,12 @@
 
     # machines ---------------------------------------------------------------------------------------------
 
-    def machine(self, kind: str, zone: str, spot: bool = False, name: str | None = None) -> Player:
+    def machine(self, kind: str, zone: str, spot: bool = False, name: str | None = None) -> TaskRunner:
         """A machine that is up: its worker reports from now on."""
         if name is None:
             name = f"n-{self.cloud.count:06d}"
             self.cloud.count += 1
-        player = Player(name, zone, spot, type=kind)
+        player = TaskRunner(name, zone, spot, type=kind)
         server = serve(lambda method, path, body: self._order(player, path, body))
         player.addr = f"{HOST}:{server.server_port}"
         self._servers[name] = server
@@ -196,19 +198,19 @@
 
     # the workers' side of the protocol --------------------------------------------------------------------
 
-    def _order(self, player: Player, path: str, body: bytes) -> tuple[int, bytes]:
+    def _order(self, player: TaskRunner, path: str, body: bytes) -> tuple[int, bytes]:
         while self.clock() < player.hangs_until:
             gevent.sleep(0.05)
         if path == "/show":
             return 200, msgspec.json.encode(player.report())
         try:
-            orders = msgspec.json.decode(body, type=DirectOrders)
+            orders = msgspec.json.decode(body, type=DirectCommands)
         except msgspec.DecodeError:
             return 400, b"{}"
         status, report = player.direct(orders)
         return status, msgspec.json.encode(report)
 
-    def _report_loop(self, player: Player) -> None:
+    def _report_loop(self, player: TaskRunner) -> None:
         names = sorted(self.controllers)
         at = self.rng.choice(names) if names else ""
         wires: dict[str, HttpTransport] = {}
@@ -226,7 +228,7 @@
         for wire in wires.values():
             wire.close()
 
-    def _report(self, player: Player, at: str, wires: dict[str, HttpTransport]) -> tuple[str, bool]:
+    def _report(self, player: TaskRunner, at: str, wires: dict[str, HttpTransport]) -> tuple[str, bool]:
         """One report; the controller for the next one, and whether this one was answered."""
         names = sorted(self.controllers)
         following = names[(names.index(at) + 1) % len(names)] if at in names else names[0]
@@ -242,14 +244,14 @@
         try:
             status, body = wire.request("POST", "/checkin", msgspec.json.encode(report), 4.0)
             if status == 421:
-                other = msgspec.json.decode(body, type=Elsewhere).report_to
+                other = msgspec.json.decode(body, type=Redirect).report_to
                 return (other, True) if other in names and other != at else (following, False)
             if status != 200:
                 return following, False
-            orders = msgspec.json.decode(body, type=Orders)
-        except (Unreachable, msgspec.DecodeError):
+            orders = msgspec.json.decode(body, type=HeartbeatResponse)
+        except (UnreachableError, msgspec.DecodeError):
             return following, False
-        if orders.token >= player.token and report.session == player.session:
+        if orders.token >= player.token and report.epoch == player.epoch:
             player.answered_at = max(player.answered_at, sent)
             player.obey(orders)
         return at, True
--- a/src/grebestand/standin/yard.py
+++ b/src/grebestand/emulators/task_execution.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass, field
 
 from ..wire.jobs import JobSpec, Kind, split_task
-from ..wire.workers import TaskReport, TaskStatus, Why
-from .worker import WorkerModel
+from ..wire.workers import ExitReason, TaskPhase, TaskStatus
+from .worker import WorkerEmulator
 
-T = TaskReport
+T = TaskPhase
 
 
 @dataclass(frozen=True)
-class Happened:
+class TaskEvent:
     """One line of a history: what a task or a user saw, and when."""
 
     at: float
@@ -33,11 +33,11 @@
     tasks: int = 0
 
 
-Tell = Callable[[Happened], None]
+Tell = Callable[[TaskEvent], None]
 
 
 @dataclass
-class Held:
+class HeldTask:
     """One task on a machine, beside what its worker reports of it."""
 
     spec: JobSpec
@@ -56,12 +56,12 @@
 
 
 @dataclass
-class Player(WorkerModel):
+class TaskRunner(WorkerEmulator):
     """A worker whose tasks are played: what is stopped may save first."""
 
-    held: dict[str, Held] = field(default_factory=dict)
+    held: dict[str, HeldTask] = field(default_factory=dict)
     #: tasks that another attempt has followed before the yard saw their end
-    followed: list[Held] = field(default_factory=list)
+    followed: list[HeldTask] = field(default_factory=list)
     images: set[str] = field(default_factory=set)
     #: when the last answered report was sent, by the yard's clock
     answered_at: float = 0.0
@@ -81,15 +81,15 @@
         if held.state is T.EXITED:
             return
         if more is None or held.state in (T.FETCHING, T.WAITING):
-            held.state, held.why = T.EXITED, Why.STOPPED
+            held.state, held.why = T.EXITED, ExitReason.STOPPED
         elif held.state is T.RUNNING and more.spec.checkpoint_s > 0 and grace_s >= more.spec.save_s:
             held.state, more.grace_s = T.SAVING, grace_s
         elif held.state is T.RUNNING or grace_s < more.grace_s:
-            held.state, held.why = T.EXITED, Why.STOPPED
+            held.state, held.why = T.EXITED, ExitReason.STOPPED
         self.changed = True
 
 
-class Yard:
+class TaskExecution:
     """The machines of one cluster. `describe` finds a job's description as its users uploaded it."""
 
     def __init__(
@@ -109,12 +109,12 @@
         self.describe = describe
         self.tell = tell
         self.fetch_gb_per_s = fetch_gb_per_s
-        self.players: dict[str, Player] = {}
+        self.players: dict[str, TaskRunner] = {}
         #: of each job: seconds of work that are saved, and tasks whose result is kept
         self.saved_s: dict[str, float] = {}
         self.results: set[str] = set()
 
-    def add(self, player: Player, now: float) -> None:
+    def add(self, player: TaskRunner, now: float) -> None:
         player.answered_at = now
         self.players[player.name] = player
 
@@ -129,9 +129,9 @@
             # stopped and forgotten, or followed by another attempt, between two steps
             gone = [player.held.pop(t) for t in [t for t in player.held if t not in player.tasks]]
             for past in gone + player.followed:
-                self._off(player, past, now, Why.STOPPED.value)
+                self._off(player, past, now, ExitReason.STOPPED.value)
             player.followed.clear()
-        gangs: dict[tuple[str, int], list[tuple[Player, TaskStatus, Held]]] = {}
+        gangs: dict[tuple[str, int], list[tuple[TaskRunner, TaskStatus, HeldTask]]] = {}
         for player in list(self.players.values()):
             if now < player.hangs_until:
                 continue
@@ -149,72 +149,72 @@
         for members in gangs.values():
             self._step_gang(members, now)
 
-    def _held(self, player: Player, task: str, status: TaskStatus, now: float) -> Held | None:
+    def _held(self, player: TaskRunner, task: str, status: TaskStatus, now: float) -> HeldTask | None:
         found = player.held.get(task)
         if found is None and status.state is T.FETCHING:
             job, index = split_task(task)
             spec = self.describe(job)
             if spec is None:
-                status.state, status.why, player.changed = T.EXITED, Why.UNKNOWN, True
+                status.state, status.why, player.changed = T.EXITED, ExitReason.UNKNOWN, True
                 return None
             fetch = 0.0 if spec.image in player.images else spec.image_gb / self.fetch_gb_per_s
-            found = player.held[task] = Held(spec, index, status.attempt, now, now + fetch)
+            found = player.held[task] = HeldTask(spec, index, status.attempt, now, now + fetch)
         return found
 
-    def _say(self, what: str, player: Player, held: Held, now: float, why: str = "") -> None:
+    def _say(self, what: str, player: TaskRunner, held: HeldTask, now: float, why: str = "") -> None:
         spec = held.spec
         self.tell(
-            Happened(now, self.name, what, spec.klass, spec.id, held.index, held.attempt, player.name, why, spec.tasks)
+            TaskEvent(now, self.name, what, spec.klass, spec.id, held.index, held.attempt, player.name, why, spec.tasks)
         )
 
-    def _off(self, player: Player, held: Held, now: float, why: str) -> None:
+    def _off(self, player: TaskRunner, held: HeldTask, now: float, why: str) -> None:
         if held.on:
             held.on = False
             self._say("off", player, held, now, why)
 
-    def _exit(self, player: Player, status: TaskStatus, held: Held, now: float, why: Why) -> None:
+    def _exit(self, player: TaskRunner, status: TaskStatus, held: HeldTask, now: float, why: ExitReason) -> None:
         status.state, status.why, player.changed = T.EXITED, why, True
-        if why is Why.DONE:
+        if why is ExitReason.DONE:
             self.results.add(status.task)
         self._off(player, held, now, why.value)
 
-    def _clear(self, player: Player, now: float, why: str) -> None:
+    def _clear(self, player: TaskRunner, now: float, why: str) -> None:
         for held in (*player.held.values(), *player.followed):
             self._off(player, held, now, why)
         player.held.clear()
         player.followed.clear()
 
-    def _run_s(self, held: Held) -> float:
+    def _run_s(self, held: HeldTask) -> float:
         return max(0.05, held.spec.estimate_s - self.saved_s.get(held.spec.id, 0.0))
 
-    def _step_task(self, player: Player, status: TaskStatus, held: Held, now: float) -> None:
+    def _step_task(self, player: TaskRunner, status: TaskStatus, held: HeldTask, now: float) -> None:
         if status.state is T.FETCHING and now >= held.image_at:
             player.images.add(held.spec.image)
             held.on, player.changed = True, True
             self._say("on", player, held, now)
             if status.task in self.results:
-                self._exit(player, status, held, now, Why.DONE)
+                self._exit(player, status, held, now, ExitReason.DONE)
             elif held.spec.kind is Kind.GANG:
                 status.state, held.since = T.WAITING, now
             else:
                 status.state, held.run_at, held.left_s = T.RUNNING, now, self._run_s(held)
         elif status.state is T.RUNNING and held.spec.kind is Kind.ARRAY and now - held.run_at >= held.left_s:
-            self._exit(player, status, held, now, Why.DONE)
+            self._exit(player, status, held, now, ExitReason.DONE)
         elif status.state is T.SAVING and held.stop_at is None:
             held.stop_at, held.save_until = now, now + held.spec.save_s
         elif status.state is T.SAVING and now >= held.save_until:
             if held.spec.kind is not Kind.GANG:
                 self._save(held)
             status.saved = True
-            self._exit(player, status, held, now, Why.STOPPED)
+            self._exit(player, status, held, now, ExitReason.STOPPED)
         elif status.state is T.EXITED:
             self._off(player, held, now, str(status.why))
 
-    def _save(self, held: Held) -> None:
+    def _save(self, held: HeldTask) -> None:
         worked = self.saved_s.get(held.spec.id, 0.0) + (held.stop_at or held.run_at) - held.run_at
         self.saved_s[held.spec.id] = worked - worked % held.spec.checkpoint_s
 
-    def _step_gang(self, members: list[tuple[Player, TaskStatus, Held]], now: float) -> None:
+    def _step_gang(self, members: list[tuple[TaskRunner, TaskStatus, HeldTask]], now: float) -> None:
         spec = members[0][2].spec
         there = [(p, s, h) for p, s, h in members if s.state is not T.EXITED]
         waiting = [(p, s, h) for p, s, h in there if s.state is T.WAITING]
@@ -224,7 +224,7 @@
                 status.state, held.run_at, held.left_s, player.changed = T.RUNNING, now, self._run_s(held), True
         elif len(running) == spec.tasks and now - running[0][2].run_at >= running[0][2].left_s:
             for player, status, held in running:
-                self._exit(player, status, held, now, Why.DONE)
+                self._exit(player, status, held, now, ExitReason.DONE)
         elif not members[0][2].kept and sum(s.state is T.SAVING for _, s, _ in there) == spec.tasks:
             members[0][2].kept = True
             self._save(members[0][2])
@@ -233,8 +233,8 @@
                 if held.stop_at is None:
                     held.stop_at = now  # the first moment at which somebody is missing
                 elif now - held.stop_at >= self.gang_peer_s:
-                    self._exit(player, status, held, now, Why.PEERS)
+                    self._exit(player, status, held, now, ExitReason.PEERS)
         else:
             for player, status, held in waiting:
                 if now - held.since >= self.gang_wait_s:
-                    self._exit(player, status, held, now, Why.ALONE)
+                    self._exit(player, status, held, now, ExitReason.ALONE)
--- a/src/grebestand/standin/relay.py
+++ b/src/grebestand/emulators/tcp_relay.py
@@ -10,7 +10,7 @@
 from gevent.server import StreamServer
 
 
-class Line(Enum):
+class RelayMode(Enum):
     """What the stretch does to what passes."""
 
     OPEN = auto()
@@ -20,11 +20,11 @@
     BROKEN = auto()
 
 
-class Relay:
+class TcpRelay:
     def __init__(self, target: str, rng: random.Random) -> None:
         self.target = target
         self.rng = rng
-        self.line = Line.OPEN
+        self.line = RelayMode.OPEN
         #: added to each delivery, at most, in seconds
         self.late_s = 0.0
         #: connections and bytes that have passed
@@ -34,15 +34,15 @@
         self._server.start()
         self.address = f"127.0.0.1:{self._server.server_port}"
 
-    def set(self, line: Line) -> None:
+    def set(self, line: RelayMode) -> None:
         self.line = line
-        if line is Line.BROKEN:
+        if line is RelayMode.BROKEN:
             for sock in list(self._open):
                 sock.close()
             self._open.clear()
 
     def _take(self, near: socket.socket, _: object) -> None:
-        if self.line is Line.BROKEN:
+        if self.line is RelayMode.BROKEN:
             near.close()
             return
         host, _, port = self.target.rpartition(":")
@@ -60,7 +60,7 @@
         self._open -= {near, far}
 
     def _wait(self) -> None:
-        while self.line is Line.HELD:
+        while self.line is RelayMode.HELD:
             gevent.sleep(0.05)
 
     def _pump(self, source: socket.socket, sink: socket.socket) -> None:
--- a/src/grebestand/standin/worker.py
+++ b/src/grebestand/emulators/worker.py
@@ -6,18 +6,18 @@
 
 import msgspec
 
-from ..wire.workers import DirectOrders, Orders, Report, TaskReport, TaskStatus, Why
+from ..wire.workers import DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus
 
 
 @dataclass
-class WorkerModel:
+class WorkerEmulator:
     """A worker that follows the protocol; what its tasks do is up to who plays them."""
 
     name: str
     zone: str = "a"
     spot: bool = False
-    session: int = 1
-    seq: int = 0
+    epoch: int = 1
+    sequence: int = 0
     token: int = 0
     notice_s: float | None = None
     reachable: bool = True
@@ -26,23 +26,23 @@
     tasks: dict[str, TaskStatus] = field(default_factory=dict)
     started: list[tuple[str, int]] = field(default_factory=list)
 
-    def report(self) -> Report:
-        self.seq += 1
+    def report(self) -> Heartbeat:
+        self.sequence += 1
         tasks = [msgspec.structs.replace(t) for t in self.tasks.values()]
-        return Report(
+        return Heartbeat(
             self.name,
             self.addr or f"{self.name}:1",
             self.type,
             self.zone,
             self.spot,
-            self.session,
-            self.seq,
+            self.epoch,
+            self.sequence,
             self.token,
             self.notice_s,
             tasks,
         )
 
-    def obey(self, orders: Orders) -> None:
+    def obey(self, orders: HeartbeatResponse) -> None:
         if orders.token < self.token:
             return
         self.token = orders.token
@@ -53,32 +53,32 @@
                 self.started.append((c.task, c.attempt))
             elif c.op == "stop" and held is not None and held.attempt == c.attempt:
                 self.end(held, c.grace_s or 0.0)
-            elif c.op == "forget" and held is not None and held.state is TaskReport.EXITED:
+            elif c.op == "forget" and held is not None and held.state is TaskPhase.EXITED:
                 del self.tasks[c.task]
 
     def begin(self, task: str, attempt: int) -> None:
         """A start that is not a repeat."""
-        self.tasks[task] = TaskStatus(task, attempt, TaskReport.RUNNING)
+        self.tasks[task] = TaskStatus(task, attempt, TaskPhase.RUNNING)
 
     def end(self, held: TaskStatus, grace_s: float) -> None:
         """A stop of what is there."""
-        held.state, held.why = TaskReport.EXITED, Why.STOPPED
+        held.state, held.why = TaskPhase.EXITED, ExitReason.STOPPED
 
-    def finish(self, task: str, why: Why = Why.DONE) -> None:
-        self.tasks[task].state, self.tasks[task].why = TaskReport.EXITED, why
+    def finish(self, task: str, why: ExitReason = ExitReason.DONE) -> None:
+        self.tasks[task].state, self.tasks[task].why = TaskPhase.EXITED, why
 
-    def direct(self, orders: DirectOrders) -> tuple[int, Report]:
+    def direct(self, orders: DirectCommands) -> tuple[int, Heartbeat]:
         """The answer to a direct order: executed if neither token nor session is an old one."""
-        stale = orders.token < self.token or orders.session != self.session
+        stale = orders.token < self.token or orders.epoch != self.epoch
         if not stale:
-            self.obey(Orders(orders.token, orders.commands))
+            self.obey(HeartbeatResponse(orders.token, orders.commands))
         return (409 if stale else 200), self.report()
 
     def lapse(self) -> None:
         """Its lease ran out: all tasks are killed and forgotten."""
-        self.session += 1
-        self.seq = 0
+        self.epoch += 1
+        self.sequence = 0
         self.tasks.clear()
 
     def running(self) -> list[str]:
-        return sorted(t.task for t in self.tasks.values() if t.state is not TaskReport.EXITED)
+        return sorted(t.task for t in self.tasks.values() if t.state is not TaskPhase.EXITED)
--- a/src/grebestand/rehearsal/federation.py
+++ b/src/grebestand/fault_test/federation.py
@@ -17,20 +17,20 @@
 import gevent
 import msgspec
 
+from ..clients.http import HttpTransport, UnreachableError
+from ..emulators.controller_processes import Controllers, free_port
+from ..emulators.site import HOST, EmulatedSite
+from ..emulators.task_execution import TaskEvent
+from ..emulators.tcp_relay import RelayMode, TcpRelay
 from ..federation import keys
-from ..federation.link import PATH
-from ..federation.messages import Look
-from ..federation.ring import Ring
-from ..measures.sketches import Sketches
-from ..outside.http import HttpTransport, Unreachable
-from ..standin.processes import Controllers, free_port
-from ..standin.relay import Line, Relay
-from ..standin.site import HOST, Site
-from ..standin.yard import Happened
+from ..federation.keyring import Keyring
+from ..federation.messages import Probe
+from ..federation.tls_link import PATH
+from ..metrics.duration_sketches import DurationSketches
 from ..wire.cloud import MachineType
-from ..wire.jobs import JobAnswer
-from .check import Verdict, check
+from ..wire.jobs import JobStatusResponse
 from .history import History
+from .history_checker import HistoryVerdict, check
 
 #: of the clusters, the crowded one first
 NAMES = ("north", "south", "east", "west")
@@ -48,7 +48,7 @@
 
 
 @dataclass
-class Plan:
+class FaultTestPlan:
     """What is rehearsed."""
 
     seed: int = 7
@@ -82,31 +82,31 @@
 
 
 @dataclass
-class Outcome:
-    verdict: Verdict
+class FaultTestResult:
+    verdict: HistoryVerdict
     history: History
     gangs: list[Gang]
     #: lines that say who was where: home, offers, where it ran, attempts
     rows: list[str]
-    sketches: Sketches
+    sketches: DurationSketches
     counts: dict[str, float] = field(default_factory=dict)
 
 
-class Rehearsal:
-    def __init__(self, plan: Plan, root: Path, say: Callable[[str], None]) -> None:
+class FederationFaultTest:
+    def __init__(self, plan: FaultTestPlan, root: Path, say: Callable[[str], None]) -> None:
         self.plan = plan
         self.root = root
         self.say = say
         self.rng = random.Random(plan.seed)
         self.history = History(WORKERS["cancel_s"], about={"seed": plan.seed, "clusters": plan.clusters})
         self.names = NAMES[: plan.clusters]
-        self.sites = {n: Site(n, TYPES, WORKERS, self.history.tell, plan.seed) for n in self.names}
+        self.sites = {n: EmulatedSite(n, TYPES, WORKERS, self.history.tell, plan.seed) for n in self.names}
         self.controllers = {
             n: Controllers(self.sites[n], plan.controllers, root / n, PARAMS, POLICY) for n in self.names
         }
         self.clock = self.sites[self.names[0]].clock
         #: between a cluster and one controller of another
-        self.relays: dict[tuple[str, str], Relay] = {}
+        self.relays: dict[tuple[str, str], TcpRelay] = {}
         if plan.federation:
             self._federate()
         self.gangs = self._draw()
@@ -129,7 +129,7 @@
                     keys.trust(self.root / n / "keys", certificates[other])
                     lines += ["[[others]]", f'name = "{other}"', "[others.controllers]"]
                     for c in self.controllers[other].names:
-                        relay = self.relays[n, c] = Relay(own[c], self.rng)
+                        relay = self.relays[n, c] = TcpRelay(own[c], self.rng)
                         lines.append(f'{c} = "{relay.address}"')
             file = self.root / n / "federation.toml"
             file.write_text("\n".join(lines) + "\n")
@@ -161,13 +161,13 @@
         wire = HttpTransport(host, int(port), 1)
         try:
             return wire.request(method, path, body, 4.0)
-        except Unreachable:
+        except UnreachableError:
             return 0, b""
         finally:
             wire.close()
 
     def _told(self, g: Gang, what: str) -> None:
-        self.history.tell(Happened(self.clock(), g.home, what, g.klass, g.ref, tasks=g.tasks))
+        self.history.tell(TaskEvent(self.clock(), g.home, what, g.klass, g.ref, tasks=g.tasks))
 
     def _user(self, g: Gang, begin: float) -> None:
         gevent.sleep(max(0.0, begin + g.at - self.clock()))
@@ -197,7 +197,7 @@
                 status, answer = self._call(g.home, "GET", f"/v2/runs/{g.ref}")
                 wait = 0.3
             if status == 200:
-                state = msgspec.json.decode(answer, type=JobAnswer).state.value
+                state = msgspec.json.decode(answer, type=JobStatusResponse).state.value
                 if state in ("done", "cancelled"):
                     g.final, g.final_at = state, self.clock()
                     self._told(g, state)
@@ -219,19 +219,19 @@
             kinds[at % len(kinds)]()
             at += 1
         for relay in self.relays.values():
-            relay.set(Line.OPEN)
+            relay.set(RelayMode.OPEN)
             relay.late_s = 0.0
 
-    def _lines(self, line: Line, seconds: float) -> None:
+    def _lines(self, line: RelayMode, seconds: float) -> None:
         for relay in self.relays.values():
             relay.set(line)
         gevent.sleep(seconds)
         for relay in self.relays.values():
-            relay.set(Line.OPEN)
+            relay.set(RelayMode.OPEN)
 
     def _hold_link(self) -> None:
         self.say("all links are held for 7 s; what was sent arrives afterwards")
-        self._lines(Line.HELD, 7.0)
+        self._lines(RelayMode.HELD, 7.0)
 
     def _abort_in_a_cut(self) -> None:
         """Users of gangs that may be abroad want them cancelled while nobody there can be told."""
@@ -239,7 +239,7 @@
         for g in self.rng.sample(open_ones, min(2, len(open_ones))):
             self.say(f"{g.klass} is to be cancelled while all links are held for 6 s")
             g.abort_at = self.clock()
-        self._lines(Line.HELD, 6.0)
+        self._lines(RelayMode.HELD, 6.0)
 
     def _rotate(self) -> None:
         """A cluster's next key is made, handed over, used, and the old one revoked, with no restart."""
@@ -272,21 +272,21 @@
         for (near, _), relay in self.relays.items():
             for root, owner in ((stranger, "stranger"), (self.root / near / "keys", near)):
                 far = next(n for n in self.names if n != near)
-                context = Ring(root, owner, self.clock).client(far)
+                context = Keyring(root, owner, self.clock).client(far)
                 if context is None:
                     continue
                 wire = HttpTransport(HOST, int(relay.address.rpartition(":")[2]), 1, tls=context)
-                for body in (b"\xc1 nonsense", bytes(100_000), msgspec.msgpack.encode(Look("somebody", 1))):
+                for body in (b"\xc1 nonsense", bytes(100_000), msgspec.msgpack.encode(Probe("somebody", 1))):
                     try:
                         refused += wire.request("POST", PATH, body, 2.0)[0] != 200
-                    except Unreachable:
+                    except UnreachableError:
                         refused += 1
                 wire.close()
         self.say(f"a stranger and a broken peer sent messages, {refused} of which were refused")
 
     def _break_link(self) -> None:
         self.say("all links are reset and refuse for 3 s")
-        self._lines(Line.BROKEN, 3.0)
+        self._lines(RelayMode.BROKEN, 3.0)
 
     def _slow_link(self) -> None:
         self.say("links are up to 1 s late from now on for 5 s")
@@ -316,10 +316,10 @@
 
     def _hold_and_kill(self) -> None:
         for relay in self.relays.values():
-            relay.set(Line.HELD)
+            relay.set(RelayMode.HELD)
         for name in self.names:
             self._kill(name, 2.0)
-        self._lines(Line.HELD, 5.0)
+        self._lines(RelayMode.HELD, 5.0)
 
     def _kill_all(self) -> None:
         site = self.names[-1]
@@ -353,7 +353,7 @@
 
     # the run ----------------------------------------------------------------------------------------------
 
-    def run(self) -> Outcome:
+    def run(self) -> FaultTestResult:
         plan = self.plan
         try:
             for name in self.names:
@@ -378,8 +378,8 @@
             for controllers in self.controllers.values():
                 controllers.stop()
 
-    def _outcome(self, begin: float) -> Outcome:
-        sketches = Sketches()
+    def _outcome(self, begin: float) -> FaultTestResult:
+        sketches = DurationSketches()
         offers = self._offers(sketches)
         ran: dict[str, list[tuple[str, int]]] = {}
         for r in self.history.rows:
@@ -407,9 +407,9 @@
             "on_time": float(on_time),
             "seconds": self.clock() - begin,
         }
-        return Outcome(check(self.history), self.history, self.gangs, rows, sketches, counts)
+        return FaultTestResult(check(self.history), self.history, self.gangs, rows, sketches, counts)
 
-    def _offers(self, sketches: Sketches) -> dict[tuple[str, str], int]:
+    def _offers(self, sketches: DurationSketches) -> dict[tuple[str, str], int]:
         """How many for each gang, and how long decided ones took, by the controllers' logs: display."""
         found: dict[tuple[str, str], int] = {}
         for name in self.names:
@@ -423,10 +423,10 @@
         return found
 
 
-def rehearse(plan: Plan, say: Callable[[str], None], keep: Path | None = None) -> Outcome:
+def rehearse(plan: FaultTestPlan, say: Callable[[str], None], keep: Path | None = None) -> FaultTestResult:
     """Runs it in a directory that is removed afterwards, or in one that is kept."""
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
-        return Rehearsal(plan, keep, say).run()
+        return FederationFaultTest(plan, keep, say).run()
     with tempfile.TemporaryDirectory(prefix="grebestand-") as directory:
-        return Rehearsal(plan, Path(directory), say).run()
+        return FederationFaultTest(plan, Path(directory), say).run()
--- a/src/grebestand/rehearsal/check.py
+++ b/src/grebestand/fault_test/history_checker.py
@@ -8,14 +8,14 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from ..standin.yard import Happened
+from ..emulators.task_execution import TaskEvent
 from .history import History
 
 Run = tuple[str, str]  # cluster and job
 
 
 @dataclass
-class Verdict:
+class HistoryVerdict:
     """Counts of gangs that were accepted, cancelled ones apart, and each thing that is wrong, in words."""
 
     gangs: int = 0
@@ -39,12 +39,12 @@
 
 @dataclass
 class _Gang:
-    rows: list[Happened] = field(default_factory=list)
-    told: list[Happened] = field(default_factory=list)
+    rows: list[TaskEvent] = field(default_factory=list)
+    told: list[TaskEvent] = field(default_factory=list)
 
 
-def check(history: History) -> Verdict:
-    verdict = Verdict()
+def check(history: History) -> HistoryVerdict:
+    verdict = HistoryVerdict()
     gangs: dict[str, _Gang] = defaultdict(_Gang)
     end = max((r.at for r in history.rows), default=0.0)
     for row in sorted(history.rows, key=lambda r: r.at):
@@ -56,12 +56,12 @@
     return verdict
 
 
-def _judge(name: str, gang: _Gang, cancel_s: float, end: float, verdict: Verdict) -> None:
-    finals = [t for t in gang.told if t.what in ("done", "cancelled")]
+def _judge(name: str, gang: _Gang, cancel_s: float, end: float, verdict: HistoryVerdict) -> None:
+    completed_jobs = [t for t in gang.told if t.what in ("done", "cancelled")]
     before = len(verdict.faults)
-    if len({t.what for t in finals}) > 1:
-        verdict.faults.append(f"{name}: its user was told both {finals[0].what} and {finals[-1].what}")
-    cancelled = bool(finals) and finals[0].what == "cancelled"
+    if len({t.what for t in completed_jobs}) > 1:
+        verdict.faults.append(f"{name}: its user was told both {completed_jobs[0].what} and {completed_jobs[-1].what}")
+    cancelled = bool(completed_jobs) and completed_jobs[0].what == "cancelled"
     if not cancelled:
         verdict.gangs += 1
     wrong = _together(name, gang.rows, end, verdict)
@@ -69,8 +69,8 @@
     tasks = max((r.tasks for r in (*gang.rows, *gang.told)), default=0)
     if cancelled:
         verdict.cancelled += 1
-        late = [r for r in gang.rows if r.what == "on" and r.at > finals[0].at + cancel_s]
-        late += [r for r in _still_on(gang.rows) if end > finals[0].at + cancel_s]
+        late = [r for r in gang.rows if r.what == "on" and r.at > completed_jobs[0].at + cancel_s]
+        late += [r for r in _still_on(gang.rows) if end > completed_jobs[0].at + cancel_s]
         if late:
             verdict.faults.append(f"{name}: on {late[0].machine} more than {cancel_s:g} s after it was cancelled")
         return
@@ -80,21 +80,21 @@
         verdict.faults.append(f"{name}: only part of it was done in {partly[0][0]}")
     if len(whole) > 1:
         verdict.faults.append(f"{name}: done {len(whole)} times, in {', '.join(sorted(c for c, _ in whole))}")
-    if finals and not whole:
+    if completed_jobs and not whole:
         verdict.faults.append(f"{name}: its user was told done, and it was not done whole anywhere")
-    if not finals:
+    if not completed_jobs:
         verdict.faults.append(f"{name}: accepted, and never done")
     if wrong or len(whole) > 1:
         verdict.twice += 1
-    elif partly or (finals and not whole):
+    elif partly or (completed_jobs and not whole):
         verdict.partly += 1
-    elif not finals:
+    elif not completed_jobs:
         verdict.lost += 1
     elif len(verdict.faults) == before:
         verdict.whole_once += 1
 
 
-def _done(rows: list[Happened]) -> dict[Run, set[int]]:
+def _done(rows: list[TaskEvent]) -> dict[Run, set[int]]:
     found: dict[Run, set[int]] = defaultdict(set)
     for r in rows:
         if r.what == "off" and r.why == "done":
@@ -102,8 +102,8 @@
     return found
 
 
-def _still_on(rows: list[Happened]) -> list[Happened]:
-    on: dict[tuple[str, str, int, int, str], Happened] = {}
+def _still_on(rows: list[TaskEvent]) -> list[TaskEvent]:
+    on: dict[tuple[str, str, int, int, str], TaskEvent] = {}
     for r in rows:
         key = (r.cluster, r.job, r.task, r.attempt, r.machine)
         if r.what == "on":
@@ -113,7 +113,7 @@
     return list(on.values())
 
 
-def _together(name: str, rows: list[Happened], end: float, verdict: Verdict) -> bool:
+def _together(name: str, rows: list[TaskEvent], end: float, verdict: HistoryVerdict) -> bool:
     """Whether two places had the same task at a time, or two clusters any of it."""
     on: dict[tuple[str, str, int, str], int] = defaultdict(int)
     wrong = False
--- a/src/grebestand/rehearsal/many.py
+++ b/src/grebestand/fault_test/many_clusters.py
@@ -13,12 +13,12 @@
 import msgspec
 
 from ..features.hooks import Host
-from ..federation.feature import DEFAULTS, KEYS, NAMES, Federation, Other, Told
-from ..federation.messages import Look, Message, Offer, Reply, Reserved, decode, decode_reply
-from ..leading.term import Term
+from ..federation.feature import DEFAULTS, KEYS, NAMES, Federation, LocalLoad, RemoteClusterSettings
+from ..federation.messages import Message, Probe, Reply, ReservationRequest, Reserved, decode, decode_reply
+from ..leader.term import Term
 from ..settings.expressions import Vocabulary, parse
-from ..standin.memory import SETTINGS, Clock, Node, World
-from ..wire.workers import TaskReport
+from ..simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController, ManualClock
+from ..wire.workers import TaskPhase
 
 MACHINES, GANG, RUN_S = 6, 3, 15.0
 #: gangs at work at a time that a cluster's machines could hold, in the mean, asked of crowded and of idle ones
@@ -62,15 +62,15 @@
 class Member(Host):
     """One cluster with its leader; its own users and workers are played."""
 
-    def __init__(self, name: str, names: list[str], clock: Clock, crowded: bool, load: float, seed: int) -> None:
+    def __init__(self, name: str, names: list[str], clock: ManualClock, crowded: bool, load: float, seed: int) -> None:
         self.name = name
         self.clock = clock
         #: of arrivals alone, so that two versions of the decisions are given the same gangs
         self.rng = random.Random(f"{seed} {name}")
-        self.world = World(SETTINGS.replace("cpus_max = 64.0", "cpus_max = 6400.0"))
-        self.world.clock = self.world.state.clock = clock
+        self.world = InMemoryCluster(SETTINGS.replace("cpus_max = 64.0", "cpus_max = 6400.0"))
+        self.world.clock = self.world.store.clock = clock
         self.workers = [self.world.worker(f"n-{i:06d}") for i in range(MACHINES)]
-        self.node = Node(self.world, f"{name}-0")
+        self.node = InMemoryController(self.world, f"{name}-0")
         self.term: Term = self.node.lead()
         self.rate = load * (CROWDED if crowded else IDLE) * (MACHINES // GANG) / RUN_S
         self.began: dict[tuple[str, str], float] = {}
@@ -78,8 +78,8 @@
         #: not over yet, and how long those that are over took
         self.open: dict[str, float] = {}
         self.waits: list[float] = []
-        others = [Other(n, {}) for n in names if n != name]
-        told = Told(name, guests_team="blue", others=others)
+        others = [RemoteClusterSettings(n, {}) for n in names if n != name]
+        told = LocalLoad(name, guests_team="blue", others=others)
         vocabulary = Vocabulary(KEYS, NAMES)
         base = parse(DEFAULTS, "defaults", vocabulary)
         values = parse({"overflow_after_s": 3, "look_s": 5}, "simulation", vocabulary, base)
@@ -107,15 +107,15 @@
         for w in self.workers:
             for status in w.tasks.values():
                 key = (w.name, f"{status.task} {status.attempt}")
-                if status.state is TaskReport.RUNNING and now - self.began.setdefault(key, now) >= RUN_S:
+                if status.state is TaskPhase.RUNNING and now - self.began.setdefault(key, now) >= RUN_S:
                     w.finish(status.task)
         self.world.settle(self.term, 1, 0.0)
         self.federation.step()
-        for ident in [i for i in self.open if self.node.finals.get(i) is not None]:
+        for ident in [i for i in self.open if self.node.completed_jobs.get(i) is not None]:
             self.waits.append(now - self.open.pop(ident))
 
 
-class Straight:
+class InProcessLink:
     """A link that loses nothing; every message is written and read as on the wire."""
 
     def __init__(self, to: Member, count: Callable[[Message, Reply], None]) -> None:
@@ -131,24 +131,24 @@
 
 
 def simulate(clusters: int, load: float, seed: int, seconds: int = SECONDS) -> Result:
-    clock = Clock()
+    clock = ManualClock()
     result = Result(clusters, load)
     names = [f"c{i:02d}" for i in range(clusters)]
     members = {n: Member(n, names, clock, i % 2 == 0, load, seed) for i, n in enumerate(names)}
     offers: dict[tuple[str, str], int] = {}
 
     def count(message: Message, answer: Reply) -> None:
-        if isinstance(message, Look):
+        if isinstance(message, Probe):
             result.looks += 1
             return
         result.messages += 1
-        if isinstance(message, Offer):
+        if isinstance(message, ReservationRequest):
             key = (message.home, message.spec.id)
             offers[key] = offers.get(key, 0) + 1
             result.reserved += isinstance(answer, Reserved)
 
     for m in members.values():
-        m.federation.links = {n: Straight(o, count) for n, o in members.items() if o is not m}
+        m.federation.links = {n: InProcessLink(o, count) for n, o in members.items() if o is not m}
         m.federation.take_host(m)
         m.federation.begin(m.term)
     kept = 0
@@ -156,7 +156,7 @@
         clock.now += 1.0
         for m in members.values():
             m.second(second > seconds - 60)
-            kept += sum(x.reserved_for is not None and not x.places for x in m.term.fleet.machines)
+            kept += sum(x.reserved_for is not None and not x.allocations for x in m.term.inventory.machines)
     for m in members.values():
         home = m.federation.home
         assert home is not None
--- a/src/grebestand/features/hooks.py
+++ b/src/grebestand/features/hooks.py
@@ -8,7 +8,7 @@
 | `records` | a new leader, before it starts anything | while it reads its records | read its own, keep the pages |
 | `messages` | the peers' door, on any controller | another controller sends that path | answer |
 | `listeners` | the process, at start | once | serve an address of its own |
-| `hosts` | the process, at start | once | keep what the process offers features (`Host`) |
+| `hosts` | the process, at start | once | keep what the process offers features (`SimulatedRuntime`) |
 | `terms` | a new leader, after its records are read and before anything starts | once a term | read its own records |
 | `recalls` | the users' door, on any controller | a job that another cluster may run is to be cancelled | see to it |
 | `steps` | the leader, over and over with a pause | while its term lasts | act |
@@ -24,15 +24,15 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..books.jobs import Job
-from ..records.jobs import OverRecord
-from ..records.pages import Pages
+from ..cluster_state.jobs import Job
+from ..storage.job_records import CompletedJobRecord
+from ..storage.paged_records import PagedRecords
 from ..wire.jobs import JobSpec
 from ..wire.store import Change
 
 
 @dataclass(frozen=True)
-class Refusal:
+class HookRefusal:
     """Why a submission is not taken: 422 for good, 429 or 503 with a time to come back, in seconds."""
 
     status: int
@@ -45,7 +45,7 @@
     """A feature's records under a prefix of its own; `load` gets the pages and what stands on them."""
 
     prefix: str
-    load: Callable[[Pages, dict[str, Any]], None]
+    load: Callable[[PagedRecords, dict[str, Any]], None]
 
 
 class Host(Protocol):
@@ -54,7 +54,7 @@
     name: str
 
     def present(self) -> Any:
-        """The term (`leading.term.Term`) in which this controller leads, its records read; else None."""
+        """The term (`leader.term.Term`) in which this controller leads, its records read; else None."""
 
     def leader(self) -> str | None:
         """The controller that leads, as far as this one knows."""
@@ -92,9 +92,9 @@
     """All hooks of all features that are on; empty lists cost the core nothing."""
 
     names: list[str] = field(default_factory=list)
-    accept: list[Callable[[JobSpec], Refusal | None]] = field(default_factory=list)
+    accept: list[Callable[[JobSpec], HookRefusal | None]] = field(default_factory=list)
     place: list[Callable[[Job, float], str | None]] = field(default_factory=list)
-    close: list[Callable[[Job, OverRecord], list[Change]]] = field(default_factory=list)
+    close: list[Callable[[Job, CompletedJobRecord], list[Change]]] = field(default_factory=list)
     records: list[Records] = field(default_factory=list)
     messages: dict[str, Callable[[bytes], bytes]] = field(default_factory=dict)
     listeners: list[Listener] = field(default_factory=list)
@@ -125,7 +125,7 @@
         self.terms += other.terms
         self.recalls += other.recalls
 
-    def refusal(self, spec: JobSpec) -> Refusal | None:
+    def refusal(self, spec: JobSpec) -> HookRefusal | None:
         """The first refusal of a submission, if there is one."""
         return next((r for hook in self.accept if (r := hook(spec)) is not None), None)
 
--- a/src/grebestand/federation/networks.py
+++ b/src/grebestand/federation/allowed_networks.py
@@ -5,23 +5,23 @@
 from netaddr import AddrFormatError, IPAddress, IPNetwork, IPSet
 
 
-class NetworkFault(ValueError):
+class NetworkListError(ValueError):
     """Names the network that cannot be read."""
 
 
-class Networks:
+class AllowedNetworks:
     def __init__(self, texts: list[str]) -> None:
         """Each text an address with a prefix; overlapping ones are merged."""
         self._set = IPSet()
         for text in texts:
             if "/" not in text:
-                raise NetworkFault(f"{text!r}: an address and a prefix length are needed, such as 10.2.0.0/16")
+                raise NetworkListError(f"{text!r}: an address and a prefix length are needed, such as 10.2.0.0/16")
             try:
                 network = IPNetwork(text)
             except (AddrFormatError, ValueError) as e:
-                raise NetworkFault(f"{text!r}: {e}") from e
+                raise NetworkListError(f"{text!r}: {e}") from e
             if network.ip != network.network:
-                raise NetworkFault(f"{text!r}: has bits beyond its prefix (meant {network.cidr}?)")
+                raise NetworkListError(f"{text!r}: has bits beyond its prefix (meant {network.cidr}?)")
             self._set.add(network)
 
     def __contains__(self, host: str) -> bool:
--- a/src/grebestand/federation/breaker.py
+++ b/src/grebestand/federation/circuit_breaker.py
@@ -6,10 +6,10 @@
 import random
 from collections.abc import Callable
 
-from ..states import step
-from .states import BREAKER_STEPS, BreakerState
+from ..state_machines import check_transition
+from .state_machines import BREAKER_TRANSITIONS, BreakerState
 
-log = logging.getLogger("grebestand.federation")
+log = logging.getLogger(__name__)
 
 #: failures in a row that open it, and the shortest and longest pause, in seconds
 FAILURES, SHORTEST_S, LONGEST_S = 3, 2.0, 30.0
@@ -17,7 +17,7 @@
 UNASKED_S = 5.0
 
 
-class Breaker:
+class CircuitBreaker:
     def __init__(
         self,
         name: str,
@@ -38,7 +38,7 @@
 
     def move(self, new: BreakerState, why: str) -> None:
         """The one function that changes the state."""
-        step(BREAKER_STEPS, self.state, new, f"breaker of {self.name}")
+        check_transition(BREAKER_TRANSITIONS, self.state, new, f"breaker of {self.name}")
         log.info("cluster %s: %s -> %s: %s", self.name, self.state.name, new.name, why)
         self.state = new
 
--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -14,20 +14,20 @@
 import msgspec
 from gevent.pool import Pool
 
-from ..books.jobs import Job
+from ..cluster_state.jobs import Job
 from ..features.hooks import Features, Host, Listener
 from ..features.registry import Feature, Plain
-from ..leading.term import Term
+from ..leader.term import Term
 from ..settings.expressions import Expressions, Rule, Vocabulary
 from ..settings.platform import Settings, SettingsError, parse_address
 from ..wire.jobs import PRIORITIES
-from .breaker import Breaker
-from .guest import Guest, GuestLimits
-from .home import Cluster, Home, Limits, Link
-from .link import TlsLink, over_tls
-from .messages import MOST_BYTES, MOST_NAME, Room
+from .circuit_breaker import CircuitBreaker
+from .guest import GuestCluster, GuestLimits
+from .home import Cluster, HomeCluster, Limits, Link
+from .messages import MOST_BYTES, MOST_NAME, FreeCapacity
+from .tls_link import TlsLink, over_tls
 
-log = logging.getLogger("grebestand.federation")
+log = logging.getLogger(__name__)
 
 RECALL = "/federation/recall"
 #: greenlets that wait for other clusters at a time
@@ -87,14 +87,14 @@
 PLAIN = frozenset({"cluster", "keys", "guests_team", "listen", "networks", "others"})
 
 
-class Other(msgspec.Struct, forbid_unknown_fields=True):
+class RemoteClusterSettings(msgspec.Struct, forbid_unknown_fields=True):
     """Another cluster as the file names it: the controllers' addresses on the link."""
 
     name: str
     controllers: dict[str, str]
 
 
-class Told(msgspec.Struct, forbid_unknown_fields=True):
+class LocalLoad(msgspec.Struct, forbid_unknown_fields=True):
     """The file's plain keys."""
 
     cluster: str
@@ -103,13 +103,13 @@
     #: this cluster's controllers' own addresses on the link
     listen: dict[str, str] = {}
     networks: list[str] = []
-    others: list[Other] = []
+    others: list[RemoteClusterSettings] = []
 
 
-def _told(plain: Plain, settings: Settings) -> Told:
+def _told(plain: Plain, settings: Settings) -> LocalLoad:
     """The plain keys, checked; `ExpressionError` names the key at fault."""
     try:
-        told = msgspec.convert(plain.values, Told)
+        told = msgspec.convert(plain.values, LocalLoad)
     except msgspec.ValidationError as e:
         where = str(e).rpartition("$.")[2].rstrip("`") if "$." in str(e) else "cluster"
         raise plain.fault(where, str(e)) from e
@@ -148,7 +148,7 @@
         self,
         values: Expressions,
         settings: Settings,
-        told: Told,
+        told: LocalLoad,
         clock: Callable[[], float] = time.monotonic,
         rng: random.Random | None = None,
         spawn: Callable[[Callable[[], None]], None] | None = None,
@@ -161,15 +161,15 @@
         self.rng = rng if rng is not None else random.Random()
         self.spawn = spawn if spawn is not None else self._spawn
         self.host: Host | None = None
-        self.home: Home | None = None
-        self.guest: Guest | None = None
+        self.home: HomeCluster | None = None
+        self.guest: GuestCluster | None = None
         self.term: Term | None = None
         self.pool = Pool(WORKERS)
         #: the share of each zone's CPUs in use, and when it was added up
         self._loads: dict[int, float] = {}
         self._loads_at = -math.inf
         self.links: dict[str, Link] = {}
-        self.breakers = {o.name: Breaker(o.name, self.clock, self.rng) for o in told.others}
+        self.breakers = {o.name: CircuitBreaker(o.name, self.clock, self.rng) for o in told.others}
         waits = [o.within_s for o in settings.params.objectives if o.kind == "guarantee" and o.within_s is not None]
         self.rest = {
             **_REST,
@@ -208,8 +208,8 @@
             int(v["most_reserved"]),
             int(v["most_guests"]),
         )
-        home = Home(self.told.cluster, term, clusters, limits, self.rng, self.spawn)
-        guest = Guest(self.told.cluster, term, guests, self.host.cancel)
+        home = HomeCluster(self.told.cluster, term, clusters, limits, self.rng, self.spawn)
+        guest = GuestCluster(self.told.cluster, term, guests, self.host.cancel)
         self.home, self.guest, self.term = home, guest, term
 
     def _spawn(self, work: Any) -> None:
@@ -263,16 +263,16 @@
         if now - self._loads_at >= LOADS_S:
             self._loads_at = now
             used: dict[int, list[int]] = {}
-            for m in self.term.fleet.machines:
+            for m in self.term.inventory.machines:
                 zone = used.setdefault(m.zone, [0, 0])
                 zone[0] += m.used[0]
-                zone[1] += m.room[0]
+                zone[1] += m.capacity[0]
             self._loads = {z: a / b for z, (a, b) in used.items() if b}
         if job.zone >= 0:
             return self._loads.get(job.zone, 1.0)
         return min(self._loads.values(), default=1.0)
 
-    def prefer(self, job: Job, room: Room, age_s: float) -> float:
+    def prefer(self, job: Job, room: FreeCapacity, age_s: float) -> float:
         names = self._names(
             job,
             free_machines=float(room.free),
@@ -290,25 +290,25 @@
     f = Federation(values, settings, told)
     listeners: list[Listener] = []
     if told.others:
-        from .door import LinkDoor, LinkGate
-        from .networks import NetworkFault, Networks
-        from .ring import Ring, RingFault
+        from .allowed_networks import AllowedNetworks, NetworkListError
+        from .keyring import Keyring, KeyringError
+        from .link_server import LinkAdmission, LinkServer
 
         try:
-            networks = Networks(told.networks)
-        except NetworkFault as e:
+            networks = AllowedNetworks(told.networks)
+        except NetworkListError as e:
             raise plain.fault("networks", str(e)) from e
         root = Path(plain.file).parent / told.keys
         try:
-            ring = Ring(root, told.cluster, f.clock)
-        except RingFault as e:
+            ring = Keyring(root, told.cluster, f.clock)
+        except KeyringError as e:
             raise plain.fault("keys", str(e)) from e
         for o in told.others:
             addresses = {name: parse_address(a, "others") for name, a in o.controllers.items()}
             connect = over_tls(o.name, ring)
             f.links[o.name] = TlsLink(addresses, connect, lambda ring=ring: ring.edition, f.clock, f.rng)  # type: ignore[misc]
-        door = LinkDoor(ring, f.answer, f.leader, f.clock)
-        gate = LinkGate(networks, ring, f.clock)
+        door = LinkServer(ring, f.answer, f.leader, f.clock)
+        gate = LinkAdmission(networks, ring, f.clock)
         listeners.append(Listener(told.listen[settings.name], "listen", door.app, 40, gate))
     return Features(
         ["federation"],
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -17,38 +17,38 @@
 
 import msgspec
 
-from ..books.amounts import MICRO
-from ..books.jobs import Job
-from ..books.machine import Machine
-from ..leading.leadership import Fenced
-from ..leading.term import Term
-from ..limits.budget import Urgency
-from ..outside.state import StateError, absent, at, delete, put
-from ..records.jobs import LiveRecord, live_key, over_key
-from ..states import step
-from ..wire.jobs import PRIORITIES, JobSpec, JobView, Priority
+from ..clients.kv_store import StoreError, absent, at, delete, put
+from ..cluster_state.jobs import Job
+from ..cluster_state.machine import Machine
+from ..cluster_state.resources import MICRO_UNITS
+from ..flow_control.rate_limiter import Urgency
+from ..leader.election import FencedError
+from ..leader.term import Term
+from ..state_machines import check_transition
+from ..storage.job_records import LiveJobRecord, completed_key, live_key
+from ..wire.jobs import PRIORITIES, JobSpec, JobStatus, Priority
 from .messages import (
     MOST_IMAGES,
     NOT_LEADING,
     VERSION,
-    Ask,
     Commit,
     Ended,
     Forget,
-    Look,
+    FreeCapacity,
     Message,
-    Offer,
+    Probe,
     Recall,
-    Refused,
+    Rejection,
     Reply,
+    ReservationRequest,
     Reserved,
-    Room,
     Running,
-    Unsure,
+    StatusQuery,
+    UncertainReply,
 )
-from .states import GUEST_STEPS, GuestState
+from .state_machines import GUEST_TRANSITIONS, GuestState
 
-log = logging.getLogger("grebestand.federation")
+log = logging.getLogger(__name__)
 
 PREFIX = "federation/guest/"
 NO_SUCH = "no such reservation"
@@ -103,7 +103,7 @@
     most_guests: int = 64
 
 
-class Guest:
+class GuestCluster:
     """The guests of one leader's term. A new leader begins with what the records say."""
 
     def __init__(self, name: str, term: Term, limits: GuestLimits, cancel: Callable[[str], bool]) -> None:
@@ -116,97 +116,99 @@
         self.records: dict[str, GuestRecord] = {}
         #: when home last asked about a guest, or told its decision
         self.heard: dict[str, float] = {}
-        for pair in term.pen.state.pairs(PREFIX):
+        for pair in term.writer.store.pairs(PREFIX):
             record = msgspec.convert(pair.value, GuestRecord)
             self.records[record.id] = record
-            job = term.ledger.jobs.get(record.job)
+            job = term.registry.jobs.get(record.job)
             if job is not None:
                 # home may have been told meanwhile that this cluster is lost: it starts when home asks about it
                 job.guest = job.unasked = True
 
     def move(self, r: Reservation, new: GuestState, why: str) -> None:
         """The one function that changes a reservation's state; its machines are free again once it is none."""
-        step(GUEST_STEPS, r.state, new, f"reservation of {r.home} for {r.ref}")
+        check_transition(GUEST_TRANSITIONS, r.state, new, f"reservation of {r.home} for {r.ref}")
         log.info("reservation of %s for %s: %s -> %s: %s", r.home, r.ref, r.state.name, new.name, why)
         r.state = new
         if new in (GuestState.RELEASED, GuestState.STARTED):
             self.reservations.pop(r.id, None)
-            self.term.fleet.kept.discard(r.job)
+            self.term.inventory.kept.discard(r.job)
         if new is GuestState.RELEASED:
             for m in r.machines:
                 if m.reserved_for == r.job:
                     m.reserved_for = None
-            self.term.ledger.changed = True
+            self.term.registry.changed = True
 
     # messages ---------------------------------------------------------------------------------------------
 
     def answer(self, message: Message) -> Reply:
         """What this cluster says. Only a leader that may act answers; anybody else is unsure."""
-        if not self.term.loaded or not self.term.pen.entitled():
-            return Unsure(NOT_LEADING)
+        if not self.term.loaded or not self.term.writer.is_leader():
+            return UncertainReply(NOT_LEADING)
         try:
             match message:
-                case Look():
+                case Probe():
                     return self._look(message)
-                case Offer():
+                case ReservationRequest():
                     return self._reserve(message)
                 case Commit():
                     return self._start(message)
-                case Ask():
+                case StatusQuery():
                     return self._tell(message)
                 case Recall():
                     return self._recall(message)
                 case Forget():
                     return self._forget(message)
-        except (StateError, Fenced) as e:
-            return Unsure(str(e))
+        except (StoreError, FencedError) as e:
+            return UncertainReply(str(e))
 
-    def _look(self, look: Look) -> Reply:
+    def _look(self, look: Probe) -> Reply:
         """What this cluster has free now; a hint for whom to ask first, and no promise."""
         if look.home not in self.limits.homes:
-            return Refused("not a cluster whose gangs are taken")
+            return Rejection("not a cluster whose gangs are taken")
         now = self.term.clock()
-        ledger, fleet = self.term.ledger, self.term.fleet
-        ready = [m for m in fleet.machines if fleet.usable(m, now)]
-        free = [m for m in ready if not m.places and m.reserved_for is None]
+        registry, inventory = self.term.registry, self.term.inventory
+        ready = [m for m in inventory.machines if inventory.usable(m, now)]
+        free = [m for m in ready if not m.allocations and m.reserved_for is None]
         held: dict[int, int] = {}
         for m in ready:
             for i in m.images:
                 held[i] = held.get(i, 0) + 1
-        images = [ledger.images.name(i) for i in sorted(held, key=lambda i: -held[i])[:MOST_IMAGES]]
-        kinds = [fleet.kinds[m.kind] for m in ready if m.kind in fleet.kinds]
+        images = [registry.images.name(i) for i in sorted(held, key=lambda i: -held[i])[:MOST_IMAGES]]
+        kinds = [inventory.kinds[m.kind] for m in ready if m.kind in inventory.kinds]
         cpus = sum(k.cpus for k in kinds)
         price = sum(k.spot_price if m.spot else k.price for k, m in zip(kinds, ready, strict=False)) / max(1.0, cpus)
-        return Room(VERSION, len(free), max((m.room[0] / MICRO for m in free), default=0.0), price, images)
+        return FreeCapacity(
+            VERSION, len(free), max((m.capacity[0] / MICRO_UNITS for m in free), default=0.0), price, images
+        )
 
-    def _reserve(self, offer: Offer) -> Reply:
+    def _reserve(self, offer: ReservationRequest) -> Reply:
         spec, limits = offer.spec, self.limits
         if offer.home not in limits.homes:
-            return Refused("not a cluster whose gangs are taken")
+            return Rejection("not a cluster whose gangs are taken")
         if spec.zone is not None:
-            return Refused("it may run in one zone of its home only")
-        known = self.term.ledger.machine_types
+            return Rejection("it may run in one zone of its home only")
+        known = self.term.registry.machine_types
         if spec.types is not None and not any(known.find(t) is not None for t in spec.types):
-            return Refused("none of the machine types that it may run on is known here")
+            return Rejection("none of the machine types that it may run on is known here")
         if self.name in offer.path:
-            return Refused("it has been offered through here already")
+            return Rejection("it has been offered through here already")
         if len(self.reservations) >= limits.most_reserved or len(self.records) >= limits.most_guests:
-            return Refused("as many as are allowed")
+            return Rejection("as many as are allowed")
         if any(r.home == offer.home and r.ref == spec.id for r in self.reservations.values()):
-            return Refused("room is kept for it already")
+            return Rejection("room is kept for it already")
         now = self.term.clock()
-        team = self.term.ledger.team_names.find(limits.team)
+        team = self.term.registry.team_names.find(limits.team)
         job = self._job(spec, now)
-        if team is None or self.term.ledger.teams[team].headroom(job.size) < spec.tasks:
-            return Refused("the guests' limit is used up")
+        if team is None or self.term.registry.teams[team].headroom(job.size) < spec.tasks:
+            return Rejection("the guests' limit is used up")
         chosen = self.term.scheduler.gangs.room_for(job, now)
         if chosen is None:
-            return Refused("no room")
+            return Rejection("no room")
         ident = secrets.token_hex(16)
         until = now + limits.reserve_s
         for m in chosen:
             m.reserved_for, m.reserved_until = job.spec.id, until
-        self.term.fleet.kept.add(job.spec.id)
+        self.term.inventory.kept.add(job.spec.id)
         self.reservations[ident] = Reservation(offer.home, spec.id, job.spec, ident, until, chosen)
         log.info("reservation of %s for %s: %d machines", offer.home, spec.id, len(chosen))
         return Reserved(ident, limits.reserve_s)
@@ -222,10 +224,10 @@
             team=self.limits.team,
             priority=max(spec.priority, self.limits.priority, key=PRIORITIES.index),
         )
-        ledger = self.term.ledger
-        job = Job(here, 0, now, ledger.team_names.index(here.team))
-        job.image = ledger.image(here.image, here.image_gb)
-        job.type = ledger.classify(job, now)
+        registry = self.term.registry
+        job = Job(here, 0, now, registry.team_names.index(here.team))
+        job.image = registry.image(here.image, here.image_gb)
+        job.type = registry.classify(job, now)
         return job
 
     def _start(self, commit: Commit) -> Reply:
@@ -235,65 +237,65 @@
             return self._asked(record)
         r = self.reservations.get(commit.id)
         if r is None or r.home != commit.home:
-            return Refused(NO_SUCH)
+            return Rejection(NO_SUCH)
         if r.state is GuestState.RESERVED:
             if self.term.clock() >= r.until:
                 self.move(r, GuestState.RELEASED, "its time was over")
-                return Refused(NO_SUCH)
+                return Rejection(NO_SUCH)
             self.move(r, GuestState.STARTING, "decided at home")
         # a write that nobody answered may still be carried out: it is made again under the same names until it is known
         record = GuestRecord(r.home, r.ref, r.id, r.job)
-        live = msgspec.to_builtins(LiveRecord(r.spec, self.term.wall(), guest=True))
-        conditions = [absent(guest_key(r.id)), absent(live_key(r.job)), absent(over_key(r.job))]
+        live = msgspec.to_builtins(LiveJobRecord(r.spec, self.term.wall(), guest=True))
+        conditions = [absent(guest_key(r.id)), absent(live_key(r.job)), absent(completed_key(r.job))]
         changes = [
             put(guest_key(r.id), msgspec.to_builtins(record)),
             put(live_key(r.job), live),
         ]
-        version, failed = self.term.pen.commit(conditions, changes, Urgency.ACCEPT)
+        version, failed = self.term.writer.commit(conditions, changes, Urgency.ACCEPT)
         if guest_key(r.id) not in failed and failed:
             if r.state is GuestState.STARTING:
                 self.move(r, GuestState.RELEASED, "its reference is taken here")
-            return Refused(NO_SUCH)
+            return Rejection(NO_SUCH)
         self.records[r.id] = record
         if r.state is GuestState.STARTING:  # else the same news came twice at a time
             self.move(r, GuestState.STARTED, "taken in")
         if failed:  # an earlier try was carried out after all
-            found = self.term.pen.state.get(live_key(r.job), Urgency.ACCEPT)
+            found = self.term.writer.store.get(live_key(r.job), Urgency.ACCEPT)
             live, version = (found.value, found.version) if found is not None else (None, 0)
         if live is not None:
-            self.term.jobs.take(live, version, self.term.clock())
+            self.term.job_watch.take(live, version, self.term.clock())
         return self._asked(record)
 
     def _asked(self, record: GuestRecord) -> Reply:
         """Home still counts on this cluster: what has no place may start."""
         self.heard[record.id] = self.term.clock()
-        job = self.term.ledger.jobs.get(record.job)
+        job = self.term.registry.jobs.get(record.job)
         if job is not None and job.unasked:
             job.unasked = False
-            self.term.ledger.changed = True
+            self.term.registry.changed = True
         return self._status(record)
 
-    def _tell(self, ask: Ask) -> Reply:
+    def _tell(self, ask: StatusQuery) -> Reply:
         record = self.records.get(ask.id)
         if record is not None:
             return self._asked(record)
-        return Running(0) if ask.id in self.reservations else Refused(NO_SUCH)
+        return Running(0) if ask.id in self.reservations else Rejection(NO_SUCH)
 
     def _status(self, record: GuestRecord) -> Reply:
         """By the books, and by the durable record once the job has left them."""
-        job = self.term.ledger.jobs.get(record.job)
+        job = self.term.registry.jobs.get(record.job)
         if job is not None and job.live:
             return Running(job.running())
-        final = self.term.finals.get(record.job)
+        final = self.term.completed_jobs.get(record.job)
         if final is None:
-            found = self.term.pen.state.get(over_key(record.job), Urgency.POLL)
+            found = self.term.writer.store.get(completed_key(record.job), Urgency.POLL)
             if found is None:
-                return Unsure("its end is being recorded")
-            done = found.value["state"] == JobView.DONE.value
+                return UncertainReply("its end is being recorded")
+            done = found.value["state"] == JobStatus.DONE.value
         else:
-            done = final.state is JobView.DONE
-        if not done and job is not None and job.places:
-            return Unsure("its tasks are being stopped")  # given back only once no task of it is left
+            done = final.state is JobStatus.DONE
+        if not done and job is not None and job.allocations:
+            return UncertainReply("its tasks are being stopped")  # given back only once no task of it is left
         return Ended(done)
 
     def _recall(self, recall: Recall) -> Reply:
@@ -301,51 +303,51 @@
         if record is None:
             r = self.reservations.get(recall.id)
             if r is not None and r.state is GuestState.STARTING:
-                return Unsure("it is being taken in")
+                return UncertainReply("it is being taken in")
             if r is not None:
                 self.move(r, GuestState.RELEASED, "not needed")
-            return Refused(NO_SUCH)
+            return Rejection(NO_SUCH)
         status = self._status(record)
         if isinstance(status, Running):
             if not self.cancel(record.job):
-                return Unsure("it cannot be ended now")
-            self.term.jobs.watch()
+                return UncertainReply("it cannot be ended now")
+            self.term.job_watch.watch()
             status = self._status(record)
         return status
 
     def _forget(self, forget: Forget) -> Reply:
         record = self.records.get(forget.id)
         if record is None:
-            return Refused(NO_SUCH)
+            return Rejection(NO_SUCH)
         if not isinstance(self._status(record), Ended):
-            return Unsure("it is not over")
-        found = self.term.pen.state.get(guest_key(record.id), Urgency.PROGRESS)
+            return UncertainReply("it is not over")
+        found = self.term.writer.store.get(guest_key(record.id), Urgency.PROGRESS)
         if found is not None:
-            self.term.pen.commit(
+            self.term.writer.commit(
                 [at(guest_key(record.id), found.version)], [delete(guest_key(record.id))], Urgency.PROGRESS
             )
         self.records.pop(record.id, None)
         self.heard.pop(record.id, None)
-        return Refused(NO_SUCH)
+        return Rejection(NO_SUCH)
 
     # steps ------------------------------------------------------------------------------------------------
 
     def step(self) -> None:
         """Ends reservations whose time is over, and gives back guests that find no room; a loop of the leader."""
-        if not self.term.pen.entitled():
+        if not self.term.writer.is_leader():
             return
         now = self.term.clock()
         for r in list(self.reservations.values()):
             if r.state is GuestState.RESERVED and now >= r.until:
                 self.move(r, GuestState.RELEASED, "its time is over")
         for record in list(self.records.values()):
-            job = self.term.ledger.jobs.get(record.job)
+            job = self.term.registry.jobs.get(record.job)
             if job is None or not job.live:
                 continue
             if not job.unasked and now - self.heard.get(record.id, -math.inf) > QUIET_S:
                 job.unasked = True
                 log.info("guest %s of %s: home is silent; what runs goes on, nothing starts", record.ref, record.home)
-            if job.places or job.unasked:
+            if job.allocations or job.unasked:
                 continue
             if job.startable() == job.spec.tasks and now - job.wait_since > self.limits.give_back_s:
                 log.info(
