--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -17,42 +17,42 @@
 
 import msgspec
 
-from ..books.jobs import Job
-from ..leading.leadership import Fenced
-from ..leading.term import Term
-from ..limits.budget import Urgency
-from ..measures.sketches import Sketches
-from ..outside.state import StateError, at, delete, put
-from ..records.jobs import LiveRecord, OverRecord, ending, live_key
-from ..states import JobState, step
-from ..wire.abroad import Abroad
-from ..wire.jobs import JobView
-from .breaker import Breaker
-from .limits import Bucket, Retries
+from ..clients.kv_store import StoreError, at, delete, put
+from ..cluster_state.jobs import Job
+from ..flow_control.rate_limiter import Urgency
+from ..leader.election import FencedError
+from ..leader.term import Term
+from ..metrics.duration_sketches import DurationSketches
+from ..state_machines import JobState, check_transition
+from ..storage.job_records import CompletedJobRecord, LiveJobRecord, completion_transaction, live_key
+from ..wire.jobs import JobStatus
+from ..wire.remote_assignment import RemoteAssignment
+from .circuit_breaker import CircuitBreaker
 from .messages import (
     MOST_BYTES,
     VERSION,
-    Ask,
     Commit,
     Ended,
     Forget,
-    Look,
+    FreeCapacity,
     Message,
-    Offer,
+    Probe,
     Recall,
-    Refused,
+    Rejection,
     Reply,
+    ReservationRequest,
     Reserved,
-    Room,
     Running,
-    Unsure,
+    StatusQuery,
+    UncertainReply,
 )
-from .routing import Prefer, Told, by_room, fits, value, without
-from .settle import PREFIX as SETTLED
-from .settle import Settled
-from .states import HOME_STEPS, HomeState
+from .rate_limits import RetryBackoff, TokenBucket
+from .routing import Prefer, RemoteLoad, by_room, fits, value, without
+from .settlement import PREFIX as SETTLED
+from .settlement import Settled
+from .state_machines import HOME_TRANSITIONS, HomeState
 
-log = logging.getLogger("grebestand.federation")
+log = logging.getLogger(__name__)
 
 #: clusters that one gang is offered to at a time, and offers for each gang until it is left at home for good
 AT_ONCE, MOST_OFFERS = 2, 12
@@ -78,17 +78,17 @@
 
     name: str
     link: Link
-    breaker: Breaker
-    told: Told | None = None
+    breaker: CircuitBreaker
+    told: RemoteLoad | None = None
     #: it speaks another version: it is offered nothing
     strange: bool = False
     look_at: float = -math.inf
     #: of offers only: one that refuses again and again is offered less, and asked about its guests as before
-    refusals: Breaker = field(init=False)
+    refusals: CircuitBreaker = field(init=False)
 
     def __post_init__(self) -> None:
         b = self.breaker
-        self.refusals = Breaker(f"{self.name} (offers)", b.clock, b.rng, REFUSALS, REFUSED_S)
+        self.refusals = CircuitBreaker(f"{self.name} (offers)", b.clock, b.rng, REFUSALS, REFUSED_S)
 
 
 @dataclass
@@ -111,7 +111,7 @@
 
 
 @dataclass
-class Trip:
+class RemoteGang:
     """What home knows of one gang that it has offered, or that is abroad."""
 
     job: Job
@@ -121,7 +121,7 @@
     #: while offered: who has reserved, and under which id
     reserved: dict[str, str] = field(default_factory=dict)
     #: from the decision on
-    abroad: Abroad | None = None
+    abroad: RemoteAssignment | None = None
     #: its user wants it cancelled
     recalled: bool = False
     #: questions in a row that nobody answered
@@ -134,7 +134,7 @@
     done: bool = False
 
 
-class Home:
+class HomeCluster:
     """The gangs of one leader's term. A new leader begins with what the live records name."""
 
     def __init__(
@@ -152,35 +152,35 @@
         self.clusters = {c.name: c for c in clusters}
         self.limits = limits
         self.rng = rng
-        self.trips: dict[str, Trip] = {}
+        self.trips: dict[str, RemoteGang] = {}
         #: done elsewhere: the other cluster's record may go once home's is durable
         self._settled: list[tuple[str, str, str]] = []
         self.spawn = spawn
-        self.sketches = Sketches()
+        self.sketches = DurationSketches()
         #: gangs offered, and how their offers ended
         self.counts = {"offers": 0, "reserved": 0, "decided": 0, "in_vain": 0}
-        self._offers = Bucket(limits.offers_per_s, term.clock)
-        self._bytes = Bucket(limits.bytes_per_s, term.clock)
-        self._retries = Retries(limits.retry_share, 1.0, term.clock)
+        self._offers = TokenBucket(limits.offers_per_s, term.clock)
+        self._bytes = TokenBucket(limits.bytes_per_s, term.clock)
+        self._retries = RetryBackoff(limits.retry_share, 1.0, term.clock)
         self._looking: set[str] = set()
-        self._looks = Bucket(LOOKS_PER_S, term.clock)
+        self._looks = TokenBucket(LOOKS_PER_S, term.clock)
         self._told_at = term.clock()
         self._more_at = -math.inf
         #: what operators have settled, and is still to be ended wherever it may run after all
         self.lost: dict[str, Settled] = {}
         self.read_settled()
-        for job in term.ledger.jobs.values():
+        for job in term.registry.jobs.values():
             if job.abroad is not None:
-                trip = self.trips[job.spec.id] = Trip(job, abroad=job.abroad)
+                trip = self.trips[job.spec.id] = RemoteGang(job, abroad=job.abroad)
                 # whether the news was ever told is not on record, so it is told again: that changes nothing twice
                 self.move(trip, HomeState.COMMITTED, "on record")
 
-    def move(self, trip: Trip, new: HomeState, why: str) -> None:
+    def move(self, trip: RemoteGang, new: HomeState, why: str) -> None:
         """The one function that changes where a gang's decision stands."""
         if trip.state is new:
             return
         ident = trip.job.spec.id
-        step(HOME_STEPS, trip.state, new, ident)
+        check_transition(HOME_TRANSITIONS, trip.state, new, ident)
         log.info("gang %s: %s -> %s: %s", ident, trip.state.name, new.name, why)
         trip.state = new
         trip.job.away = new not in (HomeState.WAITING, HomeState.OFFERED, HomeState.OVER)
@@ -188,7 +188,7 @@
             trip.abroad = trip.job.abroad = None
             trip.job.abroad_running = 0
             trip.next_at = self.term.clock() + OFFER_AGAIN_S * 2 ** min(5, trip.offers) * (0.5 + self.rng.random())
-            self.term.ledger.changed = True
+            self.term.registry.changed = True
         elif new is HomeState.OVER:
             self.trips.pop(ident, None)
 
@@ -203,7 +203,7 @@
 
     def step(self) -> None:
         """Moves every gang on as far as it goes now; a loop of the leader."""
-        if not self.term.pen.entitled():
+        if not self.term.writer.is_leader():
             return
         now = self.term.clock()
         for trip in list(self.trips.values()):
@@ -218,7 +218,7 @@
             text = ", ".join(f"{n} {k}" for k, n in self.counts.items())
             log.info("federation: %s; %s", text, self.sketches.tell())
 
-    def _work(self, trip: Trip, what: Callable[[Trip], None]) -> None:
+    def _work(self, trip: RemoteGang, what: Callable[[RemoteGang], None]) -> None:
         """At most one greenlet at a time is at work on a gang."""
         if trip.busy:
             return
@@ -248,20 +248,20 @@
 
     def _look_at(self, cluster: Cluster) -> None:
         try:
-            answer = self._ask(cluster, Look(self.name, VERSION))
+            answer = self._ask(cluster, Probe(self.name, VERSION))
         finally:
             self._looking.discard(cluster.name)
-        if isinstance(answer, Room):
+        if isinstance(answer, FreeCapacity):
             if (answer.version != VERSION) is not cluster.strange:
                 cluster.strange = answer.version != VERSION
                 log.warning("cluster %s speaks version %d, this one %d", cluster.name, answer.version, VERSION)
-            cluster.told = Told(answer, self.term.clock())
+            cluster.told = RemoteLoad(answer, self.term.clock())
 
     # settled by operators ---------------------------------------------------------------------------------
 
     def read_settled(self) -> None:
         """What operators have declared lost with its cluster; the gangs are home again."""
-        for pair in self.term.pen.state.pairs(SETTLED):
+        for pair in self.term.writer.store.pairs(SETTLED):
             found = msgspec.convert(pair.value, Settled)
             self.lost[found.id] = found
 
@@ -276,21 +276,21 @@
 
     def _end_one(self, entry: Settled, cluster: Cluster) -> None:
         answer = self._ask(cluster, Recall(self.name, entry.ref, entry.id))
-        if not isinstance(answer, Ended | Refused):
+        if not isinstance(answer, Ended | Rejection):
             return
         try:
             key = SETTLED + entry.id
-            found = self.term.pen.state.get(key, Urgency.PROGRESS)
+            found = self.term.writer.store.get(key, Urgency.PROGRESS)
             if found is not None:
-                self.term.pen.commit([at(key, found.version)], [delete(key)], Urgency.PROGRESS)
-        except (StateError, Fenced) as e:
+                self.term.writer.commit([at(key, found.version)], [delete(key)], Urgency.PROGRESS)
+        except (StoreError, FencedError) as e:
             log.info("settled gang %s: %s", entry.ref, e)
             return
         self.lost.pop(entry.id, None)
         log.info("settled gang %s: cluster %s is back and runs nothing of it any more", entry.ref, entry.cluster)
         self._settled.append((entry.cluster, entry.ref, entry.id))
 
-    def _go_on(self, trip: Trip) -> None:
+    def _go_on(self, trip: RemoteGang) -> None:
         try:
             if trip.state in (HomeState.COMMITTED, HomeState.ABROAD) and trip.job.abroad is None and trip.job.live:
                 self.move(trip, HomeState.RETURNING, "settled by its operators")
@@ -306,7 +306,7 @@
                 self._follow(trip)
             elif trip.state is HomeState.RETURNING:
                 self._return(trip)
-        except (StateError, Fenced) as e:
+        except (StoreError, FencedError) as e:
             log.info("gang %s stays %s: %s", trip.job.spec.id, trip.state.name, e)
             trip.next_at = self.term.clock() + 1.0
 
@@ -320,7 +320,7 @@
             and not job.away
             and not job.guest
             and job.spec.zone is None
-            and not job.places
+            and not job.allocations
             and job.startable() == job.spec.tasks
             and now - job.accepted_at >= self.limits.overflow_after_s(job, now)
         )
@@ -331,10 +331,10 @@
             return
         self._more_at = now + MORE_S
         out = sum(1 for t in self.trips.values() if t.state is not HomeState.WAITING)
-        due = [j for j in self.term.ledger.waiting_jobs() if self.eligible(j, now)]
+        due = [j for j in self.term.registry.waiting_jobs() if self.eligible(j, now)]
         due.sort(key=lambda j: (j.accepted_at, j.spec.id))
         for job in due:
-            trip = self.trips.get(job.spec.id) or Trip(job)
+            trip = self.trips.get(job.spec.id) or RemoteGang(job)
             if trip.state is not HomeState.WAITING or trip.offers >= self.limits.most_offers:
                 continue
             if trip.next_at > now and not self._news(trip, now):
@@ -364,7 +364,7 @@
         """Whether it has told of room for the whole gang since then."""
         return cluster.told is not None and cluster.told.at >= since and fits(job, cluster.told.room)
 
-    def _news(self, trip: Trip, now: float) -> bool:
+    def _news(self, trip: RemoteGang, now: float) -> bool:
         """Whether a cluster has told of room for it since it was last offered: its pause need not be waited for."""
         return trip.offers > 0 and any(
             not c.strange
@@ -387,20 +387,20 @@
                 break
         return asked
 
-    def _offer(self, trip: Trip, asked: list[Cluster]) -> None:
+    def _offer(self, trip: RemoteGang, asked: list[Cluster]) -> None:
         trip.reserved = {}
         trip.offers += len(asked)
         trip.offered_at = self.term.clock()
         self.counts["offers"] += len(asked)
         self.move(trip, HomeState.OFFERED, f"offered to {', '.join(c.name for c in asked)}")
-        message = Offer(self.name, trip.job.spec, [self.name])
+        message = ReservationRequest(self.name, trip.job.spec, [self.name])
         for cluster in asked:
             answer = self._ask(cluster, message)
             if isinstance(answer, Reserved):
                 trip.reserved[cluster.name] = answer.id
                 self.counts["reserved"] += 1
                 cluster.refusals.answered()
-            elif isinstance(answer, Refused):
+            elif isinstance(answer, Rejection):
                 cluster.refusals.failed(answer.why)
                 log.info("gang %s: %s does not take it: %s", trip.job.spec.id, cluster.name, answer.why)
         self._decide(trip)
@@ -417,7 +417,7 @@
             cluster.breaker.answered()
         return answer
 
-    def _release(self, trip: Trip, but: str | None = None) -> None:
+    def _release(self, trip: RemoteGang, but: str | None = None) -> None:
         """Reservations that are not used end at once; if the word is lost, they end by themselves."""
         for name, ident in trip.reserved.items():
             if name != but:
@@ -427,19 +427,19 @@
 
     # the decision -----------------------------------------------------------------------------------------
 
-    def _decide(self, trip: Trip) -> None:
+    def _decide(self, trip: RemoteGang) -> None:
         """Names one cluster, unless the gang has found its room at home while the offer was out."""
         job = trip.job
         chosen = next(iter(trip.reserved), None)
-        if chosen is None or job.places or not job.live or job.startable() != job.spec.tasks:
+        if chosen is None or job.allocations or not job.live or job.startable() != job.spec.tasks:
             self._release(trip)
             self.move(trip, HomeState.WAITING, "no room elsewhere" if chosen is None else "it starts at home")
             return
-        trip.abroad = Abroad(chosen, trip.reserved[chosen])
+        trip.abroad = RemoteAssignment(chosen, trip.reserved[chosen])
         self.move(trip, HomeState.DECIDING, f"{chosen} has room")
         try:
             self._write(trip, trip.abroad)
-        except (StateError, Fenced) as e:
+        except (StoreError, FencedError) as e:
             log.info("gang %s: whether %s was named is not known: %s", job.spec.id, chosen, e)
             trip.next_at = self.term.clock() + 0.5
             return
@@ -451,14 +451,14 @@
             log.info("gang %s: decided for %s %.0f ms after it was offered", job.spec.id, chosen, 1e3 * took)
             self._go_on(trip)
 
-    def _write(self, trip: Trip, abroad: Abroad | None) -> None:
+    def _write(self, trip: RemoteGang, abroad: RemoteAssignment | None) -> None:
         """Sets or clears the name in the live record, conditional on the record as this leader knows it."""
         job = trip.job
         ident = job.spec.id
         accepted = self.term.wall() - (self.term.clock() - job.accepted_at)
-        record = LiveRecord(job.spec, accepted, abroad, job.guest)
+        record = LiveJobRecord(job.spec, accepted, abroad, job.guest)
         change = put(live_key(ident), msgspec.to_builtins(record))
-        version, failed = self.term.pen.commit([at(live_key(ident), job.version)], [change], Urgency.ACCEPT)
+        version, failed = self.term.writer.commit([at(live_key(ident), job.version)], [change], Urgency.ACCEPT)
         if not failed:
             job.version = version
             job.abroad = abroad
@@ -466,14 +466,14 @@
         else:
             self._reread(trip)
 
-    def _reread(self, trip: Trip) -> None:
+    def _reread(self, trip: RemoteGang) -> None:
         """The record is another than this leader knew: a user's cancellation won, or an earlier write was made."""
         job = trip.job
-        found = self.term.pen.state.get(live_key(job.spec.id), Urgency.ACCEPT)
+        found = self.term.writer.store.get(live_key(job.spec.id), Urgency.ACCEPT)
         if found is None:
             self.move(trip, HomeState.OVER, "it was cancelled first")
             return
-        record = msgspec.convert(found.value, LiveRecord)
+        record = msgspec.convert(found.value, LiveJobRecord)
         job.version, job.abroad = found.version, record.abroad
         if record.abroad is not None:
             trip.abroad = record.abroad
@@ -482,7 +482,7 @@
         else:
             self.move(trip, HomeState.WAITING, "on record")
 
-    def _settle(self, trip: Trip) -> None:
+    def _settle(self, trip: RemoteGang) -> None:
         """A decision whose write nobody answered may still be carried out: a write on the same version rules that out,
         or fails because it has been."""
         self._write(trip, None)
@@ -491,14 +491,14 @@
 
     # abroad -----------------------------------------------------------------------------------------------
 
-    def _follow(self, trip: Trip) -> None:
+    def _follow(self, trip: RemoteGang) -> None:
         """The news of the decision, again and again until it is answered, and then how it goes."""
         assert trip.abroad is not None
         cluster = self.clusters.get(trip.abroad.cluster)
-        kind = Recall if trip.recalled else Commit if trip.state is HomeState.COMMITTED else Ask
+        kind = Recall if trip.recalled else Commit if trip.state is HomeState.COMMITTED else StatusQuery
         self._take(trip, cluster, kind(self.name, trip.job.spec.id, trip.abroad.id))
 
-    def _take(self, trip: Trip, cluster: Cluster | None, message: Message) -> None:
+    def _take(self, trip: RemoteGang, cluster: Cluster | None, message: Message) -> None:
         trip.next_at = self.term.clock() + ASK_S * (0.75 + 0.5 * self.rng.random())
         if cluster is None or not cluster.breaker.lets():
             return  # not listed any more, or left alone for a while: it may run it all the same
@@ -507,20 +507,20 @@
         if not trip.unanswered:
             self._retries.first()
         answer = self._ask(cluster, message)
-        trip.unanswered = 0 if answer is not None and not isinstance(answer, Unsure) else trip.unanswered + 1
+        trip.unanswered = 0 if answer is not None and not isinstance(answer, UncertainReply) else trip.unanswered + 1
         if trip.unanswered > 1:
             trip.next_at = self.term.clock() + ASK_S * min(8, 2**trip.unanswered) * (0.5 + self.rng.random())
         if isinstance(answer, Running):
             trip.job.abroad_running = answer.running
             if trip.state is HomeState.COMMITTED:
                 self.move(trip, HomeState.ABROAD, f"{cluster.name} runs it")
-        elif isinstance(answer, Ended | Refused):
+        elif isinstance(answer, Ended | Rejection):
             trip.done = isinstance(answer, Ended) and answer.done
             why = "done there" if trip.done else "given back" if isinstance(answer, Ended) else answer.why
             self.move(trip, HomeState.RETURNING, why)
             self._go_on(trip)
 
-    def _return(self, trip: Trip) -> None:
+    def _return(self, trip: RemoteGang) -> None:
         """The cluster has proved that nothing of it runs there: done, cancelled for its user, or at home again."""
         job = trip.job
         abroad = trip.abroad
@@ -528,9 +528,9 @@
         now = self.term.clock()
         if trip.done:
             for index in range(job.spec.tasks):
-                self.term.ledger.mark_done(job, index, now)
+                self.term.registry.mark_done(job, index, now)
             if job.live:
-                self.term.ledger.move_job(job, JobState.CLOSING, now)
+                self.term.registry.move_job(job, JobState.CLOSING, now)
             self.move(trip, HomeState.OVER, "done")
         elif trip.recalled:
             self._cancel(trip)
@@ -543,22 +543,22 @@
         """Tells the others what they need not keep any more: home's record no longer names their reservation."""
         for entry in list(self._settled):
             name, ref, ident = entry
-            job = self.term.ledger.jobs.get(ref)
+            job = self.term.registry.jobs.get(ref)
             if job is not None and job.abroad is not None:
                 continue  # its end is not on record yet
             self._settled.remove(entry)
             if name in self.clusters:  # if the word is lost, the record there stays until its operators settle it
                 self._ask(self.clusters[name], Forget(self.name, ref, ident))
 
-    def _cancel(self, trip: Trip) -> None:
+    def _cancel(self, trip: RemoteGang) -> None:
         """What the user was not told yet: from here on it is cancelled."""
         job = trip.job
         ident = job.spec.id
-        record = OverRecord(JobView.CANCELLED, 0)
-        _, failed = self.term.pen.commit(*ending(ident, job.version, record), Urgency.ACCEPT)
+        record = CompletedJobRecord(JobStatus.CANCELLED, 0)
+        _, failed = self.term.writer.commit(*completion_transaction(ident, job.version, record), Urgency.ACCEPT)
         if failed:
             self._reread(trip)
             return
-        self.term.finals.remember(ident, record)
+        self.term.completed_jobs.remember(ident, record)
         self.term.dispatch.cancel(job, self.term.clock())
         self.move(trip, HomeState.OVER, "cancelled for its user")
--- a/src/grebestand/federation/ring.py
+++ b/src/grebestand/federation/keyring.py
@@ -16,7 +16,7 @@
 import gevent
 from gevent import ssl as gssl
 
-log = logging.getLogger("grebestand.federation")
+log = logging.getLogger(__name__)
 
 #: how often the files are looked at, and how long a handshake may take, in seconds
 LOOK_S, HANDSHAKE_S = 2.0, 3.0
@@ -24,7 +24,7 @@
 _WHY = {10: "expired", 9: "not yet valid", 18: "unknown", 19: "unknown", 20: "unknown", 21: "unknown"}
 
 
-class RingFault(ValueError):
+class KeyringError(ValueError):
     """One line that names what is missing or cannot be read."""
 
 
@@ -36,9 +36,9 @@
         return set()
 
 
-class Ring:
+class Keyring:
     def __init__(self, root: Path, cluster: str, clock: Callable[[], float]) -> None:
-        """Raises `RingFault` if there is nothing to begin with; later faults are logged, and the old keys stay."""
+        """Raises `KeyringError` if there is nothing to begin with; later faults are logged, and the old keys stay."""
         self.root = root
         self.cluster = cluster
         self.clock = clock
@@ -68,7 +68,7 @@
             if state != self._seen:
                 self._load(state)
                 log.info("federation keys read anew, edition %d", self.edition)
-        except (RingFault, OSError) as e:
+        except (KeyringError, OSError) as e:
             log.warning("federation keys not read, the earlier ones stay: %s", e)
 
     def _load(self, state: tuple[tuple[str, int, int], ...]) -> None:
@@ -78,9 +78,9 @@
             number = (self.root / "active").read_text().strip()
             gone = revoked(self.root)
         except OSError as e:
-            raise RingFault(f"{self.root}: {e.strerror}: {Path(e.filename or '').name}") from e
+            raise KeyringError(f"{self.root}: {e.strerror}: {Path(e.filename or '').name}") from e
         if name != self.cluster:
-            raise RingFault(f"{self.root}: keys of {name!r}, not of {self.cluster!r}")
+            raise KeyringError(f"{self.root}: keys of {name!r}, not of {self.cluster!r}")
         pem, key = self.root / "own" / f"{number}.pem", self.root / "own" / f"{number}.key"
         owners: dict[str, str] = {}
         #: of each cluster: fingerprints and certificates
@@ -90,7 +90,7 @@
                 text = path.read_text()
                 mark = hashlib.sha256(ssl.PEM_cert_to_DER_cert(text)).hexdigest()
             except (OSError, ValueError) as e:
-                raise RingFault(f"{path}: not a certificate: {e}") from e
+                raise KeyringError(f"{path}: not a certificate: {e}") from e
             owners[mark] = path.parent.name
             believed.setdefault(path.parent.name, []).append((mark, text))
 
@@ -104,7 +104,7 @@
                 if texts:
                     made.load_verify_locations(cadata="\n".join(texts))
             except (OSError, ssl.SSLError, ValueError) as e:
-                raise RingFault(f"{pem}: {e}") from e
+                raise KeyringError(f"{pem}: {e}") from e
             return made
 
         # what is revoked is let through the handshake and refused after it, so that the log can say so
--- a/src/grebestand/federation/keys.py
+++ b/src/grebestand/federation/keys.py
@@ -27,18 +27,18 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 
-from .ring import revoked
+from .keyring import revoked
 
 #: a certificate is good from so long before it was made: clocks of other clusters may be behind
 BEFORE = dt.timedelta(hours=1)
 
 
-class KeyFault(ValueError):
+class KeyFileError(ValueError):
     """One line that names the file or name at fault."""
 
 
 @dataclass(frozen=True)
-class Shown:
+class KeySummary:
     """One certificate, as it is listed."""
 
     cluster: str
@@ -51,7 +51,7 @@
 
 def check_name(name: str) -> str:
     if not name or len(name) > 60 or not all(c.isalnum() or c in "-_." for c in name) or name.startswith("."):
-        raise KeyFault(f"not a cluster's name: {name!r} (letters, digits, '-', '_' and '.')")
+        raise KeyFileError(f"not a cluster's name: {name!r} (letters, digits, '-', '_' and '.')")
     return name
 
 
@@ -77,7 +77,7 @@
     try:
         return x509.load_pem_x509_certificate(path.read_bytes())
     except (OSError, ValueError) as e:
-        raise KeyFault(f"{path}: not a certificate: {e}") from e
+        raise KeyFileError(f"{path}: not a certificate: {e}") from e
 
 
 def _generation(root: Path, name: str, days: float, now: dt.datetime) -> Path:
@@ -114,14 +114,14 @@
     try:
         return check_name((root / "cluster").read_text().strip())
     except OSError as e:
-        raise KeyFault(f"{root}: no keys here; make them with 'keys create' ({e.strerror})") from e
+        raise KeyFileError(f"{root}: no keys here; make them with 'keys create' ({e.strerror})") from e
 
 
 def create(root: Path, name: str, days: float, now: dt.datetime) -> Path:
     """The first generation, in use at once; the path of the certificate that the others are given."""
     check_name(name)
     if (root / "cluster").exists():
-        raise KeyFault(f"{root}: there are keys already; 'keys rotate' makes the next ones")
+        raise KeyFileError(f"{root}: there are keys already; 'keys rotate' makes the next ones")
     made = _generation(root, name, days, now)
     _write(root / "cluster", name.encode() + b"\n")
     _write(root / "active", made.stem.encode() + b"\n")
@@ -139,7 +139,7 @@
     present = sorted(p.stem for p in (root / "own").glob("[0-9][0-9][0-9][0-9].pem"))
     chosen = number or (present[-1] if present else "")
     if chosen not in present or not (root / "own" / f"{chosen}.key").exists():
-        raise KeyFault(f"{root}: no generation {chosen!r} (there are: {', '.join(present) or 'none'})")
+        raise KeyFileError(f"{root}: no generation {chosen!r} (there are: {', '.join(present) or 'none'})")
     _write(root / "active", chosen.encode() + b"\n")
     return chosen
 
@@ -151,23 +151,23 @@
     names = cert.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
     name = check_name(str(names[0].value)) if names else ""
     if not name or name == own:
-        raise KeyFault(f"{file}: {'names no cluster' if not name else 'is of this cluster itself'}")
+        raise KeyFileError(f"{file}: {'names no cluster' if not name else 'is of this cluster itself'}")
     path = root / "trusted" / name / f"{fingerprint(cert)[:16]}.pem"
     _write(path, cert.public_bytes(serialization.Encoding.PEM))
     return path
 
 
-def revoke(root: Path, prefix: str) -> Shown:
+def revoke(root: Path, prefix: str) -> KeySummary:
     """Believes a certificate no more, from the next connection on; named by the beginning of its fingerprint."""
     found = [s for s in show(root, dt.datetime.now(dt.UTC)) if s.fingerprint.startswith(prefix.lower())]
     if len(prefix) < 8 or len(found) != 1:
-        raise KeyFault(f"{prefix!r} names {len(found)} certificates; give at least 8 digits of a fingerprint")
+        raise KeyFileError(f"{prefix!r} names {len(found)} certificates; give at least 8 digits of a fingerprint")
     lines = sorted(revoked(root) | {found[0].fingerprint})
     _write(root / "revoked", "".join(f"{line}\n" for line in lines).encode())
     return found[0]
 
 
-def show(root: Path, now: dt.datetime) -> list[Shown]:
+def show(root: Path, now: dt.datetime) -> list[KeySummary]:
     """All certificates there are, own ones first."""
     name = _name(root)
     active = (root / "active").read_text().strip()
@@ -182,5 +182,5 @@
         if fingerprint(cert) in gone:
             state = "revoked"
         owner = name if mine else path.parent.name
-        found.append(Shown(owner, str(path.relative_to(root)), fingerprint(cert), cert.not_valid_after_utc, state))
+        found.append(KeySummary(owner, str(path.relative_to(root)), fingerprint(cert), cert.not_valid_after_utc, state))
     return found
--- a/src/grebestand/federation/door.py
+++ b/src/grebestand/federation/link_server.py
@@ -8,25 +8,25 @@
 
 import msgspec
 
-from .limits import Bucket
-from .link import PATH
-from .messages import MOST_BYTES, NOT_LEADING, Message, Reply, Unfit, Unsure, decode
-from .networks import Networks
-from .ring import Ring
+from .allowed_networks import AllowedNetworks
+from .keyring import Keyring
+from .messages import MOST_BYTES, NOT_LEADING, InvalidMessageError, Message, Reply, UncertainReply, decode
+from .rate_limits import TokenBucket
+from .tls_link import PATH
 
-log = logging.getLogger("grebestand.federation")
+log = logging.getLogger(__name__)
 
 #: refusals told in the log, a second; a broken peer must not fill the disk either
 TOLD_PER_S = 2.0
 
 
-class LinkGate:
+class LinkAdmission:
     """The address is looked at before the handshake's cost is paid."""
 
-    def __init__(self, networks: Networks, ring: Ring, clock: Callable[[], float]) -> None:
+    def __init__(self, networks: AllowedNetworks, ring: Keyring, clock: Callable[[], float]) -> None:
         self.networks = networks
         self.ring = ring
-        self._told = Bucket(TOLD_PER_S, clock)
+        self._told = TokenBucket(TOLD_PER_S, clock)
 
     def admit(self, host: str) -> bool:
         inside = host in self.networks
@@ -38,12 +38,12 @@
         return self.ring.greet(socket, host)
 
 
-class LinkDoor:
+class LinkServer:
     """`answer` is the guest of the present leader, or None where this controller does not lead."""
 
     def __init__(
         self,
-        ring: Ring,
+        ring: Keyring,
         answer: Callable[[], Callable[[Message], Reply] | None],
         leader: Callable[[], str | None],
         clock: Callable[[], float],
@@ -51,7 +51,7 @@
         self.ring = ring
         self.answer = answer
         self.leader = leader
-        self._told = Bucket(TOLD_PER_S, clock)
+        self._told = TokenBucket(TOLD_PER_S, clock)
 
     def _refuse(self, start: Callable[..., Any], status: str, text: str, who: object) -> list[bytes]:
         if self._told.take(1.0):
@@ -71,14 +71,14 @@
             return self._refuse(start, "413 Payload Too Large", f"at most {MOST_BYTES} bytes are read", who)
         try:
             message = decode(environ["wsgi.input"].read(int(length)))
-        except Unfit as e:
+        except InvalidMessageError as e:
             return self._refuse(start, "400 Bad Request", str(e), who)
         except OSError:
             return self._refuse(start, "400 Bad Request", "the message broke off", who)
         if message.home != who:
             return self._refuse(start, "403 Forbidden", f"it speaks for {message.home!r}", who)
         answer = self.answer()
-        reply = answer(message) if answer is not None else Unsure(NOT_LEADING, self.leader())
+        reply = answer(message) if answer is not None else UncertainReply(NOT_LEADING, self.leader())
         body = msgspec.msgpack.encode(reply)
         start("200 OK", [("Content-Type", "application/msgpack"), ("Content-Length", str(len(body)))])
         return [body]
--- a/src/grebestand/federation/messages.py
+++ b/src/grebestand/federation/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..wire.jobs import JOB_ID, JobSpec, Kind, Malformed, check_spec
+from ..wire.jobs import JOB_ID, JobSpec, Kind, MalformedError, check_spec
 
 #: a message may be this long, in bytes; a description of a job is a few hundred
 MOST_BYTES = 16 * 1024
@@ -24,14 +24,14 @@
 NOT_LEADING = "not leading"
 
 
-class Look(msgspec.Struct, tag="look", frozen=True):
+class Probe(msgspec.Struct, tag="look", frozen=True):
     """What room do you have? Asked now and then, so that the likeliest cluster is offered a gang first."""
 
     home: str
     version: int
 
 
-class Offer(msgspec.Struct, tag="offer", frozen=True):
+class ReservationRequest(msgspec.Struct, tag="offer", frozen=True):
     """Would you keep room for this gang, whole? Nothing may be started for it."""
 
     home: str
@@ -52,7 +52,7 @@
     """Home has decided, durably, for this reservation: the proof that it may start."""
 
 
-class Ask(_About, tag="ask", frozen=True):
+class StatusQuery(_About, tag="ask", frozen=True):
     """How does it go?"""
 
 
@@ -64,10 +64,10 @@
     """Home has its durable record of the end: the guest's may go."""
 
 
-Message = Look | Offer | Commit | Ask | Recall | Forget
+Message = Probe | ReservationRequest | Commit | StatusQuery | Recall | Forget
 
 
-class Room(msgspec.Struct, tag="room", frozen=True):
+class FreeCapacity(msgspec.Struct, tag="room", frozen=True):
     version: int
     #: empty machines that take work, and the CPUs of the largest of them
     free: int
@@ -84,7 +84,7 @@
     for_s: float
 
 
-class Refused(msgspec.Struct, tag="refused", frozen=True):
+class Rejection(msgspec.Struct, tag="refused", frozen=True):
     """Not taken; for a commit, an ask or a recall it also proves that nothing starts under this id any more."""
 
     why: str
@@ -102,7 +102,7 @@
     done: bool
 
 
-class Unsure(msgspec.Struct, tag="unsure", frozen=True):
+class UncertainReply(msgspec.Struct, tag="unsure", frozen=True):
     """Cannot be told now, or not by this controller; nothing follows from it."""
 
     why: str
@@ -110,44 +110,44 @@
     leader: str | None = None
 
 
-Reply = Room | Reserved | Refused | Running | Ended | Unsure
+Reply = FreeCapacity | Reserved | Rejection | Running | Ended | UncertainReply
 
 _message = msgspec.msgpack.Decoder(Message)
 _reply = msgspec.msgpack.Decoder(Reply)
 
 
-class Unfit(ValueError):
+class InvalidMessageError(ValueError):
     """A message that is too large, malformed or not allowed; it has changed nothing."""
 
 
 def decode(body: bytes) -> Message:
-    """The message, or `Unfit`. Bounds are held before decoding, so that nothing large is ever built."""
+    """The message, or `InvalidMessageError`. Bounds are held before decoding, so that nothing large is ever built."""
     if len(body) > MOST_BYTES:
-        raise Unfit(f"a message of {len(body)} bytes, {MOST_BYTES} are allowed")
+        raise InvalidMessageError(f"a message of {len(body)} bytes, {MOST_BYTES} are allowed")
     try:
         found = _message.decode(body)
     except (msgspec.DecodeError, RecursionError) as e:
-        raise Unfit(f"malformed: {e}") from e
+        raise InvalidMessageError(f"malformed: {e}") from e
     if not 0 < len(found.home) <= MOST_NAME or not found.home.isprintable():
-        raise Unfit("the home's name is empty, too long or unprintable")
-    if isinstance(found, Offer):
+        raise InvalidMessageError("the home's name is empty, too long or unprintable")
+    if isinstance(found, ReservationRequest):
         if len(found.path) > MOST_PATH or any(not 0 < len(name) <= MOST_NAME for name in found.path):
-            raise Unfit("the path is too long")
+            raise InvalidMessageError("the path is too long")
         try:
             check_spec(found.spec)
-        except Malformed as e:
-            raise Unfit(str(e)) from e
+        except MalformedError as e:
+            raise InvalidMessageError(str(e)) from e
         if found.spec.kind is not Kind.GANG:
-            raise Unfit("only gangs are offered")
-    elif not isinstance(found, Look) and (not JOB_ID.match(found.ref) or len(found.id) != 32):
-        raise Unfit("malformed reference or reservation")
+            raise InvalidMessageError("only gangs are offered")
+    elif not isinstance(found, Probe) and (not JOB_ID.match(found.ref) or len(found.id) != 32):
+        raise InvalidMessageError("malformed reference or reservation")
     return found
 
 
 def decode_reply(body: bytes) -> Reply:
     if len(body) > MOST_BYTES:
-        raise Unfit("an answer that is too long")
+        raise InvalidMessageError("an answer that is too long")
     try:
         return _reply.decode(body)
     except (msgspec.DecodeError, RecursionError) as e:
-        raise Unfit(f"malformed answer: {e}") from e
+        raise InvalidMessageError(f"malformed answer: {e}") from e
--- a/src/grebestand/federation/limits.py
+++ b/src/grebestand/federation/rate_limits.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 
-class Bucket:
+class TokenBucket:
     """So many units a second, with one second's worth at once."""
 
     def __init__(self, per_s: float, clock: Callable[[], float]) -> None:
@@ -29,14 +29,14 @@
         return True
 
 
-class Retries:
+class RetryBackoff:
     """A budget of repetitions: each message that is sent for the first time earns a share of one, and a few a second
     are there in any case, so that what is left alone for long is still asked about."""
 
     def __init__(self, share: float, least_per_s: float, clock: Callable[[], float]) -> None:
         self.share = share
         self._earned = 0.0
-        self._base = Bucket(least_per_s, clock)
+        self._base = TokenBucket(least_per_s, clock)
 
     def first(self) -> None:
         self._earned = min(20.0, self._earned + self.share)
--- a/src/grebestand/federation/settle.py
+++ b/src/grebestand/federation/settlement.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ..limits.budget import Urgency
-from ..outside.state import StateClient, at, put
-from ..records.jobs import LiveRecord, live_key
+from ..clients.kv_store import KeyValueStoreClient, at, put
+from ..flow_control.rate_limiter import Urgency
+from ..storage.job_records import LiveJobRecord, live_key
 
 PREFIX = "federation/settled/"
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Away:
+class RemoteGangRecord:
     """A gang whose live record names a cluster."""
 
     ref: str
@@ -37,21 +37,23 @@
     id: str
     tasks: int
     version: int
-    record: LiveRecord
+    record: LiveJobRecord
 
 
-def away(state: StateClient, cluster: str) -> list[Away]:
+def remote_gangs(state: KeyValueStoreClient, cluster: str) -> list[RemoteGangRecord]:
     """All gangs that a cluster runs or may come to run, by this cluster's records."""
     found = []
     for pair in state.pairs("live/"):
         if isinstance(pair.value, dict) and pair.value.get("abroad") is not None:
-            record = msgspec.convert(pair.value, LiveRecord)
+            record = msgspec.convert(pair.value, LiveJobRecord)
             if record.abroad is not None and record.abroad.cluster == cluster:
-                found.append(Away(record.spec.id, cluster, record.abroad.id, record.spec.tasks, pair.version, record))
+                found.append(
+                    RemoteGangRecord(record.spec.id, cluster, record.abroad.id, record.spec.tasks, pair.version, record)
+                )
     return found
 
 
-def settle(state: StateClient, gang: Away, by: str) -> bool:
+def settle(state: KeyValueStoreClient, gang: RemoteGangRecord, by: str) -> bool:
     """One transaction: the gang is home's again, and who said so is on record. False if it has changed meanwhile."""
     record = msgspec.structs.replace(gang.record, abroad=None)
     word = Settled(gang.cluster, gang.ref, gang.id, by)
--- a/src/grebestand/federation/states.py
+++ b/src/grebestand/federation/state_machines.py
@@ -17,7 +17,7 @@
     OVER = auto()  # done, or cancelled for its user
 
 
-HOME_STEPS: dict[HomeState, frozenset[HomeState]] = {
+HOME_TRANSITIONS: dict[HomeState, frozenset[HomeState]] = {
     HomeState.WAITING: frozenset({HomeState.OFFERED, HomeState.COMMITTED, HomeState.OVER}),
     HomeState.OFFERED: frozenset({HomeState.WAITING, HomeState.DECIDING, HomeState.OVER}),
     HomeState.DECIDING: frozenset({HomeState.WAITING, HomeState.COMMITTED, HomeState.OVER}),
@@ -37,7 +37,7 @@
     RELEASED = auto()  # the reservation is no more: nothing can start under it
 
 
-GUEST_STEPS: dict[GuestState, frozenset[GuestState]] = {
+GUEST_TRANSITIONS: dict[GuestState, frozenset[GuestState]] = {
     GuestState.RESERVED: frozenset({GuestState.STARTING, GuestState.RELEASED}),
     GuestState.STARTING: frozenset({GuestState.STARTED, GuestState.RELEASED}),
     GuestState.STARTED: frozenset(),
@@ -51,7 +51,7 @@
     TRYING = auto()  # asked once to see
 
 
-BREAKER_STEPS: dict[BreakerState, frozenset[BreakerState]] = {
+BREAKER_TRANSITIONS: dict[BreakerState, frozenset[BreakerState]] = {
     BreakerState.CLOSED: frozenset({BreakerState.OPEN}),
     BreakerState.OPEN: frozenset({BreakerState.TRYING}),
     BreakerState.TRYING: frozenset({BreakerState.CLOSED, BreakerState.OPEN}),
--- a/src/grebestand/federation/link.py
+++ b/src/grebestand/federation/tls_link.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from ..outside.http import HttpTransport, Transport, Unreachable
-from .messages import NOT_LEADING, Message, Reply, Unfit, Unsure, decode_reply
-from .ring import Ring
+from ..clients.http import HttpTransport, Transport, UnreachableError
+from .keyring import Keyring
+from .messages import NOT_LEADING, InvalidMessageError, Message, Reply, UncertainReply, decode_reply
 
-log = logging.getLogger("grebestand.federation")
+log = logging.getLogger(__name__)
 
 PATH = "/federation/1"
 #: for one question to one controller, and for finding the one that leads, in seconds
@@ -21,7 +21,7 @@
 Connect = Callable[[str, int], Transport | None]
 
 
-def over_tls(peer: str, ring: Ring) -> Connect:
+def over_tls(peer: str, ring: Keyring) -> Connect:
     """Connections to a cluster; keys that have changed since are used from the next one on."""
 
     def connect(host: str, port: int) -> Transport | None:
@@ -67,7 +67,7 @@
             answer = self._ask(name, body, min(ONE_S, left))
             if answer is None:
                 continue
-            if not isinstance(answer, Unsure):
+            if not isinstance(answer, UncertainReply):
                 self._leader = name
                 return answer
             last = answer
@@ -90,10 +90,10 @@
                 log.info("controller %s answers %d: %s", name, status, answer[:120].decode("utf-8", "replace"))
                 return None
             return decode_reply(answer)
-        except Unreachable as e:
+        except UnreachableError as e:
             log.debug("controller %s does not answer: %s", name, e)
             return None
-        except Unfit as e:
+        except InvalidMessageError as e:
             log.warning("controller %s: %s", name, e)
             return None
 
--- /dev/null
+++ b/src/grebestand/flow_control/__init__.py
@@ -0,0 +1,1 @@
+"""Rate limits, overload detection, connection limits and the schedule of garbage collection."""
--- a/src/grebestand/limits/sockets.py
+++ b/src/grebestand/flow_control/connection_limits.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class SocketPlan:
+class ConnectionPlan:
     """Counts of connections; together they stay within the quota."""
 
     #: to all other controllers
@@ -43,7 +43,7 @@
     workers: int
 
 
-def plan(quota: Quota, others: int) -> SocketPlan:
+def plan_connections(quota: Quota, others: int) -> ConnectionPlan:
     """The shares of a controller that has so many others beside it."""
     most = quota.max_connections
     peers = others * (GREETINGS + BATCHES) + min(others, HELPERS) * RELAYED
@@ -51,4 +51,4 @@
     from_peers = others * (GREETINGS + RELAYED + BATCHES)
     reserved = STATE_REQUESTS + STATE_WATCHES + CLOUD + peers + from_peers + direct + SPARE + turned_away + backlog
     serving = max(50, most - reserved)
-    return SocketPlan(peers, from_peers, direct, serving, turned_away, backlog, serving - int(USERS * serving))
+    return ConnectionPlan(peers, from_peers, direct, serving, turned_away, backlog, serving - int(USERS * serving))
--- a/src/grebestand/limits/collection.py
+++ b/src/grebestand/flow_control/garbage_collection.py
@@ -17,7 +17,7 @@
 NEVER = 1 << 30
 
 
-def by_time(sleep: Callable[[float], object], spare: Callable[[], bool]) -> None:
+def collect_garbage_by_time(sleep: Callable[[float], object], spare: Callable[[], bool]) -> None:
     """Collects for as long as the process lives; `spare` says whether there is time for it."""
     gc.set_threshold(YOUNG, MIDDLE, NEVER)
     passed_over = 0
--- a/src/grebestand/limits/load.py
+++ b/src/grebestand/flow_control/overload.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 
 from ..settings.platform import Quota
-from ..states import LOAD_STEPS, LoadState, step
+from ..state_machines import LOAD_TRANSITIONS, LoadState, check_transition
 
-log = logging.getLogger("grebestand.load")
+log = logging.getLogger(__name__)
 
 #: a controller looks so often whether it is late
-LOOK_S = 0.1
+LAG_SAMPLE_INTERVAL_S = 0.1
 #: late by so much, it is strained or overloaded; after a while of less than half of that it has recovered
 STRAINED_S, OVERLOADED_S = 0.15, 1.0
 RECOVERY_S = 2.0
@@ -25,7 +25,7 @@
 _LIMIT_S = {LoadState.NORMAL: 0.0, LoadState.STRAINED: STRAINED_S, LoadState.OVERLOADED: OVERLOADED_S}
 
 
-class Load:
+class OverloadMonitor:
     def __init__(self, quota: Quota, clock: Callable[[], float]) -> None:
         self.clock = clock
         self.state = LoadState.NORMAL
@@ -40,7 +40,7 @@
         """The one function that changes what load a controller thinks it is under."""
         if new is self.state:
             return
-        step(LOAD_STEPS, self.state, new, "load")
+        check_transition(LOAD_TRANSITIONS, self.state, new, "load")
         log.warning("load: %s -> %s: %s", self.state.name, new.name, why)
         self.state, self.since = new, self.clock()
 
--- a/src/grebestand/limits/budget.py
+++ b/src/grebestand/flow_control/rate_limiter.py
@@ -20,11 +20,11 @@
     POLL = 5
 
 
-class Shed(Exception):
+class RateLimitedError(Exception):
     """There is no budget left within the caller's patience."""
 
 
-class Budget:
+class RateLimiter:
     """`take` waits for its turn; callers that matter more overtake those that matter less."""
 
     def __init__(
@@ -60,7 +60,7 @@
             self._level -= amount
             return
         if len(self._waiting) > 400 and urgency >= Urgency.PROGRESS:
-            raise Shed("rate budget exhausted")
+            raise RateLimitedError("rate budget exhausted")
         self._count += 1
         turn: AsyncResult = AsyncResult()
         entry = (int(urgency), self._count, amount, turn)
@@ -70,7 +70,7 @@
             if entry in self._waiting:
                 self._waiting.remove(entry)
                 heapq.heapify(self._waiting)
-            raise Shed("rate budget exhausted")
+            raise RateLimitedError("rate budget exhausted")
 
     def _arm(self) -> None:
         if self._armed or not self._waiting:
--- /dev/null
+++ b/src/grebestand/heartbeat_relay/__init__.py
@@ -0,0 +1,1 @@
+"""Heartbeats received by any controller and forwarded to the leader in batches."""
--- a/src/grebestand/relays/receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -10,17 +10,17 @@
 import gevent
 import msgspec
 
-from ..leading.leadership import Leadership
-from ..leading.term import Term
-from ..limits.load import Load
-from ..limits.sockets import BATCHES
-from ..states import LoadState
-from ..wire.jobs import Malformed
-from ..wire.peers import Batch, Replies
-from ..wire.workers import Orders, Report
-from .sender import MOST_BYTES, MOST_REPORTS, SEND_S
-
-log = logging.getLogger("grebestand.relays")
+from ..flow_control.connection_limits import BATCHES
+from ..flow_control.overload import OverloadMonitor
+from ..leader.election import LeaderElection
+from ..leader.term import Term
+from ..state_machines import LoadState
+from ..wire.jobs import MalformedError
+from ..wire.peers import HeartbeatBatch, HeartbeatBatchResponse
+from ..wire.workers import Heartbeat, HeartbeatResponse
+from .forwarder import MOST_BYTES, MOST_REPORTS, SEND_S
+
+log = logging.getLogger(__name__)
 
 #: reports are read for so long before others have their turn, in seconds
 SLICE_S = 0.01
@@ -32,28 +32,28 @@
 T = TypeVar("T")
 
 _json = msgspec.json.Encoder()
-_report_decoder = msgspec.json.Decoder(Report)
+_report_decoder = msgspec.json.Decoder(Heartbeat)
 
 
-class Refused(ValueError):
+class BatchRefusedError(ValueError):
     """A message that is no batch of another controller's."""
 
 
-class Receiver:
+class BatchReceiver:
     """Answers batches under this controller's own term, or says of each report that it may not."""
 
     def __init__(
         self,
         senders: Collection[str],
-        leadership: Leadership,
+        election: LeaderElection,
         term: Callable[[], Term | None],
-        load: Load,
+        load: OverloadMonitor,
         clock: Callable[[], float],
         wait: Callable[[], object],
     ) -> None:
         """`senders`: the other controllers by name; `wait` comes back once this controller's records may be read."""
         self.senders = frozenset(senders)
-        self.leadership = leadership
+        self.election = election
         self.term = term
         self.load = load
         self.clock = clock
@@ -64,39 +64,39 @@
         self.reports = 0
 
     def answer(self, body: bytes) -> bytes:
-        """The answers to a batch, in its order. Raises `Refused` for what is none."""
+        """The answers to a batch, in its order. Raises `Rejection` for what is none."""
         return msgspec.msgpack.encode(self._answered(self._read(body)))
 
-    def _read(self, body: bytes) -> Batch:
+    def _read(self, body: bytes) -> HeartbeatBatch:
         try:
-            batch = msgspec.msgpack.decode(body, type=Batch)
+            batch = msgspec.msgpack.decode(body, type=HeartbeatBatch)
             if batch.sender not in self.senders:
-                raise Refused(f"{batch.sender[:100]!r} is no controller of this cluster")
+                raise BatchRefusedError(f"{batch.sender[:100]!r} is no controller of this cluster")
             if len(batch.reports) > MOST_REPORTS or sum(map(len, batch.reports)) > MOST_BYTES + REPORT_BYTES:
-                raise Refused(f"{batch.sender} sent {len(batch.reports)} reports at once")
-        except (msgspec.DecodeError, Refused) as e:
+                raise BatchRefusedError(f"{batch.sender} sent {len(batch.reports)} reports at once")
+        except (msgspec.DecodeError, BatchRefusedError) as e:
             now = self.clock()
             if now - self._told_at >= TELL_S:
                 self._told_at = now
                 log.warning("a batch of reports was refused: %s", e)
-            raise Refused(str(e)) from e
+            raise BatchRefusedError(str(e)) from e
         return batch
 
-    def _answered(self, batch: Batch) -> Replies:
+    def _answered(self, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         late = self.load.state is LoadState.OVERLOADED
         if (late and self.busy > len(self.senders)) or self.busy >= BATCHES * max(1, len(self.senders)):
-            return Replies([(503, b"")] * len(batch.reports), late=True)
+            return HeartbeatBatchResponse([(503, b"")] * len(batch.reports), late=True)
         self.busy += 1
         try:
             self.reports += len(batch.reports)
-            return Replies(self._take(batch.reports), late=late)
+            return HeartbeatBatchResponse(self._take(batch.reports), late=late)
         finally:
             self.busy -= 1
 
     def _take(self, bodies: list[bytes]) -> list[tuple[int, bytes]]:
         """Reads all, waits once for what their starts need, then answers all that it still may."""
         came_at = self.clock()
-        self.leadership.check_clock()
+        self.election.check_clock()
         self.wait()
         term = self.term()
         if term is None:
@@ -106,23 +106,23 @@
         for i, body in self._in_slices(enumerate(bodies), came_at):
             try:
                 if len(body) > REPORT_BYTES:
-                    raise Malformed("the report is too large")
-                begun[i] = term.begin_checkin(_report_decoder.decode(body))
-            except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, Malformed) as e:
+                    raise MalformedError("the report is too large")
+                begun[i] = term.begin_heartbeat(_report_decoder.decode(body))
+            except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, MalformedError) as e:
                 answers[i] = 400, _json.encode({"error": str(e)})
             except Exception:
                 # one report that cannot be dealt with leaves the others as they are
                 log.exception("a report that was passed on failed")
         if self.clock() - came_at > SEND_S:
             return answers
-        term.cover_checkins(begun.values())
+        term.cover_heartbeats(begun.values())
         for i, taken in self._in_slices(begun.items(), came_at):
-            orders = taken if taken is None or isinstance(taken, Orders) else term.finish_checkin(taken)
+            orders = taken if taken is None or isinstance(taken, HeartbeatResponse) else term.finish_heartbeat(taken)
             if orders is not None:
                 answers[i] = 200, _json.encode(orders)
         # starts in an answer that does not leave are sent again, as if lost on the way
-        self.leadership.check_clock()
-        if not self.leadership.entitled() or self.term() is not term:
+        self.election.check_clock()
+        if not self.election.is_leader() or self.term() is not term:
             return [(503, b"") if status == 200 else (status, said) for status, said in answers]
         return answers
 
--- a/src/grebestand/relays/sender.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -16,12 +16,12 @@
 import gevent
 from gevent.event import AsyncResult, Event
 
-from ..limits.sockets import BATCHES
-from ..outside.peer import Peer
-from ..states import PASSAGE_STEPS, PassageState, step
-from ..wire.peers import Batch, Replies
+from ..clients.peer import PeerClient
+from ..flow_control.connection_limits import BATCHES
+from ..state_machines import FORWARDER_TRANSITIONS, ForwarderState, check_transition
+from ..wire.peers import HeartbeatBatch, HeartbeatBatchResponse
 
-log = logging.getLogger("grebestand.relays")
+log = logging.getLogger(__name__)
 
 PATH = "/reports"
 #: reports are gathered for so long, in seconds; so many go in one message, of so many bytes
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Passed:
+class ForwardedResponse:
     """A report that waits for the leader's answer: its status and body; status 0: none came."""
 
     body: bytes
@@ -48,21 +48,21 @@
     answer: AsyncResult = field(default_factory=AsyncResult)
 
 
-def term_of(leader: Peer) -> tuple[str, int]:
+def term_of(leader: PeerClient) -> tuple[str, int]:
     """Who leads, and by which token, as it said last."""
     return leader.name, leader.last.token if leader.last is not None else 0
 
 
-class Sender:
+class HeartbeatForwarder:
     """One controller's way to the leader for its workers' reports."""
 
-    def __init__(self, name: str, clock: Callable[[], float], leader: Callable[[], Peer | None]) -> None:
+    def __init__(self, name: str, clock: Callable[[], float], leader: Callable[[], PeerClient | None]) -> None:
         """`leader`: the controller that leads, as far as it is heard and this one does not."""
         self.name = name
         self.clock = clock
         self.leader = leader
-        self.state = PassageState.OPEN
-        self._queue: deque[Passed] = deque()
+        self.state = ForwarderState.OPEN
+        self._queue: deque[ForwardedResponse] = deque()
         self._news = Event()
         self._under_way = 0
         #: since when no batch has been answered, while some were sent; until when the leader is left alone
@@ -72,22 +72,22 @@
         #: reports that were passed on, and messages that took
         self.passed = self.batches = 0
 
-    def move(self, new: PassageState, why: str) -> None:
+    def move(self, new: ForwarderState, why: str) -> None:
         """The one function that changes whether reports go this way."""
         if new is self.state:
             return
-        step(PASSAGE_STEPS, self.state, new, "reports to the leader")
+        check_transition(FORWARDER_TRANSITIONS, self.state, new, "reports to the leader")
         log.info("reports to the leader: %s -> %s: %s", self.state.name, new.name, why)
         self.state = new
 
     def open(self) -> bool:
         """Whether a report that comes now would be passed on."""
         leader = self.leader()
-        if self.state is PassageState.RESTING and leader is not None and term_of(leader) != self._rests_from:
-            self.move(PassageState.OPEN, f"another term, of {leader.name}")
-        if self.state is PassageState.RESTING and self.clock() >= self._rests_until:
-            self.move(PassageState.OPEN, f"left alone for {REST_S:.0f} s")
-        return self.state is PassageState.OPEN and leader is not None
+        if self.state is ForwarderState.RESTING and leader is not None and term_of(leader) != self._rests_from:
+            self.move(ForwarderState.OPEN, f"another term, of {leader.name}")
+        if self.state is ForwarderState.RESTING and self.clock() >= self._rests_until:
+            self.move(ForwarderState.OPEN, f"left alone for {REST_S:.0f} s")
+        return self.state is ForwarderState.OPEN and leader is not None
 
     def fits(self) -> bool:
         """Whether it would be sent soon; a relay says no at once rather than hold what the leader cannot take."""
@@ -102,7 +102,7 @@
         not to be waited for."""
         if not self.fits():
             return 503, b""
-        passed = Passed(body, came_at)
+        passed = ForwardedResponse(body, came_at)
         self._queue.append(passed)
         self._news.set()
         found: tuple[int, bytes] | None = passed.answer.wait(timeout=max(0.0, came_at + ANSWER_S - self.clock()))
@@ -124,9 +124,9 @@
             if not self._queue or self._under_way >= BATCHES:
                 self._news.clear()
 
-    def _next(self) -> list[Passed]:
+    def _next(self) -> list[ForwardedResponse]:
         """What goes into the next message; what is too old already is answered by nobody."""
-        batch: list[Passed] = []
+        batch: list[ForwardedResponse] = []
         size, now = 0, self.clock()
         while self._queue and len(batch) < MOST_REPORTS and size < MOST_BYTES:
             passed = self._queue.popleft()
@@ -135,7 +135,7 @@
                 batch.append(passed)
         return batch
 
-    def _send(self, batch: list[Passed]) -> None:
+    def _send(self, batch: list[ForwardedResponse]) -> None:
         try:
             answers = self._ask(batch)
         except Exception:
@@ -148,13 +148,13 @@
         for i, passed in enumerate(batch):
             passed.answer.set(answers[i] if answers is not None else (0, b""))
 
-    def _ask(self, batch: list[Passed]) -> list[tuple[int, bytes]] | None:
+    def _ask(self, batch: list[ForwardedResponse]) -> list[tuple[int, bytes]] | None:
         leader, sent = self.leader(), self.clock()
         if leader is None:
             return None
         self.batches += 1
         self.passed += len(batch)
-        told = leader.tell(PATH, Batch(self.name, [p.body for p in batch]), Replies, SEND_S)
+        told = leader.tell(PATH, HeartbeatBatch(self.name, [p.body for p in batch]), HeartbeatBatchResponse, SEND_S)
         if told is None or len(told.answers) != len(batch):
             self._failed(sent, leader)
             return None
@@ -163,16 +163,16 @@
             self._late_until = self.clock() + LATE_S
         return told.answers
 
-    def _failed(self, sent: float, leader: Peer) -> None:
+    def _failed(self, sent: float, leader: PeerClient) -> None:
         """No answer. After a while workers are told to go to the leader themselves: they may reach it.
 
         One that goes on answering greetings is reached, and late: sent to it or to others, all workers of all relays
         would come to it anew, and it would be later still.
         """
         self._failing_since = min(self._failing_since, sent)
-        if leader.heard_at >= self._failing_since:
+        if leader.last_heard_at >= self._failing_since:
             return
-        if self.state is PassageState.OPEN and self.clock() - self._failing_since >= DOWN_S:
+        if self.state is ForwarderState.OPEN and self.clock() - self._failing_since >= DOWN_S:
             self._rests_until, self._rests_from = self.clock() + REST_S, term_of(leader)
             self._failing_since = math.inf
-            self.move(PassageState.RESTING, f"{leader.name} has not answered for {DOWN_S:.0f} s")
+            self.move(ForwarderState.RESTING, f"{leader.name} has not answered for {DOWN_S:.0f} s")
--- a/src/grebestand/relays/spread.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -16,9 +16,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..states import SPREAD_STEPS, SpreadState, step
+from ..state_machines import ASSIGNMENT_MODE_TRANSITIONS, AssignmentMode, check_transition
 
-log = logging.getLogger("grebestand.spread")
+log = logging.getLogger(__name__)
 
 #: a controller keeps up to so many times its even share; from so many times on it also sends some away that it kept
 SHARE_SLACK, SHED_SLACK = 1.05, 1.12
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class Other:
+class PeerCapacity:
     """Another controller that answers reports, as it said in its last greeting."""
 
     name: str
@@ -56,10 +56,10 @@
     reports: float = 0.0
 
 
-class Even:
+class EvenShare:
     """What everybody's even share is, among this controller and the others that answer."""
 
-    def __init__(self, machines: int, rate: float, leads: bool, others: list[Other]) -> None:
+    def __init__(self, machines: int, rate: float, leads: bool, others: list[PeerCapacity]) -> None:
         self.machines = machines
         self._weights = sum(LEADER_WEIGHT if one else 1.0 for one in (leads, *(o.leads for o in others)))
         #: reports a second of all of them
@@ -84,7 +84,7 @@
         return left
 
 
-class Spread:
+class WorkerAssignment:
     """One controller's side of it."""
 
     def __init__(
@@ -94,7 +94,7 @@
         limit: int,
         report_s: float,
         clock: Callable[[], float],
-        others: Callable[[], list[Other]],
+        others: Callable[[], list[PeerCapacity]],
         late: Callable[[], bool] = lambda: False,
     ) -> None:
         """`limit`: workers whose connections this controller bears; `others`: those that answer reports now; `late`:
@@ -106,7 +106,7 @@
         self.clock = clock
         self.others = others
         self.late = late
-        self.state = SpreadState.LEADER_ONLY
+        self.state = AssignmentMode.LEADER_ONLY
         #: machines in all, as the leader counts them, while reports are spread
         self.machines = 0
         #: when each worker that is kept here last reported, and over which connection
@@ -125,11 +125,11 @@
         #: how many were sent away since this process began
         self.redirected = 0
 
-    def move(self, new: SpreadState, why: str) -> None:
+    def move(self, new: AssignmentMode, why: str) -> None:
         """The one function that changes who answers reports, as far as this controller knows."""
         if new is self.state:
             return
-        step(SPREAD_STEPS, self.state, new, "reports")
+        check_transition(ASSIGNMENT_MODE_TRANSITIONS, self.state, new, "reports")
         log.info("reports: %s -> %s: %s", self.state.name, new.name, why)
         self.state = new
 
@@ -137,9 +137,9 @@
         """The leader says that reports of so many machines are spread; none: that it answers all itself."""
         self.machines = machines
         if machines:
-            self.move(SpreadState.EVERY_CONTROLLER, f"{machines} machines")
+            self.move(AssignmentMode.EVERY_CONTROLLER, f"{machines} machines")
         else:
-            self.move(SpreadState.LEADER_ONLY, "the leader answers all")
+            self.move(AssignmentMode.LEADER_ONLY, "the leader answers all")
 
     def heard(self, name: str) -> None:
         """Another controller has said anew what it keeps."""
@@ -188,7 +188,7 @@
         To be asked only while reports are spread. One that comes over a `surplus` connection cannot stay.
         """
         others = self.others()
-        even = Even(self.machines, self.rate, leads, others)
+        even = EvenShare(self.machines, self.rate, leads, others)
         here = machine in self.kept and not surplus
         room = 0 if surplus else self.room
         if here and not self._sheds(leads, even, others):
@@ -223,17 +223,17 @@
                 self._underway[leader] += 1
         return True
 
-    def _room(self, other: Other) -> int:
+    def _room(self, other: PeerCapacity) -> int:
         return other.room - self._underway[other.name]
 
-    def _free(self, other: Other, even: Even) -> float:
+    def _free(self, other: PeerCapacity, even: EvenShare) -> float:
         """How many workers another controller is below its share, and bears."""
         if other.late:
             return 0.0
         left = even.left(other.leads, other.kept, other.reports)
         return min(left - self._underway[other.name], float(self._room(other)))
 
-    def _send(self, machine: str, other: Other) -> str:
+    def _send(self, machine: str, other: PeerCapacity) -> str:
         self._underway[other.name] += 1
         self.sent[machine] = self.clock()
         self.sent.move_to_end(machine)
@@ -241,7 +241,7 @@
         self.redirected += 1
         return other.name
 
-    def _sheds(self, leads: bool, even: Even, others: list[Other]) -> bool:
+    def _sheds(self, leads: bool, even: EvenShare, others: list[PeerCapacity]) -> bool:
         """Whether one that is kept here goes elsewhere: at a bounded rate, while there is far too much here."""
         now, share = self.clock(), even.workers(leads)
         rate = SHED_PER_S * max(share, float(len(self.kept))) + 1.0
@@ -257,6 +257,6 @@
         return True
 
 
-def spread_on(value: Callable[[float], bool], on: bool, machines: int) -> bool:
+def assignment_enabled(value: Callable[[float], bool], on: bool, machines: int) -> bool:
     """Whether the policy's `value`, for a number of machines, wants reports spread; what is on goes off later."""
     return machines > 0 and value(math.ceil(machines * STAYS) if on else float(machines))
--- a/src/grebestand/leading/knowledge.py
+++ b/src/grebestand/leader/cancellation_horizon.py
@@ -20,7 +20,7 @@
 from ..clocks import DRIFT, MARGIN_S
 from ..settings.platform import Workers
 
-log = logging.getLogger("grebestand.knowledge")
+log = logging.getLogger(__name__)
 
 #: where the settings leave no room, what is known may still be so old, in seconds: a service that never answers a
 #: worker serves nobody
@@ -37,21 +37,21 @@
     return workers.cancel_s - workers.lease_s * (1 + 2 * DRIFT) - MARGIN_S
 
 
-class Knowledge:
+class CancellationHorizon:
     """What a term has proved to know. Only an answer to a request counts, from when that was sent."""
 
-    def __init__(self, clock: Callable[[], float], allow_s: float = math.inf) -> None:
+    def __init__(self, clock: Callable[[], float], max_age_s: float = math.inf) -> None:
         self.clock = clock
-        self.allow_s = max(allow_s, TIGHTEST_S)
+        self.max_age_s = max(max_age_s, TIGHTEST_S)
         #: every cancellation confirmed up to then is in the books
         self.known_at = -math.inf
         #: up to when all other controllers have told of what they confirmed, given what is known by reading
-        self.told_up_to: Callable[[float], float] = lambda known_at: -math.inf
+        self.cancellations_confirmed_up_to: Callable[[float], float] = lambda known_at: -math.inf
 
     @property
     def watch_ms(self) -> int:
         """For how long a watch may be silent, in milliseconds, so that several fit what is allowed."""
-        return int(1000 * min(MOST_WATCHED_S, max(LEAST_WATCHED_S, self.allow_s / 4)))
+        return int(1000 * min(MOST_WATCHED_S, max(LEAST_WATCHED_S, self.max_age_s / 4)))
 
     @property
     def age_s(self) -> float:
@@ -59,20 +59,20 @@
 
     def fresh(self) -> bool:
         """Whether a lease that is renewed now ends in time for whatever this term has not heard of."""
-        return self.clock() <= self.answers_until()
+        return self.clock() <= self.may_answer_until()
 
-    def lets_start(self) -> bool:
+    def allows_starts(self) -> bool:
         """Whether a task may be started now: leases may be renewed on older knowledge than work may begin on.
 
         In an outage of all nobody confirms anything, and the other controllers say so; a leader that hears neither the
         state service nor all of them is likely to be the one that is cut off, and others cancel through the next.
         """
-        known = max(self.known_at, self.told_up_to(self.known_at))
-        return self.allow_s == math.inf or self.clock() <= known + STARTS_S
+        known = max(self.known_at, self.cancellations_confirmed_up_to(self.known_at))
+        return self.max_age_s == math.inf or self.clock() <= known + STARTS_S
 
-    def answers_until(self) -> float:
+    def may_answer_until(self) -> float:
         """Until when an answer may leave that does not stop what was cancelled after `known_at`."""
-        return self.known_at + self.allow_s if self.allow_s < math.inf else math.inf
+        return self.known_at + self.max_age_s if self.max_age_s < math.inf else math.inf
 
     def begin(self) -> None:
         """A new term knows nothing yet."""
@@ -85,10 +85,10 @@
     def tell(self, workers: Workers) -> None:
         """One line at the start of a controller, and a warning where its settings leave no room."""
         room = allowance_s(workers)
-        log.info("workers are answered while what is known of cancellations is at most %.1f s old", self.allow_s)
+        log.info("workers are answered while what is known of cancellations is at most %.1f s old", self.max_age_s)
         if room < TIGHTEST_S:
             log.warning(
                 "params.workers.cancel_s = %g leaves no room beside params.workers.lease_s = %g: a machine that cannot "
                 "be reached may hold cancelled tasks for %.1f s",
-                workers.cancel_s, workers.lease_s, self.allow_s - room + workers.cancel_s,
+                workers.cancel_s, workers.lease_s, self.max_age_s - room + workers.cancel_s,
             )  # fmt: skip
--- a/src/grebestand/leading/grants.py
+++ b/src/grebestand/leader/durable_grants.py
@@ -9,14 +9,14 @@
 import msgspec
 from gevent.lock import BoundedSemaphore
 
-from ..books.jobs import Job
-from ..limits.budget import Urgency
-from ..outside.state import StateError
-from ..records.leader import GrantRecord
-from .basis import Basis, Part
-from .leadership import Fenced
+from ..clients.kv_store import StoreError
+from ..cluster_state.jobs import Job
+from ..flow_control.rate_limiter import Urgency
+from ..storage.leader_records import GrantRecord
+from .election import FencedError
+from .term_context import TermComponent, TermContext
 
-log = logging.getLogger("grebestand.grants")
+log = logging.getLogger(__name__)
 
 #: machines that the grant of an array names before it says that tasks may be anywhere
 MOST_NAMED = 16
@@ -24,10 +24,10 @@
 WHOLE_S = 15.0
 
 
-class Grants(Part):
-    def __init__(self, basis: Basis) -> None:
-        super().__init__(basis)
-        self.pages = self.pen.pages("grants/")
+class DurableGrants(TermComponent):
+    def __init__(self, context: TermContext) -> None:
+        super().__init__(context)
+        self.pages = self.writer.pages("grants/")
         self.granting = BoundedSemaphore(1)
         self.cover_task: gevent.Greenlet | None = None
         #: until when arrays are granted whole
@@ -35,11 +35,11 @@
 
     def load(self) -> None:
         grants: dict[str, GrantRecord] = {}
-        for name, value in self.pages.load(self.pen.state.pairs(self.pages.prefix)):
+        for name, value in self.pages.load(self.writer.store.pairs(self.pages.prefix)):
             grant = msgspec.convert(value, GrantRecord)
             grants[name] = grant.joined(grants[name]) if name in grants else grant
         for name, grant in grants.items():
-            job = self.ledger.jobs.get(name)
+            job = self.registry.jobs.get(name)
             if job is None:
                 self.pages.drop(name, soon=False)
             else:
@@ -52,9 +52,9 @@
         held: set[int] | None = None
         job.granted = None
         if record.machines is not None:
-            held = {m.index for m in (self.fleet.by_name.get(n) for n in record.machines) if m is not None}
+            held = {m.index for m in (self.inventory.by_name.get(n) for n in record.machines) if m is not None}
             job.granted = set(held)
-        self.ledger.suspect(job, held, min(record.hi, job.spec.tasks))
+        self.registry.add_possible_holders(job, held, min(record.hi, job.spec.tasks))
 
     def write(self) -> None:
         """Makes durable where queued tasks may be, before any of them is sent.
@@ -66,7 +66,7 @@
         """
         with self.granting:
             jobs, self.dispatch.to_cover = self.dispatch.to_cover, {}
-            due = [j for j in jobs.values() if j.live and any(not j.covers(p) for p in j.places.values())]
+            due = [j for j in jobs.values() if j.live and any(not j.covers(p) for p in j.allocations.values())]
             batch = [self._widened(job) for job in due]
             if not batch:
                 return
@@ -105,13 +105,13 @@
     def _try_grants(self) -> None:
         try:
             self.write()
-        except (StateError, Fenced) as e:
+        except (StoreError, FencedError) as e:
             log.info("starts wait for their grants: %s", e)
 
     def _widened(self, job: Job) -> tuple[Job, GrantRecord, set[int]]:
         if not job.gang and self.clock() < self.whole_until:
             return job, GrantRecord(job.spec.tasks, None), set()
-        queued = [p for p in job.places.values() if not job.covers(p)]
+        queued = [p for p in job.allocations.values() if not job.covers(p)]
         machines = {p.machine for p in queued} | (job.granted or set())
         # somewhat further than needed, so that the next few tasks need no write
         hi = max([job.granted_hi, *(p.index + 1 for p in queued)])
@@ -121,8 +121,8 @@
             # tasks of a wide array come to ever more machines: one write for each would use up the budget
             record = GrantRecord(hi, None)
             return job, record, set()
-        known = [m for m in (self.fleet.at(i) for i in machines) if m is not None]
+        known = [m for m in (self.inventory.at(i) for i in machines) if m is not None]
         record = GrantRecord(hi, sorted(m.name for m in known))
-        if job.granted is None or len(msgspec.json.encode(record)) > self.pen.value_bytes // 4:
+        if job.granted is None or len(msgspec.json.encode(record)) > self.writer.value_bytes // 4:
             record.machines = None
         return job, record, {m.index for m in known}
--- a/src/grebestand/leading/leadership.py
+++ b/src/grebestand/leader/election.py
@@ -13,15 +13,15 @@
 import msgspec
 from gevent.lock import BoundedSemaphore
 
+from ..clients.kv_store import KeyValueStoreClient, LeaseExpiredError, StoreError, absent, at, delete, put
 from ..clocks import DRIFT
-from ..limits.budget import Urgency
-from ..outside.state import HoldGone, StateClient, StateError, absent, at, delete, put
-from ..states import LEADER_STEPS, LeaderState, step
-from .knowledge import Knowledge
+from ..flow_control.rate_limiter import Urgency
+from ..state_machines import LEADER_TRANSITIONS, LeaderState, check_transition
+from .cancellation_horizon import CancellationHorizon
 
-log = logging.getLogger("grebestand.leadership")
+log = logging.getLogger(__name__)
 
-KEY = "leader"
+LEADER_KEY = "leader"
 #: what was read of the key so long ago, in seconds, may no longer be so
 LOOKED_S = 6.0
 #: of a leader that has begun anew, what was read of its key counts for so long yet, in seconds
@@ -37,18 +37,18 @@
     name: str
 
 
-class Fenced(Exception):
+class FencedError(Exception):
     """This controller no longer leads."""
 
 
-class Leadership:
+class LeaderElection:
     def __init__(
         self,
         name: str,
-        state: StateClient,
+        state: KeyValueStoreClient,
         clock: Callable[[], float],
         ttl_s: float,
-        knowledge: Knowledge | None = None,
+        cancellation_horizon: CancellationHorizon | None = None,
     ) -> None:
         self.name = name
         self.store = state
@@ -59,7 +59,9 @@
         self.hold = 0
         self.authority_until = 0.0
         #: what the present term knows of cancellations
-        self.knowledge = knowledge if knowledge is not None else Knowledge(clock)
+        self.cancellation_horizon = (
+            cancellation_horizon if cancellation_horizon is not None else CancellationHorizon(clock)
+        )
         self.leader: str | None = None
         #: when the key was last read
         self.looked_at = -math.inf
@@ -73,32 +75,32 @@
         self.on_news: Callable[[], None] = lambda: None
         #: a higher token that somebody has seen, until the key has been read, and those that were nobody's
         self.challenged = 0
-        self.nonsense: set[int] = set()
+        self.malformed_reads: set[int] = set()
         self.on_move: Callable[[LeaderState, LeaderState], None] = lambda old, new: None
 
     def move(self, new: LeaderState, why: str) -> None:
         """The one function that changes what this controller is."""
         if new is self.state:
             return
-        step(LEADER_STEPS, self.state, new, self.name)
+        check_transition(LEADER_TRANSITIONS, self.state, new, self.name)
         old, self.state = self.state, new
         self.on_news()
         log.info("leadership: %s -> %s (token %d): %s", old.name, new.name, self.token, why)
         self.on_move(old, new)
 
-    def entitled(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether commands and answers to workers may be given right now, by this controller's own clock.
 
         Two things: nobody else can be entitled yet, and what was cancelled without this controller's having heard of it
-        was cancelled so lately that the leases which its answers renew end in time (`leading.knowledge`).
+        was cancelled so lately that the leases which its answers renew end in time (`leading.cancellation_horizon`).
         """
         in_time = self.state in (LeaderState.LOADING, LeaderState.LEADING) and self.clock() < self.authority_until
-        return in_time and self.knowledge.fresh()
+        return in_time and self.cancellation_horizon.fresh()
 
     def caught_up(self, token: int, sent: float) -> None:
         """The term of this token has taken the answer to a current read that was sent then."""
         if token == self.token:
-            self.knowledge.caught_up(sent)
+            self.cancellation_horizon.caught_up(sent)
 
     def known_leader(self) -> str | None:
         """Who leads, as far as this controller has read it lately.
@@ -119,8 +121,10 @@
     def check_clock(self) -> None:
         if self.state in (LeaderState.LOADING, LeaderState.LEADING) and self.clock() >= self.authority_until:
             self.move(LeaderState.PAUSED, "the hold could not be renewed in time")
-        elif self.state is LeaderState.LEADING and not self.knowledge.fresh():
-            self.move(LeaderState.PAUSED, f"cancellations are known up to {self.knowledge.age_s:.1f} s ago only")
+        elif self.state is LeaderState.LEADING and not self.cancellation_horizon.fresh():
+            self.move(
+                LeaderState.PAUSED, f"cancellations are known up to {self.cancellation_horizon.age_s:.1f} s ago only"
+            )
 
     # following --------------------------------------------------------------------------------------------
 
@@ -135,7 +139,7 @@
                 self._look()
 
     def _look(self) -> None:
-        found = self.store.get(KEY, Urgency.TAKEOVER)
+        found = self.store.get(LEADER_KEY, Urgency.TAKEOVER)
         now = self.looked_at = self.clock()
         if found is not None:
             self.free_since = None
@@ -164,17 +168,17 @@
 
     def campaign(self, version: int) -> None:
         sent = self.clock()
-        hold = self.store.create_hold(int(self.ttl_s * 1000))
-        condition = at(KEY, version) if version else absent(KEY)
+        hold = self.store.grant_lease(int(self.ttl_s * 1000))
+        condition = at(LEADER_KEY, version) if version else absent(LEADER_KEY)
         value = msgspec.to_builtins(LeaderValue(self.name))
         try:
-            revision, failed = self.store.commit([condition], [put(KEY, value, hold)], Urgency.TAKEOVER)
-        except HoldGone:
+            revision, failed = self.store.commit([condition], [put(LEADER_KEY, value, hold)], Urgency.TAKEOVER)
+        except LeaseExpiredError:
             return
         if failed:
             return
         self.token, self.hold, self.leader = revision, hold, self.name
-        self.knowledge.begin()
+        self.cancellation_horizon.begin()
         self.free_since = None
         self._extend(sent)
         self.move(LeaderState.LOADING, "took the key")
@@ -193,17 +197,17 @@
         sent = self.clock()
         read = False
         try:
-            self.store.touch(hold)
+            self.store.keep_alive(hold)
             if self.state is LeaderState.PAUSED:
                 read = True
-                found = self.store.get(KEY, Urgency.HOLD)
+                found = self.store.get(LEADER_KEY, Urgency.HOLD)
                 if found is None or found.version != token:
-                    raise HoldGone("the key is another's")
-        except HoldGone as e:
+                    raise LeaseExpiredError("the key is another's")
+        except LeaseExpiredError as e:
             if token == self.token:
                 self.lose(str(e))
             return True
-        except StateError as e:
+        except StoreError as e:
             log.debug("hold not renewed: %s", e)
             self.check_clock()
             return False
@@ -212,8 +216,8 @@
                 return False  # the question came while the hold was renewed
             if self.challenged:
                 log.warning("token %d, which somebody has seen, is nobody's: the key is this term's", self.challenged)
-                if len(self.nonsense) < MOST_NONSENSE:
-                    self.nonsense.add(self.challenged)
+                if len(self.malformed_reads) < MOST_NONSENSE:
+                    self.malformed_reads.add(self.challenged)
                 self.challenged = 0
             self._extend(sent)
         return True
@@ -232,7 +236,7 @@
 
         Tokens are revisions of the state service, so a number that no leader ever had is nonsense, of a broken worker.
         """
-        if token in self.nonsense or not self._in_term():
+        if token in self.malformed_reads or not self._in_term():
             return
         self.challenged = token
         self.move(LeaderState.PAUSED, why)
@@ -248,8 +252,8 @@
 
     def clear_key(self, token: int) -> None:
         """Removes the key of a term that its holder has declared over."""
-        self.store.commit([at(KEY, token)], [delete(KEY)], Urgency.TAKEOVER)
+        self.store.commit([at(LEADER_KEY, token)], [delete(LEADER_KEY)], Urgency.TAKEOVER)
 
     def guard(self) -> None:
-        if not self.entitled():
-            raise Fenced("not leading")
+        if not self.is_leader():
+            raise FencedError("not leading")
--- a/src/grebestand/leading/sweep.py
+++ b/src/grebestand/leader/job_audit.py
@@ -10,14 +10,14 @@
 import logging
 import math
 
-from ..books.jobs import Job
-from ..limits.budget import Urgency
-from ..records.jobs import live_key
-from ..states import MachineState, PlaceState
-from .basis import Basis, Part
-from .live_jobs import LiveJobs
+from ..cluster_state.jobs import Job
+from ..flow_control.rate_limiter import Urgency
+from ..state_machines import AllocationState, MachineState
+from ..storage.job_records import live_key
+from .job_watch import JobWatch
+from .term_context import TermComponent, TermContext
 
-log = logging.getLogger("grebestand.sweep")
+log = logging.getLogger(__name__)
 
 #: one page of the record is read so often, in seconds
 PAGE_S = 5.0
@@ -33,10 +33,10 @@
 MOST_HELD_S = 120.0
 
 
-class Sweep(Part):
-    def __init__(self, basis: Basis, jobs: LiveJobs) -> None:
-        super().__init__(basis)
-        self.jobs = jobs
+class JobAudit(TermComponent):
+    def __init__(self, context: TermContext, jobs: JobWatch) -> None:
+        super().__init__(context)
+        self.job_watch = jobs
         self.page_at = -math.inf
         #: where the next page of the record begins
         self.since = ""
@@ -47,10 +47,14 @@
     def step(self) -> None:
         now = self.clock()
         quiet = []
-        for job in list(self.ledger.jobs.values()):
+        for job in list(self.registry.jobs.values()):
             if job.live:
                 self._look(job, now)
-                if now - max(job.started_at, job.wait_since) > QUIET_S and not job.suspects and job.waiting() > 0:
+                if (
+                    now - max(job.started_at, job.wait_since) > QUIET_S
+                    and not job.possible_holders
+                    and job.waiting() > 0
+                ):
                     quiet.append(job)
         if quiet:
             # a look through 100,000 tasks takes a while: one job each time
@@ -67,91 +71,91 @@
         log.error("%s: %s: mended", job.spec.id, what)
 
     def _look(self, job: Job, now: float) -> None:
-        for place in list(job.places.values()):
-            m = self.fleet.at(place.machine)
+        for allocation in list(job.allocations.values()):
+            m = self.inventory.at(allocation.machine)
             if m is None:
-                self._defect(job, f"task {place.index} has a place on a machine that is gone")
-                self.ledger.move_place(place, PlaceState.GONE, now)
-            elif place.name not in m.places:
-                self._defect(job, f"{m.name} does not know of task {place.index}")
-                self.fleet.occupy(m, place)  # its next report says whether it is there
-            elif m.state is MachineState.LAPSED:
-                self._defect(job, f"task {place.index} has a place on {m.name}, which holds nothing")
-                self.fleet.release(m, place, now)
+                self._defect(job, f"task {allocation.index} has a place on a machine that is gone")
+                self.registry.move_allocation(allocation, AllocationState.GONE, now)
+            elif allocation.name not in m.allocations:
+                self._defect(job, f"{m.name} does not know of task {allocation.index}")
+                self.inventory.add_allocation(m, allocation)  # its next report says whether it is there
+            elif m.state is MachineState.LEASE_EXPIRED:
+                self._defect(job, f"task {allocation.index} has a place on {m.name}, which holds nothing")
+                self.inventory.release(m, allocation, now)
             elif (
-                place.state in (PlaceState.QUEUED, PlaceState.SENT)
-                and now - place.made_at > PLACE_LEASES * self.fleet.lease_s
+                allocation.state in (AllocationState.QUEUED, AllocationState.SENT)
+                and now - allocation.made_at > PLACE_LEASES * self.inventory.lease_s
             ):
-                self.fleet.to_ask.add(m.index)  # the machine itself has to say why
+                self.inventory.to_query.add(m.index)  # the machine itself has to say why
         if job.hold_until > now + MOST_HELD_S:
             self._defect(job, "it is held back for too long")
             job.hold_until = now
-        for index in [i for i in job.suspects if not self._may_prove(i)]:
+        for index in [i for i in job.possible_holders if not self._may_prove(i)]:
             self._defect(job, "it waits for the proof of a machine that is proved")
-            self.ledger.prove(index)
-            job.suspects.discard(index)
+            self.registry.clear_possible_holder(index)
+            job.possible_holders.discard(index)
 
     def _may_prove(self, index: int) -> bool:
-        m = self.fleet.at(index)
-        return m is not None and m.state is MachineState.UNPROVED
+        m = self.inventory.at(index)
+        return m is not None and m.state is MachineState.UNRECONCILED
 
     def _count(self, job: Job) -> None:
         """Every waiting task stands in the list of those that came back, or beyond the cursor."""
         if job.gang:
             return  # placed whole, by its number of tasks
-        back = {i for i in job.returned if i < job.fresh and not job.is_done(i) and i not in job.places}
-        ahead = sum(1 for i in range(job.fresh, job.spec.tasks) if not job.is_done(i) and i not in job.places)
+        back = {i for i in job.returned if i < job.fresh and not job.is_done(i) and i not in job.allocations}
+        ahead = sum(1 for i in range(job.fresh, job.spec.tasks) if not job.is_done(i) and i not in job.allocations)
         if len(back) + ahead < job.waiting():
             self._defect(job, "some of its tasks are nowhere")
-            job.returned = [i for i in range(job.fresh) if not job.is_done(i) and i not in job.places][::-1]
-            self.ledger.changed = True
+            job.returned = [i for i in range(job.fresh) if not job.is_done(i) and i not in job.allocations][::-1]
+            self.registry.changed = True
 
     # the record -------------------------------------------------------------------------------------------
 
     def _read_page(self) -> None:
         """Holds one page of the live records against the books."""
-        watched = self.jobs.watched
-        page = self.pen.state.page("live/", self.since, Urgency.PROGRESS)
+        watched = self.job_watch.watched
+        page = self.writer.store.page("live/", self.since, Urgency.PROGRESS)
         first, last = self.since, page.items[-1].key if page.more and page.items else "live0"
         self.since = last if page.more and page.items else ""
         found = {pair.key for pair in page.items}
         # what was changed since the watch last told is still to come that way
-        over = self.jobs.closing.finals
+        over = self.job_watch.job_completion.completed_jobs
         listed = [p.key[5:] for p in page.items if p.version <= watched]
-        strange = [i for i in listed if i not in self.ledger.jobs and over.get(i) is None]
+        strange = [i for i in listed if i not in self.registry.jobs and over.get(i) is None]
         missing = [
             ident
-            for ident, job in self.ledger.jobs.items()
+            for ident, job in self.registry.jobs.items()
             if job.live and job.version <= min(watched, page.revision) and first < live_key(ident) <= last
             and live_key(ident) not in found
         ]  # fmt: skip
         if missing:
             # most likely cancelled between the watch's last word and this page
-            self.jobs.catch_up()
-            missing = [i for i in missing if i in self.ledger.jobs and self.ledger.jobs[i].live]
+            self.job_watch.catch_up()
+            missing = [i for i in missing if i in self.registry.jobs and self.registry.jobs[i].live]
         for ident in (strange + missing)[:MOST_READ]:
             self._read_again(ident)
 
     def _read_again(self, ident: str) -> None:
         """A fresh read settles it. One of a job that is over by now is read once more, so that nothing of it runs."""
-        found = self.pen.state.get(live_key(ident), Urgency.PROGRESS)
+        found = self.writer.store.get(live_key(ident), Urgency.PROGRESS)
         now = self.clock()
-        job = self.ledger.jobs.get(ident)
+        job = self.registry.jobs.get(ident)
         if found is None:
             if job is not None and job.live:
                 self._defect(job, "it has no record any more")
-                self.jobs.removed(ident, now)
+                self.job_watch.removed(ident, now)
             return
-        if job is not None or self.jobs.closing.finals.get(ident) is not None:
+        if job is not None or self.job_watch.job_completion.completed_jobs.get(ident) is not None:
             return
-        self.jobs.take(found.value, found.version, now)
-        job = self.ledger.jobs[ident]
+        self.job_watch.take(found.value, found.version, now)
+        job = self.registry.jobs[ident]
         self._defect(job, "it was on record and not in the books")
         # it may run somewhere all the same. Within a lease each machine has reported, so that what it holds is in the
         # books, or holds nothing any more; those of an earlier term have to be proved first
-        job.hold_until = now + HELD_LEASES * self.fleet.lease_s
-        unproved = {m.index for m in self.fleet.unproved()}
-        if unproved:
-            self.ledger.suspect(job, unproved, job.spec.tasks)
-        if self.pen.state.get(live_key(ident), Urgency.PROGRESS) is None:
-            self.jobs.removed(ident, self.clock())
+        job.hold_until = now + HELD_LEASES * self.inventory.lease_s
+        unreconciled = {m.index for m in self.inventory.unreconciled()}
+        if unreconciled:
+            self.registry.add_possible_holders(job, unreconciled, job.spec.tasks)
+        if self.writer.store.get(live_key(ident), Urgency.PROGRESS) is None:
+            self.job_watch.removed(ident, self.clock())
--- a/src/grebestand/leading/closing.py
+++ b/src/grebestand/leader/job_completion.py
@@ -6,62 +6,69 @@
 
 import msgspec
 
-from ..books.jobs import Job
+from ..clients.kv_store import StoreError
+from ..cluster_state.jobs import Job
 from ..features.hooks import Features
-from ..limits.budget import Urgency
-from ..outside.state import StateError
-from ..records.finals import Finals
-from ..records.jobs import OverRecord, ending, over_key
-from ..states import JobState
-from ..wire.jobs import JobView
-from .basis import Basis, Part
-from .grants import Grants
-from .progress import Progress
+from ..flow_control.rate_limiter import Urgency
+from ..state_machines import JobState
+from ..storage.completed_jobs import CompletedJobs
+from ..storage.job_records import CompletedJobRecord, completed_key, completion_transaction
+from ..wire.jobs import JobStatus
+from .durable_grants import DurableGrants
+from .task_progress import TaskProgress
+from .term_context import TermComponent, TermContext
 
-log = logging.getLogger("grebestand.closing")
+log = logging.getLogger(__name__)
 
 #: a final record that waited for so long, in seconds, shows that the budget of writes is short
 SHORT_S = 1.0
 
 
-class Closing(Part):
-    def __init__(self, basis: Basis, grants: Grants, progress: Progress, finals: Finals, features: Features) -> None:
-        super().__init__(basis)
+class JobCompletion(TermComponent):
+    def __init__(
+        self,
+        context: TermContext,
+        grants: DurableGrants,
+        progress: TaskProgress,
+        completed_jobs: CompletedJobs,
+        features: Features,
+    ) -> None:
+        super().__init__(context)
         self.grants = grants
         self.progress = progress
-        self.finals = finals
+        self.completed_jobs = completed_jobs
         self.features = features
 
     def close_jobs(self) -> None:
         """Moves finished jobs from live to over, each in one transaction."""
-        for job in list(self.ledger.closing.values()):
+        for job in list(self.registry.finishing.values()):
             self._close(job)
 
     def _close(self, job: Job) -> None:
         ident = job.spec.id
-        record = OverRecord(JobView.DONE, job.spec.tasks)
-        conditions, changes = ending(ident, job.version, record)
+        record = CompletedJobRecord(JobStatus.DONE, job.spec.tasks)
+        conditions, changes = completion_transaction(ident, job.version, record)
         for hook in self.features.close:
             changes += hook(job, record)
         began = self.clock()
         try:
-            _, failed = self.pen.commit(conditions, changes, Urgency.DONE)
+            _, failed = self.writer.commit(conditions, changes, Urgency.DONE)
         finally:
             if self.clock() - began >= SHORT_S:
                 self.grants.save_writes()
         if failed:
             # either an earlier try of this commit was carried out after all, or a user's cancellation won
-            found = self.pen.state.get(over_key(ident), Urgency.DONE)
+            found = self.writer.store.get(completed_key(ident), Urgency.DONE)
             if found is None:
-                raise StateError(f"{ident} is neither live nor over", maybe=True)
-            record = msgspec.convert(found.value, OverRecord)
+                raise StoreError(f"{ident} is neither live nor over", maybe=True)
+            record = msgspec.convert(found.value, CompletedJobRecord)
         now = self.clock()
         if job.state is JobState.CLOSING:
-            self.ledger.move_job(job, JobState.DONE if record.state is JobView.DONE else JobState.CANCELLED, now)
-        self.finals.remember(ident, record)
-        self.ledger.closing.pop(ident, None)
+            self.registry.move_job(job, JobState.DONE if record.state is JobStatus.DONE else JobState.CANCELLED, now)
+        self.completed_jobs.remember(ident, record)
+        self.registry.finishing.pop(ident, None)
         self.drop_records(job)
-        self.ledger.drop_if_settled(job)
+        self.registry.drop_if_settled(job)
         age = now - job.accepted_at
         log.info("%s is %s, %.1f s after it was accepted", ident, record.state.value, age)
         if job.spec.deadline_s is not None and age > job.spec.deadline_s:
--- a/src/grebestand/leading/roster.py
+++ b/src/grebestand/leader/machine_records.py
@@ -4,25 +4,25 @@
 
 import msgspec
 
-from ..books.machine import Machine
-from ..limits.budget import Urgency
-from ..records.leader import MachineRecord
-from ..states import MachineState
-from .basis import Basis, Part
+from ..cluster_state.machine import Machine
+from ..flow_control.rate_limiter import Urgency
+from ..state_machines import MachineState
+from ..storage.leader_records import MachineRecord
+from .term_context import TermComponent, TermContext
 
 
-class Roster(Part):
-    def __init__(self, basis: Basis) -> None:
-        super().__init__(basis)
-        self.pages = self.pen.pages("machines/")
+class MachineRecords(TermComponent):
+    def __init__(self, context: TermContext) -> None:
+        super().__init__(context)
+        self.pages = self.writer.pages("machines/")
 
     def load(self, now: float) -> None:
-        for name, value in self.pages.load(self.pen.state.pairs(self.pages.prefix)):
-            if name not in self.fleet.by_name:
+        for name, value in self.pages.load(self.writer.store.pairs(self.pages.prefix)):
+            if name not in self.inventory.by_name:
                 record = msgspec.convert(value, MachineRecord)
                 where = record.addr, record.type, record.zone, record.spot
-                self.fleet.add(name, *where, now, recorded=True)
-        self.ledger.anywhere = {m.index for m in self.fleet.machines}
+                self.inventory.add(name, *where, now, recorded=True)
+        self.registry.anywhere = {m.index for m in self.inventory.machines}
 
     def record(self) -> None:
         """A machine gets tasks only once a later leader is sure to know of it."""
@@ -30,8 +30,8 @@
         # one that is gone would put it on record again
         new = [
             m
-            for m in self.fleet.machines
-            if not m.recorded and m.state is MachineState.NEW and (m.newborn or m.token == self.token)
+            for m in self.inventory.machines
+            if not m.recorded and m.state is MachineState.NEW and (m.has_seen_no_term or m.token == self.token)
         ]
         for m in new:
             self.pages.put(m.name, self._record_of(m))
@@ -42,8 +42,8 @@
                 continue  # and its record was dropped
             m.recorded = True
             if m.state is MachineState.NEW and m.token == self.token:
-                self.fleet.move(m, MachineState.READY, now)
+                self.inventory.move(m, MachineState.READY, now)
 
     def _record_of(self, m: Machine) -> MachineRecord:
-        names = self.ledger
+        names = self.registry
         return MachineRecord(names.machine_types.name(m.kind), names.zones.name(m.zone), m.spot, m.addr)
--- a/src/grebestand/leading/pace.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -6,13 +6,13 @@
 import math
 from collections.abc import Callable
 
-from ..decisions.view import Steps
-from ..limits.load import Load
-from ..states import LeaderState
-from .basis import Basis, Part
-from .proof import Proof
+from ..flow_control.overload import OverloadMonitor
+from ..scheduling.scheduling_context import Steps
+from ..state_machines import LeaderState
+from .machine_reconciliation import MachineReconciliation
+from .term_context import TermComponent, TermContext
 
-log = logging.getLogger("grebestand.pace")
+log = logging.getLogger(__name__)
 
 #: arrivals bring the next targets forward, but not closer than this to the last ones
 ARRIVAL_GAP_S = 1.0
@@ -28,12 +28,14 @@
 SLICE_S = 0.04
 
 
-class Pace(Part):
-    def __init__(self, basis: Basis, proof: Proof, load: Load) -> None:
-        super().__init__(basis)
-        self.proof = proof
+class SchedulingLoop(TermComponent):
+    def __init__(
+        self, context: TermContext, machine_reconciliation: MachineReconciliation, load: OverloadMonitor
+    ) -> None:
+        super().__init__(context)
+        self.machine_reconciliation = machine_reconciliation
         self.load = load
-        self.scheduler = basis.scheduler
+        self.scheduler = context.scheduler
         self.place_after = self.retarget_after = -math.inf
         #: what is being computed, what is to be done when it is complete, and how long it has taken so far
         self._work: Steps | None = None
@@ -48,22 +50,22 @@
 
     def step(self, now: float) -> None:
         """Begins what is due, and takes its first slice."""
-        if self.busy or self.leadership.state is not LeaderState.LEADING:
+        if self.busy or self.election.state is not LeaderState.LEADING:
             return
-        ledger = self.ledger
+        registry = self.registry
         since = now - self.scheduler.retargeted_at
         # the paper updates at every arrival; here an arrival brings the next computation forward
-        due = since >= self.scheduler.view.knobs.period_s or (ledger.arrived and since >= ARRIVAL_GAP_S)
+        due = since >= self.scheduler.view.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
         if due and now >= self.retarget_after:
-            ledger.arrived = False
+            registry.arrived = False
             self._begin(self._retarget(now), self._retargeted)
-        if not self.busy and ledger.changed and now >= self.place_after:
-            ledger.changed = False
+        if not self.busy and registry.changed and now >= self.place_after:
+            registry.changed = False
             self._begin(self.scheduler.passing(now), self._placed)
 
     def _retarget(self, now: float) -> Steps:
-        self.fleet.sweep_silence(now)
-        self.proof.check(now)
+        self.inventory.detect_silent_machines(now)
+        self.machine_reconciliation.check(now)
         yield from self.scheduler.retargeting(now, self.load.spare)
 
     def _begin(self, work: Steps, complete: Callable[[], None]) -> None:
@@ -76,12 +78,12 @@
         work = self._work
         if work is None:
             return
-        if self.leadership.state is not LeaderState.LEADING:
+        if self.election.state is not LeaderState.LEADING:
             self._work = None
             return
         self.scheduler.view.turn += 1
         # what a computation changes itself is no reason for the next one; what others change meanwhile is
-        changed = self.ledger.changed
+        changed = self.registry.changed
         begin = self.clock()
         more = False
         try:
@@ -92,23 +94,23 @@
         finally:
             if not more:
                 self._work = None
-            self.ledger.changed = changed
+            self.registry.changed = changed
             took = self.clock() - begin
             self._spent += took
-            self.basis.sketches.add("stretch", took)
+            self.context.sketches.add("stretch", took)
         if not more:
             self._complete()
 
     def _retargeted(self) -> None:
         self.retarget_after = self.clock() + TARGETS_REST * self._spent
-        if self.clock() - self._told_at >= self.scheduler.view.knobs.period_s:
+        if self.clock() - self._told_at >= self.scheduler.view.policy_values.period_s:
             self._told_at = self.clock()
-            self.basis.speeds.forget()
-            log.info("durations: %s", self.basis.sketches.tell())
-        self.ledger.changed = True
+            self.context.stragglers.forget()
+            log.info("durations: %s", self.context.sketches.tell())
+        self.registry.changed = True
 
     def _placed(self) -> None:
-        self.basis.sketches.add("pass", self._spent)
+        self.context.sketches.add("pass", self._spent)
         if self._spent < TRIFLE_S:
             return
         gap = LIGHT_GAP_S if self._spent < LIGHT_S else PASS_GAP_S
--- a/src/grebestand/leading/gossip.py
+++ b/src/grebestand/leader/status_broadcast.py
@@ -6,17 +6,17 @@
 import math
 import random
 
-from ..states import MachineState
+from ..state_machines import MachineState
 from ..wire.peers import CachedImages
-from .basis import Basis, Part
+from .term_context import TermComponent, TermContext
 
 #: workers that the others are told of, to look whether they reach them
 SAMPLES = 4
 
 
-class Gossip(Part):
-    def __init__(self, basis: Basis) -> None:
-        super().__init__(basis)
+class StatusBroadcast(TermComponent):
+    def __init__(self, context: TermContext) -> None:
+        super().__init__(context)
         self._counted: dict[str, tuple[int, int]] = {}
         self._counted_at = -math.inf
 
@@ -25,17 +25,17 @@
         now = self.clock()
         if now - self._counted_at >= 1.0:
             self._counted_at = now
-            jobs = self.ledger.jobs.items()
+            jobs = self.registry.jobs.items()
             self._counted = {
                 ident: (job.done_count, job.running())
                 for ident, job in jobs
-                if job.places or job.done_count or job.abroad_running
+                if job.allocations or job.done_count or job.abroad_running
             }
         return self._counted
 
     def samples(self, rng: random.Random) -> list[str]:
         """Addresses of a few workers that reported lately, of several zones."""
-        machines = self.fleet.machines
+        machines = self.inventory.machines
         found: dict[int, list[str]] = {}
         for _ in range(min(len(machines), 4 * SAMPLES)):
             m = rng.choice(machines)
@@ -45,18 +45,18 @@
         return list(dict.fromkeys(mixed))[:SAMPLES]
 
     def cached_images(self) -> CachedImages:
-        names = self.ledger.images
+        names = self.registry.images
         return CachedImages(
             [names.name(i) for i in range(len(names))],
-            list(self.ledger.image_gb),
-            {m.name: list(m.images) for m in self.fleet.machines if m.images},
+            list(self.registry.image_gb),
+            {m.name: list(m.images) for m in self.inventory.machines if m.images},
         )
 
     def learn_images(self, known: CachedImages) -> None:
         """Takes over what an earlier leader knew of the machines' images; reports do not tell."""
-        indices = [self.ledger.image(name, gb) for name, gb in zip(known.names, known.gigabytes, strict=True)]
+        indices = [self.registry.image(name, gb) for name, gb in zip(known.names, known.gigabytes, strict=True)]
         for name, held in known.machines.items():
-            m = self.fleet.by_name.get(name)
+            m = self.inventory.by_name.get(name)
             if m is not None:
                 for i in held:
-                    self.fleet.note_image(m, indices[i], known.gigabytes[i])
+                    self.inventory.note_image(m, indices[i], known.gigabytes[i])
--- a/src/grebestand/leading/progress.py
+++ b/src/grebestand/leader/task_progress.py
@@ -4,40 +4,40 @@
 
 import base64
 
-from ..books.jobs import Job
-from ..limits.budget import Urgency
-from .basis import Basis, Part
+from ..cluster_state.jobs import Job
+from ..flow_control.rate_limiter import Urgency
+from .term_context import TermComponent, TermContext
 
 PROGRESS_AGE_S = 1.5
 
 
-class Progress(Part):
-    def __init__(self, basis: Basis) -> None:
-        super().__init__(basis)
-        self.pages = self.pen.pages("progress/")
+class TaskProgress(TermComponent):
+    def __init__(self, context: TermContext) -> None:
+        super().__init__(context)
+        self.pages = self.writer.pages("progress/")
 
     def load(self) -> None:
         strangers: set[str] = set()
-        for name, value in self.pages.load(self.pen.state.pairs(self.pages.prefix)):
+        for name, value in self.pages.load(self.writer.store.pairs(self.pages.prefix)):
             ident, _, chunk = name.partition("/")
-            job = self.ledger.jobs.get(ident)
+            job = self.registry.jobs.get(ident)
             if job is None:
                 strangers.add(name)
             else:
-                self.ledger.load_done(job, int(chunk) * self.ledger.chunk_bits // 8, base64.b64decode(value))
+                self.registry.load_done(job, int(chunk) * self.registry.chunk_bits // 8, base64.b64decode(value))
         for name in strangers:
             self.pages.drop(name, soon=False)
 
     def drop(self, job: Job) -> None:
-        for chunk in range(-(-job.spec.tasks // self.ledger.chunk_bits)):
+        for chunk in range(-(-job.spec.tasks // self.registry.chunk_bits)):
             self.pages.drop(f"{job.spec.id}/{chunk}", soon=False)
 
     def save(self) -> None:
         """Writes which tasks of arrays are done, in chunks of bits; only then may they be forgotten."""
         now = self.clock()
-        bits = self.ledger.chunk_bits
+        bits = self.registry.chunk_bits
         batch: list[tuple[float, Job, int, bytes]] = []
-        for job in self.ledger.jobs.values():
+        for job in self.registry.jobs.values():
             if not job.dirty or not job.live:
                 continue
             for chunk, since in job.dirty.items():
--- a/src/grebestand/rehearsal/child.py
+++ b/src/grebestand/load_test/child_process.py
@@ -81,21 +81,21 @@
 
     def _make(self, config: dict[str, Any]) -> tuple[Any, dict[str, str]]:
         if self.role == "state":
-            from ..standin.site import Store
+            from ..emulators.site import HttpStoreEmulator
 
-            store = Store(time.monotonic, config["rps"], config["write_rps"])
+            store = HttpStoreEmulator(time.monotonic, config["rps"], config["write_rps"])
             return _StateCounts(store), {"state": store.address}
         if self.role == "meeting":
             from ..wire.cloud import MachineType
-            from .meeting import Meeting
+            from .gang_rendezvous import GangRendezvous
 
-            meeting = Meeting(msgspec.convert(config["types"], list[MachineType]))
+            meeting = GangRendezvous(msgspec.convert(config["types"], list[MachineType]))
             return meeting, {"cloud": meeting.cloud_address, "meeting": meeting.address}
         if self.role == "users":
-            from .scale_users import LoadPlan, Users
+            from .scale_users import LoadPlan, LoadUsers
 
-            return Users(msgspec.convert(config, LoadPlan), self._line_ended), {}
-        from .hollow import HollowPlan, HollowProcess
+            return LoadUsers(msgspec.convert(config, LoadPlan), self._line_ended), {}
+        from .hollow_workers import HollowPlan, HollowProcess
 
         return HollowProcess(msgspec.convert(config, HollowPlan), self._line_ended), {}
 
--- a/src/grebestand/rehearsal/connection.py
+++ b/src/grebestand/load_test/connection.py
@@ -16,7 +16,7 @@
 REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 409: "Conflict", 421: "Misdirected Request"}
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """Nothing that can be read came back. `kind`: refused, reset, timeout or unreadable."""
 
     def __init__(self, kind: str, text: str = "") -> None:
@@ -68,7 +68,7 @@
         self._socket, self._rest, self.fresh = None, b"", True
 
     def ask(self, method: str, path: str, body: bytes, within_s: float) -> tuple[int, bytes, float]:
-        """Status, body and what `Retry-After` says, in seconds; raises `NoAnswer`, and closes then."""
+        """Status, body and what `Retry-After` says, in seconds; raises `NoResponseError`, and closes then."""
         end = time.monotonic() + within_s
         try:
             return self._ask(method, path, body, end)
@@ -81,11 +81,11 @@
         except ValueError as e:
             raise self._failed("unreadable", e) from e
 
-    def _failed(self, kind: str, error: Exception) -> NoAnswer:
+    def _failed(self, kind: str, error: Exception) -> NoResponseError:
         if self._socket is not None:
             self._socket.close()
         self._socket, self._rest = None, b""
-        return NoAnswer(kind, str(error))
+        return NoResponseError(kind, str(error))
 
     def _ask(self, method: str, path: str, body: bytes, end: float) -> tuple[int, bytes, float]:
         if self._socket is None:
--- a/src/grebestand/rehearsal/figures.py
+++ b/src/grebestand/load_test/figures.py
@@ -12,7 +12,7 @@
 from itertools import pairwise
 from typing import Any
 
-from .hollow import Row
+from .hollow_workers import Row
 from .scale_users import JobRow
 
 #: a worker process is held against these: percent of a core, megabytes, bytes a second in both directions
--- a/src/grebestand/rehearsal/meeting.py
+++ b/src/grebestand/load_test/gang_rendezvous.py
@@ -18,15 +18,15 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from ..standin.cloud import CloudModel
-from ..standin.site import HOST, serve
+from ..emulators.cloud import CloudEmulator
+from ..emulators.site import HOST, serve
 from ..wire.cloud import ListedMachine, MachineType
 from ..wire.jobs import JobSpec
 
 Message = list[Any]
 
 
-class Line:
+class MessageLine:
     """One end: messages leave in the order in which they were said, several in a packet."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -65,9 +65,9 @@
                 hear(msgspec.json.decode(line))
 
 
-def dial(address: str, hear: Callable[[Message], None], ended: Callable[[], None]) -> Line:
+def dial(address: str, hear: Callable[[Message], None], ended: Callable[[], None]) -> MessageLine:
     host, _, port = address.rpartition(":")
-    line = Line(socket.create_connection((host, int(port)), timeout=10.0))
+    line = MessageLine(socket.create_connection((host, int(port)), timeout=10.0))
     line._socket.settimeout(None)
 
     def run() -> None:
@@ -82,21 +82,21 @@
 class Gang:
     """One attempt of a gang: who waits, on which line, and whether it has started or is over."""
 
-    waiting: dict[int, Line] = field(default_factory=dict)
+    waiting: dict[int, MessageLine] = field(default_factory=dict)
     started: bool = False
     over: bool = False
 
 
-class Meeting:
+class GangRendezvous:
     def __init__(self, types: list[MachineType]) -> None:
-        self.cloud = CloudModel()
+        self.cloud = CloudEmulator()
         self.cloud.types, self.cloud.capacity = types, 0
         self.cloud.removed = self._removed
         self.cloud_requests = self.messages = 0
         self.specs: dict[str, JobSpec] = {}
         self.results: set[tuple[str, int]] = set()
         self.gangs: dict[tuple[str, int], Gang] = {}
-        self.lines: list[Line] = []
+        self.lines: list[MessageLine] = []
         self._cloud = serve(self._ask_cloud)
         self.cloud_address = f"{HOST}:{self._cloud.server_port}"
         self._server = StreamServer((HOST, 0), self._take)
@@ -113,12 +113,12 @@
             line.say("lose", names)
 
     def _take(self, sock: socket.socket, _: object) -> None:
-        line = Line(sock)
+        line = MessageLine(sock)
         self.lines.append(line)
         line.listen(lambda message: self._hear(line, message))
         self.lines.remove(line)
 
-    def _hear(self, line: Line, message: Message) -> None:
+    def _hear(self, line: MessageLine, message: Message) -> None:
         self.messages += 1
         what, *rest = message
         if what == "machine":
@@ -141,7 +141,7 @@
         else:
             raise ValueError(f"unknown message {what!r}")
 
-    def _wait(self, line: Line, job: str, attempt: int, index: int, tasks: int, seconds: float) -> None:
+    def _wait(self, line: MessageLine, job: str, attempt: int, index: int, tasks: int, seconds: float) -> None:
         gang = self.gangs.setdefault((job, attempt), Gang())
         gang.waiting[index] = line
         if len(gang.waiting) == tasks and not gang.started:
--- a/src/grebestand/rehearsal/hollow.py
+++ b/src/grebestand/load_test/hollow_workers.py
@@ -20,11 +20,20 @@
 from gevent.server import StreamServer
 
 from ..wire.jobs import JobSpec, Kind, split_task
-from ..wire.workers import Command, DirectOrders, Elsewhere, Orders, Report, TaskReport, TaskStatus, Why
-from .connection import Connection, NoAnswer, Traffic, answer
-from .meeting import Line, Message, dial
-
-T = TaskReport
+from ..wire.workers import (
+    Command,
+    DirectCommands,
+    ExitReason,
+    Heartbeat,
+    HeartbeatResponse,
+    Redirect,
+    TaskPhase,
+    TaskStatus,
+)
+from .connection import Connection, NoResponseError, Traffic, answer
+from .gang_rendezvous import Message, MessageLine, dial
+
+T = TaskPhase
 #: a worker waits so long for an answer, and as long before it tries the next controller after none, in seconds
 ANSWER_S, NEXT_S = 4.0, 1.0
 #: at most one report in so many seconds; a controller that was named is asked within as long
@@ -36,9 +45,9 @@
 TAKES = (0.7, 1.3)
 
 _encoder = msgspec.json.Encoder()
-_orders = msgspec.json.Decoder(Orders)
-_direct = msgspec.json.Decoder(DirectOrders)
-_elsewhere = msgspec.json.Decoder(Elsewhere)
+_orders = msgspec.json.Decoder(HeartbeatResponse)
+_direct = msgspec.json.Decoder(DirectCommands)
+_elsewhere = msgspec.json.Decoder(Redirect)
 
 
 class Row(msgspec.Struct, array_like=True):
@@ -61,7 +70,7 @@
     kind: str
 
 
-class Kept(msgspec.Struct):
+class KeptRecords(msgspec.Struct):
     """All that a hollow process has kept, as it is written to a file at the end."""
 
     rows: list[Row]
@@ -87,7 +96,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class HeldTask:
     status: TaskStatus
     job: str
     index: int
@@ -99,7 +108,7 @@
     kept: bool = False
 
 
-class Machine:
+class HollowWorker:
     """One worker."""
 
     def __init__(self, process: HollowProcess, name: str, host: str, zone: str) -> None:
@@ -107,11 +116,11 @@
         self.plan = process.plan
         self.name = name
         self.zone = zone
-        self.held: dict[tuple[str, int], Held] = {}
+        self.held: dict[tuple[str, int], HeldTask] = {}
         self.images: set[str] = set()
-        self.fetching: dict[str, list[Held]] = {}
+        self.fetching: dict[str, list[HeldTask]] = {}
         self.used = 0.0
-        self.session, self.seq, self.token = 1, 0, 0
+        self.epoch, self.sequence, self.token = 1, 0, 0
         #: when the last answered report was sent, or the session began
         self.answered_at = process.clock()
         self.token_told_at = -1e9
@@ -127,7 +136,7 @@
 
     # tasks ------------------------------------------------------------------------------------------------
 
-    def _row(self, what: str, held: Held, why: str = "", at: float | None = None) -> None:
+    def _row(self, what: str, held: HeldTask, why: str = "", at: float | None = None) -> None:
         when = self.process.moment() if at is None else max(at, held.on_at)
         self.process.rows.append(Row(when, what, held.job, held.index, held.status.attempt, self.name, why))
 
@@ -136,21 +145,21 @@
             return
         job, index = split_task(task)
         busy = any(h.status.task == task and h.status.state is not T.EXITED for h in self.held.values())
-        held = self.held[task, attempt] = Held(TaskStatus(task, attempt, T.FETCHING), job, index)
+        held = self.held[task, attempt] = HeldTask(TaskStatus(task, attempt, T.FETCHING), job, index)
         self.changed.set()
         if busy:
-            held.status.state, held.status.why = T.EXITED, Why.BUSY
+            held.status.state, held.status.why = T.EXITED, ExitReason.BUSY
         else:
             self.process.describe(job, index, attempt, lambda spec, kept: self._described(held, spec, kept))
 
-    def _described(self, held: Held, spec: JobSpec | None, kept: bool) -> None:
+    def _described(self, held: HeldTask, spec: JobSpec | None, kept: bool) -> None:
         self.lease()
         if held.status.state is not T.FETCHING or not self._holds(held):
             return
         if spec is None:
-            self._exit(held, Why.UNKNOWN)
+            self._exit(held, ExitReason.UNKNOWN)
         elif self.used + spec.cpus > self.plan.cpus + 1e-6:
-            self._exit(held, Why.NO_ROOM)
+            self._exit(held, ExitReason.NO_ROOM)
         else:
             held.spec = spec
             self.used += spec.cpus
@@ -163,7 +172,7 @@
                 self.fetching[spec.image] = [held]
                 gevent.spawn_later(spec.image_gb / FETCH_GB_PER_S, self._image, spec.image)
 
-    def _holds(self, held: Held) -> bool:
+    def _holds(self, held: HeldTask) -> bool:
         return self.held.get((held.status.task, held.status.attempt)) is held
 
     def _image(self, image: str) -> None:
@@ -173,7 +182,7 @@
             if held.status.state is T.FETCHING and self._holds(held):
                 self._fetched(held)
 
-    def _fetched(self, held: Held) -> None:
+    def _fetched(self, held: HeldTask) -> None:
         spec = held.spec
         assert spec is not None
         held.on = True
@@ -181,7 +190,7 @@
         held.on_at = self.process.moment()
         self.changed.set()
         if held.kept:
-            self._exit(held, Why.DONE)
+            self._exit(held, ExitReason.DONE)
         elif spec.kind is Kind.GANG:
             held.status.state = T.WAITING
             self.process.meet(self, held)
@@ -191,14 +200,14 @@
             self._row("run", held)
             if spec.kind is Kind.ARRAY:
                 takes = spec.estimate_s * self.process.rng.uniform(*TAKES)
-                gevent.spawn_later(takes, self.finish, held, Why.DONE)
+                gevent.spawn_later(takes, self.finish, held, ExitReason.DONE)
 
-    def _alone(self, held: Held) -> None:
+    def _alone(self, held: HeldTask) -> None:
         self.lease()
         if held.status.state is T.WAITING and self._holds(held):
-            self._exit(held, Why.ALONE)
+            self._exit(held, ExitReason.ALONE)
 
-    def run(self, held: Held) -> None:
+    def run(self, held: HeldTask) -> None:
         """Its gang has started."""
         self.lease()
         if held.status.state is T.WAITING and self._holds(held):
@@ -206,24 +215,24 @@
             self._row("run", held)
             self.changed.set()
 
-    def finish(self, held: Held, why: Why) -> None:
+    def finish(self, held: HeldTask, why: ExitReason) -> None:
         """It ends by itself, if it is still there."""
         self.lease()
         if held.status.state is T.RUNNING and self._holds(held):
             self._exit(held, why)
 
-    def _exit(self, held: Held, why: Why) -> None:
+    def _exit(self, held: HeldTask, why: ExitReason) -> None:
         held.status.state, held.status.why = T.EXITED, why
         self.changed.set()
         self._left(held, why.value)
-        if why is Why.DONE and held.spec is not None and held.spec.kind is not Kind.GANG:
+        if why is ExitReason.DONE and held.spec is not None and held.spec.kind is not Kind.GANG:
             self.process.line.say("done", held.job, held.index)
 
-    def _left(self, held: Held, why: str, at: float | None = None) -> None:
+    def _left(self, held: HeldTask, why: str, at: float | None = None) -> None:
         """It takes up nothing any more."""
         if held.spec is not None:
             self.used -= held.spec.cpus
-            if held.spec.kind is Kind.GANG and why != Why.DONE:
+            if held.spec.kind is Kind.GANG and why != ExitReason.DONE:
                 self.process.leave(held)
         if held.on:
             held.on = False
@@ -244,7 +253,7 @@
         self.held.clear()
         self.fetching.clear()
         self.used = 0.0
-        self.session, self.seq = self.session + 1, 0
+        self.epoch, self.sequence = self.epoch + 1, 0
         self.answered_at = self.process.clock()
         self.changed.set()
 
@@ -263,16 +272,16 @@
             if held is None:
                 continue
             if c.op == "stop" and held.status.state is not T.EXITED:
-                self._exit(held, Why.STOPPED)
+                self._exit(held, ExitReason.STOPPED)
             elif c.op == "forget" and held.status.state is T.EXITED:
                 del self.held[c.task, c.attempt]
 
-    def report(self) -> Report:
-        self.seq += 1
+    def report(self) -> Heartbeat:
+        self.sequence += 1
         tasks = [h.status for h in self.held.values()]
         plan = self.plan
-        return Report(
-            self.name, self.addr, plan.type, self.zone, False, self.session, self.seq, self.token, None, tasks
+        return Heartbeat(
+            self.name, self.addr, plan.type, self.zone, False, self.epoch, self.sequence, self.token, None, tasks
         )
 
     def _ordered(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
@@ -287,7 +296,7 @@
             orders = _direct.decode(body)
         except msgspec.DecodeError:
             return 400, b"{}"
-        stale = orders.token < self.token or orders.session != self.session
+        stale = orders.token < self.token or orders.epoch != self.epoch
         if not stale:
             self._obey(orders.token, orders.commands)
         return (409 if stale else 200), _encoder.encode(self.report())
@@ -326,11 +335,11 @@
         """One report: how long to wait before the next (None: no hurry), and whether this is still to be told."""
         p = self.process
         body = _encoder.encode(self.report())
-        session, sent = self.session, p.clock()
+        epoch, sent = self.epoch, p.clock()
         counts = p.answers[self.at]
         try:
             status, content, _ = self.connection.ask("POST", "/checkin", body, ANSWER_S)
-        except NoAnswer as e:
+        except NoResponseError as e:
             counts[e.kind] += 1
             if self.connection.fresh:
                 p.unserved.append(Unserved(p.clock(), self.at, e.kind))
@@ -353,7 +362,7 @@
             return NEXT_S, True
         orders = _orders.decode(content)
         self.lease()
-        if orders.token < self.token or session != self.session:
+        if orders.token < self.token or epoch != self.epoch:
             p.dropped += 1
             return None, False
         self.answered_at = max(self.answered_at, sent)
@@ -382,9 +391,9 @@
         self.dropped = self.late_answers = self.lapsed = self.direct = 0
         self._specs: dict[str, JobSpec] = {}
         self._wanted: dict[tuple[str, int, int], list[Callable[[JobSpec | None, bool], None]]] = {}
-        self._gangs: dict[tuple[str, int], list[tuple[Machine, Held]]] = defaultdict(list)
-        self.line: Line = dial(plan.meeting, self._hear, ended)
-        self.machines = {m[0]: Machine(self, *m) for m in plan.machines}
+        self._gangs: dict[tuple[str, int], list[tuple[HollowWorker, HeldTask]]] = defaultdict(list)
+        self.line: MessageLine = dial(plan.meeting, self._hear, ended)
+        self.machines = {m[0]: HollowWorker(self, *m) for m in plan.machines}
         for m in self.machines.values():
             self.line.say("machine", m.name, m.addr, plan.type, m.zone)
 
@@ -416,13 +425,13 @@
             self.line.say("want", job, index, attempt)
         waiting.append(then)
 
-    def meet(self, machine: Machine, held: Held) -> None:
+    def meet(self, machine: HollowWorker, held: HeldTask) -> None:
         spec = held.spec
         assert spec is not None
         self._gangs[held.job, held.status.attempt].append((machine, held))
         self.line.say("wait", held.job, held.status.attempt, held.index, spec.tasks, spec.estimate_s)
 
-    def leave(self, held: Held) -> None:
+    def leave(self, held: HeldTask) -> None:
         self.line.say("gone", held.job, held.status.attempt, held.index)
 
     def _hear(self, message: Message) -> None:
@@ -437,10 +446,10 @@
                 machine.run(held)
         elif what == "over":
             for machine, held in self._gangs.pop((rest[0], rest[1]), ()):
-                machine.finish(held, Why.DONE)
+                machine.finish(held, ExitReason.DONE)
         elif what == "gone":
             for machine, held in self._gangs.pop((rest[0], rest[1]), ()):
-                gevent.spawn_later(self.plan.gang_peer_s, machine.finish, held, Why.PEERS)
+                gevent.spawn_later(self.plan.gang_peer_s, machine.finish, held, ExitReason.PEERS)
         elif what == "lose":
             for name in rest[0]:
                 self._lose(name)
@@ -478,5 +487,5 @@
             "at": {n: sum(m.at == n for m in machines) for n in self.plan.controllers},
         }
 
-    def kept_rows(self) -> Kept:
-        return Kept(self.rows, self.unserved, list(self.sent_at), list(self.waits))
+    def kept_rows(self) -> KeptRecords:
+        return KeptRecords(self.rows, self.unserved, list(self.sent_at), list(self.waits))
--- a/src/grebestand/rehearsal/parts.py
+++ b/src/grebestand/load_test/part_process.py
@@ -25,7 +25,7 @@
         self._ready: AsyncResult = AsyncResult()
         self._answer: AsyncResult = AsyncResult()
         environment = {**os.environ, "PYTHONPATH": os.pathsep.join(p for p in sys.path if p)}
-        command = [sys.executable, "-m", "grebestand.rehearsal.child", role]
+        command = [sys.executable, "-m", "grebestand.load_test.child_process", role]
         with open(self.log, "ab") as out:
             # a group of its own: an interrupt at the terminal is for the parent, which then ends it
             self._process = subprocess.Popen(
--- a/src/grebestand/rehearsal/scale_check.py
+++ b/src/grebestand/load_test/scale_check.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .hollow import Row
+from .hollow_workers import Row
 from .scale_users import JobRow
 
 #: amounts of CPUs that differ by less are equal
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Verdict:
+class ScaleVerdict:
     """Starts of tasks that were elsewhere, jobs that were lost, times at which a team went over its limit; in words."""
 
     twice: int = 0
@@ -32,9 +32,9 @@
         return not (self.twice or self.lost or self.over_quota)
 
 
-def check(rows: Iterable[Row], jobs: list[JobRow], limits: dict[str, float]) -> Verdict:
+def check(rows: Iterable[Row], jobs: list[JobRow], limits: dict[str, float]) -> ScaleVerdict:
     """`limits`: CPUs that each team may use at a time."""
-    verdict = Verdict()
+    verdict = ScaleVerdict()
     known = {j.id: j for j in jobs}
     #: machines that have a task now, and CPUs of a team that are in use
     on: dict[tuple[str, int], list[str]] = defaultdict(list)
@@ -76,7 +76,7 @@
     return verdict
 
 
-def _judge(job: JobRow, done: int, verdict: Verdict) -> None:
+def _judge(job: JobRow, done: int, verdict: ScaleVerdict) -> None:
     if job.wrong:
         verdict.lost += 1
         verdict.faults.append(f"{job.id}: {job.wrong}")
--- a/src/grebestand/rehearsal/scale.py
+++ b/src/grebestand/load_test/scale_run.py
@@ -21,21 +21,21 @@
 import gevent
 import msgspec
 
-from ..leading.leadership import KEY
-from ..outside.http import HttpTransport, Unreachable
-from ..standin.processes import ControllerProcesses
+from ..clients.http import HttpTransport, UnreachableError
+from ..emulators.controller_processes import ControllerProcesses
+from ..leader.election import LEADER_KEY
 from ..wire.cloud import MachineType
-from ..wire.store import Pair
+from ..wire.store import KeyValue
 from . import figures
-from .connection import Connection, NoAnswer, Traffic
+from .connection import Connection, NoResponseError, Traffic
 from .figures import Sample
-from .hollow import HollowPlan, Kept, Row, Unserved
-from .parts import UP_S, PartProcess
+from .hollow_workers import HollowPlan, KeptRecords, Row, Unserved
+from .part_process import UP_S, PartProcess
 from .procfs import sockets, usage
-from .scale_check import Verdict, check
-from .scale_users import Asked, JobRow, LoadPlan
+from .scale_check import ScaleVerdict, check
+from .scale_users import JobRow, LoadPlan, PollRecord
 
-T = TypeVar("T", Kept, Asked)
+T = TypeVar("T", KeptRecords, PollRecord)
 
 ZONES = ("a", "b", "c", "d")
 TYPE, CPUS = "m16", 16.0
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class ScaleRunPlan:
     """What is run. `rate`: starts of tasks a second; the state service's limits are a second's."""
 
     workers: int = 2600
@@ -118,14 +118,14 @@
 
 
 @dataclass
-class Outcome:
-    verdict: Verdict
+class ScaleRunResult:
+    verdict: ScaleVerdict
     line: str
     figures: dict[str, Any]
 
 
 @dataclass
-class Kill:
+class ControllerKill:
     """A controller that the run ended, and when."""
 
     name: str
@@ -134,7 +134,7 @@
 
 
 @dataclass
-class History:
+class ScaleRunHistory:
     """What all processes have kept, together."""
 
     rows: list[Row] = field(default_factory=list)
@@ -146,7 +146,7 @@
 
 
 class ScaleRun:
-    def __init__(self, plan: Plan, root: Path, say: Callable[[str], None]) -> None:
+    def __init__(self, plan: ScaleRunPlan, root: Path, say: Callable[[str], None]) -> None:
         self.plan = plan
         self.root = root
         self.say = say
@@ -154,7 +154,7 @@
         self.parts: dict[str, PartProcess] = {}
         self.controllers: ControllerProcesses | None = None
         self.samples: list[Sample] = []
-        self.kills: list[Kill] = []
+        self.kills: list[ControllerKill] = []
         self.hollow = [f"hollow-{i}" for i in range(min(plan.hollow, plan.workers))]
         self._state: HttpTransport | None = None
         #: what has to be said of the machine, and not of the service
@@ -212,7 +212,7 @@
                 try:
                     Connection(address, Traffic()).ask("GET", "/healthz", b"", 1.0)
                     break
-                except NoAnswer as e:
+                except NoResponseError as e:
                     if self.clock() > end:
                         raise RuntimeError(f"not all controllers came up: {controllers.last_words()}") from e
                     gevent.sleep(0.1)
@@ -230,10 +230,10 @@
         """Who leads, by the state service; one of its requests."""
         assert self._state is not None
         try:
-            status, body = self._state.request("GET", f"/store/{KEY}", b"", 2.0)
-        except Unreachable:
+            status, body = self._state.request("GET", f"/store/{LEADER_KEY}", b"", 2.0)
+        except UnreachableError:
             return None
-        return str(msgspec.json.decode(body, type=Pair).value["name"]) if status == 200 else None
+        return str(msgspec.json.decode(body, type=KeyValue).value["name"]) if status == 200 else None
 
     def _sample(self, controllers: ControllerProcesses) -> Sample:
         pids = {n: p.pid for n, p in self.parts.items()}
@@ -285,7 +285,7 @@
 
     # the run ----------------------------------------------------------------------------------------------
 
-    def run(self) -> Outcome:
+    def run(self) -> ScaleRunResult:
         plan = self.plan
         try:
             controllers = self._start()
@@ -363,7 +363,7 @@
 
     def _kill(self, controllers: ControllerProcesses, name: str, role: str) -> None:
         self.say(f"{name} ({role}) is killed, and starts again after {BACK_S:.0f} s")
-        self.kills.append(Kill(name, role, self.clock()))
+        self.kills.append(ControllerKill(name, role, self.clock()))
         controllers.kill(name)
         gevent.spawn_later(BACK_S, controllers.start, name)
 
@@ -378,15 +378,15 @@
         users = self.parts["users"].counts
         self.say(f"{users.get('accepted', 0) - users.get('done', 0)} accepted jobs are not done at the end")
 
-    def _collect(self) -> History:
-        history = History(limits=self.plan.limits())
+    def _collect(self) -> ScaleRunHistory:
+        history = ScaleRunHistory(limits=self.plan.limits())
         for name in (*self.hollow, "worker"):
-            kept = self._kept(name, Kept)
+            kept = self._kept(name, KeptRecords)
             history.rows += kept.rows
             history.unserved += kept.unserved
             history.sent_at += kept.sent_at
             history.waits += kept.waits
-        asked = self._kept("users", Asked)
+        asked = self._kept("users", PollRecord)
         history.jobs, history.unserved = asked.jobs, history.unserved + asked.unserved
         return history
 
@@ -400,8 +400,8 @@
     # figures ----------------------------------------------------------------------------------------------
 
     def _outcome(
-        self, controllers: ControllerProcesses, history: History, begin: float, end: float, last: Sample
-    ) -> Outcome:
+        self, controllers: ControllerProcesses, history: ScaleRunHistory, begin: float, end: float, last: Sample
+    ) -> ScaleRunResult:
         plan = self.plan
         verdict = check(history.rows, history.jobs, history.limits)
         calm_from = begin + min(12.0, plan.seconds / 4)
@@ -464,7 +464,7 @@
             f"twice {verdict.twice}, lost {verdict.lost}, over quota {verdict.over_quota}, "
             f"refused connections {len(refused)}"
         )
-        return Outcome(verdict, line, found)
+        return ScaleRunResult(verdict, line, found)
 
     def _down(self, u: Unserved) -> bool:
         """Whether the run itself kept that controller down; who is taken in, and then not answered, is not."""
@@ -511,7 +511,7 @@
             })  # fmt: skip
         return rows
 
-    def _tell(self, found: dict[str, Any], verdict: Verdict) -> None:
+    def _tell(self, found: dict[str, Any], verdict: ScaleVerdict) -> None:
         """In words: the figures that matter, what the machine did not bear, and what is wrong."""
         say = self.say
         for name, w in found["windows"].items():
@@ -579,7 +579,7 @@
             say(f"and {len(verdict.faults) - 50} more")
 
 
-def rehearse(plan: Plan, say: Callable[[str], None], keep: Path | None = None) -> Outcome:
+def rehearse(plan: ScaleRunPlan, say: Callable[[str], None], keep: Path | None = None) -> ScaleRunResult:
     """Runs it in a directory that is removed afterwards, or in one that is kept."""
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
--- a/src/grebestand/rehearsal/scale_users.py
+++ b/src/grebestand/load_test/scale_users.py
@@ -16,10 +16,10 @@
 import msgspec
 from gevent.event import Event
 
-from ..wire.jobs import JobAnswer, JobSpec, JobView, Kind, Priority
-from .connection import Connection, NoAnswer, Traffic
-from .hollow import Unserved
-from .meeting import Line, Message, dial
+from ..wire.jobs import JobSpec, JobStatus, JobStatusResponse, Kind, Priority
+from .connection import Connection, NoResponseError, Traffic
+from .gang_rendezvous import Message, MessageLine, dial
+from .hollow_workers import Unserved
 
 #: seconds: an answer to a submission, to a poll; between polls; how long a submission is retried; the longest pause
 #: that a controller can ask for; probes of health; and for so long a controller that refuses is passed over
@@ -65,7 +65,7 @@
     wrong: str = ""
 
 
-class Asked(msgspec.Struct):
+class PollRecord(msgspec.Struct):
     """All that users have kept."""
 
     jobs: list[JobRow]
@@ -133,7 +133,7 @@
             connection = Connection(self.controllers[name], Traffic())
             try:
                 good = connection.ask("GET", "/healthz", b"", PROBE_S)[0] == 200
-            except NoAnswer:
+            except NoResponseError:
                 good = False
             connection.close()
             results = [*results, good][-6:]
@@ -153,7 +153,7 @@
         return self.rng.choice(good or names or list(self.controllers))
 
 
-class Users:
+class LoadUsers:
     def __init__(self, plan: LoadPlan, ended: Callable[[], None]) -> None:
         self.plan = plan
         self.clock = time.monotonic
@@ -165,7 +165,7 @@
         self.unserved: list[Unserved] = []
         self.answers: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
         self._known: dict[str, Event] = {}
-        self.line: Line = dial(plan.meeting, self._hear, ended)
+        self.line: MessageLine = dial(plan.meeting, self._hear, ended)
         self.loading = False
         self.closing = False
         self.asked_tasks = 0
@@ -224,10 +224,10 @@
         status, content, _ = self._ask(connection, "GET", f"/v2/runs/{row.id}", b"", POLL_S, "polls")
         row.last = str(status)
         if status == 200:
-            state = msgspec.json.decode(content, type=JobAnswer).state
-            if state is JobView.DONE:
+            state = msgspec.json.decode(content, type=JobStatusResponse).state
+            if state is JobStatus.DONE:
                 row.done_at = row.done_at or self.clock()
-            elif row.done_at is not None or state is JobView.CANCELLED:
+            elif row.done_at is not None or state is JobStatus.CANCELLED:
                 row.wrong = f"was {'done' if row.done_at is not None else 'not cancelled'} and is {state.value}"
         elif status == 404:
             row.wrong = "accepted and answered 404"
@@ -246,7 +246,7 @@
                 status, content, retry_s = connection.ask(method, path, body, within_s)
                 self.answers[what][str(status)] += 1
                 return status, content, retry_s
-            except NoAnswer as e:
+            except NoResponseError as e:
                 self.answers[what][e.kind] += 1
                 fresh = connection.fresh
                 connection.close()
@@ -289,5 +289,5 @@
             "healthy": sum(self.balancer.healthy.values()),
         }
 
-    def kept_rows(self) -> Asked:
-        return Asked(self.jobs, self.unserved)
+    def kept_rows(self) -> PollRecord:
+        return PollRecord(self.jobs, self.unserved)
--- a/src/grebestand/measures/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What a controller measures of itself."""
--- /dev/null
+++ b/src/grebestand/metrics/__init__.py
@@ -0,0 +1,1 @@
+"""Metrics: durations as quantile sketches."""
--- a/src/grebestand/measures/sketches.py
+++ b/src/grebestand/metrics/duration_sketches.py
@@ -8,12 +8,12 @@
 
 from ddsketch import LogCollapsingLowestDenseDDSketch
 
-RELATIVE_ERROR, MOST_BUCKETS = 0.01, 512
+RELATIVE_ERROR, MAX_BUCKETS = 0.01, 512
 #: shorter than this is as good as nothing, in seconds
-LEAST_S = 1e-5
+MIN_DURATION_S = 1e-5
 
 
-class Sketches:
+class DurationSketches:
     """One sketch for each name, begun anew each time it is told."""
 
     def __init__(self) -> None:
@@ -23,8 +23,8 @@
     def add(self, name: str, seconds: float) -> None:
         sketch = self._found.get(name)
         if sketch is None:
-            sketch = self._found[name] = LogCollapsingLowestDenseDDSketch(RELATIVE_ERROR, MOST_BUCKETS)
-        sketch.add(max(LEAST_S, seconds))
+            sketch = self._found[name] = LogCollapsingLowestDenseDDSketch(RELATIVE_ERROR, MAX_BUCKETS)
+        sketch.add(max(MIN_DURATION_S, seconds))
         if seconds > self._longest.get(name, 0.0):
             self._longest[name] = seconds
 
--- /dev/null
+++ b/src/grebestand/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""Scheduling decisions: slot templates, bin packing, gangs, preemption, migration and scale out."""
--- a/src/grebestand/decisions/greedy.py
+++ b/src/grebestand/scheduling/greedy.py
@@ -8,8 +8,8 @@
 from collections.abc import Generator
 from dataclasses import dataclass, field
 
-from ..books.amounts import Amounts, fits, how_many, minus, share, times
-from ..books.slots import Config, Slot
+from ..cluster_state.resources import Resources, dominant_share, fits, multiply, subtract, tasks_that_fit
+from ..cluster_state.slots import Slot, SlotTemplate
 
 
 @dataclass(frozen=True)
@@ -19,7 +19,7 @@
     machine_type: int
     zone: int
     spot: bool
-    room: Amounts
+    room: Resources
 
     def takes(self, slot: Slot) -> bool:
         return (
@@ -30,24 +30,24 @@
         )
 
 
-def max_reward(slots: list[Slot], candidates: list[int], room: Amounts) -> Config:
+def max_reward(slots: list[Slot], candidates: list[int], room: Resources) -> SlotTemplate:
     """A configuration of high reward made of candidate types only (Definition 2.3, approximated).
 
     The exact maximum is a knapsack. Here each candidate in turn is packed first, the others follow by payoff
     for the share of the machine they take, and the best of these fillings wins; ties go to the lower index
     (Definition 2.2).
     """
-    density = sorted(candidates, key=lambda j: (-slots[j].payoff / max(share(slots[j].size, room), 1e-9), j))
-    best: Config = (0,) * len(slots)
+    density = sorted(candidates, key=lambda j: (-slots[j].payoff / max(dominant_share(slots[j].size, room), 1e-9), j))
+    best: SlotTemplate = (0,) * len(slots)
     best_reward = 0.0
     for first in density:
         counts = [0] * len(slots)
         left = room
         for j in (first, *density):
-            n = how_many(slots[j].size, left)
+            n = tasks_that_fit(slots[j].size, left)
             if n:
                 counts[j] += n
-                left = minus(left, times(slots[j].size, n))
+                left = subtract(left, multiply(slots[j].size, n))
         reward = sum(n * slots[j].payoff for j, n in enumerate(counts))
         config = tuple(counts)
         if reward > best_reward + 1e-9 or (abs(reward - best_reward) <= 1e-9 and config > best):
@@ -56,15 +56,15 @@
 
 
 @dataclass
-class Wanted:
+class ServerDemand:
     """One configuration of the plan, with the machines it should have in a pool."""
 
     pool: int
-    config: Config
+    config: SlotTemplate
     count: int
 
 
-def gpa(slots: list[Slot], targets: list[float], pools: list[Pool], sizes: list[int]) -> list[Wanted]:
+def gpa(slots: list[Slot], targets: list[float], pools: list[Pool], sizes: list[int]) -> list[ServerDemand]:
     """Greedy Placement Algorithm (Algorithm 1), for several pools.
 
     In each round every pool that still has machines gets the highest-reward configuration of the types that
@@ -73,12 +73,12 @@
     left = [max(0.0, t) for t in targets]
     free = list(sizes)
     candidates = [j for j in range(len(slots)) if left[j] > 0]
-    plan: list[Wanted] = []
+    plan: list[ServerDemand] = []
     #: pools alike in size and in what they take share a configuration, also from one round to the next
-    known: dict[tuple[Amounts, tuple[int, ...]], Config] = {}
+    known: dict[tuple[Resources, tuple[int, ...]], SlotTemplate] = {}
     taken = [{j for j, slot in enumerate(slots) if pool.takes(slot)} for pool in pools]
 
-    def best(p: int) -> Config:
+    def best(p: int) -> SlotTemplate:
         key = pools[p].room, tuple(j for j in candidates if j in taken[p])
         found = known.get(key)
         if found is None:
@@ -97,7 +97,7 @@
         out = min(used, key=lambda j: (-(-left[j] // config[j]), j))
         count = min(int(-(-left[out] // config[out])), free[p])
         if count:
-            plan.append(Wanted(p, config, count))
+            plan.append(ServerDemand(p, config, count))
             free[p] -= count
             for j in used:
                 left[j] = max(0.0, left[j] - count * config[j])
@@ -107,26 +107,26 @@
 
 
 @dataclass
-class Seat:
+class TemplateAssignment:
     """A machine as the classification sees it."""
 
     pool: int
-    config: Config
+    config: SlotTemplate
     empty: bool
-    holds: Config = ()
+    holds: SlotTemplate = ()
     rank: int = 0
     accept: bool = False
     changed: bool = False
     tag: int = field(default=0)
     order: int = 0
 
-    def may_become(self, config: Config) -> bool:
+    def may_become(self, config: SlotTemplate) -> bool:
         """The paper reassigns empty machines only, so that nothing is preempted. Nothing is either where all
         that the machine holds has a slot in the new configuration."""
         return self.empty or (bool(self.holds) and all(h <= n for h, n in zip(self.holds, config, strict=True)))
 
 
-def cra(seats: list[Seat], plan: list[Wanted]) -> int:
+def cra(seats: list[TemplateAssignment], plan: list[ServerDemand]) -> int:
     """Classification and Reassignment (Algorithm 2): sets rank, group and, for empty machines, configuration.
 
     Seats are in order of assignment: of the machines with one configuration the earlier ones have the higher
@@ -141,11 +141,11 @@
             return int(end.value)
 
 
-def cra_steps(seats: list[Seat], plan: list[Wanted]) -> Generator[None, None, int]:
+def cra_steps(seats: list[TemplateAssignment], plan: list[ServerDemand]) -> Generator[None, None, int]:
     """The same, with a yield after each entry of the plan."""
     worst = len(plan) + 1
     #: by pool and configuration, who has no rank yet, in order of assignment
-    unranked: dict[int, dict[Config, list[Seat]]] = {}
+    unranked: dict[int, dict[SlotTemplate, list[TemplateAssignment]]] = {}
     for order, seat in enumerate(seats):
         seat.rank, seat.changed, seat.order = worst, False, order
         unranked.setdefault(seat.pool, {}).setdefault(seat.config, []).append(seat)
--- a/src/grebestand/decisions/images.py
+++ b/src/grebestand/scheduling/image_locality.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from ..books.jobs import Job
-from ..books.machine import Machine
-from .view import MACHINES_A_STEP, Decision, Steps, View
+from ..cluster_state.jobs import Job
+from ..cluster_state.machine import Machine
+from .scheduling_context import MACHINES_A_STEP, SchedulingComponent, SchedulingContext, Steps
 
 #: an image is well spread if the machines that have it have so many times the room that is asked for with it
 HOST_FACTOR = 2.0
 
 
-class Images(Decision):
-    def __init__(self, view: View) -> None:
+class ImageLocality(SchedulingComponent):
+    def __init__(self, view: SchedulingContext) -> None:
         super().__init__(view)
         #: images for which the machines that have them had room enough when targets were last set
         self.well_spread: set[int] = set()
@@ -21,17 +21,17 @@
     def measure(self) -> Steps:
         """Finds the images whose machines, shared with other work, can serve what is asked for with them."""
         demand: dict[int, int] = {}
-        for job in self.ledger.jobs.values():
+        for job in self.registry.jobs.values():
             if job.live:
-                tasks = len(job.places) + min(job.wanted(), self.ledger.teams[job.team].headroom(job.size))
+                tasks = len(job.allocations) + min(job.wanted(), self.registry.teams[job.team].headroom(job.size))
                 demand[job.image] = demand.get(job.image, 0) + tasks * job.size[0]
         hosts: dict[int, int] = {}
-        for looked, m in enumerate(list(self.fleet.machines), 1):
+        for looked, m in enumerate(list(self.inventory.machines), 1):
             if not looked % MACHINES_A_STEP:
                 yield
-            if self.fleet.counts(m):
+            if self.inventory.counts(m):
                 for image in (*m.images, *m.pulls):
-                    hosts[image] = hosts.get(image, 0) + m.room[0]
+                    hosts[image] = hosts.get(image, 0) + m.capacity[0]
         self.hosted = set(hosts)
         self.well_spread = {i for i, need in demand.items() if hosts.get(i, 0) >= HOST_FACTOR * need}
 
@@ -45,7 +45,7 @@
         if job.image in m.images or job.image in m.pulls:
             return True
         fetch = self.fetch_s(job, m)
-        if fetch <= self.fleet.report_s:
+        if fetch <= self.inventory.report_s:
             return True
         return not m.pulls and (job.image not in self.well_spread or now - job.started_at >= fetch)
 
@@ -53,17 +53,17 @@
         """The shortest that the job would have to wait for its image anywhere: not at all if a machine has it."""
         if job.image in self.hosted:
             return 0.0
-        fastest = max((kind.fetch_gb_per_s for kind in self.fleet.kinds.values()), default=1.0)
-        return self.ledger.image_gb[job.image] / max(fastest, 1e-3)
+        fastest = max((kind.fetch_gb_per_s for kind in self.inventory.kinds.values()), default=1.0)
+        return self.registry.image_gb[job.image] / max(fastest, 1e-3)
 
     def fetch_s(self, job: Job, m: Machine) -> float:
         """How long the job would wait for its image there; images that are fetched together share the rate."""
         if job.image in m.images:
             return 0.0
-        kind = self.fleet.kinds.get(m.kind)
+        kind = self.inventory.kinds.get(m.kind)
         if kind is None:
             return 0.0
-        size = self.ledger.image_gb
+        size = self.registry.image_gb
         # one that is under way is half there on average
         under_way = job.image in m.pulls
         gigabytes = size[job.image] / 2 if under_way else size[job.image]
--- a/src/grebestand/decisions/aims.py
+++ b/src/grebestand/scheduling/job_ordering.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..books.jobs import Job
-from ..books.learned import RunTimes
+from ..cluster_state.jobs import Job
+from ..cluster_state.run_time_estimates import RunTimeEstimates
 from ..settings.platform import Objective
 
 AGED_S = 180.0
@@ -11,8 +11,8 @@
 TIGHT_S = 30.0
 
 
-class Aims:
-    def __init__(self, objectives: list[Objective], run_times: RunTimes) -> None:
+class JobOrdering:
+    def __init__(self, objectives: list[Objective], run_times: RunTimeEstimates) -> None:
         self.run_times = run_times
         self.within: dict[str, list[float]] = {}
         self.start_within: dict[str, list[float]] = {}
--- a/src/grebestand/decisions/health.py
+++ b/src/grebestand/scheduling/machine_health.py
@@ -5,14 +5,14 @@
 import logging
 import math
 
-from ..books.dispatch import Dispatch
-from ..books.fleet import Fleet
-from ..books.jobs import Job
-from ..books.learned import RunTimes
-from ..books.machine import Machine
-from ..states import PlaceState
+from ..cluster_state.dispatch import Dispatch
+from ..cluster_state.jobs import Job
+from ..cluster_state.machine import Machine
+from ..cluster_state.machine_inventory import MachineInventory
+from ..cluster_state.run_time_estimates import RunTimeEstimates
+from ..state_machines import AllocationState
 
-log = logging.getLogger("grebestand.health")
+log = logging.getLogger(__name__)
 
 #: failures of one job, or on one machine, within so many seconds are one
 ROUND_S = 1.0
@@ -26,9 +26,11 @@
 BELIEVED_S = 10.0
 
 
-class Health:
-    def __init__(self, fleet: Fleet, dispatch: Dispatch, run_times: RunTimes, sick_errors: int) -> None:
-        self.fleet = fleet
+class MachineHealth:
+    def __init__(
+        self, inventory: MachineInventory, dispatch: Dispatch, run_times: RunTimeEstimates, sick_errors: int
+    ) -> None:
+        self.inventory = inventory
         self.dispatch = dispatch
         self.run_times = run_times
         self.sick_errors = sick_errors
@@ -67,7 +69,9 @@
     @staticmethod
     def _runs_elsewhere(job: Job, now: float) -> bool:
         """Whether other tasks of it run for longer than those that failed: then it is not the job."""
-        return any(p.run_at is not None and now - p.run_at > job.fails_after_s + ROUND_S for p in job.places.values())
+        return any(
+            p.run_at is not None and now - p.run_at > job.fails_after_s + ROUND_S for p in job.allocations.values()
+        )
 
     def _doubt(self, job: Job, now: float) -> None:
         """It failed several times and never got anywhere: its own mistake, most likely.
@@ -77,14 +81,14 @@
         """
         job.doubtful = True
         log.info("%s has only failed, on %d machines: it is tried less often", job.spec.id, len(job.avoid))
-        for place in [p for p in job.places.values() if p.run_at is None]:
+        for allocation in [p for p in job.allocations.values() if p.run_at is None]:
             if not job.gang:
-                self.dispatch.stop(place, "its job fails", 0.0, now)
+                self.dispatch.stop(allocation, "its job fails", 0.0, now)
 
     def _take_back(self, job: Job) -> None:
         """It fails on any machine, so none is to blame for it: three such jobs on one machine had that drained."""
         for index in job.avoid:
-            m = self.fleet.at(index)
+            m = self.inventory.at(index)
             if m is None or job.spec.id not in m.error_jobs:
                 continue
             m.error_jobs.discard(job.spec.id)
@@ -105,26 +109,26 @@
                 del job.avoid[index]
             return
         limit = max(BELIEVED_S, 2.0 * job.fails_after_s)
-        if any(p.run_at is not None and now - p.run_at > limit for p in job.places.values()):
+        if any(p.run_at is not None and now - p.run_at > limit for p in job.allocations.values()):
             job.doubtful = False
             job.errors = 0
             job.hold_until = 0.0
 
     def evacuate(self, m: Machine, now: float) -> None:
         """Stops what is on a machine that is about to go, saving where there is something to save."""
-        for place in list(m.places.values()):
-            job = place.job
+        for allocation in list(m.allocations.values()):
+            job = allocation.job
             if not job.live:
                 continue
-            left = m.doom_at - now
+            left = m.terminates_at - now
             saves = job.spec.checkpoint_s > 0 and left > job.spec.save_s
-            if not saves and place.run_at is not None:
+            if not saves and allocation.run_at is not None:
                 expected = self.run_times.run_s(job)
-                if expected - (now - place.run_at) < left and m.drain == "recall":
+                if expected - (now - allocation.run_at) < left and m.drain == "recall":
                     continue  # it may well complete before the machine goes
-            if m.drain in ("faulty", "slow") and place.state is PlaceState.RUNNING:
+            if m.drain in ("faulty", "slow") and allocation.state is AllocationState.RUNNING:
                 continue  # what runs may run to its end
             if job.gang:
                 self.dispatch.stop_job(job, m.drain or "drain", job.spec.save_s + 1.0 if saves else 0.0, now)
             else:
-                self.dispatch.stop(place, m.drain or "drain", job.spec.save_s + 1.0 if saves else 0.0, now)
+                self.dispatch.stop(allocation, m.drain or "drain", job.spec.save_s + 1.0 if saves else 0.0, now)
--- a/src/grebestand/decisions/explain.py
+++ b/src/grebestand/scheduling/pending_reasons.py
@@ -6,20 +6,20 @@
 import math
 from collections import Counter
 
-from ..books.amounts import MICRO
-from ..books.jobs import Job
-from ..states import PlaceState
-from .view import Decision, View
+from ..cluster_state.jobs import Job
+from ..cluster_state.resources import MICRO_UNITS
+from ..state_machines import AllocationState
+from .scheduling_context import SchedulingComponent, SchedulingContext
 
-log = logging.getLogger("grebestand.scheduler")
+log = logging.getLogger(__name__)
 
 
 #: reasons that are told in one period, and after how long one that has not changed is told again
 MOST_TOLD, TOLD_AGAIN_S = 30, 60.0
 
 
-class Explanation(Decision):
-    def __init__(self, view: View) -> None:
+class PendingReasons(SchedulingComponent):
+    def __init__(self, view: SchedulingContext) -> None:
         super().__init__(view)
         self.explained_at = -math.inf
         #: what was last told of each job that waits, and when
@@ -27,26 +27,26 @@
 
     def tell(self, now: float) -> None:
         """Tells a stranger reading the log why something waits."""
-        if now - self.explained_at < self.knobs.period_s:
+        if now - self.explained_at < self.policy_values.period_s:
             return
         self.explained_at = now
-        machines = self.fleet.machines
-        by_state: dict[PlaceState, int] = {}
+        machines = self.inventory.machines
+        by_state: dict[AllocationState, int] = {}
         for m in machines:
-            for place in m.places.values():
-                by_state[place.state] = by_state.get(place.state, 0) + place.job.size[0]
-        shares = ", ".join(f"{n / MICRO:.0f} {state.name.lower()}" for state, n in by_state.items())
+            for allocation in m.allocations.values():
+                by_state[allocation.state] = by_state.get(allocation.state, 0) + allocation.job.size[0]
+        shares = ", ".join(f"{n / MICRO_UNITS:.0f} {state.name.lower()}" for state, n in by_state.items())
         log.info(
             "%d machines, %d accept, %d ready; %.0f of %.0f CPUs used (%s); %d tasks of %d jobs wait; g %.0f",
             len(machines),
-            sum(1 for m in machines if m.accept),
-            sum(1 for m in machines if self.fleet.usable(m, now)),
-            sum(m.used[0] for m in machines) / MICRO,
-            sum(m.room[0] for m in machines) / MICRO,
+            sum(1 for m in machines if m.in_accept_group),
+            sum(1 for m in machines if self.inventory.usable(m, now)),
+            sum(m.used[0] for m in machines) / MICRO_UNITS,
+            sum(m.capacity[0] for m in machines) / MICRO_UNITS,
             shares,
-            sum(j.waiting() for j in self.ledger.waiting_jobs()),
-            sum(1 for _ in self.ledger.waiting_jobs()),
-            self.knobs.g,
+            sum(j.waiting() for j in self.registry.waiting_jobs()),
+            sum(1 for _ in self.registry.waiting_jobs()),
+            self.policy_values.g,
         )
         self._tell_reasons(now)
 
@@ -56,8 +56,8 @@
         reasons: Counter[str] = Counter()
         due: list[tuple[float, Job, str]] = []
         known, self._told = self._told, {}
-        for job in self.ledger.waiting_jobs():
-            if now - job.wait_since <= 2 * self.knobs.period_s:
+        for job in self.registry.waiting_jobs():
+            if now - job.wait_since <= 2 * self.policy_values.period_s:
                 continue
             why = self._why(job, now)
             reasons[why] += 1
@@ -86,7 +86,7 @@
 
     @staticmethod
     def _why(job: Job, now: float) -> str:
-        if job.suspects and not job.startable():
+        if job.possible_holders and not job.startable():
             return "some machines have not proved what they hold"
         if now < job.hold_until:
             return "its tasks failed lately"
--- a/src/grebestand/decisions/placing.py
+++ b/src/grebestand/scheduling/placement.py
@@ -4,15 +4,15 @@
 
 import logging
 
-from ..books.amounts import Amounts, fits, how_many
-from ..books.jobs import Job, Place
-from ..books.machine import Machine
+from ..cluster_state.jobs import Allocation, Job
+from ..cluster_state.machine import Machine
+from ..cluster_state.resources import Resources, fits, tasks_that_fit
 from ..wire.jobs import PRIORITIES
-from .clearing import Clearing
-from .images import Images
-from .view import MACHINES_A_STEP, STARTS_A_STEP, Decision, Steps, View
+from .image_locality import ImageLocality
+from .preemption import Preemption
+from .scheduling_context import MACHINES_A_STEP, STARTS_A_STEP, SchedulingComponent, SchedulingContext, Steps
 
-log = logging.getLogger("grebestand.placing")
+log = logging.getLogger(__name__)
 
 #: a worker's report has to stay below 64 KiB
 MOST_PLACES = 400
@@ -26,8 +26,8 @@
 NOT_SEEN = (-1, 0)
 
 
-class Placing(Decision):
-    def __init__(self, view: View, images: Images, clearing: Clearing) -> None:
+class Placement(SchedulingComponent):
+    def __init__(self, view: SchedulingContext, images: ImageLocality, clearing: Preemption) -> None:
         super().__init__(view)
         self.images = images
         self.clearing = clearing
@@ -38,9 +38,9 @@
         #: types of which something waited at the last full pass
         self.blocked: set[int] = set()
         #: sizes for which the pass has found no slot, by type, image and whether the job has waited for a period
-        self._no_slot: dict[tuple[int, int, bool], Amounts] = {}
+        self._no_slot: dict[tuple[int, int, bool], Resources] = {}
         #: sizes for which no machine's template had one, whatever the image
-        self._slotless: dict[tuple[int, ...], Amounts] = {}
+        self._slotless: dict[tuple[int, ...], Resources] = {}
         #: machines where the pass has found something to stop, the cheapest last, by type and the team that takes its
         #: guarantee back; who uses one takes it from the list
         self._clearable: dict[tuple[int, int], list[Machine]] = {}
@@ -49,7 +49,7 @@
 
     def begin(self) -> None:
         """A full pass begins. Slots that are known stay known: each is held against its machine's count of edits."""
-        blocked = {j.type for j in self.ledger.waiting_jobs()}
+        blocked = {j.type for j in self.registry.waiting_jobs()}
         if blocked != self.blocked:
             self.forget()
         self.blocked = blocked
@@ -73,12 +73,12 @@
         """
         if not self.queue or m.free[0] < self.least or not m.news:
             return
-        if m.reserved_for is not None or not self.fleet.usable(m, now):
+        if m.reserved_for is not None or not self.inventory.usable(m, now):
             return
         # what the last pass found no room for here finds none now unless something has changed on this machine
         m.news = False
         done = False
-        refused: dict[tuple[int, bool], Amounts] = {}
+        refused: dict[tuple[int, bool], Resources] = {}
         for job in self.queue:
             if job.size[0] > m.free[0] or not job.live or job.spec.one_zone or job.spec.spread:
                 continue
@@ -109,12 +109,12 @@
             if index is None:
                 return started
             job.started_at = now
-            place = self.dispatch.start(job, index, m, self.dispatch.next_attempt(), now)
-            place.first = job.fresh > fresh
+            allocation = self.dispatch.start(job, index, m, self.dispatch.next_attempt(), now)
+            allocation.first = job.fresh > fresh
         return count
 
     def allowed(self, job: Job, m: Machine) -> bool:
-        kinds = self.ledger.types[job.type].machine_types
+        kinds = self.registry.types[job.type].machine_types
         return (
             (job.spec.spot or not m.spot)
             and (kinds is None or m.kind in kinds)
@@ -125,15 +125,15 @@
 
     def _zone_counts(self, job: Job) -> dict[int, int]:
         counts: dict[int, int] = {}
-        for place in job.places.values():
-            m = self.fleet.at(place.machine)
+        for allocation in job.allocations.values():
+            m = self.inventory.at(allocation.machine)
             if m is not None:
                 counts[m.zone] = counts.get(m.zone, 0) + 1
         return counts
 
     def _slots_for(self, job: Job, m: Machine, blocked_types: set[int], now: float) -> int:
         """How many of the job's tasks the machine takes now, by the paper's rules and our two additions."""
-        room = how_many(job.size, m.free)
+        room = tasks_that_fit(job.size, m.free)
         if room <= 0:
             return 0
         if m.reserved_for == job.spec.id:
@@ -142,27 +142,27 @@
 
     def _aged(self, job: Job, now: float) -> bool:
         """Whether it has waited for a period, so that it may have room on machines of the reject group."""
-        return now - job.wait_since >= self.knobs.period_s
+        return now - job.wait_since >= self.policy_values.period_s
 
     @staticmethod
     def _most(m: Machine) -> int:
         """Whatever the template: as many as a report can name, and one on probation, as a full load would be lost."""
-        return (1 if m.errors else MOST_PLACES) - len(m.places)
+        return (1 if m.errors else MOST_PLACES) - len(m.allocations)
 
     def _allowance(self, kind: int, rank: int, aged: bool, m: Machine, blocked_types: set[int]) -> int:
         """How many more tasks of a type a machine's template and group let in, whatever their size."""
         most = self._most(m)
-        if not m.accept:
+        if not m.in_accept_group:
             return most if aged or m.rank == 0 else 0
-        own = (m.config[kind] if kind < len(m.config) else 0) - m.slots_used(kind)
+        own = (m.template[kind] if kind < len(m.template) else 0) - m.slots_used(kind)
         if own > 0:
             return min(most, own)
-        if not self.knobs.lend_spare:
+        if not self.policy_values.lend_spare:
             return 0
         # spare slots of other types may be borrowed while nobody of theirs waits, if their own type may
         # take them back by preemption
-        for k, n in enumerate(m.config):
-            if n > 0 and k != kind and (k in blocked_types or self.ledger.types[k].rank >= rank):
+        for k, n in enumerate(m.template):
+            if n > 0 and k != kind and (k in blocked_types or self.registry.types[k].rank >= rank):
                 return 0
         return most
 
@@ -191,12 +191,12 @@
                 if has_reserved and m.reserved_for == job.spec.id:
                     n = self._slots_for(job, m, self.blocked, now)
                 else:
-                    edits, n = known.get(m.index, NOT_SEEN)
-                    if edits != m.edits:
+                    change_count, n = known.get(m.index, NOT_SEEN)
+                    if change_count != m.change_count:
                         n = self._allowance(job.type, job.rank, aged, m, self.blocked)
-                        known[m.index] = m.edits, n
+                        known[m.index] = m.change_count, n
                     if n > 0:
-                        n = min(n, how_many(job.size, m.free))
+                        n = min(n, tasks_that_fit(job.size, m.free))
                 if n > 0:
                     slots = True
                     if self.allowed(job, m) and self.images.worth_fetching(job, m, now):
@@ -244,20 +244,20 @@
 
     def _want(self, job: Job) -> int:
         """Tasks that may start now, counting what may be anywhere."""
-        team = self.ledger.teams[job.team]
+        team = self.registry.teams[job.team]
         if not job.live or not team.left_to(job.spec.id):
             return 0
         return min(job.startable(), team.headroom(job.size))
 
     def _still(self, job: Job, m: Machine, now: float) -> int:
         """How many tasks a machine takes that was found good in an earlier turn."""
-        if not self.fleet.usable(m, now) or not self.allowed(job, m):
+        if not self.inventory.usable(m, now) or not self.allowed(job, m):
             return 0
         return self._slots_for(job, m, self.blocked, now) if self.images.worth_fetching(job, m, now) else 0
 
     def preference(self, job: Job, m: Machine) -> tuple[object, ...]:
-        own = m.accept and job.type < len(m.config) and m.config[job.type] > m.slots_used(job.type)
-        late = int(self.images.fetch_s(job, m) / self.fleet.report_s)
+        own = m.in_accept_group and job.type < len(m.template) and m.template[job.type] > m.slots_used(job.type)
+        late = int(self.images.fetch_s(job, m) / self.inventory.report_s)
         return (
             m.index in job.avoid,  # elsewhere it shows whose fault it is
             late,
@@ -272,7 +272,7 @@
 
     def _make_room(self, job: Job, ready: list[Machine], tasks: int, now: float) -> Steps:
         """Room for single tasks, where the protocol lets this job displace others."""
-        if self.clearing.patient(job, self.knobs.reclaim_after_s, now):
+        if self.clearing.patient(job, self.policy_values.reclaim_after_s, now):
             return
         lowest = job.rank == len(PRIORITIES) - 1
         if lowest and not (job.guaranteed and self.clearing.borrowers - {job.team}):
@@ -298,13 +298,13 @@
             if not want or not job.live:
                 return
             m = ranked.pop()
-            found = self._evicted(job, m, now) if self.fleet.usable(m, now) else None
+            found = self._evicted(job, m, now) if self.inventory.usable(m, now) else None
             if found is not None:
                 want -= 1
                 m.reserved_for, m.reserved_until = job.spec.id, now + 8.0
                 self.clearing.displace(found[0], job, now)
 
-    def _evicted(self, job: Job, m: Machine, now: float) -> tuple[list[Place], float] | None:
+    def _evicted(self, job: Job, m: Machine, now: float) -> tuple[list[Allocation], float] | None:
         """What would be stopped there for one task, and what that costs."""
         # where a task would fit, it is the template that does not let it in: there is nothing to be stopped for it
         if m.reserved_for is not None or m.leaving or fits(job.size, m.free) or not self.allowed(job, m):
--- a/src/grebestand/decisions/knobs.py
+++ b/src/grebestand/scheduling/policy_values.py
@@ -5,14 +5,14 @@
 import math
 from dataclasses import dataclass
 
-from ..books.fleet import Fleet
-from ..books.ledger import Ledger
+from ..cluster_state.job_registry import JobRegistry
+from ..cluster_state.machine_inventory import MachineInventory
 from ..settings.expressions import Expressions
 from ..settings.platform import Params
 
 
 @dataclass
-class Knobs:
+class PolicyValues:
     """The policy's values of the moment."""
 
     g: float
@@ -25,24 +25,24 @@
     begin_after_s: float
 
 
-class Dials:
+class PolicyEvaluator:
     """Evaluates the policy under what the books say now."""
 
-    def __init__(self, policy: Expressions, params: Params, ledger: Ledger, fleet: Fleet) -> None:
+    def __init__(self, policy: Expressions, params: Params, registry: JobRegistry, inventory: MachineInventory) -> None:
         self.policy = policy
         self.params = params
-        self.ledger = ledger
-        self.fleet = fleet
+        self.registry = registry
+        self.inventory = inventory
 
     def value(self, key: str) -> float:
         return self.policy.value(key, self.names())
 
     def names(self) -> dict[str, float]:
-        p, machines = self.params, self.fleet.machines
+        p, machines = self.params, self.inventory.machines
         return {
             "machines": max(1.0, float(len(machines))),
-            "busy": float(sum(1 for m in machines if m.places)),
-            "types": max(1.0, float(len(self.ledger.types))),
+            "busy": float(sum(1 for m in machines if m.allocations)),
+            "types": max(1.0, float(len(self.registry.types))),
             "zones": float(len(p.zones)),
             "teams": float(len(p.teams)),
             "controllers": float(p.nodes),
@@ -57,10 +57,10 @@
             ),
         }
 
-    def knobs(self) -> Knobs:
+    def policy_values(self) -> PolicyValues:
         names = self.names()
         v = self.policy.value
-        return Knobs(
+        return PolicyValues(
             g=math.ceil(v("g", names)),
             payoffs=(
                 v("payoff_production", names),
--- a/src/grebestand/decisions/clearing.py
+++ b/src/grebestand/scheduling/preemption.py
@@ -6,20 +6,20 @@
 import operator
 from typing import NamedTuple
 
-from ..books.amounts import fits, plus, times
-from ..books.jobs import Job, Place
-from ..books.machine import Machine
-from ..states import PlaceState
-from .aims import Aims
-from .view import Decision, View
+from ..cluster_state.jobs import Allocation, Job
+from ..cluster_state.machine import Machine
+from ..cluster_state.resources import add, fits, multiply
+from ..state_machines import AllocationState
+from .job_ordering import JobOrdering
+from .scheduling_context import SchedulingComponent, SchedulingContext
 
-log = logging.getLogger("grebestand.clearing")
+log = logging.getLogger(__name__)
 
 #: what is known of a machine that was not looked at
-NOT_RANKED: tuple[int, list[tuple[float, Place]]] = (-1, [])
+NOT_RANKED: tuple[int, list[tuple[float, Allocation]]] = (-1, [])
 
 
-class Stake(NamedTuple):
+class PreemptionCost(NamedTuple):
     """What is the same for all places of a job when one of them is to be stopped."""
 
     #: of a second of its work, in CPU seconds, gangs counted whole
@@ -29,27 +29,27 @@
     dear: bool
 
 
-class Clearing(Decision):
-    def __init__(self, view: View, aims: Aims) -> None:
+class Preemption(SchedulingComponent):
+    def __init__(self, view: SchedulingContext, aims: JobOrdering) -> None:
         super().__init__(view)
         self.aims = aims
         #: teams over their guarantee when the pass began: only they can be asked to give room back
         self.borrowers: set[int] = set()
         #: by machine: its count of edits, and what it holds, the cheapest to stop first
-        self._ranked: dict[int, tuple[int, list[tuple[float, Place]]]] = {}
+        self._ranked: dict[int, tuple[int, list[tuple[float, Allocation]]]] = {}
         #: by job, what is the same for all its places
-        self._stakes: dict[Job, Stake] = {}
+        self._stakes: dict[Job, PreemptionCost] = {}
 
     def begin(self) -> None:
         """A full pass begins."""
-        self.borrowers = {t for t, team in enumerate(self.ledger.teams) if team.borrows()}
+        self.borrowers = {t for t, team in enumerate(self.registry.teams) if team.borrows()}
 
     def forget(self) -> None:
         """Time has passed, so that what stopping costs has to be looked up again."""
         self._ranked = {}
         self._stakes = {}
 
-    def _may_displace(self, job: Job, victim: Place, reclaims: bool) -> bool:
+    def _may_displace(self, job: Job, victim: Allocation, reclaims: bool) -> bool:
         """Only the protocol's cases: higher priority, or a guarantee against another team's borrowing."""
         other = victim.job
         if other is job or not other.live or victim.stop is not None:
@@ -59,33 +59,37 @@
             # a guarantee never displaces higher priority: that work would displace it again in turn, and two
             # jobs that take turns in stopping each other get nowhere
             return mine < theirs
-        return reclaims and not other.guaranteed and other.team != job.team and self.ledger.teams[other.team].borrows()
+        return (
+            reclaims and not other.guaranteed and other.team != job.team and self.registry.teams[other.team].borrows()
+        )
 
-    def may_stop(self, job: Job, victim: Place, now: float) -> bool:
+    def may_stop(self, job: Job, victim: Allocation, now: float) -> bool:
         """Whether that is still so for a victim found earlier."""
-        return victim.state is not PlaceState.GONE and self._may_displace(job, victim, self.reclaims_for(job, now) >= 0)
+        return victim.state is not AllocationState.GONE and self._may_displace(
+            job, victim, self.reclaims_for(job, now) >= 0
+        )
 
     def reclaims_for(self, job: Job, now: float) -> int:
         """The team for which the job may take back a guarantee from others, or -1."""
         others = job.guaranteed and bool(self.borrowers - {job.team})
-        return job.team if others and now - job.wait_since >= self.knobs.reclaim_after_s else -1
+        return job.team if others and now - job.wait_since >= self.policy_values.reclaim_after_s else -1
 
-    def _victims(self, m: Machine, now: float) -> list[tuple[float, Place]]:
+    def _victims(self, m: Machine, now: float) -> list[tuple[float, Allocation]]:
         """All that a machine holds, the cheapest to stop first, whoever asks.
 
         Sorted once for everybody: once for each team that took its guarantee back, with the same places and the same
         prices each time, was most of what a pass cost in a crowded fleet. Looked up again when the machine changes,
         and with each new targets since prices grow with time.
         """
-        edits, found = self._ranked.get(m.index, NOT_RANKED)
-        if edits != m.edits:
+        change_count, found = self._ranked.get(m.index, NOT_RANKED)
+        if change_count != m.change_count:
             found = sorted(
-                ((self._loss(p, now), p) for p in m.places.values() if p.stop is None), key=operator.itemgetter(0)
+                ((self._loss(p, now), p) for p in m.allocations.values() if p.stop is None), key=operator.itemgetter(0)
             )
-            self._ranked[m.index] = m.edits, found
+            self._ranked[m.index] = m.change_count, found
         return found
 
-    def _stake(self, job: Job, now: float) -> Stake:
+    def _stake(self, job: Job, now: float) -> PreemptionCost:
         known = self._stakes.get(job)
         if known is None:
             spec = job.spec
@@ -94,10 +98,10 @@
             price = (1.0 + job.displaced) * tasks * max(job.size[0], 1) / 1e6
             saves = spec.checkpoint_s > 0
             dear = job.guaranteed or (not saves and self.aims.tight(job, None, now))
-            known = self._stakes[job] = Stake(price, saves, dear)
+            known = self._stakes[job] = PreemptionCost(price, saves, dear)
         return known
 
-    def _loss(self, victim: Place, now: float) -> float:
+    def _loss(self, victim: Allocation, now: float) -> float:
         """Machine time that stopping this task throws away, gangs counted whole."""
         job = victim.job
         stake = self._stake(job, now)
@@ -126,28 +130,28 @@
             )
         return cpus < job.size[0]
 
-    def eviction(self, job: Job, m: Machine, tasks: int, now: float) -> tuple[list[Place], float] | None:
+    def eviction(self, job: Job, m: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
         """The cheapest victims on one machine that free room for so many tasks, or None if none can."""
-        need = times(job.size, tasks)
+        need = multiply(job.size, tasks)
         room = m.free
         if m.leaving:
-            for place in m.places.values():
-                if place.stop is not None:
-                    room = plus(room, place.job.size)
-        victims: list[Place] = []
+            for allocation in m.allocations.values():
+                if allocation.stop is not None:
+                    room = add(room, allocation.job.size)
+        victims: list[Allocation] = []
         cost = 0.0
         reclaims = self.reclaims_for(job, now) >= 0
-        for loss, place in self._victims(m, now):
+        for loss, allocation in self._victims(m, now):
             if fits(need, room):
                 break
             # what has gone or was stopped since the list was made is not asked again
-            if place.state is not PlaceState.GONE and self._may_displace(job, place, reclaims):
-                victims.append(place)
+            if allocation.state is not AllocationState.GONE and self._may_displace(job, allocation, reclaims):
+                victims.append(allocation)
                 cost += loss
-                room = plus(room, place.job.size)
+                room = add(room, allocation.job.size)
         return (victims, cost) if fits(need, room) else None
 
-    def displace(self, victims: list[Place], job: Job, now: float) -> None:
+    def displace(self, victims: list[Allocation], job: Job, now: float) -> None:
         if victims:
             names = ", ".join(f"{v.job.spec.id}/{v.index}" for v in victims)
             log.info("stopped to make room for %s: %s", job.spec.id, names)
--- a/src/grebestand/decisions/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -4,36 +4,36 @@
 
 import math
 
-from ..books.machine import Machine
+from ..cluster_state.machine import Machine
 from ..settings.platform import Objective
-from .aims import Aims
-from .clearing import Clearing
-from .explain import Explanation
-from .gangs import Gangs
-from .health import Health
-from .images import Images
+from .gang_scheduling import GangScheduling
+from .image_locality import ImageLocality
+from .job_ordering import JobOrdering
+from .machine_health import MachineHealth
 from .migration import Migration
-from .placing import Placing
-from .renting import Renting
-from .targets import Targets
-from .view import Steps, View
+from .pending_reasons import PendingReasons
+from .placement import Placement
+from .preemption import Preemption
+from .scale_out import ScaleOut
+from .scheduling_context import SchedulingContext, Steps
+from .template_targets import TemplateTargets
 
 
 class Scheduler:
-    def __init__(self, view: View, objectives: list[Objective], gang_wait_s: float) -> None:
+    def __init__(self, view: SchedulingContext, objectives: list[Objective], gang_wait_s: float) -> None:
         self.view = view
-        self.ledger = view.ledger
-        self.fleet = view.fleet
+        self.registry = view.registry
+        self.inventory = view.inventory
         self.retargeted_at = -math.inf
-        self.aims = Aims(objectives, view.run_times)
-        self.images = Images(view)
-        self.clearing = Clearing(view, self.aims)
-        self.placing = Placing(view, self.images, self.clearing)
-        self.gangs = Gangs(view, self.images, self.clearing, self.placing, gang_wait_s)
-        self.renting = Renting(view)
-        self.targets = Targets(view, self.renting)
+        self.aims = JobOrdering(objectives, view.run_times)
+        self.images = ImageLocality(view)
+        self.clearing = Preemption(view, self.aims)
+        self.placing = Placement(view, self.images, self.clearing)
+        self.gangs = GangScheduling(view, self.images, self.clearing, self.placing, gang_wait_s)
+        self.renting = ScaleOut(view)
+        self.targets = TemplateTargets(view, self.renting)
         self.migration = Migration(view, self.images)
-        self.explanation = Explanation(view)
+        self.explanation = PendingReasons(view)
 
     def retarget(self, now: float, spare: bool = True) -> None:
         """Targets and templates in one go."""
@@ -43,14 +43,14 @@
     def retargeting(self, now: float, spare: bool = True) -> Steps:
         """Targets and templates, and with time to spare migration, cut into steps."""
         self.retargeted_at = now
-        self.view.knobs = self.view.knobs_of()
+        self.view.policy_values = self.view.knobs_of()
         yield from self.targets.set(now)
         self.placing.forget()
         self.gangs.forget()
         self.clearing.forget()
         yield from self.images.measure()
         yield
-        if spare and self.view.knobs.migrate:
+        if spare and self.view.policy_values.migrate:
             self.migration.migrate(now)
             yield
         self.explanation.tell(now)
@@ -66,28 +66,28 @@
 
     def passing(self, now: float) -> Steps:
         """A full pass, cut into steps: every job that waits, over every machine."""
-        for failed in [j for j in self.ledger.jobs.values() if j.avoid]:
-            Health.look_again(failed, now)
-        waiting = [j for j in self.ledger.waiting_jobs() if now >= j.hold_until and j.startable() > 0]
+        for failed in [j for j in self.registry.jobs.values() if j.avoid]:
+            MachineHealth.look_again(failed, now)
+        waiting = [j for j in self.registry.waiting_jobs() if now >= j.hold_until and j.startable() > 0]
         if not waiting:
             self.placing.end([])
             return
-        self.ledger.rate_guarantees()
-        waiting.sort(key=lambda j: self.aims.urgency(j, now, self.view.knobs.begin_after_s))
+        self.registry.rate_guarantees()
+        waiting.sort(key=lambda j: self.aims.urgency(j, now, self.view.policy_values.begin_after_s))
         for part in (self.clearing, self.placing, self.gangs):
             part.begin()
-        for team in self.ledger.teams:
+        for team in self.registry.teams:
             team.kept_for = ""
         reserved: set[str] = set()
-        for m in self.fleet.machines:
+        for m in self.inventory.machines:
             if m.reserved_for is not None:
-                if m.reserved_for in self.fleet.kept and now < m.reserved_until:
+                if m.reserved_for in self.inventory.kept and now < m.reserved_until:
                     continue
                 reserved.add(m.reserved_for)
-                job = self.ledger.jobs.get(m.reserved_for)
+                job = self.registry.jobs.get(m.reserved_for)
                 if now >= m.reserved_until or job is None or not job.live or job.waiting() == 0:
                     m.reserved_for = None
-        ready = [m for m in self.fleet.machines if self.fleet.usable(m, now)]
+        ready = [m for m in self.inventory.machines if self.inventory.usable(m, now)]
         turn = self.view.turn
         # most machines have no room for any of the single tasks; what a report brings meanwhile it fills itself
         least = min((j.size[0] for j in waiting if not j.gang), default=0)
@@ -96,7 +96,7 @@
             yield
             if self.view.turn != turn:
                 turn = self.view.turn
-                ready = [m for m in ready if self.fleet.usable(m, now)]
+                ready = [m for m in ready if self.inventory.usable(m, now)]
                 roomy = [m for m in ready if m.free[0] >= least]
             if not job.live or now < job.hold_until or job.startable() <= 0:
                 continue
--- a/src/grebestand/decisions/view.py
+++ b/src/grebestand/scheduling/scheduling_context.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable, Iterator
 from typing import TypeVar
 
-from ..books.dispatch import Dispatch
-from ..books.fleet import Fleet
-from ..books.learned import RunTimes
-from ..books.ledger import Ledger
+from ..cluster_state.dispatch import Dispatch
+from ..cluster_state.job_registry import JobRegistry
+from ..cluster_state.machine_inventory import MachineInventory
+from ..cluster_state.run_time_estimates import RunTimeEstimates
 from ..features.hooks import Features
-from .knobs import Knobs
+from .policy_values import PolicyValues
 
 #: a computation that may be left and gone on with between two steps
 Steps = Iterator[None]
@@ -30,46 +30,46 @@
 V = TypeVar("V")
 
 
-class View:
+class SchedulingContext:
     def __init__(
         self,
-        ledger: Ledger,
-        fleet: Fleet,
+        registry: JobRegistry,
+        inventory: MachineInventory,
         dispatch: Dispatch,
-        run_times: RunTimes,
-        knobs: Callable[[], Knobs],
+        run_times: RunTimeEstimates,
+        policy_values: Callable[[], PolicyValues],
         features: Features,
     ) -> None:
-        self.ledger = ledger
-        self.fleet = fleet
+        self.registry = registry
+        self.inventory = inventory
         self.dispatch = dispatch
         self.run_times = run_times
         self.features = features
-        self.knobs_of = knobs
+        self.knobs_of = policy_values
         #: goes up whenever a computation goes on after others have run
         self.turn = 0
         #: as of the last targets
-        self.knobs = knobs()
+        self.policy_values = policy_values()
 
 
-class Decision:
+class SchedulingComponent:
     """Base of the classes that decide: each looks at the same view."""
 
-    def __init__(self, view: View) -> None:
+    def __init__(self, view: SchedulingContext) -> None:
         self.view = view
-        self.ledger = view.ledger
-        self.fleet = view.fleet
+        self.registry = view.registry
+        self.inventory = view.inventory
         self.dispatch = view.dispatch
 
     @property
-    def knobs(self) -> Knobs:
-        return self.view.knobs
+    def policy_values(self) -> PolicyValues:
+        return self.view.policy_values
 
     def _remembered(self, tables: dict[K, dict[int, V]], key: K) -> dict[int, V]:
         """The table under a key, made if there is none; of too many, the oldest is let go."""
         found = tables.get(key)
         if found is None:
-            if len(tables) >= max(FEWEST_TABLES, MOST_ENTRIES // max(1, len(self.fleet.machines))):
+            if len(tables) >= max(FEWEST_TABLES, MOST_ENTRIES // max(1, len(self.inventory.machines))):
                 del tables[next(iter(tables))]
             found = tables[key] = {}
         return found
--- a/src/grebestand/decisions/speed.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -13,12 +13,12 @@
 import math
 import statistics
 
-from ..books.fleet import Fleet
-from ..books.jobs import Job, Place
-from ..books.machine import Machine
-from .health import Health
+from ..cluster_state.jobs import Allocation, Job
+from ..cluster_state.machine import Machine
+from ..cluster_state.machine_inventory import MachineInventory
+from .machine_health import MachineHealth
 
-log = logging.getLogger("grebestand.speed")
+log = logging.getLogger(__name__)
 
 #: tasks of one job on other machines that a task is held against, and on how many machines they have to have run
 LEAST_OTHERS, LEAST_MACHINES = 6, 3
@@ -30,7 +30,7 @@
 DRAINED_SHARE = 20
 
 
-class Timing:
+class RunTimeSamples:
     """Mean and spread of one machine's samples (Welford's method)."""
 
     __slots__ = ("count", "jobs", "mean", "squares")
@@ -56,26 +56,26 @@
         return self.mean - 2 * error > bound
 
 
-class Speeds:
-    def __init__(self, fleet: Fleet, health: Health, slow_ratio: float, samples: int) -> None:
-        self.fleet = fleet
+class StragglerDetector:
+    def __init__(self, inventory: MachineInventory, health: MachineHealth, slow_ratio: float, samples: int) -> None:
+        self.inventory = inventory
         self.health = health
         self.slow_ratio = slow_ratio
         self.samples = samples
-        self._timings: dict[int, Timing] = {}
+        self._timings: dict[int, RunTimeSamples] = {}
 
-    def finished(self, m: Machine, place: Place, now: float) -> None:
+    def finished(self, m: Machine, allocation: Allocation, now: float) -> None:
         """A task has completed on a machine."""
-        job = place.job
-        if job.gang or not place.first or place.run_at is None or now <= place.run_at:
+        job = allocation.job
+        if job.gang or not allocation.first or allocation.run_at is None or now <= allocation.run_at:
             return
-        seconds = now - place.run_at
+        seconds = now - allocation.run_at
         others = [s for machine, s in job.runs if machine != m.index]
         elsewhere = {machine for machine, _ in job.runs if machine != m.index}
         self._remember(job, m, seconds)
         if len(others) < LEAST_OTHERS or len(elsewhere) < LEAST_MACHINES:
             return
-        timing = self._timings.setdefault(m.index, Timing())
+        timing = self._timings.setdefault(m.index, RunTimeSamples())
         timing.add(math.log(seconds / statistics.median(others)), job.spec.id)
         if timing.count >= HINT_SAMPLES:
             m.slowness = max(1.0, math.exp(timing.mean))
@@ -88,11 +88,11 @@
             job.runs.pop(0)
         job.runs.append((m.index, seconds))
 
-    def _drain(self, m: Machine, timing: Timing, now: float) -> None:
+    def _drain(self, m: Machine, timing: RunTimeSamples, now: float) -> None:
         if m.drain is not None:
             return
-        draining = sum(1 for x in self.fleet.machines if x.drain == "slow")
-        if draining >= max(1, len(self.fleet.machines) // DRAINED_SHARE):
+        draining = sum(1 for x in self.inventory.machines if x.drain == "slow")
+        if draining >= max(1, len(self.inventory.machines) // DRAINED_SHARE):
             return  # it is placed last until others are gone
         log.warning(
             "machine %s takes %.1f times as long as others for the same (%d tasks): it is drained and returned",
@@ -103,5 +103,5 @@
 
     def forget(self) -> None:
         """Lets go of machines that are gone."""
-        for index in [i for i in self._timings if self.fleet.at(i) is None]:
+        for index in [i for i in self._timings if self.inventory.at(i) is None]:
             del self._timings[index]
