--- a/src/grebestand/decisions/targets.py
+++ b/src/grebestand/scheduling/template_targets.py
@@ -2,73 +2,73 @@
 
 from __future__ import annotations
 
-from ..books.amounts import Amounts, share
-from ..books.machine import Machine
-from ..books.slots import Config, Slot
-from .greedy import Pool, Seat, Wanted, cra_steps, gpa
-from .renting import Renting
-from .view import MACHINES_A_STEP, Decision, Steps, View
+from ..cluster_state.machine import Machine
+from ..cluster_state.resources import Resources, dominant_share
+from ..cluster_state.slots import Slot, SlotTemplate
+from .greedy import Pool, ServerDemand, TemplateAssignment, cra_steps, gpa
+from .scale_out import ScaleOut
+from .scheduling_context import MACHINES_A_STEP, SchedulingComponent, SchedulingContext, Steps
 
 TYPE_MEMORY_S = 60.0
 
 
-class Targets(Decision):
-    def __init__(self, view: View, renting: Renting) -> None:
+class TemplateTargets(SchedulingComponent):
+    def __init__(self, view: SchedulingContext, renting: ScaleOut) -> None:
         super().__init__(view)
         self.renting = renting
 
     def _targets(self, now: float) -> tuple[list[int], list[Slot], list[float], list[float]]:
         """Active types, their slots, targets (running + waiting + g) and the bare need without g."""
         counts: dict[int, float] = {}
-        for job in self.ledger.jobs.values():
+        for job in self.registry.jobs.values():
             if not job.live:
                 continue
-            self.ledger.types[job.type].seen_at = now
-            team = self.ledger.teams[job.team]
+            self.registry.types[job.type].seen_at = now
+            team = self.registry.teams[job.team]
             # what a team's limit keeps from running is no reason to reserve room
             waiting = min(job.wanted(), team.headroom(job.size))
-            counts[job.type] = counts.get(job.type, 0) + len(job.places) + waiting
-        kinds = [i for i, t in enumerate(self.ledger.types) if i in counts or now - t.seen_at < TYPE_MEMORY_S]
-        kinds.sort(key=lambda i: (self.ledger.types[i].rank, i))
+            counts[job.type] = counts.get(job.type, 0) + len(job.allocations) + waiting
+        kinds = [i for i, t in enumerate(self.registry.types) if i in counts or now - t.seen_at < TYPE_MEMORY_S]
+        kinds.sort(key=lambda i: (self.registry.types[i].rank, i))
         room = self._typical_room()
         slots = []
         for i in kinds:
-            t = self.ledger.types[i]
-            payoff = self.knobs.payoffs[t.rank]
-            slots.append(t.slot(payoff * max(share(t.size, room), 1e-6)))
+            t = self.registry.types[i]
+            payoff = self.policy_values.payoffs[t.rank]
+            slots.append(t.slot(payoff * max(dominant_share(t.size, room), 1e-6)))
         need = [counts.get(i, 0.0) for i in kinds]
-        return kinds, slots, [n + self.knobs.g for n in need], need
+        return kinds, slots, [n + self.policy_values.g for n in need], need
 
-    def _typical_room(self) -> Amounts:
-        rooms = [m.room for m in self.fleet.machines if m.room != (0, 0, 0)]
+    def _typical_room(self) -> Resources:
+        rooms = [m.capacity for m in self.inventory.machines if m.capacity != (0, 0, 0)]
         return max(rooms) if rooms else (1_000_000, 1_000_000, 1_000_000)
 
     def set(self, now: float) -> Steps:
         """Targets, greedy plan, ranks and groups; templates change only where nothing has to be stopped for it."""
         kinds, slots, targets, need = self._targets(now)
-        members = [m for m in self.fleet.machines if self.fleet.counts(m)]
+        members = [m for m in self.inventory.machines if self.inventory.counts(m)]
         zoned = any(s.zone is not None for s in slots)
         pools: list[Pool] = []
         pool_index: dict[Pool, int] = {}
         sizes: list[int] = []
-        seats: list[Seat] = []
-        width = len(self.ledger.types)
+        seats: list[TemplateAssignment] = []
+        width = len(self.registry.types)
         turn = self.view.turn
         for looked, m in enumerate(members, 1):
             if not looked % MACHINES_A_STEP:
                 yield
-            pool = Pool(m.kind, m.zone if zoned else -1, m.spot, m.room)
+            pool = Pool(m.kind, m.zone if zoned else -1, m.spot, m.capacity)
             p = pool_index.setdefault(pool, len(pools))
             if p == len(pools):
                 pools.append(pool)
                 sizes.append(0)
             sizes[p] += 1
-            if not m.config:
+            if not m.template:
                 # the paper's initialisation: an unconfigured machine's template is what it holds
-                m.config = self._holdings(m, width)
-            config = tuple(m.config[k] if k < len(m.config) else 0 for k in kinds)
+                m.template = self._holdings(m, width)
+            config = tuple(m.template[k] if k < len(m.template) else 0 for k in kinds)
             empty, holds = self._held(m, kinds, width)
-            seats.append(Seat(p, config, empty, holds, tag=m.index))
+            seats.append(TemplateAssignment(p, config, empty, holds, tag=m.index))
         seats.sort(key=lambda s: (s.empty, s.tag))
         yield
         plan = self._plan(slots, need, targets, pools, sizes)
@@ -77,10 +77,10 @@
         for looked, seat in enumerate(seats, 1):
             if not looked % MACHINES_A_STEP:
                 yield
-            found = self.fleet.at(seat.tag)
+            found = self.inventory.at(seat.tag)
             if found is None:
                 continue  # it went while the plan was made
-            found.rank, found.accept = seat.rank, seat.accept
+            found.rank, found.in_accept_group = seat.rank, seat.accept
             if not seat.changed:
                 continue
             if self.view.turn != turn:
@@ -91,15 +91,15 @@
             wide = [0] * width
             for j, k in enumerate(kinds):
                 wide[k] = seat.config[j]
-            found.config = tuple(wide)
+            found.template = tuple(wide)
         yield
         self.renting.measure(slots, need, targets, pools, sizes, zoned)
 
-    def _held(self, m: Machine, kinds: list[int], width: int) -> tuple[bool, Config]:
+    def _held(self, m: Machine, kinds: list[int], width: int) -> tuple[bool, SlotTemplate]:
         """Whether a machine is empty, and what it holds if that is all of these types and nobody's reservation."""
         if m.reserved_for is not None:
             return False, ()
-        if not m.places:
+        if not m.allocations:
             return True, ()
         every = self._holdings(m, width)
         held = tuple(every[k] for k in kinds)
@@ -108,7 +108,7 @@
     @staticmethod
     def _plan(
         slots: list[Slot], need: list[float], targets: list[float], pools: list[Pool], sizes: list[int]
-    ) -> list[Wanted]:
+    ) -> list[ServerDemand]:
         """The greedy plan for what runs and waits, then spare slots from the machines that are left.
 
         The paper adds g to every type before it shares out machines. With g in the first round a type that
@@ -130,7 +130,7 @@
                 plan.append(w)
         return plan
 
-    def _holdings(self, m: Machine, width: int) -> Config:
+    def _holdings(self, m: Machine, width: int) -> SlotTemplate:
         wide = [0] * width
         for kind, count in m.slots.items():
             wide[kind] = count
--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -12,13 +12,13 @@
     """One line that names the field at fault."""
 
 
-class Known(msgspec.Struct, rename={"name": "host_name", "zone": "area"}):
+class PeerAddress(msgspec.Struct, rename={"name": "host_name", "zone": "area"}):
     name: str
     zone: str
     address: str
 
 
-class Outside(msgspec.Struct):
+class ServiceAddresses(msgspec.Struct):
     cloud: str
     state: str
 
@@ -82,9 +82,9 @@
     zone: str
     listen: str
     peer_listen: str
-    outside: Outside
+    outside: ServiceAddresses
     params: Params
-    peers: list[Known] = []
+    peers: list[PeerAddress] = []
 
 
 def parse_address(text: str, field: str) -> tuple[str, int]:
--- a/src/grebestand/standin/asked.py
+++ b/src/grebestand/simulation/client_history.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class News:
+class ClientObservation:
     """What follows from one answer."""
 
     #: rules that it breaks
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Asked:
+class ClientHistory:
     """A job by what its user submitted, and was told."""
 
     ref: str
@@ -59,9 +59,11 @@
     def over(self) -> bool:
         return self.done_at is not None or self.cancelled_at is not None
 
-    def told(self, status: int, body: bytes, asked: float, now: float, calm_at: float, undone: list[str]) -> News:
+    def told(
+        self, status: int, body: bytes, asked: float, now: float, calm_at: float, undone: list[str]
+    ) -> ClientObservation:
         """An answer has come to a question that was sent at `asked`; `undone` are tasks that have not completed."""
-        news = News()
+        news = ClientObservation()
         known, over = self.accepted_at, self.done_at if self.done_at is not None else self.cancelled_at
         if status in (400, 422) and known is not None:
             news.wrong.append(f"accepted and then answered {status}")
@@ -97,7 +99,7 @@
         return news
 
     @staticmethod
-    def _older(news: News, asked: float, newer_at: float | None, text: str) -> None:
+    def _older(news: ClientObservation, asked: float, newer_at: float | None, text: str) -> None:
         """An answer older than one that came at `newer_at`: wrong if it was asked for after that."""
         if newer_at is not None:
             (news.wrong if asked >= newer_at else news.overlaps).append(text)
--- a/src/grebestand/standin/cluster.py
+++ b/src/grebestand/simulation/cluster.py
@@ -1,7 +1,7 @@
 """Several real controllers, their workers, users, cloud and state service on simulated time, over a matrix of links.
 
 Every link has two ends and a way: open, refused, held, one direction lost, or slow. Controllers run their own loops and
-doors unchanged (`process.controller`); state service, cloud and workers are the models beside this file. What workers
+APIs unchanged; state service, cloud and workers are the models beside this file. What workers
 and users saw is kept, so that rules are checked from their side. Seeded, and the same in every run.
 
 Its parts over one basis: `links`, `troubles`, `host`, `state_access`, `simulated_controllers`, `users`, `odd_requests`,
@@ -12,26 +12,26 @@
 
 import gevent
 
-from .aftermath import Aftermath
-from .basis import Basis
-from .checks import Checks
-from .cloud import CloudModel
-from .links import CLOUD, STATE, Links, Way
-from .machines import Machines
-from .odd_requests import OddRequests
-from .seats import Seat
+from ..emulators.cloud import CloudEmulator
+from ..emulators.kv_store import KeyValueStoreEmulator
+from .cluster_base import ClusterBase
+from .invalid_requests import InvalidRequests
+from .invariant_checks import InvariantChecks
+from .machines import SimulatedMachines
+from .network_links import CLOUD, STATE, LinkMode, NetworkLinks
+from .quiescence_checks import QuiescenceChecks
 from .simulated_controllers import SimulatedControllers
-from .store import StoreModel
-from .users import Users
-from .virtual import VirtualLoop
+from .simulated_users import SimulatedUsers
+from .simulated_worker import SimulatedWorker
+from .virtual_time import VirtualLoop
 
-__all__ = ["CLOUD", "RULES", "STATE", "Links", "SimulatedCluster", "Way"]
+__all__ = ["CLOUD", "RULES", "STATE", "LinkMode", "NetworkLinks", "SimulatedCluster"]
 
 #: the machines stay as they are: none is rented, and none returned for being idle
 RULES = "rent = false\nidle_return_s = 1e6\n"
 
 
-class SimulatedCluster(Basis):
+class SimulatedCluster(ClusterBase):
     """A cluster: its parts over one basis. Use it inside `simulated()`; `gevent.sleep` lets it run."""
 
     def __init__(
@@ -45,16 +45,16 @@
         write_rps: float = 10_000.0,
     ) -> None:
         super().__init__(loop, seed, controllers, rules, (rps, write_rps))
-        self.state = StoreModel(lambda: loop.time)
-        self.state.rps, self.state.write_rps = rps, write_rps
-        self.cloud = CloudModel()
-        self.machines: dict[str, Seat] = {}
-        self.checks = Checks(self, self.machines)
-        self.processes = SimulatedControllers(self, self.state, self.cloud, self.machines)
-        self.users = Users(self, self.checks, self.processes)
-        self.odd = OddRequests(self, self.checks, self.processes)
-        self.fleet = Machines(self, self.machines, self.cloud, self.checks, self.users, self.processes)
-        self.aftermath = Aftermath(self, self.checks)
+        self.store = KeyValueStoreEmulator(lambda: loop.time)
+        self.store.rps, self.store.write_rps = rps, write_rps
+        self.cloud = CloudEmulator()
+        self.machines: dict[str, SimulatedWorker] = {}
+        self.checks = InvariantChecks(self, self.machines)
+        self.processes = SimulatedControllers(self, self.store, self.cloud, self.machines)
+        self.users = SimulatedUsers(self, self.checks, self.processes)
+        self.odd = InvalidRequests(self, self.checks, self.processes)
+        self.inventory = SimulatedMachines(self, self.machines, self.cloud, self.checks, self.users, self.processes)
+        self.aftermath = QuiescenceChecks(self, self.checks)
         # what tests do to a cluster, and look at, is done and kept by its parts
         self.nodes, self.hosts = self.processes.nodes, self.processes.hosts
         self.leaders, self.both = self.processes.leaders, self.processes.both
@@ -66,10 +66,10 @@
         self.starts, self.after_cancel, self.wrong = self.checks.starts, self.checks.after_cancel, self.checks.wrong
         self._tasks, self._use_of_teams = self.checks.tasks, self.checks.use_of_teams
         self.longest_pause, self.longest_unanswered = self.checks.longest_pause, self.aftermath.longest_unanswered
-        self._limits, self._removed = self.limits, self.fleet.removed
+        self._limits, self._removed = self.limits, self.inventory.removed
         for name in self.controllers:
             self.start(name)
-        self.fleet.begin(machines)
+        self.inventory.begin(machines)
         gevent.spawn(self.processes.watch)
 
     @property
@@ -81,7 +81,7 @@
         """Users call off so many jobs that run, within a fifth of a second; some of their machines hang that long."""
         refs = self.users.cancel_now(count)
         if hang_s:
-            self.fleet.hang(refs, hang_s)
+            self.inventory.hang(refs, hang_s)
         return refs
 
     def settled(self, most_s: float) -> list[str]:
--- a/src/grebestand/standin/basis.py
+++ b/src/grebestand/simulation/cluster_base.py
@@ -7,11 +7,11 @@
 
 from ..settings import policy
 from ..settings.platform import Settings, parse
-from .asked import Asked
-from .links import Links
-from .memory import SETTINGS
-from .troubles import Troubles
-from .virtual import VirtualLoop
+from .client_history import ClientHistory
+from .fault_injection import FaultInjection
+from .network_links import NetworkLinks
+from .single_controller_cluster import SETTINGS
+from .virtual_time import VirtualLoop
 
 #: what a machine has
 ROOM = 16.0
@@ -32,7 +32,7 @@
     return parse(text.replace("[outside]", known + "[outside]"))
 
 
-class Basis(Troubles):
+class ClusterBase(FaultInjection):
     def __init__(self, loop: VirtualLoop, seed: int, controllers: int, rules: str, rates: tuple[float, float]) -> None:
         super().__init__()
         self.loop = loop
@@ -40,7 +40,7 @@
         self.rng = random.Random(f"world {seed}")
         #: draws troubles, so that a world without any plays as it would without them
         self.luck = random.Random(f"luck {seed}")
-        self.links = Links()
+        self.links = NetworkLinks()
         self.controllers = [f"node-{i}" for i in range(controllers)]
         self.policy = policy.parse(rules, "cluster.toml", policy.default())
         self.settings = {name: settings_of(i, self.controllers, rates) for i, name in enumerate(self.controllers)}
@@ -49,7 +49,7 @@
         self.cancel_s = params.workers.cancel_s
         #: how long tasks run
         self.task_s = (3.0, 12.0)
-        self.jobs: dict[str, Asked] = {}
+        self.jobs: dict[str, ClientHistory] = {}
         #: since when all troubles are over
         self.calm_at = math.inf
 
--- a/src/grebestand/standin/troubles.py
+++ b/src/grebestand/simulation/fault_injection.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(eq=False)
-class Troubles:
+class FaultInjection:
     """None at first."""
 
     #: which part of all reports is copied, to arrive late
--- a/src/grebestand/standin/odd_requests.py
+++ b/src/grebestand/simulation/invalid_requests.py
@@ -6,13 +6,13 @@
 
 import gevent
 
-from .basis import Basis
-from .checks import Checks
+from .cluster_base import ClusterBase
+from .invariant_checks import InvariantChecks
 from .simulated_controllers import SimulatedControllers
 
 
-class OddRequests:
-    def __init__(self, basis: Basis, checks: Checks, processes: SimulatedControllers) -> None:
+class InvalidRequests:
+    def __init__(self, basis: ClusterBase, checks: InvariantChecks, processes: SimulatedControllers) -> None:
         self.basis = basis
         self.checks = checks
         self.processes = processes
--- a/src/grebestand/standin/checks.py
+++ b/src/grebestand/simulation/invariant_checks.py
@@ -6,10 +6,10 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from .basis import Basis
+from .cluster_base import ClusterBase
 
 
-class Watched(Protocol):
+class ObservedWorker(Protocol):
     """What is seen of a machine."""
 
     name: str
@@ -19,8 +19,8 @@
     def running(self) -> list[str]: ...
 
 
-class Checks:
-    def __init__(self, basis: Basis, machines: Mapping[str, Watched]) -> None:
+class InvariantChecks:
+    def __init__(self, basis: ClusterBase, machines: Mapping[str, ObservedWorker]) -> None:
         self.basis = basis
         self.machines = machines
         #: tasks on machines, and which each is on
@@ -58,7 +58,7 @@
         if job.cancelled_at is not None:
             self.after_cancel.append((now - job.cancelled_at, task))
 
-    def saw(self, seat: Watched) -> None:
+    def saw(self, seat: ObservedWorker) -> None:
         """After every change on a machine: no task is on two of them, and no team above its limit."""
         now = set(seat.running())
         before = self._on.get(seat.name, set())
@@ -101,7 +101,7 @@
         peak, self._peak = self._peak, self.use_of_teams()
         return peak
 
-    def _placed(self, task: str, seat: Watched) -> None:
+    def _placed(self, task: str, seat: ObservedWorker) -> None:
         """A task has begun: whether its zone is right, given the others of its job at that moment."""
         ref = task.rpartition("/")[0]
         job = self.basis.jobs[ref]
--- a/src/grebestand/standin/machines.py
+++ b/src/grebestand/simulation/machines.py
@@ -6,27 +6,27 @@
 
 import gevent
 
+from ..emulators.cloud import CloudEmulator
 from ..wire.cloud import MachineType
-from .basis import ROOM, Basis
-from .checks import Checks
-from .cloud import CloudModel
-from .links import later
-from .seats import Seat
+from .cluster_base import ROOM, ClusterBase
+from .invariant_checks import InvariantChecks
+from .network_links import later
 from .simulated_controllers import SimulatedControllers
-from .users import Users
+from .simulated_users import SimulatedUsers
+from .simulated_worker import SimulatedWorker
 
 #: of jobs whose machines are to hang, so many machines do
 MOST_HANGING = 8
 
 
-class Machines:
+class SimulatedMachines:
     def __init__(
         self,
-        basis: Basis,
-        machines: dict[str, Seat],
-        cloud: CloudModel,
-        checks: Checks,
-        users: Users,
+        basis: ClusterBase,
+        machines: dict[str, SimulatedWorker],
+        cloud: CloudEmulator,
+        checks: InvariantChecks,
+        users: SimulatedUsers,
         processes: SimulatedControllers,
     ) -> None:
         self.basis = basis
@@ -50,8 +50,8 @@
             )  # fmt: skip
             gevent.spawn_later(self.basis.rng.random() * 2, seat.run)
 
-    def _seat(self, name: str, zone: str, node: int) -> Seat:
-        seat = self.machines[name] = Seat(
+    def _seat(self, name: str, zone: str, node: int) -> SimulatedWorker:
+        seat = self.machines[name] = SimulatedWorker(
             name, zone=zone, addr=f"{name}:1", node=node,
             basis=self.basis, checks=self.checks, users=self.users, processes=self.processes,
         )  # fmt: skip
--- a/src/grebestand/standin/links.py
+++ b/src/grebestand/simulation/network_links.py
@@ -9,8 +9,8 @@
 
 import gevent
 
-from ..outside.http import Unreachable
-from .virtual import own
+from ..clients.http import UnreachableError
+from .virtual_time import own
 
 STATE, CLOUD = "state", "cloud"
 #: a message takes so long, in seconds, at the least and at the most
@@ -32,7 +32,7 @@
     gevent.spawn(go)
 
 
-class Way(Enum):
+class LinkMode(Enum):
     """What becomes of messages between two hosts."""
 
     OPEN = auto()
@@ -46,38 +46,38 @@
     SLOW = auto()
 
 
-class Links:
+class NetworkLinks:
     """The matrix. A pair that is not in it is open."""
 
     def __init__(self) -> None:
-        self.ways: dict[tuple[str, str], Way] = {}
+        self.ways: dict[tuple[str, str], LinkMode] = {}
         #: deliveries of what was held, by pair
         self.held: dict[tuple[str, str], list[Callable[[], object]]] = {}
 
-    def set(self, a: str, b: str, way: Way) -> None:
+    def set(self, a: str, b: str, way: LinkMode) -> None:
         """Both directions between two hosts."""
         for pair in ((a, b), (b, a)):
             self.ways[pair] = way
-            if way is not Way.HELD:
+            if way is not LinkMode.HELD:
                 for deliver in self.held.pop(pair, ()):
                     gevent.spawn(deliver)
 
     def heal(self) -> None:
         for a, b in list(self.ways):
-            self.set(a, b, Way.OPEN)
+            self.set(a, b, LinkMode.OPEN)
 
-    def way(self, a: str, b: str) -> Way:
-        return self.ways.get((a, b), Way.OPEN)
+    def way(self, a: str, b: str) -> LinkMode:
+        return self.ways.get((a, b), LinkMode.OPEN)
 
 
 Handler = Callable[[str, str, bytes], tuple[int, bytes]]
 
 
 @dataclass
-class Wire:
+class SimulatedTransport:
     """A way from one host to another: what a client knows as its transport."""
 
-    links: Links
+    links: NetworkLinks
     rng: random.Random
     near: str
     far: str
@@ -87,26 +87,26 @@
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         with gevent.Timeout(timeout, False):
             return self._request(method, path, body)
-        raise Unreachable("timeout")
+        raise UnreachableError("timeout")
 
     def _request(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         self._travel()
         way, handler = self.links.way(self.near, self.far), self.handler()
-        if way is Way.REFUSED and self.far == STATE:
+        if way is LinkMode.REFUSED and self.far == STATE:
             return 503, b"{}"
-        if way is Way.REFUSED or handler is None:
-            raise Unreachable("refused")
-        if way is Way.HELD:
+        if way is LinkMode.REFUSED or handler is None:
+            raise UnreachableError("refused")
+        if way is LinkMode.HELD:
             deliver = handler
             self.links.held.setdefault((self.near, self.far), []).append(lambda: deliver(method, path, body))
-        if way in (Way.HELD, Way.ASKS_LOST):
+        if way in (LinkMode.HELD, LinkMode.ASKS_LOST):
             gevent.sleep(1e6)
         status, answer = handler(method, path, body)
-        if self.links.way(self.far, self.near) in (Way.HELD, Way.ANSWERS_LOST):
+        if self.links.way(self.far, self.near) in (LinkMode.HELD, LinkMode.ANSWERS_LOST):
             gevent.sleep(1e6)
         self._travel()
         return status, answer
 
     def _travel(self) -> None:
-        late = SLOW_S * self.rng.random() if self.links.way(self.near, self.far) is Way.SLOW else 0.0
+        late = SLOW_S * self.rng.random() if self.links.way(self.near, self.far) is LinkMode.SLOW else 0.0
         gevent.sleep(self.rng.uniform(*DELAY_S) + late)
--- a/src/grebestand/standin/aftermath.py
+++ b/src/grebestand/simulation/quiescence_checks.py
@@ -6,16 +6,16 @@
 
 import gevent
 
-from .basis import ROOM, Basis
-from .checks import Checks
+from .cluster_base import ROOM, ClusterBase
+from .invariant_checks import InvariantChecks
 
 #: a job about which no question is answered for so long, in seconds, counts as forgotten; one that waits for so long,
 #: troubles over, while it could begin, counts as left waiting
 FORGOTTEN_S, WAITED_S = 75.0, 90.0
 
 
-class Aftermath:
-    def __init__(self, basis: Basis, checks: Checks) -> None:
+class QuiescenceChecks:
+    def __init__(self, basis: ClusterBase, checks: InvariantChecks) -> None:
         self.basis = basis
         self.checks = checks
         #: since when, troubles over, a job has waited though it could begin
--- a/src/grebestand/standin/simulated_controllers.py
+++ b/src/grebestand/simulation/simulated_controllers.py
@@ -7,25 +7,27 @@
 
 import gevent
 
-from ..outside.http import Unreachable
-from ..process.controller import Controller
-from ..states import LeaderState
-from .basis import Basis
-from .cloud import CloudModel
-from .host import Commanded, Host
-from .links import CLOUD, STATE, Handler, later
-from .state_access import StateAccess
-from .store import StoreModel
-from .virtual import own
+from ..clients.http import UnreachableError
+from ..controller.controller import Controller
+from ..emulators.cloud import CloudEmulator
+from ..emulators.kv_store import KeyValueStoreEmulator
+from ..state_machines import LeaderState
+from .cluster_base import ClusterBase
+from .network_links import CLOUD, STATE, Handler, later
+from .simulated_runtime import Commanded, SimulatedRuntime
+from .store_access import StoreAccess
+from .virtual_time import own
 
 #: kept copies of reports come within so long of a new key, in seconds
 KEPT_S = 0.25
 
 
 class SimulatedControllers:
-    def __init__(self, basis: Basis, state: StoreModel, cloud: CloudModel, machines: Mapping[str, Commanded]) -> None:
+    def __init__(
+        self, basis: ClusterBase, state: KeyValueStoreEmulator, cloud: CloudEmulator, machines: Mapping[str, Commanded]
+    ) -> None:
         self.basis = basis
-        self.state = StateAccess(basis, state, self._deliver_kept)
+        self.store = StoreAccess(basis, state, self._deliver_kept)
         self.cloud = cloud
         self.machines = machines
         self.addresses = {"127.0.0.1:3": CLOUD, "127.0.0.1:4": STATE}
@@ -33,7 +35,7 @@
         #: how many processes there have been
         self.born = 0
         self.nodes: dict[str, Controller | None] = dict.fromkeys(basis.controllers)
-        self.hosts: dict[str, Host] = {}
+        self.hosts: dict[str, SimulatedRuntime] = {}
         #: who has led, since when and by which token; when two did
         self.leaders: list[tuple[float, str, int]] = []
         self.both: list[float] = []
@@ -44,12 +46,12 @@
         """A new process under this name."""
         self.born += 1
         drift = self.basis.rng.uniform(-0.0005, 0.0005)
-        host = Host(self.basis, name, self.born, drift, self.addresses, self.server, self.machines)
+        host = SimulatedRuntime(self.basis, name, self.born, drift, self.addresses, self.server, self.machines)
         self.hosts[name] = host
         # all that it spawns is its own, and stands still with it
         gevent.spawn(self._begin, name, host).join()
 
-    def _begin(self, name: str, host: Host) -> None:
+    def _begin(self, name: str, host: SimulatedRuntime) -> None:
         own(host)
         node = Controller(self.basis.settings[name], self.basis.policy, network=host)
         self.nodes[name] = node
@@ -72,40 +74,40 @@
 
     def server(self, near: str, far: str) -> Handler | None:
         if far == STATE:
-            return lambda m, p, b: self.state.request(near, m, p, b)
+            return lambda m, p, b: self.store.request(near, m, p, b)
         if far == CLOUD:
             return lambda m, p, b: self.cloud.request(m, p, b, 1.0)
         node, host = self.nodes[far], self.hosts[far]
         return None if node is None else lambda m, p, b: self._peer(node, host, p, b)
 
     @staticmethod
-    def _peer(node: Controller, host: Host, path: str, body: bytes) -> tuple[int, bytes]:
+    def _peer(node: Controller, host: SimulatedRuntime, path: str, body: bytes) -> tuple[int, bytes]:
         host.awake()
         answer = node.peers.answer(path, body)
         host.awake()
         if host.gone:
-            raise Unreachable("its process ended before it answered")
+            raise UnreachableError("its process ended before it answered")
         return (404, b"") if answer is None else (200, answer)
 
     def door(self, name: str) -> Handler | None:
         node, host = self.nodes[name], self.hosts[name]
 
-        def checkin(method: str, path: str, body: bytes) -> tuple[int, bytes]:
+        def handle_heartbeat(method: str, path: str, body: bytes) -> tuple[int, bytes]:
             assert node is not None
             host.awake()
-            answer = node.checkin(body)
+            answer = node.handle_heartbeat(body)
             host.awake()
             if host.gone:
-                raise Unreachable("its process ended before it answered")
+                raise UnreachableError("its process ended before it answered")
             return answer.status, answer.body
 
-        return checkin if node is not None else None
+        return handle_heartbeat if node is not None else None
 
     def deliver(self, name: str, body: bytes) -> None:
         """A copy of a report comes late; nobody waits for its answer."""
         door = self.door(name)
         if door is not None:
-            with contextlib.suppress(Unreachable):
+            with contextlib.suppress(UnreachableError):
                 door("POST", "/checkin", body)
 
     def _deliver_kept(self) -> None:
@@ -128,8 +130,8 @@
             for n, c in self.nodes.items()
             if not self.stands_still(n)
             and c is not None
-            and c.leadership.state is LeaderState.LEADING
-            and c.leadership.entitled()
+            and c.election.state is LeaderState.LEADING
+            and c.election.is_leader()
         ]
 
     def watch(self) -> None:
@@ -141,7 +143,7 @@
                 self.both.append(self.basis.loop.time)
             for name in now:
                 node = self.nodes[name]
-                if node is not None and node.leadership.token > last:
-                    last = node.leadership.token
+                if node is not None and node.election.token > last:
+                    last = node.election.token
                     self.leaders.append((self.basis.loop.time, name, last))
             gevent.sleep(0.1)
--- a/src/grebestand/standin/host.py
+++ b/src/grebestand/simulation/simulated_runtime.py
@@ -8,9 +8,9 @@
 
 import gevent
 
-from ..outside.http import Transport, Unreachable
-from .basis import Basis
-from .links import LATE_S, Handler, Wire, later
+from ..clients.http import Transport, UnreachableError
+from .cluster_base import ClusterBase
+from .network_links import LATE_S, Handler, SimulatedTransport, later
 
 
 class Commanded(Protocol):
@@ -22,12 +22,12 @@
     def answer(self, method: str, path: str, body: bytes) -> tuple[int, bytes]: ...
 
 
-class Host:
-    """A `Network` on simulated time, for one process of a controller."""
+class SimulatedRuntime:
+    """A `Runtime` on simulated time, for one process of a controller."""
 
     def __init__(
         self,
-        basis: Basis,
+        basis: ClusterBase,
         name: str,
         life: int,
         drift: float,
@@ -60,29 +60,31 @@
 
     def connect(self, address: str, field: str, connections: int, connect_s: float = 1.5) -> Transport:
         far = self.addresses[address]
-        return Wire(
+        return SimulatedTransport(
             self.basis.links, self.rng, self.name, far, lambda: None if self.gone else self.server(self.name, far)
         )
 
     def once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         machine = address.rpartition(":")[0]
         if machine not in self.machines:
-            raise Unreachable("no such machine")
+            raise UnreachableError("no such machine")
         seat = self.machines[machine]
         if self.name in seat.deaf_to:
             gevent.sleep(timeout)
-            raise Unreachable("timeout")
+            raise UnreachableError("timeout")
         if self.basis.luck.random() < self.basis.late_orders:
             # it is held up, and carried out if it is still valid then; or its answer is
             late = self.basis.luck.uniform(*LATE_S)
             if self.basis.luck.random() < 0.5:
                 later(late, seat.answer, method, path, body)
                 gevent.sleep(timeout)
-                raise Unreachable("timeout")
+                raise UnreachableError("timeout")
             status, answer = seat.answer(method, path, body)
             gevent.sleep(min(late, timeout))
             if late < timeout:
                 return status, answer
-            raise Unreachable("timeout")
-        wire = Wire(self.basis.links, self.rng, self.name, seat.zone, lambda: None if self.gone else seat.answer)
+            raise UnreachableError("timeout")
+        wire = SimulatedTransport(
+            self.basis.links, self.rng, self.name, seat.zone, lambda: None if self.gone else seat.answer
+        )
         return wire.request(method, path, body, timeout)
--- a/src/grebestand/standin/users.py
+++ b/src/grebestand/simulation/simulated_users.py
@@ -4,9 +4,9 @@
 
 import gevent
 
-from .asked import Asked
-from .basis import Basis
-from .checks import Checks
+from .client_history import ClientHistory
+from .cluster_base import ClusterBase
+from .invariant_checks import InvariantChecks
 from .simulated_controllers import SimulatedControllers
 
 #: close looks come within so long of what they look at, in seconds, and so many at each controller
@@ -15,8 +15,8 @@
 POLL_S, PATIENCE_S = 2.0, 5.0
 
 
-class Users:
-    def __init__(self, basis: Basis, checks: Checks, processes: SimulatedControllers) -> None:
+class SimulatedUsers:
+    def __init__(self, basis: ClusterBase, checks: InvariantChecks, processes: SimulatedControllers) -> None:
         self.basis = basis
         self.checks = checks
         self.processes = processes
@@ -37,7 +37,7 @@
             "dueS": None,
         }  # fmt: skip
         spec |= more
-        self.basis.jobs[ref] = Asked(ref, spec, self.basis.loop.time, broken=broken)
+        self.basis.jobs[ref] = ClientHistory(ref, spec, self.basis.loop.time, broken=broken)
         gevent.spawn(self._use, ref, name)
         return ref
 
--- a/src/grebestand/standin/seats.py
+++ b/src/grebestand/simulation/simulated_worker.py
@@ -7,26 +7,26 @@
 import gevent
 import msgspec
 
-from ..outside.http import Unreachable
-from ..wire.workers import DirectOrders, Elsewhere, Orders, Why
-from .basis import Basis
-from .checks import Checks
-from .links import Wire
+from ..clients.http import UnreachableError
+from ..emulators.worker import WorkerEmulator
+from ..wire.workers import DirectCommands, ExitReason, HeartbeatResponse, Redirect
+from .cluster_base import ClusterBase
+from .invariant_checks import InvariantChecks
+from .network_links import SimulatedTransport
 from .simulated_controllers import SimulatedControllers
-from .users import Users
-from .worker import WorkerModel
+from .simulated_users import SimulatedUsers
 
 #: so many reports are kept at the most
 MOST_KEPT = 60
 
 
 @dataclass(kw_only=True)
-class Seat(WorkerModel):
+class SimulatedWorker(WorkerEmulator):
     """One machine; what it does and what befalls it is told to the checks after every change."""
 
-    basis: Basis
-    checks: Checks
-    users: Users
+    basis: ClusterBase
+    checks: InvariantChecks
+    users: SimulatedUsers
     processes: SimulatedControllers
     #: the controller that it reports to, by its place among all
     node: int = 0
@@ -46,7 +46,7 @@
             gevent.sleep(1e6)
         if path == "/show":
             return 200, msgspec.json.encode(self.report())
-        status, report = self.direct(msgspec.json.decode(body, type=DirectOrders))
+        status, report = self.direct(msgspec.json.decode(body, type=DirectCommands))
         self.checks.saw(self)
         return status, msgspec.json.encode(report)
 
@@ -67,7 +67,7 @@
         for task in self.running():
             if now >= self.ends.get(task, now) and not self.hung:
                 broken = self.basis.jobs[task.rpartition("/")[0]].broken
-                self.finish(task, Why.ERROR if broken else Why.DONE)
+                self.finish(task, ExitReason.ERROR if broken else ExitReason.DONE)
                 if not broken:
                     self.checks.finished.add(task)
                     self.users.task_ended(task)
@@ -77,7 +77,7 @@
         """It is back at once with nothing on it; its session and its count go on, or begin anew with no token."""
         self.begun += 1
         if anew:
-            self.session, self.seq, self.token = 0, 0, 0
+            self.epoch, self.sequence, self.token = 0, 0, 0
         self.lapse()
         self.answered_at = self.basis.loop.time
         self.checks.saw(self)
@@ -92,10 +92,10 @@
         basis = self.basis
         if self.mute:
             gevent.sleep(1.0)
-            raise Unreachable("no connection")
-        wire = Wire(basis.links, basis.rng, self.zone, name, lambda: self.processes.door(name))
+            raise UnreachableError("no connection")
+        wire = SimulatedTransport(basis.links, basis.rng, self.zone, name, lambda: self.processes.door(name))
         sent = basis.loop.time
-        session, begun = self.session, self.begun
+        epoch, begun = self.epoch, self.begun
         body = msgspec.json.encode(self.report())
         if basis.rng.random() < basis.copies:
             # to whoever is there then, long after its worker has gone on, or is gone
@@ -106,10 +106,10 @@
         status, answer = wire.request("POST", "/checkin", body, 4.0)
         if name in self.deaf_to:
             gevent.sleep(4.0)
-            raise Unreachable("timeout")
-        same = session == self.session and begun == self.begun
+            raise UnreachableError("timeout")
+        same = epoch == self.epoch and begun == self.begun
         if status == 200 and same and not self.hung and not self.dead:
-            orders = msgspec.json.decode(answer, type=Orders)
+            orders = msgspec.json.decode(answer, type=HeartbeatResponse)
             if orders.token >= self.token:
                 self.answered_at = sent
                 self.checks.served_at[self.zone] = basis.loop.time
@@ -132,10 +132,10 @@
                 continue
             try:
                 status, answer = self.report_to(basis.controllers[self.node])
-            except Unreachable:
+            except UnreachableError:
                 status, answer = 0, b""
             others = [n for i, n in enumerate(basis.controllers) if i != self.node]
-            if status == 421 and (to := msgspec.json.decode(answer, type=Elsewhere).report_to) and to in others:
+            if status == 421 and (to := msgspec.json.decode(answer, type=Redirect).report_to) and to in others:
                 self.node = basis.controllers.index(to)
                 gevent.sleep(0.5 * basis.rng.random())
                 continue
--- /dev/null
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -0,0 +1,197 @@
+"""A whole cluster in one process on a clock that somebody turns: for stories in tests, and for simulations."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import msgspec
+
+from ..api.job_api import JobApi
+from ..api.peer_api import PeerApi
+from ..api.read_batching import BatchedReads
+from ..clients.cloud import CloudClient
+from ..clients.http import UnreachableError
+from ..clients.kv_store import KeyValueStoreClient
+from ..clients.peer import PeerClient
+from ..connectivity.link_health import LinkHealth
+from ..controller.leadership_transfer import LeadershipTransfer
+from ..emulators.cloud import CloudEmulator
+from ..emulators.kv_store import KeyValueStoreEmulator
+from ..emulators.worker import WorkerEmulator
+from ..features.hooks import Features
+from ..flow_control.overload import OverloadMonitor
+from ..flow_control.rate_limiter import RateLimiter
+from ..leader.election import LeaderElection
+from ..leader.fenced_writes import FencedWriter
+from ..leader.term import Term
+from ..settings import policy
+from ..settings.platform import Settings, parse
+from ..state_machines import LeaderState
+from ..storage.completed_jobs import CompletedJobs
+from ..wire.cloud import MachineType
+from ..wire.peers import PeerStatus
+from ..wire.workers import DirectCommands, HeartbeatResponse
+
+SETTINGS = """
+host_name = "node-0"
+area = "a"
+serve_on = "127.0.0.1:1"
+peer_listen = "127.0.0.1:2"
+[outside]
+cloud = "127.0.0.1:3"
+state = "127.0.0.1:4"
+[params]
+count = 1
+zones = ["a", "b"]
+[[params.teams]]
+name = "red"
+cpus = 8.0
+cpus_max = 16.0
+[[params.teams]]
+name = "blue"
+cpus = 8.0
+cpus_max = 64.0
+[params.workers]
+report_s = 3.0
+lease_s = 20.0
+gang_wait_s = 30.0
+gang_peer_s = 8.0
+cancel_s = 50.0
+[params.state]
+rps = 10000.0
+write_rps = 10000.0
+value_kb = 4.0
+txn_ops = 12
+[params.cloud]
+rps = 1000.0
+list_lag_s = 5.0
+"""
+
+
+class ManualClock:
+    def __init__(self) -> None:
+        self.now = 1000.0
+
+    def __call__(self) -> float:
+        return self.now
+
+
+TYPES = [MachineType("m4", 16.0, 0.0, 64.0, ["a", "b"], 50.0, 1.0, 1.0, 0.4, 30.0)]
+
+
+class InMemoryController:
+    """One controller's library parts, without servers or loops."""
+
+    def __init__(self, world: InMemoryCluster, name: str, features: Features | None = None) -> None:
+        self.world = world
+        self.name = name
+        p = world.settings.params
+        plenty = RateLimiter(1e9, 1e9, world.clock, lambda s, f: None)
+        self.store = KeyValueStoreClient(world.store, world.store, plenty, plenty)
+        self.cloud = CloudClient(world.cloud, plenty)
+        self.completed_jobs = CompletedJobs()
+        self.features = features if features is not None else Features()
+        self.users = JobApi(
+            self.store, p.teams, p.zones, int(p.state.value_kb * 1024) - 16, world.clock, world.clock,
+            lambda: TYPES, lambda ident: (0, 0), self.completed_jobs, self.features,
+            BatchedReads(self.store, p.state.txn_ops),
+        )  # fmt: skip
+        self.election = LeaderElection(name, self.store, world.clock, 12.0)
+        self.load = OverloadMonitor(p.quota, world.clock)
+        self.term: Term | None = None
+
+    def leadership_transfer(self, *peers: PeerClient) -> LeadershipTransfer:
+        """What decides whether this node gives way, with these other controllers."""
+        clock = self.world.clock
+        door = PeerApi(list(peers), clock, lambda: PeerStatus(self.name, 0, 0.0), lambda gone: None, self.features)
+        w = self.world.settings.params.workers
+        self.state_link, self.workers_link = LinkHealth("the state service", clock), LinkHealth("workers", clock)
+        return LeadershipTransfer(
+            self.name, w.report_s, self.election, door, self.load, clock, lambda: self.term,
+            self.state_link, self.workers_link,
+        )  # fmt: skip
+
+    def lead(self) -> Term:
+        p = self.world.settings.params
+        self.election.look()
+        assert self.election.state is LeaderState.LOADING, self.election.state
+        writer = FencedWriter(self.election, self.store, self.users.value_bytes, p.state.txn_ops)
+        self.term = Term(
+            self.world.settings, self.world.policy, writer, self.cloud, self.world.direct, self.world.clock,
+            self.world.clock, self.completed_jobs, lambda: TYPES, self.load, self.features,
+        )  # fmt: skip
+        self.term.load()
+        self.election.move(LeaderState.LEADING, "test")
+        return self.term
+
+
+class InMemoryCluster:
+    def __init__(self, settings: str = SETTINGS, rules: str = "rent = false\n") -> None:
+        self.clock = ManualClock()
+        self.settings: Settings = parse(settings)
+        self.policy = policy.parse(rules, "test.toml", policy.default())
+        self.store = KeyValueStoreEmulator(self.clock)
+        self.cloud = CloudEmulator()
+        self.workers: dict[str, WorkerEmulator] = {}
+        self._jobs = 0
+
+    def worker(self, name: str, **more: Any) -> WorkerEmulator:
+        w = self.workers[name] = WorkerEmulator(name, **more)
+        return w
+
+    def direct(self, addr: str, path: str, body: bytes) -> tuple[int, bytes]:
+        w = self.workers[addr.rpartition(":")[0]]
+        if not w.reachable:
+            raise UnreachableError("cut off")
+        status, report = w.direct(msgspec.json.decode(body, type=DirectCommands))
+        return status, msgspec.json.encode(report)
+
+    def job(self, **more: Any) -> bytes:
+        self._jobs += 1
+        spec = {
+            "ref": f"j-{self._jobs:06d}", "lane": "train", "crew": "blue", "shape": "array", "rank": "standard",
+            "shards": 1, "cpus": 1.0, "cards": 0.0, "ramGb": 1.0, "cargo": "img", "pullGb": 1.0, "hulls": None,
+            "quay": None, "samePlace": False, "scatter": False, "driftwood": True, "reckonS": 60.0, "markS": 0.0,
+            "stowS": 0.0, "dueS": None,
+        }  # fmt: skip
+        return json.dumps({**spec, **more}).encode()
+
+    def records(self, prefix: str) -> dict[str, Any]:
+        """All records that stand on the pages under a prefix."""
+        return {n: r for k, v in self.store.data.items() if k.startswith(prefix) for n, r in v[0].items()}
+
+    def accept(self, node: InMemoryController, **more: Any) -> str:
+        body = self.job(**more)
+        answer = node.users.submit(body)
+        assert answer.status == 201, answer
+        if node.term is not None:
+            node.term.job_watch.watch()
+        return str(json.loads(answer.body)["ref"])
+
+    def handle_heartbeat(self, term: Term, worker: WorkerEmulator, lose: bool = False) -> HeartbeatResponse | None:
+        orders = term.handle_heartbeat(worker.report())
+        if isinstance(orders, HeartbeatResponse) and not lose:
+            worker.obey(orders)
+        return orders if isinstance(orders, HeartbeatResponse) else None
+
+    def settle(self, term: Term, rounds: int = 4, step_s: float = 1.0) -> None:
+        """Some rounds of everybody reporting and the leader's steps."""
+        for _ in range(rounds):
+            self.clock.now += step_s
+            term.election.renew()
+            term.job_watch.watch()
+            term.machine_records.record()
+            for w in self.workers.values():
+                if w.reachable:
+                    self.handle_heartbeat(term, w)
+            for m in [term.inventory.at(i) for i in term.dispatch.urgent]:
+                if m is not None and self.workers[m.name].reachable:
+                    term.machine_reconciliation.order_stops(m)
+            term.dispatch.urgent = set()
+            for m in term.machine_reconciliation.to_query(self.clock.now):
+                term.machine_reconciliation.ask(m)
+            term.inventory.detect_silent_machines(self.clock.now)
+            term.machine_reconciliation.check(self.clock.now)
+            term.job_completion.close_jobs()
+            term.progress.save()
--- a/src/grebestand/standin/state_access.py
+++ b/src/grebestand/simulation/store_access.py
@@ -7,24 +7,24 @@
 
 import gevent
 
-from .basis import Basis
-from .links import LATE_S, STATE, Way, later
-from .store import StoreModel
+from ..emulators.kv_store import KeyValueStoreEmulator
+from .cluster_base import ClusterBase
+from .network_links import LATE_S, STATE, LinkMode, later
 
 
-class StateAccess:
-    def __init__(self, basis: Basis, state: StoreModel, new_leader: Callable[[], None]) -> None:
+class StoreAccess:
+    def __init__(self, basis: ClusterBase, state: KeyValueStoreEmulator, new_leader: Callable[[], None]) -> None:
         self.basis = basis
-        self.state = state
+        self.store = state
         #: called as soon as a controller has taken the leader key, while reports are kept for that moment
         self.new_leader = new_leader
 
     def request(self, near: str, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         if method != "GET" and self.basis.luck.random() < self.basis.late_writes:
             # nobody is answered, and it is carried out after what the same controller sends next
-            later(self.basis.luck.uniform(*LATE_S), self.state.request, method, path, body, 1.0)
+            later(self.basis.luck.uniform(*LATE_S), self.store.request, method, path, body, 1.0)
             gevent.sleep(1e6)
-        status, answer = self.state.request(method, path, body, 1.0)
+        status, answer = self.store.request(method, path, body, 1.0)
         if self.basis.kept_reports and status == 200 and path == "/commit" and b'"set":"leader"' in body:
             self.new_leader()
         if self.basis.lost_answers and method != "GET" and self.basis.luck.random() < self.basis.lost_answers:
@@ -40,9 +40,9 @@
         end = self.basis.loop.time + float(path.partition("&waitMs=")[2] or 0) / 1000
         while self.basis.loop.time < end and not json.loads(answer)["events"]:
             gevent.sleep(0.1)
-            if self.basis.links.way(near, STATE) is Way.REFUSED:
+            if self.basis.links.way(near, STATE) is LinkMode.REFUSED:
                 continue
-            status, news = self.state.request("GET", path, b"", 1.0)
+            status, news = self.store.request("GET", path, b"", 1.0)
             if status == 200:
                 answer = news
         return answer
--- a/src/grebestand/states.py
+++ b/src/grebestand/state_machines.py
@@ -8,16 +8,16 @@
 E = TypeVar("E", bound=Enum)
 
 
-class IllegalStep(RuntimeError):
+class IllegalTransitionError(RuntimeError):
     """The program tried a change of state that its own table does not allow."""
 
 
-def step(allowed: dict[E, frozenset[E]], old: E, new: E, what: str) -> None:
+def check_transition(allowed: dict[E, frozenset[E]], old: E, new: E, what: str) -> None:
     if new not in allowed[old]:
-        raise IllegalStep(f"{what}: {old.name} -> {new.name}")
+        raise IllegalTransitionError(f"{what}: {old.name} -> {new.name}")
 
 
-class PlaceState(Enum):
+class AllocationState(Enum):
     """One attempt of one task on one machine, as far as the leader can prove."""
 
     QUEUED = auto()  # decided, not yet sent: nobody else knows
@@ -29,17 +29,19 @@
     GONE = auto()  # exited, lapsed or proved never started
 
 
-_ON = frozenset({PlaceState.FETCHING, PlaceState.WAITING, PlaceState.RUNNING, PlaceState.SAVING})
+_ON_MACHINE = frozenset(
+    {AllocationState.FETCHING, AllocationState.WAITING, AllocationState.RUNNING, AllocationState.SAVING}
+)
 
 
-PLACE_STEPS: dict[PlaceState, frozenset[PlaceState]] = {
-    PlaceState.QUEUED: frozenset({PlaceState.SENT, PlaceState.GONE}) | _ON,
-    PlaceState.SENT: frozenset({PlaceState.SENT, PlaceState.GONE}) | _ON,
-    PlaceState.FETCHING: _ON | {PlaceState.GONE},
-    PlaceState.WAITING: _ON | {PlaceState.GONE},
-    PlaceState.RUNNING: _ON | {PlaceState.GONE},
-    PlaceState.SAVING: _ON | {PlaceState.GONE},
-    PlaceState.GONE: frozenset(),
+ALLOCATION_TRANSITIONS: dict[AllocationState, frozenset[AllocationState]] = {
+    AllocationState.QUEUED: frozenset({AllocationState.SENT, AllocationState.GONE}) | _ON_MACHINE,
+    AllocationState.SENT: frozenset({AllocationState.SENT, AllocationState.GONE}) | _ON_MACHINE,
+    AllocationState.FETCHING: _ON_MACHINE | {AllocationState.GONE},
+    AllocationState.WAITING: _ON_MACHINE | {AllocationState.GONE},
+    AllocationState.RUNNING: _ON_MACHINE | {AllocationState.GONE},
+    AllocationState.SAVING: _ON_MACHINE | {AllocationState.GONE},
+    AllocationState.GONE: frozenset(),
 }
 
 
@@ -51,7 +53,7 @@
     CANCELLED = auto()  # committed by whichever controller was asked
 
 
-JOB_STEPS: dict[JobState, frozenset[JobState]] = {
+JOB_TRANSITIONS: dict[JobState, frozenset[JobState]] = {
     JobState.WAITING: frozenset({JobState.ACTIVE, JobState.CLOSING, JobState.CANCELLED, JobState.DONE}),
     JobState.ACTIVE: frozenset({JobState.WAITING, JobState.CLOSING, JobState.CANCELLED, JobState.DONE}),
     JobState.CLOSING: frozenset({JobState.DONE, JobState.CANCELLED}),
@@ -62,19 +64,19 @@
 
 class MachineState(Enum):
     NEW = auto()  # reports, but has no durable record: gets no tasks
-    UNPROVED = auto()  # recorded; may hold tasks that this leader does not know of
+    UNRECONCILED = auto()  # recorded; may hold tasks that this leader does not know of
     READY = auto()
     SUSPECT = auto()  # silent for longer than a report should take
-    LAPSED = auto()  # silent for longer than its lease: whatever it held is gone
+    LEASE_EXPIRED = auto()  # silent for longer than its lease: whatever it held is gone
     GONE = auto()
 
 
-MACHINE_STEPS: dict[MachineState, frozenset[MachineState]] = {
-    MachineState.NEW: frozenset({MachineState.READY, MachineState.LAPSED, MachineState.GONE}),
-    MachineState.UNPROVED: frozenset({MachineState.READY, MachineState.LAPSED, MachineState.GONE}),
-    MachineState.READY: frozenset({MachineState.SUSPECT, MachineState.LAPSED, MachineState.GONE}),
-    MachineState.SUSPECT: frozenset({MachineState.READY, MachineState.LAPSED, MachineState.GONE}),
-    MachineState.LAPSED: frozenset({MachineState.READY, MachineState.NEW, MachineState.GONE}),
+MACHINE_TRANSITIONS: dict[MachineState, frozenset[MachineState]] = {
+    MachineState.NEW: frozenset({MachineState.READY, MachineState.LEASE_EXPIRED, MachineState.GONE}),
+    MachineState.UNRECONCILED: frozenset({MachineState.READY, MachineState.LEASE_EXPIRED, MachineState.GONE}),
+    MachineState.READY: frozenset({MachineState.SUSPECT, MachineState.LEASE_EXPIRED, MachineState.GONE}),
+    MachineState.SUSPECT: frozenset({MachineState.READY, MachineState.LEASE_EXPIRED, MachineState.GONE}),
+    MachineState.LEASE_EXPIRED: frozenset({MachineState.READY, MachineState.NEW, MachineState.GONE}),
     MachineState.GONE: frozenset(),
 }
 
@@ -82,15 +84,15 @@
 class Reception(Enum):
     """Whether what is sent to a machine arrives there, as far as the leader knows."""
 
-    HEARS = auto()
-    DOUBTED = auto()  # something that answers would have changed has not changed: it is to be asked directly
-    DEAF = auto()  # nor did it answer that: its lease is let run out, and it gets nothing until it answers
+    REACHABLE = auto()
+    SUSPECTED = auto()  # something that answers would have changed has not changed: it is to be asked directly
+    UNREACHABLE = auto()  # nor did it answer that: its lease is let run out, and it gets nothing until it answers
 
 
-RECEPTION_STEPS: dict[Reception, frozenset[Reception]] = {
-    Reception.HEARS: frozenset({Reception.DOUBTED}),
-    Reception.DOUBTED: frozenset({Reception.HEARS, Reception.DEAF}),
-    Reception.DEAF: frozenset({Reception.HEARS}),
+RECEPTION_TRANSITIONS: dict[Reception, frozenset[Reception]] = {
+    Reception.REACHABLE: frozenset({Reception.SUSPECTED}),
+    Reception.SUSPECTED: frozenset({Reception.REACHABLE, Reception.UNREACHABLE}),
+    Reception.UNREACHABLE: frozenset({Reception.REACHABLE}),
 }
 
 
@@ -102,7 +104,7 @@
     RESIGNED = auto()  # gave way on purpose; waits before it may try again
 
 
-LEADER_STEPS: dict[LeaderState, frozenset[LeaderState]] = {
+LEADER_TRANSITIONS: dict[LeaderState, frozenset[LeaderState]] = {
     LeaderState.FOLLOWING: frozenset({LeaderState.LOADING}),
     LeaderState.LOADING: frozenset(
         {LeaderState.LEADING, LeaderState.PAUSED, LeaderState.FOLLOWING, LeaderState.RESIGNED}
@@ -115,29 +117,29 @@
 }
 
 
-class SpreadState(Enum):
+class AssignmentMode(Enum):
     """Who answers workers' reports."""
 
     LEADER_ONLY = auto()  # the others send workers to the leader
     EVERY_CONTROLLER = auto()  # the others keep workers too, and pass their reports on
 
 
-SPREAD_STEPS: dict[SpreadState, frozenset[SpreadState]] = {
-    SpreadState.LEADER_ONLY: frozenset({SpreadState.EVERY_CONTROLLER}),
-    SpreadState.EVERY_CONTROLLER: frozenset({SpreadState.LEADER_ONLY}),
+ASSIGNMENT_MODE_TRANSITIONS: dict[AssignmentMode, frozenset[AssignmentMode]] = {
+    AssignmentMode.LEADER_ONLY: frozenset({AssignmentMode.EVERY_CONTROLLER}),
+    AssignmentMode.EVERY_CONTROLLER: frozenset({AssignmentMode.LEADER_ONLY}),
 }
 
 
-class PassageState(Enum):
+class ForwarderState(Enum):
     """Whether a controller passes reports on to the leader."""
 
     OPEN = auto()
     RESTING = auto()  # the leader has not answered for a while: workers are sent there themselves
 
 
-PASSAGE_STEPS: dict[PassageState, frozenset[PassageState]] = {
-    PassageState.OPEN: frozenset({PassageState.RESTING}),
-    PassageState.RESTING: frozenset({PassageState.OPEN}),
+FORWARDER_TRANSITIONS: dict[ForwarderState, frozenset[ForwarderState]] = {
+    ForwarderState.OPEN: frozenset({ForwarderState.RESTING}),
+    ForwarderState.RESTING: frozenset({ForwarderState.OPEN}),
 }
 
 
@@ -149,7 +151,7 @@
     OVERLOADED = 2  # users would notice: most polls are sent away as well
 
 
-LOAD_STEPS: dict[LoadState, frozenset[LoadState]] = {
+LOAD_TRANSITIONS: dict[LoadState, frozenset[LoadState]] = {
     LoadState.NORMAL: frozenset({LoadState.STRAINED, LoadState.OVERLOADED}),
     LoadState.STRAINED: frozenset({LoadState.NORMAL, LoadState.OVERLOADED}),
     LoadState.OVERLOADED: frozenset({LoadState.STRAINED}),
@@ -160,12 +162,12 @@
     """What a controller knows of one of its own links."""
 
     UP = auto()
-    DOUBTFUL = auto()  # nothing was heard for a while, or the first requests have failed
+    SUSPECT = auto()  # nothing was heard for a while, or the first requests have failed
     DOWN = auto()  # everything has failed for long enough to act on it
 
 
-LINK_STEPS: dict[LinkState, frozenset[LinkState]] = {
-    LinkState.UP: frozenset({LinkState.DOUBTFUL}),
-    LinkState.DOUBTFUL: frozenset({LinkState.UP, LinkState.DOWN}),
+LINK_TRANSITIONS: dict[LinkState, frozenset[LinkState]] = {
+    LinkState.UP: frozenset({LinkState.SUSPECT}),
+    LinkState.SUSPECT: frozenset({LinkState.UP, LinkState.DOWN}),
     LinkState.DOWN: frozenset({LinkState.UP}),
 }
--- a/src/grebestand/records/finals.py
+++ b/src/grebestand/storage/completed_jobs.py
@@ -4,19 +4,19 @@
 
 from collections import OrderedDict
 
-from .jobs import OverRecord
+from .job_records import CompletedJobRecord
 
-TERMINAL_KEPT = 5000
+MAX_COMPLETED_KEPT = 5000
 
 
-class Finals:
+class CompletedJobs:
     def __init__(self) -> None:
-        self._over: OrderedDict[str, OverRecord] = OrderedDict()
+        self._over: OrderedDict[str, CompletedJobRecord] = OrderedDict()
 
-    def get(self, ident: str) -> OverRecord | None:
+    def get(self, ident: str) -> CompletedJobRecord | None:
         return self._over.get(ident)
 
-    def remember(self, ident: str, record: OverRecord) -> None:
+    def remember(self, ident: str, record: CompletedJobRecord) -> None:
         self._over[ident] = record
-        if len(self._over) > TERMINAL_KEPT:
+        if len(self._over) > MAX_COMPLETED_KEPT:
             self._over.popitem(last=False)
--- a/src/grebestand/records/leader.py
+++ b/src/grebestand/storage/leader_records.py
@@ -24,7 +24,7 @@
         return GrantRecord(max(self.hi, other.hi), sorted({*self.machines, *other.machines}))
 
 
-class RentRecord(msgspec.Struct):
+class RentalRecord(msgspec.Struct):
     type: str
     zone: str
     spot: bool
--- a/src/grebestand/records/pages.py
+++ b/src/grebestand/storage/paged_records.py
@@ -15,9 +15,9 @@
 import msgspec
 from gevent.lock import BoundedSemaphore
 
-from ..limits.budget import Urgency
-from ..outside.state import StateError, at, put
-from ..wire.store import Change, Condition, Pair
+from ..clients.kv_store import StoreError, at, put
+from ..flow_control.rate_limiter import Urgency
+from ..wire.store import Change, Condition, KeyValue
 
 #: makes a transaction of these conditions and changes; answers the new version, or the keys that failed
 Commit = Callable[[list[Condition], list[Change], Urgency], tuple[int, list[str]]]
@@ -34,7 +34,7 @@
         self.used = 2
 
 
-class Pages:
+class PagedRecords:
     def __init__(
         self, prefix: str, value_bytes: int, txn_ops: int, commit: Commit, version_of: Callable[[str], int]
     ) -> None:
@@ -59,7 +59,7 @@
     def _size(name: str, body: bytes) -> int:
         return len(name) + len(body) + 4
 
-    def load(self, pairs: Iterable[Pair]) -> Iterator[tuple[str, Any]]:
+    def load(self, pairs: Iterable[KeyValue]) -> Iterator[tuple[str, Any]]:
         """Takes the pages as found; yields every record, a moved one perhaps twice."""
         for pair in pairs:
             number = int(pair.key[len(self.prefix) :])
@@ -150,7 +150,7 @@
                     self._settle(n, bodies[n])
                 return
             self._dirty.update(numbers)
-        raise StateError(f"pages {self.prefix} change too often", maybe=True)
+        raise StoreError(f"pages {self.prefix} change too often", maybe=True)
 
     def _settle(self, number: int, written: dict[str, msgspec.Raw]) -> None:
         """Older copies of what is durable here now may leave their pages."""
--- a/src/grebestand/wire/jobs.py
+++ b/src/grebestand/wire/jobs.py
@@ -32,7 +32,7 @@
 PRIORITIES = (Priority.PRODUCTION, Priority.HIGH, Priority.NORMAL, Priority.LOW)
 
 
-class JobView(StrEnum):
+class JobStatus(StrEnum):
     """What a user is told about a job."""
 
     PENDING = "pending"
@@ -88,31 +88,31 @@
     deadline_s: float | None = None
 
 
-class Malformed(ValueError):
+class MalformedError(ValueError):
     """The input is not what the protocol allows: status 400."""
 
 
 def check_spec(spec: JobSpec) -> None:
-    """Raises `Malformed` where a field has the right type but not an allowed value."""
+    """Raises `MalformedError` where a field has the right type but not an allowed value."""
     if not JOB_ID.match(spec.id):
-        raise Malformed("malformed job id")
+        raise MalformedError("malformed job id")
     for name in (spec.klass, spec.team, spec.image):
         if not name or len(name) > MAX_NAME:
-            raise Malformed("a name is empty or too long")
+            raise MalformedError("a name is empty or too long")
     if not 1 <= spec.tasks <= MAX_TASKS:
-        raise Malformed("number of tasks out of range")
+        raise MalformedError("number of tasks out of range")
     amounts = (spec.gpus, spec.memory_gb, spec.image_gb, spec.estimate_s, spec.checkpoint_s, spec.save_s)
     for amount in amounts:
         if not (math.isfinite(amount) and 0 <= amount <= MAX_AMOUNT):
-            raise Malformed("an amount is out of range")
+            raise MalformedError("an amount is out of range")
     if not (math.isfinite(spec.cpus) and 0 < spec.cpus <= MAX_AMOUNT):
-        raise Malformed("cpus out of range")
+        raise MalformedError("cpus out of range")
     if spec.deadline_s is not None and not (math.isfinite(spec.deadline_s) and 0 < spec.deadline_s <= MAX_AMOUNT):
-        raise Malformed("deadline out of range")
+        raise MalformedError("deadline out of range")
     if spec.types is not None and any(not t or len(t) > MAX_NAME for t in spec.types):
-        raise Malformed("a machine type is empty or too long")
+        raise MalformedError("a machine type is empty or too long")
     if spec.zone is not None and (not spec.zone or len(spec.zone) > MAX_NAME):
-        raise Malformed("the zone is empty or too long")
+        raise MalformedError("the zone is empty or too long")
 
 
 _spec_decoder = msgspec.json.Decoder(JobSpec)
@@ -122,19 +122,19 @@
 
 
 def peek_id(body: bytes) -> str:
-    """The well-formed job id of a submission whose other fields may be wrong, else `Malformed`.
+    """The well-formed job id of a submission whose other fields may be wrong, else `MalformedError`.
 
     A known job has to be recognised before its fields are checked: a repeat is never answered 400.
     """
     try:
         raw = _any_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as e:
-        raise Malformed("not JSON") from e
+        raise MalformedError("not JSON") from e
     if not isinstance(raw, dict):
-        raise Malformed("not an object")
+        raise MalformedError("not an object")
     ident = raw.get("ref")
     if not isinstance(ident, str) or not JOB_ID.match(ident):
-        raise Malformed("malformed job id")
+        raise MalformedError("malformed job id")
     return ident
 
 
@@ -142,14 +142,14 @@
     try:
         spec = _spec_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as e:
-        raise Malformed(str(e)) from e
+        raise MalformedError(str(e)) from e
     check_spec(spec)
     return spec
 
 
-class JobAnswer(msgspec.Struct, omit_defaults=True, rename={"id": "ref", "state": "tide"}):
+class JobStatusResponse(msgspec.Struct, omit_defaults=True, rename={"id": "ref", "state": "tide"}):
     id: str
-    state: JobView
+    state: JobStatus
     done: int | None = None
     running: int | None = None
 
@@ -161,5 +161,5 @@
 def split_task(name: str) -> tuple[str, int]:
     job, _, index = name.rpartition("/")
     if not job or not index.isdigit():
-        raise Malformed("malformed task name")
+        raise MalformedError("malformed task name")
     return job, int(index)
--- a/src/grebestand/wire/peers.py
+++ b/src/grebestand/wire/peers.py
@@ -14,7 +14,7 @@
 JobName = Annotated[str, msgspec.Meta(pattern=f"^{JOB_ID.pattern}")]
 
 
-class Hello(msgspec.Struct):
+class PeerStatus(msgspec.Struct):
     """Sent about once a second both ways."""
 
     name: str
@@ -41,7 +41,7 @@
     spread: int = 0
 
 
-class Resigned(msgspec.Struct):
+class ResignationNotice(msgspec.Struct):
     """The sender has stopped using this token for good: its key may be removed."""
 
     name: str
@@ -50,7 +50,7 @@
     heir: str = ""
 
 
-class Relayed(msgspec.Struct):
+class ProxiedRequest(msgspec.Struct):
     """A request to the state service that its sender cannot make itself: to be made once, or refused."""
 
     method: str
@@ -59,21 +59,21 @@
     timeout_ms: int
 
 
-class RelayedAnswer(msgspec.Struct):
+class ProxiedResponse(msgspec.Struct):
     """What the state service said; status 0: nothing, so that it may have been done or may still be."""
 
     status: int
     body: bytes
 
 
-class Batch(msgspec.Struct):
+class HeartbeatBatch(msgspec.Struct):
     """Workers' reports that a controller passes on to the leader, each as it came; one hop only."""
 
     sender: str
     reports: list[bytes]
 
 
-class Replies(msgspec.Struct):
+class HeartbeatBatchResponse(msgspec.Struct):
     """The leader's answers, in the order of the batch: status and body as its worker is to get them.
 
     Status 421: the receiver does not lead; 503: it may not answer this one now.
--- a/src/grebestand/wire/abroad.py
+++ b/src/grebestand/wire/remote_assignment.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Abroad(msgspec.Struct, frozen=True):
+class RemoteAssignment(msgspec.Struct, frozen=True):
     """The cluster that a gang was decided for, and the reservation there that the decision names."""
 
     cluster: str
--- a/src/grebestand/wire/store.py
+++ b/src/grebestand/wire/store.py
@@ -7,24 +7,24 @@
 import msgspec
 
 
-class Pair(msgspec.Struct, rename={"key": "k", "version": "stamp"}):
+class KeyValue(msgspec.Struct, rename={"key": "k", "version": "stamp"}):
     key: str
     value: Any
     version: int
 
 
-class PairList(msgspec.Struct, rename={"items": "pairs", "more": "truncated", "revision": "logline"}):
-    items: list[Pair]
+class KeyValuePage(msgspec.Struct, rename={"items": "pairs", "more": "truncated", "revision": "logline"}):
+    items: list[KeyValue]
     revision: int
     more: bool = False
 
 
-class Revision(msgspec.Struct, rename={"revision": "logline"}):
+class CommitResult(msgspec.Struct, rename={"revision": "logline"}):
     revision: int
     failed: list[str] = []
 
 
-class Hold(msgspec.Struct, rename={"hold": "tenure"}):
+class LeaseGrant(msgspec.Struct, rename={"hold": "tenure"}):
     hold: int
 
 
@@ -45,17 +45,17 @@
     changes: list[Change] = []
 
 
-class Event(msgspec.Struct, rename={"put": "set", "delete": "remove", "version": "stamp"}):
+class ChangeEvent(msgspec.Struct, rename={"put": "set", "delete": "remove", "version": "stamp"}):
     version: int
     put: str | None = None
     delete: str | None = None
     value: Any = None
 
 
-class Events(msgspec.Struct, rename={"revision": "logline"}):
+class ChangeEvents(msgspec.Struct, rename={"revision": "logline"}):
     revision: int
-    events: list[Event] = []
+    events: list[ChangeEvent] = []
 
 
-class NewHold(msgspec.Struct, rename={"ttl_ms": "lifeMs"}):
+class LeaseRequest(msgspec.Struct, rename={"ttl_ms": "lifeMs"}):
     ttl_ms: int
--- a/src/grebestand/wire/workers.py
+++ b/src/grebestand/wire/workers.py
@@ -12,7 +12,7 @@
 Natural = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class TaskReport(StrEnum):
+class TaskPhase(StrEnum):
     FETCHING = "fetching"
     WAITING = "gathering"
     RUNNING = "running"
@@ -20,7 +20,7 @@
     EXITED = "exited"
 
 
-class Why(StrEnum):
+class ExitReason(StrEnum):
     DONE = "done"
     STOPPED = "stopped"
     PEERS = "mates_gone"
@@ -38,20 +38,20 @@
 ):
     task: str
     attempt: Natural
-    state: TaskReport
-    why: Why | None = None
+    state: TaskPhase
+    why: ExitReason | None = None
     saved: bool | None = None
 
 
-class Report(
+class Heartbeat(
     msgspec.Struct,
     rename={
         "machine": "vessel",
         "type": "hull",
         "zone": "quay",
         "spot": "driftwood",
-        "session": "watch",
-        "seq": "tally",
+        "epoch": "watch",
+        "sequence": "tally",
         "token": "helm",
         "notice_s": "recallS",
         "tasks": "shards",
@@ -62,8 +62,8 @@
     type: str
     zone: str
     spot: bool
-    session: Positive
-    seq: Positive
+    epoch: Positive
+    sequence: Positive
     token: Natural = 0
     notice_s: float | None = None
     tasks: list[TaskStatus] = []
@@ -80,16 +80,16 @@
     grace_s: float | None = None
 
 
-class Orders(msgspec.Struct, rename={"token": "helm", "commands": "signals"}):
+class HeartbeatResponse(msgspec.Struct, rename={"token": "helm", "commands": "signals"}):
     token: int
     commands: list[Command]
 
 
-class DirectOrders(msgspec.Struct, rename={"token": "helm", "session": "watch", "commands": "signals"}):
+class DirectCommands(msgspec.Struct, rename={"token": "helm", "epoch": "watch", "commands": "signals"}):
     token: int
-    session: int
+    epoch: int
     commands: list[Command]
 
 
-class Elsewhere(msgspec.Struct, omit_defaults=True, rename={"report_to": "harborMaster"}):
+class Redirect(msgspec.Struct, omit_defaults=True, rename={"report_to": "harborMaster"}):
     report_to: str | None = None
--- a/tests/test_told.py
+++ b/tests/api/test_confirmed_results.py
@@ -13,25 +13,25 @@
 import gevent
 import pytest
 
-from grebestand.books.fleet import Fleet
-from grebestand.books.ledger import Ledger
-from grebestand.doors.answer import Answer
-from grebestand.doors.current import CurrentReads
-from grebestand.doors.users import UserDoor
-from grebestand.leading.grants import Grants
-from grebestand.leading.knowledge import STARTS_S, Knowledge
-from grebestand.leading.leadership import KEY
-from grebestand.leading.roster import Roster
-from grebestand.outside.state import StateClient
-from grebestand.process.controller import Controller
-from grebestand.records.jobs import OverRecord
-from grebestand.records.leader import GrantRecord
-from grebestand.standin.cluster import STATE, SimulatedCluster, Way
-from grebestand.standin.memory import Node, World
-from grebestand.standin.virtual import VirtualLoop, simulated
-from grebestand.states import MachineState
-from grebestand.wire.jobs import JobView
-from worlds import CHANGES, any_report_is_proof, back, change, heal
+from grebestand.api.job_api import JobApi
+from grebestand.api.read_batching import BatchedReads
+from grebestand.api.response import Response
+from grebestand.clients.kv_store import KeyValueStoreClient
+from grebestand.cluster_state.job_registry import JobRegistry
+from grebestand.cluster_state.machine_inventory import MachineInventory
+from grebestand.controller.controller import Controller
+from grebestand.leader.cancellation_horizon import STARTS_S, CancellationHorizon
+from grebestand.leader.durable_grants import DurableGrants
+from grebestand.leader.election import LEADER_KEY
+from grebestand.leader.machine_records import MachineRecords
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.state_machines import MachineState
+from grebestand.storage.job_records import CompletedJobRecord
+from grebestand.storage.leader_records import GrantRecord
+from grebestand.wire.jobs import JobStatus
+from support.cluster_actions import CHANGES, any_report_is_proof, back, change, heal
 
 
 @pytest.fixture
@@ -58,7 +58,7 @@
             gevent.spawn_later(3.0 * int(name[-1]), world.freeze, name, 1.5)
     elif trouble == "refused":
         for name in world.leading():
-            world.links.set(name, STATE, Way.REFUSED)
+            world.links.set(name, STATE, LinkMode.REFUSED)
     elif trouble == "lost answers":
         world.lost_answers = 0.4
     elif trouble != "none":
@@ -79,26 +79,26 @@
 
 def read_before_it_was_asked(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who asks while a comparison is under way is answered by that one."""
-    inner = CurrentReads._ask
+    inner = BatchedReads._ask
 
-    def late(self: CurrentReads, batch: Any) -> None:
+    def late(self: BatchedReads, batch: Any) -> None:
         inner(self, batch)
         self._open = batch
         gevent.sleep(0.02)
 
-    monkeypatch.setattr(CurrentReads, "_ask", late)
+    monkeypatch.setattr(BatchedReads, "_ask", late)
 
 
 def finals_of_their_own(monkeypatch: pytest.MonkeyPatch) -> None:
     """A repeated submission of what is over is answered without counts, as it once was."""
-    accept = UserDoor._accept
+    accept = JobApi._accept
 
-    def without_counts(self: UserDoor, ident: str, *more: Any) -> Answer:
+    def without_counts(self: JobApi, ident: str, *more: Any) -> Response:
         answer = accept(self, ident, *more)
         said = json.loads(answer.body)
-        return Answer(answer.status, json.dumps({**said, "done": 0}).encode())
+        return Response(answer.status, json.dumps({**said, "done": 0}).encode())
 
-    monkeypatch.setattr(UserDoor, "_accept", without_counts)
+    monkeypatch.setattr(JobApi, "_accept", without_counts)
 
 
 @pytest.mark.parametrize("break_it", [read_before_it_was_asked, finals_of_their_own])
@@ -159,7 +159,7 @@
             seat.deaf_to = frozenset(world.controllers)
     if away == "cut":
         for name in world.controllers:
-            world.links.set(name, "a", Way.HELD)
+            world.links.set(name, "a", LinkMode.HELD)
     world.cancel_now(12)
     gevent.sleep(1.5)
     change(world, how)
@@ -173,23 +173,23 @@
 
 def cancelled_room_is_free_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """The places of a job that was cancelled no longer count."""
-    drop = Ledger.drop_if_settled
+    drop = JobRegistry.drop_if_settled
 
-    def early(self: Ledger, job: Any) -> bool:
+    def early(self: JobRegistry, job: Any) -> bool:
         if job.state.name == "CANCELLED":
             use = self.teams[job.team].used
-            n = sum(1 for p in job.places.values() if not getattr(p, "warms", False))
+            n = sum(1 for p in job.allocations.values() if not getattr(p, "warms", False))
             if n and not getattr(self, "freed", set()) & {job.spec.id}:
                 self.__dict__.setdefault("freed", set()).add(job.spec.id)
                 use[0] -= n * job.size[0]
         return drop(self, job)
 
-    monkeypatch.setattr(Ledger, "drop_if_settled", early)
+    monkeypatch.setattr(JobRegistry, "drop_if_settled", early)
 
 
 def unknown_counts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Machines that are not proved count nothing."""
-    monkeypatch.setattr(Fleet, "_share_unknown", lambda self: None)
+    monkeypatch.setattr(MachineInventory, "_share_unknown", lambda self: None)
 
 
 @pytest.mark.parametrize("break_it", [cancelled_room_is_free_at_once, unknown_counts_nothing])
@@ -250,7 +250,7 @@
         gevent.sleep(4.0 + i)
         # the next leader does not hear one zone at first
         for name in world.controllers:
-            world.links.set(name, "ab"[i % 2], Way.HELD)
+            world.links.set(name, "ab"[i % 2], LinkMode.HELD)
         change(world, how)
         gevent.sleep(5)
         world.links.heal()
@@ -282,13 +282,13 @@
 ) -> None:
     """Broken on purpose: the next leader does not know of them, nor of what runs there."""
 
-    def unwritten(self: Roster) -> None:
-        for m in self.fleet.machines:
+    def unwritten(self: MachineRecords) -> None:
+        for m in self.inventory.machines:
             if m.state is MachineState.NEW and m.token == self.token:
                 m.recorded = True
-                self.fleet.move(m, MachineState.READY, self.clock())
+                self.inventory.move(m, MachineState.READY, self.clock())
 
-    monkeypatch.setattr(Roster, "record", unwritten)
+    monkeypatch.setattr(MachineRecords, "record", unwritten)
     with pytest.raises(AssertionError):
         test_new_machines_get_work_at_once_while_writes_lag(loop, "back at once", "slow")
 
@@ -353,13 +353,13 @@
     late = sorted(world.told_late.values())
     # a report comes up to 3.75 s after the end, a question up to 2 s after that; the rest is for the record
     assert late[len(late) // 2] < 3.0 and late[int(0.95 * len(late))] < 3.75 + 2.0 + 0.5
-    assert world.state.writes / len(world.jobs) < 4.2
+    assert world.store.writes / len(world.jobs) < 4.2
     assert all(world.jobs[r].done_at is not None for r in large)
 
 
 def test_repeats_that_cost_a_write_are_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose, as it was: the writes are short then."""
-    monkeypatch.setattr(CurrentReads, "knows", lambda self, ident: False)
+    monkeypatch.setattr(BatchedReads, "knows", lambda self, ident: False)
     monkeypatch.setattr(Controller, "_counts", lambda self, ident: (0, 0))
     with pytest.raises(AssertionError):
         test_one_task_jobs_four_a_second_for_two_minutes(loop)
@@ -370,17 +370,17 @@
 
 def test_a_cancellation_that_is_heard_of_before_its_job_is_not_forgotten() -> None:
     """Another controller accepts a job and cancels it; its greeting comes before the leader's watch tells of it."""
-    world = World()
+    world = InMemoryCluster()
     w = world.worker("n-000000")
-    term = Node(world, "node-0").lead()
+    term = InMemoryController(world, "node-0").lead()
     world.settle(term, 3)
-    ref = world.accept(Node(world, "node-9"), shards=2)
-    record = OverRecord(JobView.CANCELLED, 0)
-    term.finals.remember(ref, record)  # as `Controller._hear_cancelled` does, which finds no such job to stop
-    term.jobs.removed(ref, world.clock.now)
-    term.jobs.watch()
+    ref = world.accept(InMemoryController(world, "node-9"), shards=2)
+    record = CompletedJobRecord(JobStatus.CANCELLED, 0)
+    term.completed_jobs.remember(ref, record)  # as `Controller._hear_cancelled` does, which finds no such job to stop
+    term.job_watch.removed(ref, world.clock.now)
+    term.job_watch.watch()
     for _ in range(3):
-        world.checkin(term, w)
+        world.handle_heartbeat(term, w)
     assert not w.started
 
 
@@ -388,43 +388,43 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The greeting comes after the job's record was read, and before the term is loaded; the watch is still to come."""
-    world = World()
+    world = InMemoryCluster()
     w = world.worker("n-000000")
-    world.settle(Node(world, "node-0").lead(), 3)
-    ref = world.accept(Node(world, "node-9"), shards=2)
+    world.settle(InMemoryController(world, "node-0").lead(), 3)
+    ref = world.accept(InMemoryController(world, "node-9"), shards=2)
     world.clock.now += 13.0
-    node = Node(world, "node-1")
-    load = Grants.load
+    node = InMemoryController(world, "node-1")
+    load = DurableGrants.load
 
-    def told_meanwhile(self: Grants) -> None:
-        node.finals.remember(ref, OverRecord(JobView.CANCELLED, 0))
+    def told_meanwhile(self: DurableGrants) -> None:
+        node.completed_jobs.remember(ref, CompletedJobRecord(JobStatus.CANCELLED, 0))
         load(self)
 
-    monkeypatch.setattr(Grants, "load", told_meanwhile)
+    monkeypatch.setattr(DurableGrants, "load", told_meanwhile)
     term = node.lead()
     for _ in range(3):
-        world.checkin(term, w)
+        world.handle_heartbeat(term, w)
     assert not w.started
 
 
 def test_a_cancellation_that_the_sweep_sees_first_is_no_defect(caplog: pytest.LogCaptureFixture) -> None:
     """The page was read after it, and the watch has not told of it yet: the log called it a defect."""
-    world = World()
-    term = Node(world, "node-0").lead()
-    ref = world.accept(Node(world, "node-9"), shards=2)
-    term.jobs.watch()
-    assert json.loads(Node(world, "node-8").users.cancel(ref).body)["tide"] == "cancelled"
-    term.sweep._read_page()
-    assert ref not in term.ledger.jobs and not [r for r in caplog.records if r.levelname == "ERROR"]
+    world = InMemoryCluster()
+    term = InMemoryController(world, "node-0").lead()
+    ref = world.accept(InMemoryController(world, "node-9"), shards=2)
+    term.job_watch.watch()
+    assert json.loads(InMemoryController(world, "node-8").users.cancel(ref).body)["tide"] == "cancelled"
+    term.job_audit._read_page()
+    assert ref not in term.registry.jobs and not [r for r in caplog.records if r.levelname == "ERROR"]
 
 
 def granted_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     """No start waits for a write, as it is with arrays that have come far."""
     whole = GrantRecord(2000, None), set[int]()
-    monkeypatch.setattr(Grants, "_widened", lambda self, job: (job, *whole))
+    monkeypatch.setattr(DurableGrants, "_widened", lambda self, job: (job, *whole))
 
 
-def alone_and_cancelled(loop: VirtualLoop, way: Way, monkeypatch: pytest.MonkeyPatch) -> SimulatedCluster:
+def alone_and_cancelled(loop: VirtualLoop, way: LinkMode, monkeypatch: pytest.MonkeyPatch) -> SimulatedCluster:
     """A leader without the state service and the others goes on with its workers, while its job is called off."""
     granted_whole(monkeypatch)
     world = SimulatedCluster(loop, seed=38, machines=10)
@@ -448,9 +448,9 @@
 UNDER_WAY_S = 4.0
 
 
-@pytest.mark.parametrize("way", [Way.REFUSED, Way.HELD])
+@pytest.mark.parametrize("way", [LinkMode.REFUSED, LinkMode.HELD])
 def test_a_leader_alone_starts_nothing_on_old_knowledge(
-    loop: VirtualLoop, way: Way, monkeypatch: pytest.MonkeyPatch
+    loop: VirtualLoop, way: LinkMode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = alone_and_cancelled(loop, way, monkeypatch)
     assert max((s for s, _ in world.after_cancel), default=0.0) < STARTS_S + UNDER_WAY_S
@@ -458,8 +458,8 @@
 
 
 def test_starts_on_old_knowledge_are_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Knowledge, "lets_start", lambda self: True)
-    world = alone_and_cancelled(loop, Way.HELD, monkeypatch)
+    monkeypatch.setattr(CancellationHorizon, "allows_starts", lambda self: True)
+    world = alone_and_cancelled(loop, LinkMode.HELD, monkeypatch)
     assert max(s for s, _ in world.after_cancel) > STARTS_S + UNDER_WAY_S
 
 
@@ -476,7 +476,7 @@
     (first,) = world.leading()
     for name in [n for n in world.controllers if n != first][:away]:
         world.crash(name)
-    world.state.down = True
+    world.store.down = True
     gevent.sleep(11)
     assert bool(world.longest_pause(world.loop.time - 6.0, world.loop.time) < 2.0) is not bool(away)
 
@@ -489,16 +489,16 @@
     node, other = world.nodes[first], next(n for n in world.controllers if n != first)
     assert node is not None
     peer = next(p for p in node.peers.peers if p.name == other)
-    known = node.leadership.knowledge.known_at
-    assert node.peers.told_up_to(known) > node.clock() - 2.0
-    world.state.down = True
+    known = node.election.cancellation_horizon.known_at
+    assert node.peers.cancellations_confirmed_up_to(known) > node.clock() - 2.0
+    world.store.down = True
     world.crash(other)
     back(world, other)
     gevent.sleep(5.0)
-    assert peer.told_at > node.clock() - 2.0 and not node.leadership.knowledge.lets_start()
-    world.state.down = False
+    assert peer.told_at > node.clock() - 2.0 and not node.election.cancellation_horizon.allows_starts()
+    world.store.down = False
     gevent.sleep(2.0)
-    assert node.leadership.knowledge.lets_start()
+    assert node.election.cancellation_horizon.allows_starts()
 
 
 # two looks at the key at once ---------------------------------------------------------------------------------
@@ -512,15 +512,15 @@
     found the key that the other had just taken, by its own name, and removed it as if it were of an earlier term. The
     next controller took it, and two led."""
     world = SimulatedCluster(loop, seed=seed, machines=6)
-    get = StateClient.get
+    get = KeyValueStoreClient.get
 
-    def slowly(self: StateClient, key: str, *more: Any) -> Any:
-        gevent.sleep(0.25 if key == KEY else 0.0)
+    def slowly(self: KeyValueStoreClient, key: str, *more: Any) -> Any:
+        gevent.sleep(0.25 if key == LEADER_KEY else 0.0)
         found = get(self, key, *more)
-        gevent.sleep(0.25 if key == KEY else 0.0)
+        gevent.sleep(0.25 if key == LEADER_KEY else 0.0)
         return found
 
-    monkeypatch.setattr(StateClient, "get", slowly)
+    monkeypatch.setattr(KeyValueStoreClient, "get", slowly)
     world.crowd(2.0, 60.0)
     gevent.sleep(12)
     for i in range(1, 9):
--- a/tests/test_edges.py
+++ b/tests/api/test_input_validation.py
@@ -10,16 +10,16 @@
 import gevent
 import pytest
 
-from grebestand.books.amounts import MICRO
-from grebestand.books.slots import Slot
+from grebestand.api import http_server
 from grebestand.cli import main
-from grebestand.decisions.greedy import Pool, Seat, cra, gpa, max_reward
-from grebestand.doors import server
-from grebestand.limits.budget import Budget, Shed, Urgency
+from grebestand.cluster_state.resources import MICRO_UNITS
+from grebestand.cluster_state.slots import Slot
+from grebestand.flow_control.rate_limiter import RateLimitedError, RateLimiter, Urgency
+from grebestand.scheduling.greedy import Pool, TemplateAssignment, cra, gpa, max_reward
 from grebestand.settings import policy
 from grebestand.settings.expressions import ExpressionError
 from grebestand.settings.platform import SettingsError, parse
-from grebestand.standin.memory import SETTINGS, Clock, Node, World
+from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController, ManualClock
 
 
 @pytest.mark.parametrize(
@@ -30,8 +30,8 @@
     ],
 )  # fmt: skip
 def test_garbage_is_malformed(body: bytes) -> None:
-    world = World()
-    assert Node(world, "n").users.submit(body).status == 400
+    world = InMemoryCluster()
+    assert InMemoryController(world, "n").users.submit(body).status == 400
 
 
 @pytest.mark.parametrize(
@@ -46,34 +46,34 @@
     ],
 )  # fmt: skip
 def test_each_field_is_checked(field: str, value: object, status: int) -> None:
-    world = World()
-    assert Node(world, "n").users.submit(world.job(**{field: value})).status == status
+    world = InMemoryCluster()
+    assert InMemoryController(world, "n").users.submit(world.job(**{field: value})).status == status
 
 
 def test_limits_count_one_task_of_an_array_and_all_of_a_gang() -> None:
-    world = World()
-    api = Node(world, "n").users
+    world = InMemoryCluster()
+    api = InMemoryController(world, "n").users
     assert api.submit(world.job(crew="red", shards=100, cpus=1.0)).status == 201
     assert api.submit(world.job(crew="red", shape="ensemble", shards=17, cpus=1.0)).status == 422
     assert api.submit(world.job(crew="red", shape="daemon", shards=16, cpus=1.0)).status == 201
 
 
 def test_a_repeat_is_recognised_whatever_else_it_says() -> None:
-    world = World()
-    api = Node(world, "n").users
+    world = InMemoryCluster()
+    api = InMemoryController(world, "n").users
     assert api.submit(world.job(ref="j-000500")).status == 201
     assert api.submit(b'{"ref":"j-000500"}').status == 200
     assert api.submit(world.job(ref="j-000500", crew="nobody")).status == 200
     assert api.cancel("j-000500").status == 200
-    for other in (api, Node(world, "m").users):
+    for other in (api, InMemoryController(world, "m").users):
         answer = other.submit(b'{"ref":"j-000500"}')
         assert answer.status == 200 and json.loads(answer.body)["tide"] == "cancelled"
         assert json.loads(other.poll("j-000500").body)["tide"] == "cancelled"
 
 
 def test_unknown_jobs_and_paths() -> None:
-    world = World()
-    api = Node(world, "n").users
+    world = InMemoryCluster()
+    api = InMemoryController(world, "n").users
     assert api.poll("j-000404").status == 404
     assert api.cancel("j-000404").status == 404
     assert api.poll("nonsense").status == 400
@@ -84,24 +84,24 @@
 
 
 def test_what_cannot_be_decided_is_answered_at_once_with_a_time_to_come_back() -> None:
-    world = World()
-    node = Node(world, "n")
-    world.state.down = True
+    world = InMemoryCluster()
+    node = InMemoryController(world, "n")
+    world.store.down = True
     for answer in (node.users.submit(world.job()), node.users.poll("j-000001"), node.users.cancel("j-000001")):
         assert answer.status == 503 and answer.retry_after
     assert world.clock.now == 1000.0
-    world.state.down = False
+    world.store.down = False
     node.users.machine_types = lambda: None
     assert node.users.submit(world.job()).status == 503
 
 
 def test_a_description_at_the_size_limit_is_kept_and_one_above_is_refused() -> None:
-    world = World()
-    api = Node(world, "n").users
+    world = InMemoryCluster()
+    api = InMemoryController(world, "n").users
     names = ["m4"] + [f"{i:0150d}" for i in range(23)]
     assert api.submit(world.job(hulls=names)).status == 201
     assert api.submit(world.job(hulls=[*names, "x" * 150, "y" * 150])).status == 400
-    assert world.state.largest_value <= 4096
+    assert world.store.largest_value <= 4096
 
 
 @pytest.mark.parametrize(
@@ -132,8 +132,8 @@
 
 def test_headers_are_parsed_once_for_each_block_and_never_mixed_up() -> None:
     """Parsing the headers, the same ones for every report of a size, took half the time of a request."""
-    handler = server._Handler.__new__(server._Handler)
-    server._Handler._parsed.clear()
+    handler = http_server._Handler.__new__(http_server._Handler)
+    http_server._Handler._parsed.clear()
 
     def read(text: bytes) -> tuple[Any, bytes]:
         rfile = io.BytesIO(text + b"BODY")
@@ -146,9 +146,9 @@
     assert first.get("content-length") == "4" and other.get("content-length") == "5"
     long, rest = read(b"Host: a\r\nX: " + b"y" * 5000 + b"\r\nContent-Length: 6\r\n\r\n")
     assert rest == b"BODY" and long.get("content-length") == "6" and len(long.get("x")) == 5000
-    for number in range(2 * server.BLOCKS):
+    for number in range(2 * http_server.BLOCKS):
         read(b"Content-Length: %d\r\n\r\n" % number)
-    assert len(server._Handler._parsed) <= server.BLOCKS
+    assert len(http_server._Handler._parsed) <= http_server.BLOCKS
     assert read(b"X: " + b"y" * 70000 + b"\r\n\r\n")[0].status
 
 
@@ -203,9 +203,9 @@
 
 
 def test_the_budget_serves_what_matters_first() -> None:
-    clock = Clock()
+    clock = ManualClock()
     timers = []
-    budget = Budget(1.0, 1.0, clock, lambda s, f: timers.append(f))
+    budget = RateLimiter(1.0, 1.0, clock, lambda s, f: timers.append(f))
     budget.take(Urgency.POLL)
     order: list[str] = []
 
@@ -221,15 +221,15 @@
         gevent.sleep(0)
     gevent.joinall(jobs, timeout=1)
     assert order == ["hold", "poll"]
-    with pytest.raises(Shed):
+    with pytest.raises(RateLimitedError):
         budget.take(Urgency.POLL, patience_s=0.0)
 
 
 def slot(cpus: float, payoff: float, **more: object) -> Slot:
-    return Slot((int(cpus * MICRO), 0, int(cpus * MICRO)), payoff, **more)  # type: ignore[arg-type]
+    return Slot((int(cpus * MICRO_UNITS), 0, int(cpus * MICRO_UNITS)), payoff, **more)  # type: ignore[arg-type]
 
 
-ROOM = (16 * MICRO, 0, 64 * MICRO)
+ROOM = (16 * MICRO_UNITS, 0, 64 * MICRO_UNITS)
 POOL = Pool(0, -1, False, ROOM)
 
 
@@ -263,10 +263,10 @@
     plan = gpa([slot(15, 4.0), slot(1, 1 / 16)], [3.0, 3.0], [POOL], [4])
     assert [(w.config, w.count) for w in plan] == [(new, 3)]
     seats = [
-        Seat(0, old, False, tag=0),
-        Seat(0, old, False, tag=1),
-        Seat(0, old, True, tag=2),
-        Seat(0, new, False, tag=3),
+        TemplateAssignment(0, old, False, tag=0),
+        TemplateAssignment(0, old, False, tag=1),
+        TemplateAssignment(0, old, True, tag=2),
+        TemplateAssignment(0, new, False, tag=3),
     ]
     first_short = cra(seats, plan)
     assert first_short == 1  # two of three: the busy machines cannot follow
@@ -278,6 +278,6 @@
 def test_cra_puts_machines_beyond_the_greedy_count_into_the_reject_group() -> None:
     config = (16,)
     plan = gpa([slot(1, 1.0)], [20.0], [POOL], [4])
-    seats = [Seat(0, config, False, tag=i) for i in range(4)]
+    seats = [TemplateAssignment(0, config, False, tag=i) for i in range(4)]
     cra(seats, plan)
     assert [s.accept for s in seats] == [True, True, False, False]
--- a/tests/test_rehearsal.py
+++ b/tests/fault_test/test_history_checker.py
@@ -8,30 +8,30 @@
 import pytest
 
 from grebestand.cli import main
-from grebestand.federation.home import Home, Trip
-from grebestand.rehearsal.check import check
-from grebestand.rehearsal.history import History, HistoryFault, read, write
-from grebestand.standin.memory import World
-from grebestand.standin.yard import Happened, Player, Yard
+from grebestand.emulators.task_execution import TaskEvent, TaskExecution, TaskRunner
+from grebestand.fault_test.history import History, HistoryFileError, read, write
+from grebestand.fault_test.history_checker import check
+from grebestand.federation.home import HomeCluster, RemoteGang
+from grebestand.simulation.single_controller_cluster import InMemoryCluster
 from grebestand.wire.jobs import JobSpec, decode_spec
-from grebestand.wire.workers import Command, Orders, TaskReport
-from test_federation import Clusters
+from grebestand.wire.workers import Command, HeartbeatResponse, TaskPhase
+from support.federated_clusters import Clusters
 
 
-def rows(*steps: tuple[float, str, str, str, int, str, str]) -> list[Happened]:
+def rows(*steps: tuple[float, str, str, str, int, str, str]) -> list[TaskEvent]:
     """(when, cluster, what, job, task, machine, why) of one gang of two tasks."""
-    return [Happened(at, c, what, "g", j, t, 1, m, why, 2) for at, c, what, j, t, m, why in steps]
+    return [TaskEvent(at, c, what, "g", j, t, 1, m, why, 2) for at, c, what, j, t, m, why in steps]
 
 
-def whole(cluster: str, job: str, at: float = 0.0) -> list[Happened]:
+def whole(cluster: str, job: str, at: float = 0.0) -> list[TaskEvent]:
     return rows(
         (at + 1, cluster, "on", job, 0, "m0", ""), (at + 1, cluster, "on", job, 1, "m1", ""),
         (at + 3, cluster, "off", job, 0, "m0", "done"), (at + 3, cluster, "off", job, 1, "m1", "done"),
     )  # fmt: skip
 
 
-TOLD = [Happened(0.0, "home", "accepted", "g", "j", tasks=2)]
-DONE = [Happened(9.0, "home", "done", "g", "j", tasks=2)]
+TOLD = [TaskEvent(0.0, "home", "accepted", "g", "j", tasks=2)]
+DONE = [TaskEvent(9.0, "home", "done", "g", "j", tasks=2)]
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
          "gangs 1, whole once 0, partly 0, twice 0, lost 0", "told both done and cancelled"),
     ],
 )  # fmt: skip
-def test_the_checker_finds_each_way_to_be_wrong(found: list[Happened], line: str, fault: str) -> None:
+def test_the_checker_finds_each_way_to_be_wrong(found: list[TaskEvent], line: str, fault: str) -> None:
     verdict = check(History(20.0, found))
     assert verdict.line() == line and verdict.good is not bool(fault)
     assert any(fault in f for f in verdict.faults) or not fault
@@ -72,7 +72,7 @@
     write(file, History(20.0, TOLD))
     assert main(["check-history", str(file)]) == 1
     file.write_text("not this")
-    with pytest.raises(HistoryFault, match="not a history"):
+    with pytest.raises(HistoryFileError, match="not a history"):
         read(file)
     assert main(["check-history", str(file)]) == 2
     assert capsys.readouterr().err.count("\n") == 2
@@ -80,8 +80,8 @@
 
 def recorded(c: Clusters, seconds: int) -> History:
     """What tasks and the user saw, looked at once a second."""
-    history = History(20.0, [Happened(c.clock.now, "home", "accepted", "g", c.gang, tasks=3)])
-    on: dict[tuple[str, str, str], Happened] = {}
+    history = History(20.0, [TaskEvent(c.clock.now, "home", "accepted", "g", c.gang, tasks=3)])
+    on: dict[tuple[str, str, str], TaskEvent] = {}
     for _ in range(seconds):
         c.go(1)
         now = {}
@@ -91,7 +91,7 @@
                 for task in w.running():
                     job, _, index = task.rpartition("/")
                     if job in jobs:
-                        row = Happened(c.clock.now, side.name, "on", "g", job, int(index), 1, w.name, tasks=3)
+                        row = TaskEvent(c.clock.now, side.name, "on", "g", job, int(index), 1, w.name, tasks=3)
                         now[side.name, w.name, task] = row
         history.rows += [dataclasses.replace(r, at=c.clock.now, what="off") for k, r in on.items() if k not in now]
         history.rows += [r for k, r in now.items() if k not in on]
@@ -110,13 +110,13 @@
         return recorded(c, 12)
 
     assert not [f for f in check(day()).faults if "while in" in f]
-    move = Home.move
+    move = HomeCluster.move
 
-    def careless(self: Home, trip: Trip, new: object, why: str) -> None:
+    def careless(self: HomeCluster, trip: RemoteGang, new: object, why: str) -> None:
         move(self, trip, new, why)  # type: ignore[arg-type]
         trip.job.away = False
 
-    monkeypatch.setattr(Home, "move", careless)
+    monkeypatch.setattr(HomeCluster, "move", careless)
     verdict = check(day())
     assert verdict.twice == 1 and [f for f in verdict.faults if "while in" in f]
 
@@ -128,16 +128,16 @@
     """Three machines and one job, on a clock that the story turns."""
 
     def __init__(self, **more: object) -> None:
-        self.spec: JobSpec = decode_spec(World().job(**more))
-        self.rows: list[Happened] = []
-        self.yard = Yard("here", 8.0, 10.0, 2.0, lambda job: self.spec, self.rows.append)
-        self.players = [Player(f"m{i}") for i in range(3)]
+        self.spec: JobSpec = decode_spec(InMemoryCluster().job(**more))
+        self.rows: list[TaskEvent] = []
+        self.yard = TaskExecution("here", 8.0, 10.0, 2.0, lambda job: self.spec, self.rows.append)
+        self.players = [TaskRunner(f"m{i}") for i in range(3)]
         self.now = 0.0
         for p in self.players:
             self.yard.add(p, 0.0)
 
     def order(self, at: int, op: str, task: int, grace: float | None = None, attempt: int = 1) -> None:
-        self.players[at].obey(Orders(1, [Command(op, f"{self.spec.id}/{task}", attempt, grace)]))
+        self.players[at].obey(HeartbeatResponse(1, [Command(op, f"{self.spec.id}/{task}", attempt, grace)]))
 
     def go(self, seconds: float, answered: bool = True) -> None:
         for _ in range(round(seconds * 10)):
@@ -210,7 +210,7 @@
     p.order(0, "start", 0)
     p.go(1.0)
     p.go(9.0, answered=False)
-    assert not p.players[0].tasks and p.players[0].session == 2 and p.rows[-1].why == "lease"
+    assert not p.players[0].tasks and p.players[0].epoch == 2 and p.rows[-1].why == "lease"
     # stopped, forgotten and started again between two steps: the end has to be said all the same
     p.order(1, "start", 0)
     p.go(1.0)
@@ -218,4 +218,4 @@
         p.order(1, op, 0, attempt=attempt)
     p.go(1.0)
     assert [(r.what, r.attempt) for r in p.rows[2:]] == [("on", 1), ("off", 1), ("on", 2)]
-    assert p.players[1].tasks[f"{p.spec.id}/0"].state is TaskReport.RUNNING
+    assert p.players[1].tasks[f"{p.spec.id}/0"].state is TaskPhase.RUNNING
--- a/tests/test_features.py
+++ b/tests/features/test_hooks.py
@@ -7,30 +7,30 @@
 
 import pytest
 
-import tiny_feature
+from grebestand.api.peer_api import PeerApi
 from grebestand.cli import main
-from grebestand.doors.peers import PeerDoor
 from grebestand.features.hooks import Features
 from grebestand.features.registry import listed, load
 from grebestand.settings.expressions import ExpressionError
-from grebestand.standin.memory import SETTINGS, Node, World
-from grebestand.wire.peers import Hello
+from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController
+from grebestand.wire.peers import PeerStatus
+from support import tiny_feature
 
-KNOWN = {"curfew": "tiny_feature"}
+KNOWN = {"curfew": "support.tiny_feature"}
 
 
 def switched_on(tmp_path: Path, text: str) -> Features:
     file = tmp_path / "curfew.toml"
     file.write_text(text)
-    return load([str(file)], World().settings, KNOWN)
+    return load([str(file)], InMemoryCluster().settings, KNOWN)
 
 
 def test_a_tiny_feature_hooks_into_a_job_s_whole_life(tmp_path: Path) -> None:
     features = switched_on(tmp_path, 'feature = "curfew"\nmost_tasks = "20 * teams + 1"\n')
     curfew = tiny_feature.MADE[-1]
-    world = World()
+    world = InMemoryCluster()
     worker = world.worker("n-000000")
-    node = Node(world, "node-0", features)
+    node = InMemoryController(world, "node-0", features)
     term = node.lead()
     # accept: refused with a time to come back; a job that is known already is recognised all the same
     answer = node.users.submit(world.job(shards=42))
@@ -41,26 +41,26 @@
     # place: it waits, and says why
     curfew.on = True
     world.settle(term, 4)
-    assert not worker.started and term.ledger.jobs[ident].why_waiting == "curfew"
+    assert not worker.started and term.registry.jobs[ident].why_waiting == "curfew"
     curfew.on = False
-    term.ledger.changed = True
+    term.registry.changed = True
     world.settle(term, 4)
     assert len(worker.running()) == 2
     # close: its change is made in the transaction that closes the job
     for task in worker.running():
         worker.finish(task)
     world.settle(term, 3)
-    found = world.state.data
+    found = world.store.data
     assert found[f"curfew-done/{ident}"][1] == found[f"over/{ident}"][1]
     # records: what it put is there for the next leader
     for step, _ in features.steps:
         step()
     term.save_features()
     world.clock.now += 13.0
-    Node(world, "node-1", features).lead()
+    InMemoryController(world, "node-1", features).lead()
     assert curfew.found == {"on": False}
     # messages and listeners
-    door = PeerDoor([], world.clock, lambda: Hello("node-1", 1, 0.0), lambda gone: None, features)
+    door = PeerApi([], world.clock, lambda: PeerStatus("node-1", 1, 0.0), lambda gone: None, features)
     assert door.answer("/curfew", b"abc") == b"cba" and door.answer("/nothing", b"") is None
     assert [x.field for x in features.listeners] == ["curfew"]
 
--- a/tests/test_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -10,20 +10,20 @@
 
 from grebestand.cli import main
 from grebestand.commands import federation as verbs
+from grebestand.fault_test.many_clusters import simulate
 from grebestand.features.registry import load
 from grebestand.federation import keys
 from grebestand.federation.feature import KEYS, NAMES, RECALL, Federation
 from grebestand.federation.guest import QUIET_S
-from grebestand.federation.messages import VERSION, Look, Refused, Room
-from grebestand.federation.routing import OLD_S, Told, fits, value
-from grebestand.federation.settle import PREFIX, away, settle
-from grebestand.leading.term import Term
-from grebestand.rehearsal.many import simulate
+from grebestand.federation.messages import VERSION, FreeCapacity, Probe, Rejection
+from grebestand.federation.routing import OLD_S, RemoteLoad, fits, value
+from grebestand.federation.settlement import PREFIX, remote_gangs, settle
+from grebestand.leader.term import Term
 from grebestand.settings.expressions import ExpressionError
 from grebestand.settings.platform import parse
-from grebestand.standin.memory import SETTINGS
+from grebestand.simulation.single_controller_cluster import SETTINGS
 from grebestand.wire.jobs import Priority
-from test_federation import Clusters, offer
+from support.federated_clusters import Clusters, offer
 
 NOW = dt.datetime.now(dt.UTC)
 HEAD = 'feature = "federation"\ncluster = "home"\n'
@@ -45,7 +45,7 @@
     c = Clusters()
     c.home.home.clusters = {}
     c.go(20)
-    assert not c.home.home.counts["offers"] and c.home.term.ledger.jobs[c.gang].startable() == 3
+    assert not c.home.home.counts["offers"] and c.home.term.registry.jobs[c.gang].startable() == 3
 
 
 def test_a_file_with_others_listens_on_the_link(tmp_path: Path) -> None:
@@ -101,11 +101,11 @@
     f = federation(tmp_path)
     c = Clusters()
     f.term = c.home.term
-    job = c.home.term.ledger.jobs[c.gang]
-    room = Room(VERSION, 6, 16.0, 0.1, [])
+    job = c.home.term.registry.jobs[c.gang]
+    room = FreeCapacity(VERSION, 6, 16.0, 0.1, [])
 
-    def worth(told: Room, age: float) -> float:
-        return value(f.prefer, job, Told(told, 0.0), age)
+    def worth(told: FreeCapacity, age: float) -> float:
+        return value(f.prefer, job, RemoteLoad(told, 0.0), age)
 
     assert worth(room, 1.0) > worth(msgspec.structs.replace(room, free=1), 1.0)
     assert worth(room, 1.0) > worth(room, 60.0) > worth(room, OLD_S + 1.0) == value(f.prefer, job, None, 0.0)
@@ -119,7 +119,7 @@
     f = federation(tmp_path, 'overflow_after_s = "20 if gang_size < 3 else 100 * (1 - zone_load) + gang_cpus"\n')
     c = Clusters()
     f.term = c.home.term
-    job = c.home.term.ledger.jobs[c.gang]
+    job = c.home.term.registry.jobs[c.gang]
     load_now = 45.0 / 48.0  # of one zone; the other has no machines
     assert f.overflow_after_s(job, c.clock.now) == pytest.approx(100 * (1 - load_now) + 45.0)
 
@@ -137,9 +137,9 @@
     c = Clusters()
     look = c.east.guest._look
 
-    def newer(message: Look) -> object:
+    def newer(message: Probe) -> object:
         told = look(message)
-        return msgspec.structs.replace(told, version=VERSION + 1) if isinstance(told, Room) else told
+        return msgspec.structs.replace(told, version=VERSION + 1) if isinstance(told, FreeCapacity) else told
 
     c.east.guest._look = newer  # type: ignore[method-assign, assignment]
     c.go(30)
@@ -155,14 +155,18 @@
     guest.answer(asked)
     (kept,) = guest.reservations.values()
     assert kept.spec.priority is Priority.LOW and kept.spec.team == "blue"
-    assert guest.answer(offer(c, hulls=["m4"])) != Refused("none of the machine types that it may run on is known here")
-    assert guest.answer(offer(c, hulls=["g8"])) == Refused("none of the machine types that it may run on is known here")
-    assert guest.answer(offer(c, quay="a")) == Refused("it may run in one zone of its home only")
+    assert guest.answer(offer(c, hulls=["m4"])) != Rejection(
+        "none of the machine types that it may run on is known here"
+    )
+    assert guest.answer(offer(c, hulls=["g8"])) == Rejection(
+        "none of the machine types that it may run on is known here"
+    )
+    assert guest.answer(offer(c, quay="a")) == Rejection("it may run in one zone of its home only")
     bound = c.home.world.accept(c.home.node, shape="ensemble", shards=3, cpus=15.0, quay="a")
-    assert not c.home.home.eligible(c.home.term.ledger.jobs[bound], c.clock.now + 1000.0)
-    assert isinstance(guest.answer(Look("stranger", VERSION)), Refused)
-    told = guest.answer(Look("home", VERSION))
-    assert isinstance(told, Room) and told.free == 4 - sum(len(r.machines) for r in guest.reservations.values())
+    assert not c.home.home.eligible(c.home.term.registry.jobs[bound], c.clock.now + 1000.0)
+    assert isinstance(guest.answer(Probe("stranger", VERSION)), Rejection)
+    told = guest.answer(Probe("home", VERSION))
+    assert isinstance(told, FreeCapacity) and told.free == 4 - sum(len(r.machines) for r in guest.reservations.values())
 
 
 def test_references_that_are_equal_in_two_clusters_do_not_meet() -> None:
@@ -172,7 +176,7 @@
     assert own == c.gang
     c.until(lambda: c.runs_in() == "east")
     (record,) = c.east.guest.records.values()
-    assert record.ref == c.gang != record.job and c.gang in c.east.term.ledger.jobs
+    assert record.ref == c.gang != record.job and c.gang in c.east.term.registry.jobs
 
 
 # settling -------------------------------------------------------------------------------------------------
@@ -187,11 +191,11 @@
         w.lapse()
         w.reachable = False
     c.go(int(QUIET_S) + 5)  # and have waited for longer than it would start anything unasked
-    (gang,) = away(c.home.node.state, "east")
-    assert gang.ref == c.gang and not away(c.home.node.state, "west")
-    assert settle(c.home.node.state, gang, "somebody") and not settle(c.home.node.state, gang, "somebody")
+    (gang,) = remote_gangs(c.home.node.store, "east")
+    assert gang.ref == c.gang and not remote_gangs(c.home.node.store, "west")
+    assert settle(c.home.node.store, gang, "somebody") and not settle(c.home.node.store, gang, "somebody")
     c.go(15)
-    assert c.home.term.ledger.jobs[c.gang].startable() == 3 and c.home.home.lost
+    assert c.home.term.registry.jobs[c.gang].startable() == 3 and c.home.home.lost
     c.home.home.limits.overflow_after_s = lambda job, now: 1e9
     c.finish(c.home)
     c.until(lambda: c.runs_in() == "home")
@@ -203,7 +207,7 @@
     c.until(lambda: not c.home.home.lost, 200)
     c.go(30)
     assert c.runs_in() == "home" and not c.east.guest.records
-    assert not [k for k in c.home.world.state.data if k.startswith(PREFIX)]
+    assert not [k for k in c.home.world.store.data if k.startswith(PREFIX)]
 
 
 def test_settle_asks_for_a_sentence_and_changes_nothing_without_it(
@@ -213,10 +217,10 @@
     c.until(lambda: c.runs_in() == "east")
     config = tmp_path / "settings.toml"
     config.write_text(SETTINGS)
-    monkeypatch.setattr("grebestand.outside.http.HttpTransport", lambda *a, **k: c.home.world.state)
+    monkeypatch.setattr("grebestand.clients.http.HttpTransport", lambda *a, **k: c.home.world.store)
     command = ["federation", "settle", "--config", str(config), "--cluster", "east", "--confirm"]
     assert main([*command, "yes"]) == 1
-    assert len(away(c.home.node.state, "east")) == 1
+    assert len(remote_gangs(c.home.node.store, "east")) == 1
     assert "it runs twice" in capsys.readouterr().out.replace("\n", " ")
     assert main([*command, "east is lost and runs nothing"]) == 0
     assert f"{c.gang}: home again" in capsys.readouterr().out
--- a/tests/test_federation.py
+++ b/tests/federation/test_gang_handoff.py
@@ -3,196 +3,42 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
-from typing import Any
 
 import msgspec
 import pytest
 
 from grebestand.federation import messages
-from grebestand.federation.breaker import FAILURES, Breaker
-from grebestand.federation.guest import PREFIX, Guest, GuestLimits
-from grebestand.federation.home import MOST_OFFERS, Cluster, Home, Limits, Trip
+from grebestand.federation.circuit_breaker import FAILURES, CircuitBreaker
+from grebestand.federation.guest import PREFIX
+from grebestand.federation.home import MOST_OFFERS, HomeCluster, RemoteGang
 from grebestand.federation.messages import (
-    Ask,
     Commit,
-    Look,
+    InvalidMessageError,
     Message,
-    Offer,
+    Probe,
     Recall,
-    Refused,
-    Reply,
+    Rejection,
+    ReservationRequest,
     Reserved,
-    Unfit,
-    Unsure,
+    StatusQuery,
+    UncertainReply,
 )
-from grebestand.federation.states import BreakerState, HomeState
-from grebestand.leading.term import Term
-from grebestand.standin.memory import SETTINGS, Clock, Node, World
+from grebestand.federation.state_machines import BreakerState, HomeState
+from grebestand.simulation.single_controller_cluster import InMemoryController, ManualClock
 from grebestand.wire.jobs import decode_spec
-
-WIDE = SETTINGS.replace("cpus_max = 64.0", "cpus_max = 640.0")
-
-
-class Ahead(Clock):
-    """Another clock for the same time: it runs fast by as much as is allowed, and shows another hour."""
-
-    def __init__(self, base: Clock) -> None:
-        self.base = base
-
-    @property
-    def now(self) -> float:
-        return self.base.now * 1.0005 + 40_000.0
-
-    @now.setter
-    def now(self, value: float) -> None:
-        """Time is turned by the base alone."""
-
-
-class Side:
-    """One cluster with its present leader."""
-
-    def __init__(self, name: str, clock: Clock, machines: int) -> None:
-        self.name = name
-        self.world = World(WIDE)
-        self.world.clock = clock
-        self.world.state.clock = clock
-        self.workers = [self.world.worker(f"n-{i:06d}") for i in range(machines)]
-        self.rng = random.Random(name)
-        self.links: dict[str, Wire] = {}
-        self.leaders = 0
-        self.looks = True
-        self.lead()
-        self.world.settle(self.term, 3)
-
-    def lead(self) -> None:
-        self.node = Node(self.world, f"{self.name}-{self.leaders}")
-        self.leaders += 1
-        self.term: Term = self.node.lead()
-        self.begin()
-
-    def begin(self) -> None:
-        clusters = [Cluster(name, link, Breaker(name, self.world.clock, self.rng)) for name, link in self.links.items()]
-        self.home = Home(self.name, self.term, clusters, Limits(lambda job, now: 5.0), self.rng)
-        if not self.looks:
-            self.home._look = lambda now: None  # type: ignore[method-assign]
-        self.guest = Guest(
-            self.name, self.term, GuestLimits(frozenset({"home", "east", "west"}), "blue"),
-            lambda ident: self.node.users.cancel(ident).status == 200,
-        )  # fmt: skip
-
-    def round(self) -> None:
-        self.world.settle(self.term, 1, 0.0)
-        self.home.step()
-        self.guest.step()
-
-
-class Wire:
-    """The way to another cluster, with faults: what is lost, and what is delivered again later."""
-
-    def __init__(self, to: Side) -> None:
-        self.to = to
-        self.drop: Callable[[Message], str] = lambda message: ""
-        self.sent: list[Message] = []
-
-    def tell(self, message: Message) -> Reply | None:
-        fault = self.drop(message)
-        if fault == "request":
-            return None
-        found = messages.decode(msgspec.msgpack.encode(message))
-        if not isinstance(found, Look):
-            self.sent.append(found)
-        answer = self.to.guest.answer(found)
-        return None if fault == "answer" else messages.decode_reply(msgspec.msgpack.encode(answer))
-
-
-class Clusters:
-    """A crowded home and others with room, on one clock."""
-
-    def __init__(self, *others: str, looks: bool = True, ahead: bool = False) -> None:
-        """Without `looks`, home does not know who has room, and asks two at once."""
-        self.clock = Clock()
-        self.home = Side("home", self.clock, 3)
-        self.others = [Side(name, Ahead(self.clock) if ahead else self.clock, 4) for name in others or ("east",)]
-        self.home.links = {o.name: Wire(o) for o in self.others}
-        self.home.looks = looks
-        self.home.begin()
-        self.filler = self.home.world.accept(self.home.node, shards=3, cpus=15.0, rank="critical")
-        self.go(6)
-        self.gang = self.home.world.accept(self.home.node, shape="ensemble", shards=3, cpus=15.0)
-
-    @property
-    def sides(self) -> list[Side]:
-        return [self.home, *self.others]
-
-    @property
-    def east(self) -> Side:
-        return self.others[0]
-
-    def go(self, rounds: int) -> None:
-        for _ in range(rounds):
-            self.clock.now += 1.0
-            for side in self.sides:
-                side.round()
-            self.check()
-
-    def crash(self, *down: Side) -> None:
-        """These clusters' leaders end; the others go on, and new leaders follow when the holds have run out."""
-        for _ in range(13):
-            self.clock.now += 1.0
-            for side in self.sides:
-                if side not in down:
-                    side.round()
-        for side in down:
-            side.lead()
-        self.check()
-
-    def gangs(self) -> dict[str, list[str]]:
-        """Tasks of the gang that run, by cluster: at home under its own name, elsewhere under the guest's."""
-        found = {}
-        for side in self.sides:
-            names = {self.gang} if side is self.home else {r.job for r in side.guest.records.values()}
-            found[side.name] = [t for w in side.workers for t in w.running() if t.rpartition("/")[0] in names]
-        return found
-
-    def check(self) -> None:
-        """Never split, never twice: all that runs of it runs in one cluster, each task once."""
-        if not hasattr(self, "gang"):
-            return
-        running = {name: tasks for name, tasks in self.gangs().items() if tasks}
-        assert len(running) <= 1, running
-        assert all(len(tasks) == len(set(tasks)) <= 3 for tasks in running.values())
-
-    def runs_in(self) -> str | None:
-        whole = [name for name, tasks in self.gangs().items() if len(tasks) == 3]
-        return whole[0] if whole else None
-
-    def finish(self, side: Side) -> None:
-        for w in side.workers:
-            for task in w.running():
-                w.finish(task)
-
-    def view(self) -> str:
-        return str(msgspec.json.decode(self.home.node.users.poll(self.gang).body)["tide"])
-
-    def until(self, done: Callable[[], bool], most: int = 120) -> None:
-        for _ in range(most):
-            if done():
-                return
-            self.go(1)
-        raise AssertionError(f"not within {most} s")
+from support.federated_clusters import Clusters, Wire, offer
 
 
 def test_a_gang_without_room_runs_whole_elsewhere_and_is_done_once_at_home() -> None:
     c = Clusters()
     c.until(lambda: c.runs_in() == "east")
     c.go(4)
-    assert c.home.term.ledger.jobs[c.gang].running() == 3
-    assert not c.home.term.ledger.jobs[c.gang].places
+    assert c.home.term.registry.jobs[c.gang].running() == 3
+    assert not c.home.term.registry.jobs[c.gang].allocations
     c.finish(c.east)
     c.until(lambda: c.view() == "done")
     c.go(6)
-    assert not c.east.guest.records and not [k for k in c.east.world.state.data if k.startswith(PREFIX)]
+    assert not c.east.guest.records and not [k for k in c.east.world.store.data if k.startswith(PREFIX)]
     assert not c.home.home.trips
 
 
@@ -207,11 +53,11 @@
     assert bool(c.others[1].guest.reservations) is lost
     c.go(20)
     assert not c.others[1].guest.reservations
-    assert all(m.reserved_for is None for m in c.others[1].term.fleet.machines)
+    assert all(m.reserved_for is None for m in c.others[1].term.inventory.machines)
 
 
 @pytest.mark.parametrize("fault", ["request", "answer"])
-@pytest.mark.parametrize("kind", [Offer, Commit, Ask, messages.Forget])
+@pytest.mark.parametrize("kind", [ReservationRequest, Commit, StatusQuery, messages.Forget])
 def test_a_message_that_is_lost_for_a_while_changes_nothing_in_the_end(kind: type, fault: str) -> None:
     c = Clusters()
     c.home.links["east"].drop = lambda m: fault if isinstance(m, kind) and c.clock.now < 1060.0 else ""
@@ -224,7 +70,7 @@
     """The answer to the commit is lost, and room appears at home: the gang is abroad, and stays there."""
     c = Clusters()
     wire = c.home.links["east"]
-    wire.drop = lambda m: "answer" if isinstance(m, Commit | Ask) else ""
+    wire.drop = lambda m: "answer" if isinstance(m, Commit | StatusQuery) else ""
     c.until(lambda: c.runs_in() == "east")
     for w in c.home.workers:
         for task in w.running():
@@ -240,28 +86,28 @@
     wire = c.home.links["east"]
     wire.drop = lambda m: "request" if isinstance(m, Commit) else ""
     c.until(lambda: c.gang in c.home.home.trips and c.home.home.trips[c.gang].state is HomeState.COMMITTED)
-    assert c.home.term.ledger.jobs[c.gang].startable() == 0
+    assert c.home.term.registry.jobs[c.gang].startable() == 0
     c.go(25)
     wire.drop = lambda m: ""
-    c.until(lambda: not c.home.term.ledger.jobs[c.gang].away or c.runs_in() is not None)
+    c.until(lambda: not c.home.term.registry.jobs[c.gang].away or c.runs_in() is not None)
     c.until(lambda: c.runs_in() is not None)
 
 
 def test_room_that_appears_at_home_while_an_offer_is_out_withdraws_it() -> None:
     c = Clusters()
     wire = c.home.links["east"]
-    job = c.home.term.ledger.jobs[c.gang]
+    job = c.home.term.registry.jobs[c.gang]
 
     def starts_at_home(message: Message) -> str:
-        if isinstance(message, Offer):
+        if isinstance(message, ReservationRequest):
             for index in range(3):
-                c.home.term.dispatch.start(job, index, c.home.term.fleet.machines[0], 77, c.clock.now)
+                c.home.term.dispatch.start(job, index, c.home.term.inventory.machines[0], 77, c.clock.now)
         return ""
 
     wire.drop = starts_at_home
     c.until(lambda: bool(wire.sent))
     trip = c.home.home.trips[c.gang]
-    assert trip.state is HomeState.WAITING and not job.away and len(job.places) == 3
+    assert trip.state is HomeState.WAITING and not job.away and len(job.allocations) == 3
     assert not c.east.guest.reservations
 
 
@@ -271,13 +117,13 @@
     wire = c.home.links["east"]
 
     def lose(message: Message) -> str:
-        if isinstance(message, Offer):
-            c.home.world.state.lose_answers = lost
+        if isinstance(message, ReservationRequest):
+            c.home.world.store.lose_answers = lost
         return ""
 
     wire.drop = lose
     c.until(lambda: bool(wire.sent))
-    assert c.home.term.ledger.jobs[c.gang].startable() == 0
+    assert c.home.term.registry.jobs[c.gang].startable() == 0
     wire.drop = lambda m: ""
     c.until(lambda: c.runs_in() == "east", 200)
 
@@ -292,8 +138,8 @@
 
     def crash(message: Message) -> str:
         nonlocal count
-        count += not isinstance(message, Look)
-        return "answer" if count == step and not isinstance(message, Look) else ""
+        count += not isinstance(message, Probe)
+        return "answer" if count == step and not isinstance(message, Probe) else ""
 
     wire.drop = crash
     crashed = False
@@ -333,7 +179,7 @@
         w.lapse()
         w.reachable = False
     first = {r.id for r in c.east.guest.records.values()}
-    c.until(lambda: not c.home.term.ledger.jobs[c.gang].away, 200)
+    c.until(lambda: not c.home.term.registry.jobs[c.gang].away, 200)
     for w in c.east.workers:
         w.reachable = True
     c.until(lambda: c.runs_in() == "east", 300)
@@ -361,20 +207,20 @@
     wire = c.home.links["east"]
     begin = c.clock.now
     c.go(30)
-    offers = [m for m in wire.sent if isinstance(m, Offer)]
+    offers = [m for m in wire.sent if isinstance(m, ReservationRequest)]
     assert len(offers) <= 4.0 * (c.clock.now - begin) + 4
     assert len(c.east.guest.reservations) + len(c.east.guest.records) <= 8
     c.go(400)
     per_gang: dict[str, int] = {}
     for m in wire.sent:
-        if isinstance(m, Offer):
+        if isinstance(m, ReservationRequest):
             per_gang[m.spec.id] = per_gang.get(m.spec.id, 0) + 1
     assert max(per_gang.values()) <= MOST_OFFERS
 
 
 def test_a_cluster_that_does_not_answer_is_left_alone_for_growing_pauses() -> None:
-    clock = Clock()
-    b = Breaker("east", clock, random.Random(3))
+    clock = ManualClock()
+    b = CircuitBreaker("east", clock, random.Random(3))
     pauses = []
     for _ in range(4):
         while b.lets():
@@ -417,10 +263,10 @@
     begin = c.clock.now
 
     def silent(message: Message) -> str:
-        if isinstance(message, Commit) and not c.east.world.state.lose_answers and c.clock.now < begin + 40.0:
+        if isinstance(message, Commit) and not c.east.world.store.lose_answers and c.clock.now < begin + 40.0:
             if any(isinstance(m, Commit) for m in c.home.links["east"].sent):
                 return "request"
-            c.east.world.state.lose_answers = 2
+            c.east.world.store.lose_answers = 2
             for w in c.east.workers:
                 w.reachable = False
         return ""
@@ -428,7 +274,7 @@
     c.home.links["east"].drop = silent
     c.go(40)
     east = next(iter(c.east.guest.records.values()), None) or next(iter(c.east.guest.reservations.values()))
-    job = c.east.term.ledger.jobs[east.job]
+    job = c.east.term.registry.jobs[east.job]
     assert job.guest and job.abroad is None and not c.others[1].guest.records
     for w in c.east.workers:
         w.reachable = True
@@ -443,19 +289,19 @@
     """The watch tells of the write before its answer would, and the write is made again: that changes nothing twice."""
     c = Clusters()
     c.until(lambda: c.runs_in() == "east")
-    returns = Home._return
+    returns = HomeCluster._return
 
-    def unanswered(self: Home, trip: Trip) -> None:
-        c.home.world.state.lose_answers = 1
+    def unanswered(self: HomeCluster, trip: RemoteGang) -> None:
+        c.home.world.store.lose_answers = 1
         returns(self, trip)
 
-    monkeypatch.setattr(Home, "_return", unanswered)
+    monkeypatch.setattr(HomeCluster, "_return", unanswered)
     for w in c.east.workers:
         w.lapse()
         w.reachable = False
-    c.until(lambda: not c.home.term.ledger.jobs[c.gang].away, 200)
-    monkeypatch.setattr(Home, "_return", returns)
-    c.home.world.state.lose_answers = 0
+    c.until(lambda: not c.home.term.registry.jobs[c.gang].away, 200)
+    monkeypatch.setattr(HomeCluster, "_return", returns)
+    c.home.world.store.lose_answers = 0
     c.go(10)
     trip = c.home.home.trips.get(c.gang)
     assert trip is None or trip.state in (HomeState.WAITING, HomeState.OFFERED), trip
@@ -467,8 +313,8 @@
 
 def test_a_question_that_was_let_through_and_never_asked_does_not_silence_a_cluster_for_good() -> None:
     """One question goes after a pause; the asker may find no budget for it, and then nobody was ever asked again."""
-    clock = Clock()
-    b = Breaker("east", clock, random.Random(3))
+    clock = ManualClock()
+    b = CircuitBreaker("east", clock, random.Random(3))
     while b.lets():
         b.failed("no answer")
     clock.now += 10.0
@@ -489,43 +335,39 @@
     c.go(60)
     cluster = c.home.home.clusters["east"]
     assert cluster.refusals.state is not BreakerState.CLOSED and cluster.breaker.state is BreakerState.CLOSED
-    offers = [m for m in wire.sent if isinstance(m, Offer)]
-    asks = [m for m in wire.sent if isinstance(m, Ask)]
+    offers = [m for m in wire.sent if isinstance(m, ReservationRequest)]
+    asks = [m for m in wire.sent if isinstance(m, StatusQuery)]
     assert len(offers) <= 12 and len(asks) >= 20
     c.finish(c.east)  # there is room again: its own word of it is enough
     c.home.home._look_at(cluster)
     c.until(lambda: any(r.ref != c.gang for r in c.east.guest.records.values()), 60)
 
 
-def offer(c: Clusters, **more: Any) -> Offer:
-    spec = decode_spec(c.home.world.job(shape="ensemble", shards=2, cpus=15.0, **more))
-    return Offer("home", spec, ["home"])
-
-
 def test_what_a_peer_may_not_do_is_refused_and_changes_nothing() -> None:
     c = Clusters()
     guest = c.east.guest
     good = offer(c)
-    assert isinstance(guest.answer(msgspec.structs.replace(good, home="stranger")), Refused)
-    assert isinstance(guest.answer(msgspec.structs.replace(good, path=["home", "east"])), Refused)
-    assert isinstance(guest.answer(Commit("home", c.gang, "0" * 32)), Refused)
+    assert isinstance(guest.answer(msgspec.structs.replace(good, home="stranger")), Rejection)
+    assert isinstance(guest.answer(msgspec.structs.replace(good, path=["home", "east"])), Rejection)
+    assert isinstance(guest.answer(Commit("home", c.gang, "0" * 32)), Rejection)
     reserved = guest.answer(good)
     assert isinstance(reserved, Reserved)
     # another cluster cannot use the reservation
-    assert isinstance(guest.answer(Commit("west", good.spec.id, reserved.id)), Refused)
-    assert isinstance(guest.answer(good), Refused)  # the same again keeps no second room
+    assert isinstance(guest.answer(Commit("west", good.spec.id, reserved.id)), Rejection)
+    assert isinstance(guest.answer(good), Rejection)  # the same again keeps no second room
     bad = [
-        b"", b"\x81", b"x" * (messages.MOST_BYTES + 1), msgspec.msgpack.encode(Ask("home", "no job", "0" * 32)),
-        msgspec.msgpack.encode(Ask("home", "j-000001", "short")), msgspec.msgpack.encode(Ask("", "j-000001", "0" * 32)),
+        b"", b"\x81", b"x" * (messages.MOST_BYTES + 1), msgspec.msgpack.encode(StatusQuery("home", "no job", "0" * 32)),
+        msgspec.msgpack.encode(StatusQuery("home", "j-000001", "short")), msgspec.msgpack.encode(StatusQuery("",
+            "j-000001", "0" * 32)),
         msgspec.msgpack.encode(msgspec.structs.replace(good, path=["a"] * 9)),
         msgspec.msgpack.encode({"type": "offer", "home": "home", "spec": {}, "path": []}),
-        msgspec.msgpack.encode(Offer("home", decode_spec(c.home.world.job(shards=2)), ["home"])),
+        msgspec.msgpack.encode(ReservationRequest("home", decode_spec(c.home.world.job(shards=2)), ["home"])),
     ]  # fmt: skip
     for body in bad:
-        with pytest.raises(Unfit):
+        with pytest.raises(InvalidMessageError):
             messages.decode(body)
-    c.east.node.leadership.resign("gives way", 10.0)
-    assert isinstance(guest.answer(good), Unsure)
+    c.east.node.election.resign("gives way", 10.0)
+    assert isinstance(guest.answer(good), UncertainReply)
 
 
 def test_guests_come_within_their_team_s_limit_and_keep_no_more_room_than_allowed() -> None:
@@ -533,10 +375,10 @@
     guest = c.east.guest
     guest.limits.most_reserved = 1
     assert isinstance(guest.answer(offer(c)), Reserved)
-    assert guest.answer(offer(c)) == Refused("as many as are allowed")
+    assert guest.answer(offer(c)) == Rejection("as many as are allowed")
     guest.limits.most_reserved = 8
-    c.east.term.ledger.teams[c.east.term.ledger.team_names.index("blue")].limit = (15_000_000, 0)
-    assert guest.answer(offer(c)) == Refused("the guests' limit is used up")
+    c.east.term.registry.teams[c.east.term.registry.team_names.index("blue")].limit = (15_000_000, 0)
+    assert guest.answer(offer(c)) == Rejection("the guests' limit is used up")
 
 
 def test_many_schedules_of_faults_never_split_a_gang_nor_run_it_twice() -> None:
@@ -576,10 +418,10 @@
     assert isinstance(reserved, Reserved)
     for _ in range(int(reserved.for_s) + 1):
         c.clock.now += 1.0
-        c.east.term.leadership.renew()
-    assert isinstance(c.east.guest.answer(Commit("home", asked.spec.id, reserved.id)), Refused)
+        c.east.term.election.renew()
+    assert isinstance(c.east.guest.answer(Commit("home", asked.spec.id, reserved.id)), Rejection)
     assert not c.east.guest.records
-    assert not [k for k in c.east.world.state.data if k.startswith(PREFIX)]
+    assert not [k for k in c.east.world.store.data if k.startswith(PREFIX)]
 
 
 def test_a_gang_abroad_is_left_alone_by_a_leader_that_knows_nothing_of_federation() -> None:
@@ -588,11 +430,11 @@
     c.until(lambda: c.runs_in() == "east")
     world = c.home.world
     world.clock.now += 13.0
-    c.home.node = Node(world, "home-plain")
+    c.home.node = InMemoryController(world, "home-plain")
     term = c.home.node.lead()
     c.finish(c.home)
     world.settle(term, 12)
-    assert not c.gangs()["home"] and term.ledger.jobs[c.gang].startable() == 0
+    assert not c.gangs()["home"] and term.registry.jobs[c.gang].startable() == 0
 
 
 def test_room_that_is_kept_for_another_cluster_is_not_filled_meanwhile() -> None:
@@ -600,14 +442,14 @@
     asked = offer(c)
     reserved = c.east.guest.answer(asked)
     assert isinstance(reserved, Reserved)
-    kept = [m for m in c.east.term.fleet.machines if m.reserved_for is not None]
+    kept = [m for m in c.east.term.inventory.machines if m.reserved_for is not None]
     assert len(kept) == 2
     c.east.world.accept(c.east.node, shards=64, cpus=1.0, ramGb=0.1)
     for _ in range(8):
         c.clock.now += 1.0
         c.east.round()
-    assert all(not m.places for m in kept)
+    assert all(not m.allocations for m in kept)
     for _ in range(12):  # and is given to others when its time is over
         c.clock.now += 1.0
         c.east.round()
-    assert all(m.places for m in kept)
+    assert all(m.allocations for m in kept)
--- a/tests/test_link.py
+++ b/tests/federation/test_tls_link.py
@@ -15,20 +15,29 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from grebestand.doors.server import listen
-from grebestand.federation import keys, link
-from grebestand.federation.door import LinkDoor, LinkGate
-from grebestand.federation.limits import Bucket, Retries
-from grebestand.federation.link import PATH, TlsLink, over_tls
-from grebestand.federation.messages import MOST_BYTES, NOT_LEADING, Ask, Message, Refused, Reply, Unsure, decode_reply
-from grebestand.federation.networks import NetworkFault, Networks
-from grebestand.federation.ring import LOOK_S, Ring, RingFault
-from grebestand.outside.http import HttpTransport, Transport, Unreachable
-from grebestand.standin.memory import Clock
-from grebestand.standin.processes import free_port
+from grebestand.api.http_server import listen
+from grebestand.clients.http import HttpTransport, Transport, UnreachableError
+from grebestand.emulators.controller_processes import free_port
+from grebestand.federation import keys, tls_link
+from grebestand.federation.allowed_networks import AllowedNetworks, NetworkListError
+from grebestand.federation.keyring import LOOK_S, Keyring, KeyringError
+from grebestand.federation.link_server import LinkAdmission, LinkServer
+from grebestand.federation.messages import (
+    MOST_BYTES,
+    NOT_LEADING,
+    Message,
+    Rejection,
+    Reply,
+    StatusQuery,
+    UncertainReply,
+    decode_reply,
+)
+from grebestand.federation.rate_limits import RetryBackoff, TokenBucket
+from grebestand.federation.tls_link import PATH, TlsLink, over_tls
+from grebestand.simulation.single_controller_cluster import ManualClock
 
 NOW = dt.datetime.now(dt.UTC)
-ASK = Ask("home", "j-000001", "0" * 32)
+ASK = StatusQuery("home", "j-000001", "0" * 32)
 
 
 class Two:
@@ -36,25 +45,25 @@
 
     def __init__(self, root: Path, home_made: dt.datetime = NOW) -> None:
         self.home, self.east = root / "home", root / "east"
-        self.clock = Clock()
+        self.clock = ManualClock()
         pems = [keys.create(self.home, "home", 2.0, home_made), keys.create(self.east, "east", 2.0, NOW)]
         keys.trust(self.home, pems[1])
         keys.trust(self.east, pems[0])
-        self.ring = Ring(self.east, "east", self.clock)
+        self.ring = Keyring(self.east, "east", self.clock)
         self.asked: list[Message] = []
         self.networks = ["127.0.0.0/8"]
         self.port = free_port()
-        door = LinkDoor(self.ring, lambda: self.answer, lambda: "east-1", self.clock)
-        gate = LinkGate(Networks(self.networks), self.ring, self.clock)
+        door = LinkServer(self.ring, lambda: self.answer, lambda: "east-1", self.clock)
+        gate = LinkAdmission(AllowedNetworks(self.networks), self.ring, self.clock)
         self.server = listen(f"127.0.0.1:{self.port}", "listen", door.app, 4, gate)
         self.server.start()
 
     def answer(self, message: Message) -> Reply:
         self.asked.append(message)
-        return Refused("heard")
+        return Rejection("heard")
 
     def wire(self, root: Path | None = None) -> HttpTransport:
-        context = Ring(root or self.home, (root or self.home).name, self.clock).client("east")
+        context = Keyring(root or self.home, (root or self.home).name, self.clock).client("east")
         return HttpTransport("127.0.0.1", self.port, 1, tls=context)
 
     def tell(self, wire: HttpTransport, body: bytes | None = None) -> tuple[int, bytes]:
@@ -74,7 +83,7 @@
 def test_clusters_that_believe_each_other_talk_and_the_peer_is_who_its_certificate_says(two: Two) -> None:
     wire = two.wire()
     status, body = two.tell(wire)
-    assert status == 200 and decode_reply(body) == Refused("heard") and two.asked == [ASK]
+    assert status == 200 and decode_reply(body) == Rejection("heard") and two.asked == [ASK]
     # a message in another cluster's name is not even looked at
     status, body = two.tell(wire, msgspec.msgpack.encode(msgspec.structs.replace(ASK, home="west")))
     assert status == 403 and b"'west'" in body and len(two.asked) == 1
@@ -83,11 +92,11 @@
 def test_the_link_speaks_ipv6_where_the_address_is_one(tmp_path: Path) -> None:
     """An address in brackets was once taken for a name: neither side could use it."""
     two = Two(tmp_path)
-    gate = LinkGate(Networks(["::1/128"]), two.ring, two.clock)
-    door = LinkDoor(two.ring, lambda: two.answer, lambda: None, two.clock)
+    gate = LinkAdmission(AllowedNetworks(["::1/128"]), two.ring, two.clock)
+    door = LinkServer(two.ring, lambda: two.answer, lambda: None, two.clock)
     server = listen(f"[::1]:{free_port()}", "listen", door.app, 4, gate)
     server.start()
-    context = Ring(two.home, "home", two.clock).client("east")
+    context = Keyring(two.home, "home", two.clock).client("east")
     wire = HttpTransport("[::1]", server.server_port, 1, tls=context)
     assert two.tell(wire)[0] == 200
     server.stop(timeout=0.1)
@@ -109,7 +118,7 @@
     two.pass_time()
     assert two.tell(two.wire())[0] == 200
     keys.activate(two.home, "0001")
-    with pytest.raises(Unreachable):
+    with pytest.raises(UnreachableError):
         two.tell(two.wire())
 
 
@@ -136,7 +145,7 @@
     if case == "revoked":
         keys.revoke(two.east, next(s for s in keys.show(two.east, NOW) if s.cluster == "home").fingerprint)
         two.pass_time()
-    with caplog.at_level(logging.WARNING), pytest.raises(Unreachable):
+    with caplog.at_level(logging.WARNING), pytest.raises(UnreachableError):
         two.tell(two.wire(root))
     gevent.sleep(0)
     assert [m for m in caplog.messages if m.startswith("link from 127.0.0.1 refused") and m.endswith(f"is {case}")]
@@ -149,7 +158,7 @@
         def greet(self, sock: Any, host: str) -> Any:
             raise AssertionError("a handshake was begun")
 
-    gate = LinkGate(Networks(["10.2.0.0/16"]), Never(), Clock())  # type: ignore[arg-type]
+    gate = LinkAdmission(AllowedNetworks(["10.2.0.0/16"]), Never(), ManualClock())  # type: ignore[arg-type]
     server = listen(f"127.0.0.1:{free_port()}", "listen", lambda e, s: [], 4, gate)
     server.start()
     with gevent.socket.create_connection(("127.0.0.1", server.server_port), timeout=10.0) as sock:
@@ -158,14 +167,14 @@
 
 
 def test_networks_are_ipv4_and_ipv6_and_faults_name_what_is_wrong() -> None:
-    networks = Networks(["10.2.0.0/16", "10.3.0.0/16", "fd00:2::/64", "192.0.2.7/32"])
+    networks = AllowedNetworks(["10.2.0.0/16", "10.3.0.0/16", "fd00:2::/64", "192.0.2.7/32"])
     inside = ["10.2.255.1", "10.3.0.1", "192.0.2.7", "fd00:2::9", "::ffff:10.2.0.1", "fd00:2::1%eth0"]
     assert all(host in networks for host in inside)
     assert not any(host in networks for host in ["10.4.0.1", "192.0.2.8", "fd00:3::1", "nonsense", ""])
     assert str(networks).startswith("10.2.0.0/15")  # neighbours are merged
     for text in ["10.2.0.1", "10.2.0.1/16", "10.2/16/3", "300.0.0.0/8", "fd00::/129"]:
-        with pytest.raises(NetworkFault, match=text.replace(".", r"\.")):
-            Networks([text])
+        with pytest.raises(NetworkListError, match=text.replace(".", r"\.")):
+            AllowedNetworks([text])
 
 
 def test_what_is_too_large_malformed_or_of_another_version_gets_a_clear_refusal(two: Two) -> None:
@@ -182,27 +191,27 @@
     two.pass_time()
     assert two.tell(two.wire())[0] == 200 and two.ring.edition == edition
     assert "the earlier ones stay" in caplog.text
-    with pytest.raises(RingFault, match=r"broken\.pem: not a certificate"):
-        Ring(two.east, "east", two.clock)
-    with pytest.raises(RingFault, match="keys of 'home', not of 'west'"):
-        Ring(two.home, "west", two.clock)
+    with pytest.raises(KeyringError, match=r"broken\.pem: not a certificate"):
+        Keyring(two.east, "east", two.clock)
+    with pytest.raises(KeyringError, match="keys of 'home', not of 'west'"):
+        Keyring(two.home, "west", two.clock)
 
 
 def test_faults_of_keys_name_what_is_wrong(tmp_path: Path) -> None:
     root = tmp_path / "k"
-    with pytest.raises(keys.KeyFault, match="no keys here"):
+    with pytest.raises(keys.KeyFileError, match="no keys here"):
         keys.rotate(root, 1.0, NOW)
-    with pytest.raises(keys.KeyFault, match="not a cluster's name"):
+    with pytest.raises(keys.KeyFileError, match="not a cluster's name"):
         keys.create(root, "../up", 1.0, NOW)
     pem = keys.create(root, "home", 1.0, NOW)
     assert (root / "own" / "0001.key").stat().st_mode & 0o077 == 0
-    with pytest.raises(keys.KeyFault, match="there are keys already"):
+    with pytest.raises(keys.KeyFileError, match="there are keys already"):
         keys.create(root, "home", 1.0, NOW)
-    with pytest.raises(keys.KeyFault, match="of this cluster itself"):
+    with pytest.raises(keys.KeyFileError, match="of this cluster itself"):
         keys.trust(root, pem)
-    with pytest.raises(keys.KeyFault, match="no generation '0007'"):
+    with pytest.raises(keys.KeyFileError, match="no generation '0007'"):
         keys.activate(root, "0007")
-    with pytest.raises(keys.KeyFault, match="names 0 certificates"):
+    with pytest.raises(keys.KeyFileError, match="names 0 certificates"):
         keys.revoke(root, "00000000")
 
 
@@ -213,7 +222,7 @@
     """Controllers of another cluster: who leads, who is silent."""
 
     def __init__(self) -> None:
-        self.clock = Clock()
+        self.clock = ManualClock()
         self.leads = "b"
         self.silent: set[str] = set()
         self.hint = True
@@ -232,10 +241,10 @@
                 fake.asked.append(host)
                 if host in fake.silent:
                     fake.clock.now += timeout
-                    raise Unreachable("silent")
-                reply: Reply = Refused("yes")
+                    raise UnreachableError("silent")
+                reply: Reply = Rejection("yes")
                 if host != fake.leads:
-                    reply = Unsure(NOT_LEADING, fake.leads if fake.hint else None)
+                    reply = UncertainReply(NOT_LEADING, fake.leads if fake.hint else None)
                 return 200, msgspec.msgpack.encode(reply)
 
         return Wire()
@@ -243,12 +252,12 @@
 
 def test_the_leader_is_found_remembered_and_found_again() -> None:
     f = Fake()
-    assert f.link.tell(ASK) == Refused("yes") and len(f.asked) <= 2
+    assert f.link.tell(ASK) == Rejection("yes") and len(f.asked) <= 2
     f.asked.clear()
-    assert f.link.tell(ASK) == Refused("yes") and f.asked == ["b"]
+    assert f.link.tell(ASK) == Rejection("yes") and f.asked == ["b"]
     f.leads, f.hint = "c", False
     f.asked.clear()
-    assert f.link.tell(ASK) == Refused("yes") and f.asked[0] == "b" and f.asked[-1] == "c"
+    assert f.link.tell(ASK) == Rejection("yes") and f.asked[0] == "b" and f.asked[-1] == "c"
 
 
 def test_a_cluster_that_does_not_answer_takes_a_bounded_time() -> None:
@@ -256,9 +265,11 @@
     f.silent = {"a", "b", "c"}
     begin = f.clock.now
     assert f.link.tell(ASK) is None
-    assert f.clock.now - begin <= link.ALL_S + 1e-9 and len(f.asked) <= 3
+    assert f.clock.now - begin <= tls_link.ALL_S + 1e-9 and len(f.asked) <= 3
     f.silent = {"b"}
-    assert isinstance(f.link.tell(ASK), Unsure)  # the leader itself is silent: nothing follows from the others' word
+    assert isinstance(
+        f.link.tell(ASK), UncertainReply
+    )  # the leader itself is silent: nothing follows from the others' word
 
 
 def test_connections_are_made_anew_when_the_keys_have_changed() -> None:
@@ -291,7 +302,7 @@
     server = StreamServer(("127.0.0.1", 0), half)
     server.start()
     wire = HttpTransport("127.0.0.1", server.server_port, 1)
-    with pytest.raises(Unreachable):
+    with pytest.raises(UnreachableError):
         wire.request("POST", "/", b"", 10.0)
     server.stop(timeout=0.1)
 
@@ -302,11 +313,11 @@
 
     def answer(message: Message) -> Reply:
         broken.wait(10.0)
-        return Refused("x" * 8000)
+        return Rejection("x" * 8000)
 
     two.answer = answer  # type: ignore[method-assign]
     wire = two.wire()
-    with pytest.raises(Unreachable):
+    with pytest.raises(UnreachableError):
         wire.request("POST", PATH, msgspec.msgpack.encode(ASK), 0.5)
     wire.close()
     broken.set()
@@ -317,7 +328,7 @@
 # bounds ---------------------------------------------------------------------------------------------------
 
 
-def spent(take: Callable[[], bool], clock: Clock, seconds: float) -> int:
+def spent(take: Callable[[], bool], clock: ManualClock, seconds: float) -> int:
     found = 0
     for _ in range(int(seconds * 100)):
         clock.now += 0.01
@@ -326,13 +337,13 @@
 
 
 def test_what_is_sent_again_is_bounded_by_what_is_sent_first() -> None:
-    clock = Clock()
-    retries = Retries(0.3, 1.0, clock)
+    clock = ManualClock()
+    retries = RetryBackoff(0.3, 1.0, clock)
     assert spent(retries.again, clock, 60.0) <= 62
     for _ in range(30):
         retries.first()
     assert 9 <= sum(retries.again() for _ in range(100)) <= 11
-    bucket = Bucket(4.0, clock)
+    bucket = TokenBucket(4.0, clock)
     assert spent(lambda: bucket.take(1.0), clock, 30.0) <= 30 * 4 + 4
     clock.now += 10.0
     assert bucket.take(100.0) and not bucket.take(1.0)  # more than a second's worth goes, and is paid for
--- a/tests/test_overload.py
+++ b/tests/flow_control/test_overload.py
@@ -7,35 +7,42 @@
 
 import pytest
 
-from grebestand.decisions.view import Steps
-from grebestand.doors.workers import WorkerDoor
-from grebestand.leading.closing import SHORT_S
-from grebestand.leading.term import Term
-from grebestand.limits.budget import Urgency
-from grebestand.limits.collection import EVERY_S, LATE_TIMES, MIDDLE, NEVER, YOUNG, by_time
-from grebestand.limits.load import RECOVERY_S, Load
-from grebestand.outside.http import Unreachable
-from grebestand.outside.peer import Peer
-from grebestand.process.controller import Controller
-from grebestand.process.handover import SLOW_S, TAKING_OVER
+from grebestand.api.heartbeat_api import HeartbeatApi
+from grebestand.clients.http import UnreachableError
+from grebestand.clients.peer import PeerClient
+from grebestand.controller.controller import Controller
+from grebestand.controller.leadership_transfer import SLOW_S, TAKING_OVER
+from grebestand.emulators.worker import WorkerEmulator
+from grebestand.flow_control.garbage_collection import (
+    EVERY_S,
+    LATE_TIMES,
+    MIDDLE,
+    NEVER,
+    YOUNG,
+    collect_garbage_by_time,
+)
+from grebestand.flow_control.overload import RECOVERY_S, OverloadMonitor
+from grebestand.flow_control.rate_limiter import Urgency
+from grebestand.leader.job_completion import SHORT_S
+from grebestand.leader.term import Term
+from grebestand.scheduling.scheduling_context import Steps
 from grebestand.settings.platform import Quota
-from grebestand.standin.memory import SETTINGS, Clock, Node, World
-from grebestand.standin.worker import WorkerModel
-from grebestand.states import LoadState, MachineState
-from grebestand.wire.peers import Hello
+from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController, ManualClock
+from grebestand.state_machines import LoadState, MachineState
+from grebestand.wire.peers import PeerStatus
 
 
 class Gone:
     """A controller that cannot be reached."""
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        raise Unreachable("gone")
+        raise UnreachableError("gone")
 
 
-def led_world() -> tuple[World, Node, Term, WorkerModel]:
+def led_world() -> tuple[InMemoryCluster, InMemoryController, Term, WorkerEmulator]:
     """A leader and one machine that may be given tasks."""
-    world = World()
-    node = Node(world, "node-0")
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     term = node.lead()
     worker = world.worker("n-000000")
     world.settle(term, 3)
@@ -46,14 +53,14 @@
     return f"{SETTINGS}\n[params.quota]\ncpu = {cpu}\nmemory_mb = {memory_mb}\nsockets = {sockets}\n"
 
 
-def felt(load: Load, late_s: float) -> LoadState:
+def felt(load: OverloadMonitor, late_s: float) -> LoadState:
     load.felt(late_s)
     return load.state
 
 
 def test_being_late_is_a_state_that_is_entered_at_once_and_left_step_by_step() -> None:
-    clock = Clock()
-    load = Load(Quota(), clock)
+    clock = ManualClock()
+    load = OverloadMonitor(Quota(), clock)
     assert felt(load, 0.05) is LoadState.NORMAL
     assert felt(load, 0.3) is LoadState.STRAINED
     assert felt(load, 2.5) is LoadState.OVERLOADED
@@ -73,13 +80,13 @@
     moved: list[float] = []
     monkeypatch.setattr(term.scheduler.migration, "migrate", moved.append)
     term.scheduler.retargeted_at -= 100.0
-    term.pace.step(world.clock.now)
+    term.scheduling_loop.step(world.clock.now)
     assert len(moved) == 1
-    term.pressure.felt(0.5)
+    term.overload.felt(0.5)
     ident = world.accept(node, shape="ensemble", shards=1, cpus=8.0)
     world.settle(term, 2)
     assert len(moved) == 1
-    assert term.ledger.jobs[ident].running()
+    assert term.registry.jobs[ident].running()
 
 
 @pytest.mark.parametrize(
@@ -89,9 +96,9 @@
     cpu: float, memory_mb: float, sockets: int, most: int
 ) -> None:
     """Bodies of 64 KiB, connections and waiting requests: none of them may end a small process in a burst."""
-    world = World(small_quota(cpu, memory_mb, sockets))
+    world = InMemoryCluster(small_quota(cpu, memory_mb, sockets))
     front = Controller(world.settings, world.policy)
-    assert front.pressure.most_users == most
+    assert front.overload.most_users == most
     asked = {"REQUEST_METHOD": "POST", "PATH_INFO": "/v2/runs"}
     front.users_busy = most
     answer = front._answer(asked)
@@ -100,18 +107,18 @@
 
 
 def test_an_overloaded_controller_sends_polls_away_and_still_accepts_and_hears_reports() -> None:
-    world = World()
-    node = Node(world, "node-0")
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     term = node.lead()
     worker = world.worker("n-000000")
     front = Controller(world.settings, world.policy)
-    front.workers = WorkerDoor("node-0", node.leadership, lambda: term)
-    front.pressure.felt(3.0)
-    front.users_busy = front.pressure.most_users // 2
+    front.workers = HeartbeatApi("node-0", node.election, lambda: term)
+    front.overload.felt(3.0)
+    front.users_busy = front.overload.most_users // 2
     poll = {"REQUEST_METHOD": "GET", "PATH_INFO": "/v2/runs/j-000001"}
     assert front._answer(poll).status == 503
-    assert front.pressure.takes(front.users_busy, poll=False)
-    assert front.workers.checkin(json.dumps({
+    assert front.overload.takes(front.users_busy, poll=False)
+    assert front.workers.handle_heartbeat(json.dumps({
         "vessel": worker.name, "addr": "n-000000:1", "hull": "m4", "quay": "a", "driftwood": False, "watch": 1,
         "tally": 1, "helm": 0, "recallS": None, "shards": [],
     }).encode()).status == 200  # fmt: skip
@@ -122,21 +129,21 @@
     world, node, term, worker = led_world()
     ident = world.accept(node, shards=2)
     world.clock.now += 60.0
-    assert world.checkin(term, worker) is None
-    term.pace.step(world.clock.now)
-    node.leadership.check_clock()
-    term.pace.step(world.clock.now)
+    assert world.handle_heartbeat(term, worker) is None
+    term.scheduling_loop.step(world.clock.now)
+    node.election.check_clock()
+    term.scheduling_loop.step(world.clock.now)
     assert not worker.started
-    assert not term.ledger.jobs[ident].running()
+    assert not term.registry.jobs[ident].running()
 
 
 def test_a_leader_that_stays_overloaded_gives_way_to_one_that_is_not() -> None:
     """Eight times slower for a minute, a leader that could still renew its hold let the leases of 3700 tasks end."""
-    world = World()
-    node = Node(world, "node-0")
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     node.lead()
-    peer = Peer("node-1", Gone())
-    handover = node.handover(peer)
+    peer = PeerClient("node-1", Gone())
+    leadership_transfer = node.leadership_transfer(peer)
     node.load.felt(2.0)
     for wait, load, stays in (
         (3.0, LoadState.NORMAL, True),
@@ -144,36 +151,36 @@
         (0.0, LoadState.NORMAL, False),
     ):
         world.clock.now += wait
-        node.leadership.renew()
+        node.election.renew()
         node.load.felt(2.0)
-        peer.heard_at, peer.last = world.clock.now, Hello("node-1", 0, 0.1, load=load.value)
-        handover.check_pace()
-        assert node.leadership.entitled() is stays
+        peer.last_heard_at, peer.last = world.clock.now, PeerStatus("node-1", 0, 0.1, load=load.value)
+        leadership_transfer.check_pace()
+        assert node.election.is_leader() is stays
 
 
 def test_one_that_takes_over_is_given_longer_and_not_for_ever() -> None:
     """With 2,600 machines it was late for seven seconds and gave way, and the next began with all of them again."""
-    world = World()
-    node = Node(world, "node-0")
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     term = node.lead()
-    peer = Peer("node-1", Gone())
-    handover = node.handover(peer)
-    term.proof.proved = False
+    peer = PeerClient("node-1", Gone())
+    leadership_transfer = node.leadership_transfer(peer)
+    term.machine_reconciliation.proved = False
     node.load.felt(2.0)
     begun = world.clock.now
-    while node.leadership.entitled() and world.clock.now - begun < 60.0:
+    while node.election.is_leader() and world.clock.now - begun < 60.0:
         world.clock.now += 0.5
-        node.leadership.renew()
+        node.election.renew()
         node.load.felt(2.0)
-        peer.heard_at, peer.last = world.clock.now, Hello("node-1", 0, 0.1)
-        handover.check_pace()
+        peer.last_heard_at, peer.last = world.clock.now, PeerStatus("node-1", 0, 0.1)
+        leadership_transfer.check_pace()
     assert world.clock.now - begun == pytest.approx(TAKING_OVER * SLOW_S, abs=0.6)
 
 
 def test_all_machines_back_at_once_are_all_answered_and_share_a_few_passes(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a cut of a zone hundreds of reports come within a second; a pass for each would answer none in time."""
-    world = World()
-    node = Node(world, "node-0")
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     term = node.lead()
     crowd = [world.worker(f"n-{i:06d}") for i in range(100)]
     world.settle(term, 3)
@@ -188,23 +195,23 @@
 
     monkeypatch.setattr(term.scheduler, "passing", slow)
     world.clock.now += 6.0
-    node.leadership.renew()
+    node.election.renew()
     begin = world.clock.now
     for worker in crowd:
         world.clock.now += 0.004
-        assert world.checkin(term, worker) is not None
+        assert world.handle_heartbeat(term, worker) is not None
     assert len(passes) <= 2
     assert world.clock.now - begin < 1.0
-    assert all(m.heard_at >= begin for m in term.fleet.machines)
+    assert all(m.last_heard_at >= begin for m in term.inventory.machines)
 
 
 def test_a_worker_s_answer_that_comes_after_the_authority_proves_nothing() -> None:
     """A leader that is stopped while a machine answers its token may have been replaced before it reads the answer."""
     world, _node, _term, worker = led_world()
-    again = Node(world, "node-0")
+    again = InMemoryController(world, "node-0")
     second = again.lead()
-    machine = second.fleet.by_name[worker.name]
-    assert machine in second.proof.to_ask(world.clock.now)
+    machine = second.inventory.by_name[worker.name]
+    assert machine in second.machine_reconciliation.to_query(world.clock.now)
     answer = world.direct
 
     def late(addr: str, path: str, body: bytes) -> tuple[int, bytes]:
@@ -212,17 +219,17 @@
         world.clock.now += 30.0
         return found
 
-    second.proof.direct = late
-    second.proof.ask(machine)
-    assert machine.state is MachineState.UNPROVED and not second.proof.proved
-    assert not second.proof.asking
+    second.machine_reconciliation.direct = late
+    second.machine_reconciliation.ask(machine)
+    assert machine.state is MachineState.UNRECONCILED and not second.machine_reconciliation.proved
+    assert not second.machine_reconciliation.asking
 
 
 def test_while_final_records_wait_for_their_writes_an_array_is_granted_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Widenings took nine tenths of the writes: 52 of some 400 finished jobs were recorded within two minutes."""
     world, node, term, _ = led_world()
     ref = world.accept(node, shards=10)
-    commit = type(term.pen).commit
+    commit = type(term.writer).commit
 
     def waits(self: object, conditions: object, changes: object, urgency: Urgency) -> object:
         if urgency is Urgency.DONE:
@@ -231,7 +238,7 @@
 
     world.settle(term, 3)
     assert world.records("grants/")[ref][1] is not None
-    monkeypatch.setattr(type(term.pen), "commit", waits)
+    monkeypatch.setattr(type(term.writer), "commit", waits)
     for worker in world.workers.values():
         for task in worker.running():
             worker.finish(task)
@@ -257,6 +264,6 @@
     monkeypatch.setattr(gc, "set_threshold", lambda *counts: thresholds.append(counts))
     monkeypatch.setattr(gc, "collect", lambda: collected.append(now))
     with pytest.raises(StopIteration):
-        by_time(sleep, lambda: now <= late_from)
+        collect_garbage_by_time(sleep, lambda: now <= late_from)
     assert collected == [EVERY_S * n for n in (1, 2, 3, 3 + LATE_TIMES, 3 + 2 * LATE_TIMES)]
     assert thresholds == [(YOUNG, MIDDLE, NEVER)]
--- a/tests/test_relays.py
+++ b/tests/heartbeat_relay/test_heartbeat_relay.py
@@ -12,29 +12,38 @@
 import pytest
 from gevent import socket
 
-from grebestand.doors.answer import Answer
-from grebestand.doors.server import listen_bounded, respond
-from grebestand.doors.workers import WorkerDoor
-from grebestand.leading.leadership import Leadership
-from grebestand.leading.term import Term
-from grebestand.limits.load import Load
-from grebestand.limits.sockets import BATCHES, SocketPlan, plan
-from grebestand.outside.http import Unreachable
-from grebestand.outside.peer import Peer
-from grebestand.process.controller import Controller
-from grebestand.relays.receiver import Receiver, Refused
-from grebestand.relays.sender import ANSWER_S, DOWN_S, MOST_REPORTS, PATH, QUEUED_S, REST_S, SEND_S, Sender
-from grebestand.relays.spread import BACK_S, Other, Spread, spread_on
+from grebestand.api.heartbeat_api import HeartbeatApi
+from grebestand.api.http_server import listen_bounded, respond
+from grebestand.api.response import Response
+from grebestand.clients.http import UnreachableError
+from grebestand.clients.peer import PeerClient
+from grebestand.controller.controller import Controller
+from grebestand.emulators.worker import WorkerEmulator
+from grebestand.flow_control.connection_limits import BATCHES, ConnectionPlan, plan_connections
+from grebestand.flow_control.overload import OverloadMonitor
+from grebestand.heartbeat_relay.batch_receiver import BatchReceiver, BatchRefusedError
+from grebestand.heartbeat_relay.forwarder import (
+    ANSWER_S,
+    DOWN_S,
+    MOST_REPORTS,
+    PATH,
+    QUEUED_S,
+    REST_S,
+    SEND_S,
+    HeartbeatForwarder,
+)
+from grebestand.heartbeat_relay.worker_assignment import BACK_S, PeerCapacity, WorkerAssignment, assignment_enabled
+from grebestand.leader.election import LeaderElection
+from grebestand.leader.term import Term
 from grebestand.settings.platform import Quota
-from grebestand.standin.cluster import STATE, SimulatedCluster, Way
-from grebestand.standin.memory import Clock, Node, World
-from grebestand.standin.seats import Seat
-from grebestand.standin.virtual import VirtualLoop, simulated
-from grebestand.standin.worker import WorkerModel
-from grebestand.states import PassageState
-from grebestand.wire.peers import Batch, Replies
-from grebestand.wire.workers import Orders, Report
-from worlds import SPREAD, back, crash_leader, heal
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.simulated_worker import SimulatedWorker
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController, ManualClock
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.state_machines import ForwarderState
+from grebestand.wire.peers import HeartbeatBatch, HeartbeatBatchResponse
+from grebestand.wire.workers import Heartbeat, HeartbeatResponse
+from support.cluster_actions import SPREAD, back, crash_leader, heal
 
 
 @pytest.fixture
@@ -67,15 +76,15 @@
     even = 30 / 3
     assert all(0.8 * even <= count <= 1.2 * even for count in kept(world).values()), kept(world)
     asked = Counter[str]()
-    moves = Seat.report_to
+    moves = SimulatedWorker.report_to
 
-    def counted(self: Seat, name: str) -> tuple[int, bytes]:
+    def counted(self: SimulatedWorker, name: str) -> tuple[int, bytes]:
         status, body = moves(self, name)
         asked[f"{status}"] += 1
         return status, body
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Seat, "report_to", counted)
+        patch.setattr(SimulatedWorker, "report_to", counted)
         gevent.sleep(30)
     # nobody is sent to and fro once all have found their place
     assert asked["200"] > 250 and set(asked) == {"200"}
@@ -107,45 +116,45 @@
     world.freeze(relays(world)[0], 12.0)
 
 
-def relay_loses_the_leader(world: SimulatedCluster, way: Way = Way.HELD, seconds: float = 25.0) -> None:
+def relay_loses_the_leader(world: SimulatedCluster, way: LinkMode = LinkMode.HELD, seconds: float = 25.0) -> None:
     (leader,) = world.leading()
     relay = relays(world)[0]
     world.links.set(relay, leader, way)
-    gevent.spawn_later(seconds, world.links.set, relay, leader, Way.OPEN)
+    gevent.spawn_later(seconds, world.links.set, relay, leader, LinkMode.OPEN)
 
 
 def relay_is_refused(world: SimulatedCluster) -> None:
-    relay_loses_the_leader(world, Way.REFUSED)
+    relay_loses_the_leader(world, LinkMode.REFUSED)
 
 
 def batches_are_lost(world: SimulatedCluster) -> None:
     (leader,) = world.leading()
     for relay in relays(world):
-        world.links.ways[relay, leader] = Way.ASKS_LOST
+        world.links.ways[relay, leader] = LinkMode.ASKS_LOST
     gevent.spawn_later(25.0, world.links.heal)
 
 
 def answers_to_batches_are_lost(world: SimulatedCluster) -> None:
     (leader,) = world.leading()
     for relay in relays(world):
-        world.links.ways[leader, relay] = Way.ANSWERS_LOST
+        world.links.ways[leader, relay] = LinkMode.ANSWERS_LOST
     gevent.spawn_later(25.0, world.links.heal)
 
 
 def relay_is_slow(world: SimulatedCluster) -> None:
-    relay_loses_the_leader(world, Way.SLOW)
+    relay_loses_the_leader(world, LinkMode.SLOW)
 
 
 def relay_loses_its_workers(world: SimulatedCluster) -> None:
     relay = relays(world)[0]
     for zone in "ab":
-        world.links.set(relay, zone, Way.HELD)
+        world.links.set(relay, zone, LinkMode.HELD)
     gevent.spawn_later(25.0, world.links.heal)
 
 
 def relay_loses_the_state_service(world: SimulatedCluster) -> None:
     relay = relays(world)[0]
-    world.links.set(relay, STATE, Way.HELD)
+    world.links.set(relay, STATE, LinkMode.HELD)
     gevent.spawn_later(25.0, world.links.heal)
 
 
@@ -165,7 +174,7 @@
     """Cut from the state service and the others, and not from its workers; jobs are cancelled through the next."""
     (leader,) = world.leading()
     for far in (STATE, *relays(world)):
-        world.links.set(leader, far, Way.HELD)
+        world.links.set(leader, far, LinkMode.HELD)
     gevent.spawn_later(20.0, world.cancel_now, 4)
     gevent.spawn_later(40.0, world.links.heal)
 
@@ -173,7 +182,7 @@
 def leader_gives_way(world: SimulatedCluster) -> None:
     node = world.nodes[world.leading()[0]]
     assert node is not None
-    gevent.spawn(node.handover._give_way, "played", "")
+    gevent.spawn(node.leadership_transfer._give_way, "played", "")
 
 
 def leader_and_relay_end(world: SimulatedCluster) -> None:
@@ -233,7 +242,7 @@
     world = spread_world(loop)
     (leader,) = world.leading()
     for zone in "ab":
-        world.links.set(leader, zone, Way.HELD)
+        world.links.set(leader, zone, LinkMode.HELD)
     gevent.sleep(40)
     assert world.leading() == [leader] and len(world.leaders) == 1 and world.killed == 0
 
@@ -272,9 +281,9 @@
 def answers_from_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     """A relay gives the answer before last once more, where the leader gives none in time."""
     told: dict[str, tuple[int, bytes]] = {}
-    pass_on = Sender.pass_on
+    pass_on = HeartbeatForwarder.pass_on
 
-    def remembering(self: Sender, body: bytes, came_at: float) -> tuple[int, bytes]:
+    def remembering(self: HeartbeatForwarder, body: bytes, came_at: float) -> tuple[int, bytes]:
         machine = json.loads(body)["vessel"]
         status, said = pass_on(self, body, came_at)
         if status == 200:
@@ -282,21 +291,21 @@
             return status, said
         return told.get(machine, (status, said))
 
-    monkeypatch.setattr(Sender, "pass_on", remembering)
-    monkeypatch.setattr(Sender, "open", lambda self: True)
+    monkeypatch.setattr(HeartbeatForwarder, "pass_on", remembering)
+    monkeypatch.setattr(HeartbeatForwarder, "open", lambda self: True)
 
 
 def answers_without_authority(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leader goes on answering batches, whatever its own authority is."""
-    answered = Receiver._answered
+    answered = BatchReceiver._answered
 
-    def always(self: Receiver, batch: Batch) -> Replies:
+    def always(self: BatchReceiver, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Leadership, "entitled", lambda lead: lead is self.leadership or lead.authority_until > 0)
+            patch.setattr(LeaderElection, "is_leader", lambda lead: lead is self.election or lead.authority_until > 0)
             return answered(self, batch)
 
-    monkeypatch.setattr(Receiver, "_answered", always)
-    monkeypatch.setattr(Leadership, "check_clock", lambda self: None)
+    monkeypatch.setattr(BatchReceiver, "_answered", always)
+    monkeypatch.setattr(LeaderElection, "check_clock", lambda self: None)
 
 
 @pytest.mark.parametrize("break_it", [answers_from_memory, answers_without_authority])
@@ -319,29 +328,31 @@
 class Leader:
     """A leader at the other end: answers what it is told to."""
 
-    def __init__(self, answer: Callable[[Batch], Replies]) -> None:
+    def __init__(self, answer: Callable[[HeartbeatBatch], HeartbeatBatchResponse]) -> None:
         self.answer = answer
-        self.batches: list[Batch] = []
+        self.batches: list[HeartbeatBatch] = []
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         assert (method, path) == ("POST", PATH)
-        batch = msgspec.msgpack.decode(body, type=Batch)
+        batch = msgspec.msgpack.decode(body, type=HeartbeatBatch)
         self.batches.append(batch)
         with gevent.Timeout(timeout, False):
             return 200, msgspec.msgpack.encode(self.answer(batch))
-        raise Unreachable("timeout")
+        raise UnreachableError("timeout")
 
 
-def passing(loop: VirtualLoop, answer: Callable[[Batch], Replies]) -> tuple[Sender, Leader]:
+def passing(
+    loop: VirtualLoop, answer: Callable[[HeartbeatBatch], HeartbeatBatchResponse]
+) -> tuple[HeartbeatForwarder, Leader]:
     leader = Leader(answer)
-    peer = Peer("node-0", leader)
-    sender = Sender("node-1", lambda: loop.time, lambda: peer)
+    peer = PeerClient("node-0", leader)
+    sender = HeartbeatForwarder("node-1", lambda: loop.time, lambda: peer)
     gevent.spawn(sender.run)
     return sender, leader
 
 
-def echo(batch: Batch) -> Replies:
-    return Replies([(200, body) for body in batch.reports])
+def echo(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
+    return HeartbeatBatchResponse([(200, body) for body in batch.reports])
 
 
 def test_reports_that_come_together_go_together_and_each_has_its_own_answer(loop: VirtualLoop) -> None:
@@ -355,7 +366,7 @@
 def test_an_answer_that_is_too_old_is_given_to_nobody(loop: VirtualLoop) -> None:
     """A relay that stood still: by its own clock the report came long ago."""
 
-    def late(batch: Batch) -> Replies:
+    def late(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         gevent.sleep(2.0)
         return echo(batch)
 
@@ -365,9 +376,9 @@
 
 
 def test_a_leader_that_is_late_gets_no_more_than_it_can_take(loop: VirtualLoop) -> None:
-    def slow(batch: Batch) -> Replies:
+    def slow(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         gevent.sleep(1.9)
-        return Replies([(200, b"")] * len(batch.reports), late=True)
+        return HeartbeatBatchResponse([(200, b"")] * len(batch.reports), late=True)
 
     sender, leader = passing(loop, slow)
     for _ in range(BATCHES):
@@ -381,13 +392,13 @@
 
 
 def test_a_leader_that_does_not_answer_is_left_alone_for_a_while(loop: VirtualLoop) -> None:
-    def silent(batch: Batch) -> Replies:
+    def silent(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         gevent.sleep(1e6)
         return echo(batch)
 
     sender, leader = passing(loop, silent)
     assert sender.open() and sender.pass_on(b"", loop.time) == (0, b"")
-    assert loop.time >= DOWN_S and sender.state is PassageState.RESTING and not sender.open()
+    assert loop.time >= DOWN_S and sender.state is ForwarderState.RESTING and not sender.open()
     leader.answer = echo
     gevent.sleep(REST_S)
     assert sender.open() and sender.pass_on(b"x", loop.time) == (200, b"x")
@@ -403,24 +414,24 @@
 
     leader.request = cut  # type: ignore[method-assign]
     assert sender.pass_on(b"report", loop.time) == (0, b"")
-    leader.answer, leader.request = (lambda batch: Replies([])), whole  # type: ignore[method-assign]
+    leader.answer, leader.request = (lambda batch: HeartbeatBatchResponse([])), whole  # type: ignore[method-assign]
     assert sender.pass_on(b"report", loop.time) == (0, b"")  # nor is an answer to something else
 
 
 def test_a_leader_that_is_late_and_still_greets_keeps_its_relays(loop: VirtualLoop) -> None:
     """At its whole share all relays left it alone at once; thousands of workers came anew, and it was later still."""
 
-    def late(batch: Batch) -> Replies:
+    def late(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         gevent.sleep(1e6)
         return echo(batch)
 
-    peer = Peer("node-0", Leader(late))
-    sender = Sender("node-1", lambda: loop.time, lambda: peer)
+    peer = PeerClient("node-0", Leader(late))
+    sender = HeartbeatForwarder("node-1", lambda: loop.time, lambda: peer)
     gevent.spawn(sender.run)
     for _ in range(3):
         asking = gevent.spawn(sender.pass_on, b"", loop.time)
         gevent.sleep(1.5)
-        peer.heard_at = loop.time
+        peer.last_heard_at = loop.time
         assert asking.get() == (0, b"") and sender.open()
 
 
@@ -429,53 +440,53 @@
 
     def long(begun: object) -> None:
         world.clock.now += SEND_S + 0.1
-        term.leadership.renew()
+        term.election.renew()
 
-    monkeypatch.setattr(term, "cover_checkins", long)
-    before = [m.given_at for m in term.fleet.machines]
+    monkeypatch.setattr(term, "cover_heartbeats", long)
+    before = [m.last_response_at for m in term.inventory.machines]
     assert asked(receiver, *(msgspec.json.encode(w.report()) for w in workers)) == [(503, b"")] * 3
-    assert [m.given_at for m in term.fleet.machines] == before
+    assert [m.last_response_at for m in term.inventory.machines] == before
 
 
 def test_a_leader_that_is_gone_is_no_reason_to_leave_the_next_alone(loop: VirtualLoop) -> None:
     """Its workers were sent to the new leader for as long as the old one would have been left alone."""
 
-    def silent(batch: Batch) -> Replies:
+    def silent(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         gevent.sleep(1e6)
         return echo(batch)
 
-    old, new = Peer("node-0", Leader(silent)), Peer("node-2", Leader(echo))
+    old, new = PeerClient("node-0", Leader(silent)), PeerClient("node-2", Leader(echo))
     leads = old
-    sender = Sender("node-1", lambda: loop.time, lambda: leads)
+    sender = HeartbeatForwarder("node-1", lambda: loop.time, lambda: leads)
     gevent.spawn(sender.run)
     assert sender.pass_on(b"", loop.time) == (0, b"") and not sender.open()
     leads = new
     assert sender.open() and sender.pass_on(b"x", loop.time) == (200, b"x")
 
 
-def led() -> tuple[World, Node, Term, Receiver, list[WorkerModel]]:
-    world = World()
-    node = Node(world, "node-0")
+def led() -> tuple[InMemoryCluster, InMemoryController, Term, BatchReceiver, list[WorkerEmulator]]:
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     term = node.lead()
     workers = [world.worker(f"n-{i:06d}") for i in range(3)]
     world.settle(term, 3)
-    load = Load(Quota(), world.clock)
-    receiver = Receiver(["node-1"], node.leadership, lambda: node.term, load, world.clock, lambda: None)
+    load = OverloadMonitor(Quota(), world.clock)
+    receiver = BatchReceiver(["node-1"], node.election, lambda: node.term, load, world.clock, lambda: None)
     return world, node, term, receiver, workers
 
 
-def asked(receiver: Receiver, *reports: bytes, sender: str = "node-1") -> list[tuple[int, bytes]]:
-    answer = receiver.answer(msgspec.msgpack.encode(Batch(sender, list(reports))))
-    return msgspec.msgpack.decode(answer, type=Replies).answers
+def asked(receiver: BatchReceiver, *reports: bytes, sender: str = "node-1") -> list[tuple[int, bytes]]:
+    answer = receiver.answer(msgspec.msgpack.encode(HeartbeatBatch(sender, list(reports))))
+    return msgspec.msgpack.decode(answer, type=HeartbeatBatchResponse).answers
 
 
 def test_a_batch_is_read_and_answered_like_so_many_reports() -> None:
     world, node, term, receiver, workers = led()
     world.accept(node, shards=30)
-    term.pace.step(world.clock.now + 10.0)
+    term.scheduling_loop.step(world.clock.now + 10.0)
     world.clock.now += 1.0
     answers = asked(receiver, *(msgspec.json.encode(w.report()) for w in workers))
-    orders = [msgspec.json.decode(body, type=Orders) for _, body in answers]
+    orders = [msgspec.json.decode(body, type=HeartbeatResponse) for _, body in answers]
     assert [status for status, _ in answers] == [200] * 3 and {o.token for o in orders} == {term.token}
     for worker, order in zip(workers, orders, strict=True):
         worker.obey(order)
@@ -485,9 +496,9 @@
 def test_a_report_that_comes_over_two_controllers_is_taken_once() -> None:
     world, node, term, receiver, (worker, *_) = led()
     world.accept(node, shards=4)
-    term.pace.step(world.clock.now + 10.0)
+    term.scheduling_loop.step(world.clock.now + 10.0)
     body = msgspec.json.encode(worker.report())
-    first, second = (msgspec.json.decode(asked(receiver, body)[0][1], type=Orders) for _ in range(2))
+    first, second = (msgspec.json.decode(asked(receiver, body)[0][1], type=HeartbeatResponse) for _ in range(2))
     assert [c.op for c in first.commands].count("start") == 4 and second.commands == []
 
 
@@ -508,15 +519,15 @@
 ) -> None:
     world, _, _, receiver, workers = led()
     body = msgspec.json.encode(workers[0].report())
-    many = msgspec.msgpack.encode(Batch("node-1", [b"{}"] * (MOST_REPORTS + 1)))
-    whole = msgspec.msgpack.encode(Batch("node-1", [b" " * (1 << 19)] * 4))
-    strange = msgspec.msgpack.encode(Batch("somebody", [body]))
+    many = msgspec.msgpack.encode(HeartbeatBatch("node-1", [b"{}"] * (MOST_REPORTS + 1)))
+    whole = msgspec.msgpack.encode(HeartbeatBatch("node-1", [b" " * (1 << 19)] * 4))
+    strange = msgspec.msgpack.encode(HeartbeatBatch("somebody", [body]))
     for wrong in (b"", b"\xc1", msgspec.msgpack.encode([1, 2]), many, whole, strange) * 3:
-        with pytest.raises(Refused):
+        with pytest.raises(BatchRefusedError):
             receiver.answer(wrong)
     assert caplog.text.count("a batch of reports was refused") == 1 and receiver.reports == 0
     world.clock.now += 11.0
-    with pytest.raises(Refused):
+    with pytest.raises(BatchRefusedError):
         receiver.answer(strange)
     assert caplog.text.count("a batch of reports was refused") == 2
 
@@ -536,35 +547,35 @@
     def long(begun: object) -> None:
         world.clock.now += 30.0
 
-    monkeypatch.setattr(term, "cover_checkins", long)
+    monkeypatch.setattr(term, "cover_heartbeats", long)
     assert asked(receiver, msgspec.json.encode(workers[0].report())) == [(503, b"")]
 
 
 class Neighbours:
     """Spread of one controller among others that say what they keep."""
 
-    def __init__(self, *others: Other, limit: int = 1000, machines: int = 300) -> None:
-        self.clock = Clock()
+    def __init__(self, *others: PeerCapacity, limit: int = 1000, machines: int = 300) -> None:
+        self.clock = ManualClock()
         self.others = list(others)
-        self.spread = Spread("node-0", "a", limit, 3.0, self.clock, lambda: self.others)
+        self.spread = WorkerAssignment("node-0", "a", limit, 3.0, self.clock, lambda: self.others)
         self.spread.told(machines)
 
     def arrive(self, count: int, zone: str = "a", first: int = 0) -> Counter[str | None]:
-        places = Counter[str | None]()
+        allocations = Counter[str | None]()
         for i in range(first, first + count):
             to = self.spread.where(f"n-{i}", zone, leads=False)
             if to == "node-0":
                 self.spread.keep(f"n-{i}")
-            places[to] += 1
-        return places
+            allocations[to] += 1
+        return allocations
 
 
 def test_each_keeps_its_share_and_sends_on_what_comes_on_top() -> None:
-    near, far = Other("near", "a", True, 0, 900), Other("far", "b", False, 0, 900)
+    near, far = PeerCapacity("near", "a", True, 0, 900), PeerCapacity("far", "b", False, 0, 900)
     world = Neighbours(near, far)
-    places = world.arrive(300)
+    allocations = world.arrive(300)
     # its own zone's others first, then whoever has room; the leader's share is a little less
-    assert 100 <= places["node-0"] <= 120 and 80 <= places["near"] <= 100 and 80 <= places["far"] <= 120
+    assert 100 <= allocations["node-0"] <= 120 and 80 <= allocations["near"] <= 100 and 80 <= allocations["far"] <= 120
     # a worker that is kept stays
     assert world.arrive(50) == {"node-0": 50}
     # those of another zone go there, as long as there is room
@@ -573,7 +584,7 @@
 
 
 def test_nobody_is_sent_to_and_fro() -> None:
-    world = Neighbours(Other("near", "a", True, 0, 900))
+    world = Neighbours(PeerCapacity("near", "a", True, 0, 900))
     world.arrive(300)
     sent = [m for m in world.spread.sent][:20]
     assert [world.spread.where(m, "a", False) for m in sent] == ["node-0"] * 20  # they come back: kept
@@ -585,7 +596,7 @@
 def test_one_with_far_too_many_sends_them_away_bit_by_bit() -> None:
     world = Neighbours()
     assert world.arrive(300) == {"node-0": 300}
-    world.others = [Other("new", "a", False, 0, 900)]
+    world.others = [PeerCapacity("new", "a", False, 0, 900)]
     moved = 0
     for _ in range(40):
         world.clock.now += 0.5
@@ -595,7 +606,7 @@
                 moved += 1
             else:
                 world.spread.keep(machine)
-        world.others = [Other("new", "a", False, moved, 900)]
+        world.others = [PeerCapacity("new", "a", False, moved, 900)]
         world.spread.heard("new")
         # six in a hundred of the 300 it began with, a second
         assert moved <= 19 * (world.clock.now - 1000.0) + 19
@@ -605,7 +616,7 @@
 def test_one_whose_workers_report_too_often_sends_some_where_fewer_come() -> None:
     """Counts were even, and the leader, with the busiest machines, answered twice as many reports as others."""
     world = Neighbours(
-        Other("near", "a", False, 95, 900, reports=40.0), Other("far", "b", False, 95, 900, reports=40.0)
+        PeerCapacity("near", "a", False, 95, 900, reports=40.0), PeerCapacity("far", "b", False, 95, 900, reports=40.0)
     )
     world.spread.machines = 290
     for i in range(100):
@@ -624,17 +635,17 @@
 
 
 def test_one_without_sockets_keeps_nobody_new() -> None:
-    world = Neighbours(Other("near", "a", True, 290, 3), limit=20)
-    places = world.arrive(40)
-    assert places["node-0"] == 20 and places["near"] == 3 and places[None] == 17
+    world = Neighbours(PeerCapacity("near", "a", True, 290, 3), limit=20)
+    allocations = world.arrive(40)
+    assert allocations["node-0"] == 20 and allocations["near"] == 3 and allocations[None] == 17
     assert world.spread.where("n-0", "a", False, surplus=True) is None
 
 
 def test_one_that_is_late_gets_no_more_while_others_can() -> None:
-    late = Other("late", "a", False, 0, 900, late=True)
-    world = Neighbours(late, Other("near", "a", True, 0, 900))
+    late = PeerCapacity("late", "a", False, 0, 900, late=True)
+    world = Neighbours(late, PeerCapacity("near", "a", True, 0, 900))
     assert world.arrive(300)["late"] == 0
-    world = Neighbours(Other("near", "a", False, 0, 900))
+    world = Neighbours(PeerCapacity("near", "a", False, 0, 900))
     world.spread.late = lambda: True
     assert world.arrive(100) == {"near": 100}
     world.others = []
@@ -642,15 +653,15 @@
 
 
 def test_the_spread_is_switched_by_the_policy_and_stays_for_a_while() -> None:
-    assert not spread_on(lambda n: n > 100, False, 100) and spread_on(lambda n: n > 100, False, 101)
-    assert spread_on(lambda n: n > 100, True, 90) and not spread_on(lambda n: n > 100, True, 80)
-    assert not spread_on(lambda n: True, True, 0)
+    assert not assignment_enabled(lambda n: n > 100, False, 100) and assignment_enabled(lambda n: n > 100, False, 101)
+    assert assignment_enabled(lambda n: n > 100, True, 90) and not assignment_enabled(lambda n: n > 100, True, 80)
+    assert not assignment_enabled(lambda n: True, True, 0)
 
 
 @pytest.mark.parametrize("quota", [800, 1000, 1752, 2470])
 @pytest.mark.parametrize("others", [0, 2, 5])
 def test_all_sockets_together_stay_within_the_quota(quota: int, others: int) -> None:
-    shares = plan(Quota(max_connections=quota), others)
+    shares = plan_connections(Quota(max_connections=quota), others)
     beyond = shares.turned_away + shares.backlog
     assert shares.serving + beyond + shares.peers + shares.from_peers + shares.direct < quota
     assert 0 < shares.workers < shares.serving
@@ -661,9 +672,9 @@
 
     def app(environ: dict[str, object], start: Callable[..., object]) -> list[bytes]:
         surplus = bool(environ["grebestand.surplus"])
-        return respond(Answer(503 if surplus else 200, b"{}", close=surplus), start)
+        return respond(Response(503 if surplus else 200, b"{}", close=surplus), start)
 
-    server = listen_bounded("127.0.0.1:1", "here", app, SocketPlan(0, 0, 0, 1, 2, 8, 1), on_end=ended.append)
+    server = listen_bounded("127.0.0.1:1", "here", app, ConnectionPlan(0, 0, 0, 1, 2, 8, 1), on_end=ended.append)
     server.address = ("127.0.0.1", 0)
     server.start()
     try:
@@ -693,7 +704,7 @@
         most = max(most, open_now)
         gevent.sleep(timeout)
         open_now -= 1
-        raise Unreachable("timeout")
+        raise UnreachableError("timeout")
 
     monkeypatch.setattr(node.network, "once", hanging)
     refused = Counter[str]()
@@ -701,7 +712,7 @@
     def order() -> None:
         try:
             node._direct("n-000000:1", "/do", b"{}")
-        except Unreachable as e:
+        except UnreachableError as e:
             refused[str(e)] += 1
 
     gevent.joinall([gevent.spawn(order) for _ in range(300)])
@@ -710,8 +721,8 @@
 
 def test_a_worker_of_a_report_is_known_by_its_machine() -> None:
     """The spread goes by the names that reports carry: read here and at the leader, they mean the same worker."""
-    worker = WorkerModel("n-000007", zone="b")
-    report = msgspec.json.decode(msgspec.json.encode(worker.report()), type=Report)
+    worker = WorkerEmulator("n-000007", zone="b")
+    report = msgspec.json.decode(msgspec.json.encode(worker.report()), type=Heartbeat)
     assert (report.machine, report.zone) == ("n-000007", "b")
 
 
@@ -719,26 +730,28 @@
     """Thousands came within three seconds of its start, before it knew of enough machines to have others answer them:
     their connections took the last ones to the state service."""
     world, node, *_ = led()
-    spread = Spread("node-0", "a", 3, 3.0, world.clock, list)
-    door = WorkerDoor("node-0", node.leadership, lambda: node.term, spread, Sender("x", world.clock, lambda: None))
-    workers = [WorkerModel(f"n-{i:06d}") for i in range(5)]
+    spread = WorkerAssignment("node-0", "a", 3, 3.0, world.clock, list)
+    door = HeartbeatApi(
+        "node-0", node.election, lambda: node.term, spread, HeartbeatForwarder("x", world.clock, lambda: None)
+    )
+    workers = [WorkerEmulator(f"n-{i:06d}") for i in range(5)]
     for _ in range(2):
-        answers = [door.checkin(msgspec.json.encode(w.report())) for w in workers]
+        answers = [door.handle_heartbeat(msgspec.json.encode(w.report())) for w in workers]
         assert [a.status for a in answers] == [200, 200, 200, 421, 421] and answers[-1].close
         assert json.loads(answers[-1].body) == {}
 
 
 def test_all_followers_together_send_a_leader_no_more_than_it_bears() -> None:
     """Where everything begins at once, several hundred came within a tenth of a second."""
-    leader = Other("leader", "a", True, 900, 240)
-    world = Neighbours(leader, Other("far", "b", False, 0, 900), Other("near", "a", False, 0, 900))
+    leader = PeerCapacity("leader", "a", True, 900, 240)
+    world = Neighbours(leader, PeerCapacity("far", "b", False, 0, 900), PeerCapacity("near", "a", False, 0, 900))
     assert sum(world.spread.may_send("leader") for _ in range(300)) == 80
     # at a start the others are not heard of yet, and send all the same
     alone = Neighbours(leader)
     alone.spread.followers = 5
     assert sum(alone.spread.may_send("leader") for _ in range(300)) == 48
     world.spread.heard("leader")
-    world.others[0] = Other("leader", "a", True, 1140, 0)
+    world.others[0] = PeerCapacity("leader", "a", True, 1140, 0)
     assert sum(world.spread.may_send("leader") for _ in range(300)) == 20
     assert world.spread.may_send("nobody knows")
 
@@ -747,17 +760,17 @@
     """All at once they took the last sockets of a leader that had just come back."""
     world, node, *_ = led()
     node.term = None
-    others = [Other("leader", "a", True, 5, 2)]
-    spread = Spread("node-0", "a", 100, 3.0, world.clock, lambda: others)
+    others = [PeerCapacity("leader", "a", True, 5, 2)]
+    spread = WorkerAssignment("node-0", "a", 100, 3.0, world.clock, lambda: others)
     spread.told(300)
-    sender = Sender("node-0", world.clock, lambda: None)
-    node.leadership.lose("told so")
-    door = WorkerDoor("node-0", node.leadership, lambda: node.term, spread, sender)
+    sender = HeartbeatForwarder("node-0", world.clock, lambda: None)
+    node.election.lose("told so")
+    door = HeartbeatApi("node-0", node.election, lambda: node.term, spread, sender)
     sent = Counter[str | None]()
     for i in range(10):
-        worker = WorkerModel(f"n-{i:06d}")
+        worker = WorkerEmulator(f"n-{i:06d}")
         spread.keep(worker.name)
-        answer = door.checkin(msgspec.json.encode(worker.report()))
+        answer = door.handle_heartbeat(msgspec.json.encode(worker.report()))
         assert answer.status == 421 and answer.close
         sent[json.loads(answer.body).get("harborMaster")] += 1
     assert sent == {"leader": 2, None: 8}
