--- a/tests/test_gaps.py
+++ b/tests/leader/test_cancellation_horizon.py
@@ -9,20 +9,20 @@
 import msgspec
 import pytest
 
-from grebestand.doors.answer import Answer
-from grebestand.doors.users import UserDoor
-from grebestand.leading.knowledge import TIGHTEST_S, Knowledge, allowance_s
-from grebestand.leading.live_jobs import LiveJobs
-from grebestand.leading.sweep import Sweep
-from grebestand.outside.state import StateError
-from grebestand.process.controller import Controller
+from grebestand.api.job_api import JobApi
+from grebestand.api.response import Response
+from grebestand.clients.kv_store import StoreError
+from grebestand.controller.controller import Controller
+from grebestand.leader.cancellation_horizon import TIGHTEST_S, CancellationHorizon, allowance_s
+from grebestand.leader.job_audit import JobAudit
+from grebestand.leader.job_watch import JobWatch
 from grebestand.settings.platform import Workers
-from grebestand.standin.cluster import STATE, SimulatedCluster, Way
-from grebestand.standin.memory import Clock, Node, World
-from grebestand.standin.virtual import VirtualLoop, simulated
-from grebestand.states import JobState
-from grebestand.wire.store import Event, Events
-from grebestand.wire.workers import TaskReport, TaskStatus
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController, ManualClock
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.state_machines import JobState
+from grebestand.wire.store import ChangeEvent, ChangeEvents
+from grebestand.wire.workers import TaskPhase, TaskStatus
 
 
 @pytest.fixture
@@ -48,31 +48,31 @@
             job.cancel_at = min(job.cancel_at, world.loop.time)
 
 
-def gap(world: SimulatedCluster, way: Way, gap_s: float, outage_s: float, refused_s: float = 14.0) -> None:
+def gap(world: SimulatedCluster, way: LinkMode, gap_s: float, outage_s: float, refused_s: float = 14.0) -> None:
     """The leader alone is cut from the state service; users cancel elsewhere; then nobody is served."""
     (first,) = world.leading()
     world.links.set(first, STATE, way)
-    gevent.spawn_later(refused_s, world.links.set, first, STATE, Way.OPEN)
+    gevent.spawn_later(refused_s, world.links.set, first, STATE, LinkMode.OPEN)
     cancel_some(world)
     gevent.sleep(gap_s)
-    world.state.down = True
+    world.store.down = True
     gevent.sleep(outage_s)
-    world.state.down = False
+    world.store.down = False
 
 
-@pytest.mark.parametrize("way", [Way.REFUSED, Way.HELD])
+@pytest.mark.parametrize("way", [LinkMode.REFUSED, LinkMode.HELD])
 @pytest.mark.parametrize(
     ("relay", "gap_s", "outage_s"),
     [(True, 2.0, 63.0), (False, 0.2, 63.0), (True, 8.0, 30.0), (False, 4.0, 110.0)],
 )
 def test_what_was_cancelled_in_the_gap_is_gone_in_time(
-    loop: VirtualLoop, way: Way, relay: bool, gap_s: float, outage_s: float
+    loop: VirtualLoop, way: LinkMode, relay: bool, gap_s: float, outage_s: float
 ) -> None:
     world = at_work(loop, seed=round(gap_s * 10 + outage_s))
     if not relay:
         for a in world.controllers:
             for b in world.controllers:
-                world.links.set(a, b, Way.REFUSED)
+                world.links.set(a, b, LinkMode.REFUSED)
     gap(world, way, gap_s, outage_s)
     world.links.heal()
     assert [j for j in world.jobs.values() if j.cancelled_at is not None]
@@ -81,9 +81,9 @@
 
 def test_twice_in_a_row(loop: VirtualLoop) -> None:
     world = at_work(loop, seed=5)
-    gap(world, Way.REFUSED, 2.0, 63.0)
+    gap(world, LinkMode.REFUSED, 2.0, 63.0)
     gevent.sleep(21)
-    gap(world, Way.REFUSED, 1.5, 63.0)
+    gap(world, LinkMode.REFUSED, 1.5, 63.0)
     assert world.settled(400.0) == []
 
 
@@ -92,13 +92,13 @@
 
 def late_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """The watch speaks only seconds after the state service is reached again."""
-    watch = LiveJobs.watch
+    watch = JobWatch.watch
 
-    def slowly(self: LiveJobs) -> None:
+    def slowly(self: JobWatch) -> None:
         gevent.sleep(3.0)
         watch(self)
 
-    monkeypatch.setattr(LiveJobs, "watch", slowly)
+    monkeypatch.setattr(JobWatch, "watch", slowly)
 
 
 def unheard(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -109,18 +109,18 @@
 
 def time_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken: authority is time alone, for renewals and for starts."""
-    monkeypatch.setattr(Knowledge, "fresh", lambda self: True)
-    monkeypatch.setattr(Knowledge, "lets_start", lambda self: True)
+    monkeypatch.setattr(CancellationHorizon, "fresh", lambda self: True)
+    monkeypatch.setattr(CancellationHorizon, "allows_starts", lambda self: True)
 
 
 def old_books(monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken: a leader that is back goes on with the books that it had."""
-    monkeypatch.setattr(LiveJobs, "catch_up", lambda self: None)
+    monkeypatch.setattr(JobWatch, "catch_up", lambda self: None)
 
 
 def no_sweep(monkeypatch: pytest.MonkeyPatch) -> None:
     """The second look at the records is no part of the argument."""
-    monkeypatch.setattr(Sweep, "_read_page", lambda self: None)
+    monkeypatch.setattr(JobAudit, "_read_page", lambda self: None)
 
 
 def back_after_an_outage(loop: VirtualLoop) -> list[str]:
@@ -130,7 +130,7 @@
     for _ in range(60):
         world.submit(world.rng.choice(["red", "blue"]), world.rng.randint(1, 6), 1.0)
     gevent.sleep(20)
-    gap(world, Way.REFUSED, 1.2, 63.0, refused_s=8.0)
+    gap(world, LinkMode.REFUSED, 1.2, 63.0, refused_s=8.0)
     gevent.sleep(40)
     assert len(world.leaders) == 1  # it is the same term
     return world.broken()
@@ -155,16 +155,16 @@
     (first,) = world.leading()
     node = world.nodes[first]
     assert node is not None
-    changes = node.state.changes
+    changes = node.store.changes
 
-    def hangs(prefix: str, since: int, wait_ms: int) -> Events:
+    def hangs(prefix: str, since: int, wait_ms: int) -> ChangeEvents:
         gevent.sleep(wait_ms / 1000 + 2.0)
-        raise StateError("timeout", maybe=False)
+        raise StoreError("timeout", maybe=False)
 
-    node.state.changes = hangs  # type: ignore[method-assign]
+    node.store.changes = hangs  # type: ignore[method-assign]
     cancel_some(world)
     gevent.sleep(80)
-    node.state.changes = changes  # type: ignore[method-assign]
+    node.store.changes = changes  # type: ignore[method-assign]
     return world.broken()
 
 
@@ -191,10 +191,10 @@
     if what == "successor":
         # it is not heard either, so that another takes the key before the outage, and finds it again after
         for other in world.controllers:
-            world.links.set(first, other, Way.HELD)
-        gap(world, Way.REFUSED, 16.0, 63.0, refused_s=30.0)
+            world.links.set(first, other, LinkMode.HELD)
+        gap(world, LinkMode.REFUSED, 16.0, 63.0, refused_s=30.0)
     else:
-        gap(world, Way.REFUSED, 2.0, 63.0)
+        gap(world, LinkMode.REFUSED, 2.0, 63.0)
     gevent.sleep(20)
     world.links.heal()
     for seat in world.machines.values():
@@ -224,7 +224,7 @@
     for _ in range(40):
         world.submit("red", world.rng.randint(2, 8), 1.0, shape=shape)
     gevent.sleep(12)
-    gap(world, Way.HELD, 3.0, 70.0)
+    gap(world, LinkMode.HELD, 3.0, 70.0)
     world.links.heal()
     assert world.settled(500.0 if shape == "array" else 900.0) == []
 
@@ -232,7 +232,7 @@
 def test_late_writes_and_slow_answers_around_a_gap(loop: VirtualLoop) -> None:
     world = at_work(loop, seed=9)
     world.late_writes, world.slow_s = 0.3, 0.8
-    gap(world, Way.REFUSED, 4.0, 40.0)
+    gap(world, LinkMode.REFUSED, 4.0, 40.0)
     gevent.sleep(10)
     world.late_writes = world.slow_s = 0.0
     world.links.heal()
@@ -243,8 +243,8 @@
 
 
 def test_what_is_known_counts_from_when_it_was_asked() -> None:
-    clock = Clock()
-    known = Knowledge(clock, 29.0)
+    clock = ManualClock()
+    known = CancellationHorizon(clock, 29.0)
     assert not known.fresh()
     known.caught_up(clock.now - 5.0)
     clock.now += 23.9
@@ -266,104 +266,106 @@
     room = allowance_s(workers(21.0, 51.0))
     assert 28.9 < room < 29.0
     with caplog.at_level("INFO"):
-        Knowledge(Clock(), room).tell(workers(21.0, 51.0))
+        CancellationHorizon(ManualClock(), room).tell(workers(21.0, 51.0))
     assert [r.levelname for r in caplog.records] == ["INFO"]
 
 
 def test_without_room_the_tightest_bound_is_kept_and_the_fields_are_named(caplog: pytest.LogCaptureFixture) -> None:
     tight = workers(60.0, 30.0)
-    known = Knowledge(Clock(), allowance_s(tight))
-    assert known.allow_s == TIGHTEST_S and known.watch_ms == 500
+    known = CancellationHorizon(ManualClock(), allowance_s(tight))
+    assert known.max_age_s == TIGHTEST_S and known.watch_ms == 500
     known.tell(tight)
     (warning,) = [r.getMessage() for r in caplog.records if r.levelname == "WARNING"]
     assert "params.workers.cancel_s" in warning and "params.workers.lease_s" in warning
 
 
-@pytest.mark.parametrize("answer", [Events(3, []), Events(900, [Event(901, delete="live/j-1")])])
-def test_nonsense_of_the_state_service_is_not_knowledge(answer: Events, monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World()
-    node = Node(world, "node-0")
+@pytest.mark.parametrize("answer", [ChangeEvents(3, []), ChangeEvents(900, [ChangeEvent(901, delete="live/j-1")])])
+def test_nonsense_of_the_state_service_is_not_knowledge(answer: ChangeEvents, monkeypatch: pytest.MonkeyPatch) -> None:
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     term = node.lead()
-    known = node.leadership.knowledge.known_at
-    term.jobs.watched = 500
-    monkeypatch.setattr(node.state, "changes", lambda *_: answer)
-    with pytest.raises(StateError):
-        term.jobs.catch_up()
-    assert node.leadership.knowledge.known_at == known and term.jobs.watched == 500
+    known = node.election.cancellation_horizon.known_at
+    term.job_watch.watched = 500
+    monkeypatch.setattr(node.store, "changes", lambda *_: answer)
+    with pytest.raises(StoreError):
+        term.job_watch.catch_up()
+    assert node.election.cancellation_horizon.known_at == known and term.job_watch.watched == 500
 
 
 def test_an_older_answer_that_comes_later_brings_nothing_back(monkeypatch: pytest.MonkeyPatch) -> None:
     """A watch and a read may be under way at once; the job was put by the one and removed by the other."""
-    world = World()
-    node = Node(world, "node-0")
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     term = node.lead()
-    before = term.jobs.watched
+    before = term.job_watch.watched
     ref = world.accept(node)
-    early = node.state.changes("live/", before, 0)
+    early = node.store.changes("live/", before, 0)
     node.users.cancel(ref)
-    term.jobs.catch_up()
-    monkeypatch.setattr(node.state, "changes", lambda *_: early)
-    with pytest.raises(StateError):  # and it is an earlier state than is known
-        term.jobs.watch()
-    assert ref not in term.ledger.jobs
-    node.leadership.knowledge.begin()
-    monkeypatch.setattr(node.state, "changes", lambda *_: Events(term.jobs.watched, early.events))
-    term.jobs.watch()  # it is current, and lists what is known: taken again, the job would be in the books for ever
-    assert ref not in term.ledger.jobs and node.leadership.knowledge.known_at == world.clock.now
+    term.job_watch.catch_up()
+    monkeypatch.setattr(node.store, "changes", lambda *_: early)
+    with pytest.raises(StoreError):  # and it is an earlier state than is known
+        term.job_watch.watch()
+    assert ref not in term.registry.jobs
+    node.election.cancellation_horizon.begin()
+    monkeypatch.setattr(node.store, "changes", lambda *_: ChangeEvents(term.job_watch.watched, early.events))
+    term.job_watch.watch()  # current, and lists what is known: taken again, the job would stay for ever
+    assert ref not in term.registry.jobs and node.election.cancellation_horizon.known_at == world.clock.now
 
 
 def test_a_hint_of_a_cancellation_stops_and_a_malformed_one_changes_nothing(loop: VirtualLoop) -> None:
     world = at_work(loop, seed=4)
     node = world.nodes[world.leading()[0]]
     assert node is not None and node.term is not None
-    ref = next(r for r, j in node.term.ledger.jobs.items() if j.places)
+    ref = next(r for r, j in node.term.registry.jobs.items() if j.allocations)
     hello = {"name": "node-9", "token": 0, "state_age_s": 0.1}
     with pytest.raises(msgspec.DecodeError):  # 400 at the door
         node.peers.answer("/hello", msgspec.msgpack.encode({**hello, "cancelled": [ref, "live/../x"]}))
-    assert node.term.ledger.jobs[ref].live and node.finals.get(ref) is None
+    assert node.term.registry.jobs[ref].live and node.completed_jobs.get(ref) is None
     node.peers.answer("/hello", msgspec.msgpack.encode({**hello, "cancelled": [ref, "j-999999"]}))
-    assert node.term.ledger.jobs[ref].state is JobState.CANCELLED
+    assert node.term.registry.jobs[ref].state is JobState.CANCELLED
     assert json.loads(node.users.poll(ref).body)["tide"] == "cancelled"
 
 
 def test_an_answer_to_an_older_token_stops_what_is_over() -> None:
     """It renewed the lease of a cancelled task and stopped nothing; each new leader would have done so once."""
-    world = World()
-    node = Node(world, "node-0")
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     term = node.lead()
     w = world.worker("n-1")
     w.token = 3
-    w.tasks["j-000007/0"] = TaskStatus("j-000007/0", 5, TaskReport.RUNNING)
-    orders = term.checkin(w.report())
+    w.tasks["j-000007/0"] = TaskStatus("j-000007/0", 5, TaskPhase.RUNNING)
+    orders = term.handle_heartbeat(w.report())
     assert orders is not None and [(c.op, c.task) for c in orders.commands] == [("stop", "j-000007/0")]
 
 
-@pytest.mark.parametrize("state", [TaskReport.FETCHING, TaskReport.WAITING, TaskReport.RUNNING, TaskReport.SAVING])
-def test_a_cancelled_task_is_ended_in_whatever_state_it_is(state: TaskReport) -> None:
+@pytest.mark.parametrize("state", [TaskPhase.FETCHING, TaskPhase.WAITING, TaskPhase.RUNNING, TaskPhase.SAVING])
+def test_a_cancelled_task_is_ended_in_whatever_state_it_is(state: TaskPhase) -> None:
     """Cancelled through another controller: its machine is answered while that is allowed, then stopped first."""
-    world = World()
-    node, other = Node(world, "node-0"), Node(world, "node-1")
+    world = InMemoryCluster()
+    node, other = InMemoryController(world, "node-0"), InMemoryController(world, "node-1")
     w = world.worker("n-000000")
     term = node.lead()
-    node.leadership.knowledge.allow_s = 29.0
+    node.election.cancellation_horizon.max_age_s = 29.0
     world.settle(term, 3)
     ref = world.accept(node, shape="ensemble", shards=2, stowS=4.0, markS=5.0)
     world.settle(term, 3)
     for task in w.running():
         w.tasks[task].state = state
-    world.checkin(term, w)
+    world.handle_heartbeat(term, w)
     assert json.loads(other.users.cancel(ref).body)["tide"] == "cancelled"
     world.clock.now += 28.0
-    node.leadership.authority_until = world.clock.now + 10.0  # its hold is renewed, and it hears nothing
-    assert world.checkin(term, w) is not None and len(w.running()) == 2
+    node.election.authority_until = world.clock.now + 10.0  # its hold is renewed, and it hears nothing
+    assert world.handle_heartbeat(term, w) is not None and len(w.running()) == 2
     world.clock.now += 2.0
-    assert world.checkin(term, w) is None
-    term.jobs.catch_up()
-    assert world.checkin(term, w) is None  # an answer that arrived would keep it up for too long, if it did not obey
-    (m,) = term.fleet.machines
-    term.proof.order_stops(m)
-    assert world.checkin(term, w) is not None
-    assert not w.running() and ref not in term.ledger.jobs
+    assert world.handle_heartbeat(term, w) is None
+    term.job_watch.catch_up()
+    assert (
+        world.handle_heartbeat(term, w) is None
+    )  # an answer that arrived would keep it up for too long, if it did not obey
+    (m,) = term.inventory.machines
+    term.machine_reconciliation.order_stops(m)
+    assert world.handle_heartbeat(term, w) is not None
+    assert not w.running() and ref not in term.registry.jobs
 
 
 @pytest.mark.parametrize(
@@ -380,7 +382,7 @@
     if cancels:
         world.jobs[ref].cancel_at = loop.time
         gevent.sleep(10)
-    same = Answer(200, json.dumps({"ref": ref, "tide": tide, "done": 0, "running": 0}).encode())
-    monkeypatch.setattr(UserDoor, "poll", lambda self, ident: same)
+    same = Response(200, json.dumps({"ref": ref, "tide": tide, "done": 0, "running": 0}).encode())
+    monkeypatch.setattr(JobApi, "poll", lambda self, ident: same)
     gevent.sleep(20)
     assert any(found in text for text in world.broken())
--- a/tests/test_scale.py
+++ b/tests/load_test/test_scale_run.py
@@ -13,15 +13,15 @@
 from gevent.server import StreamServer
 
 from grebestand.cli import main
-from grebestand.rehearsal import scale
-from grebestand.rehearsal.connection import Connection, NoAnswer, Traffic, answer
-from grebestand.rehearsal.figures import quantile, urgent
-from grebestand.rehearsal.hollow import HollowPlan, HollowProcess, Row
-from grebestand.rehearsal.meeting import Meeting, dial
-from grebestand.rehearsal.scale import Outcome, Plan, ScaleRun
-from grebestand.rehearsal.scale_check import Verdict, check
-from grebestand.rehearsal.scale_users import Draw, JobRow, LoadPlan
-from grebestand.standin.memory import World
+from grebestand.load_test import scale_run
+from grebestand.load_test.connection import Connection, NoResponseError, Traffic, answer
+from grebestand.load_test.figures import quantile, urgent
+from grebestand.load_test.gang_rendezvous import GangRendezvous, dial
+from grebestand.load_test.hollow_workers import HollowPlan, HollowProcess, Row
+from grebestand.load_test.scale_check import ScaleVerdict, check
+from grebestand.load_test.scale_run import ScaleRun, ScaleRunPlan, ScaleRunResult
+from grebestand.load_test.scale_users import Draw, JobRow, LoadPlan
+from grebestand.simulation.single_controller_cluster import InMemoryCluster
 from grebestand.wire.jobs import Kind, decode_spec
 
 LIMITS = {"red": 2.0}
@@ -140,7 +140,7 @@
             gevent.sleep(0.02)
 
 
-def hollow(controllers: Controllers, meeting: Meeting, lease_s: float = 20.0) -> HollowProcess:
+def hollow(controllers: Controllers, meeting: GangRendezvous, lease_s: float = 20.0) -> HollowProcess:
     plan = HollowPlan(
         [("n-1", "127.0.0.2", "a")], "m16", 16.0, controllers.addresses, meeting.address, 0.6, lease_s, 5.0, 1.0, 7
     )
@@ -149,8 +149,8 @@
     return process
 
 
-def put(meeting: Meeting, **more: Any) -> str:
-    spec = decode_spec(World().job(pullGb=0.0, **more))
+def put(meeting: GangRendezvous, **more: Any) -> str:
+    spec = decode_spec(InMemoryCluster().job(pullGb=0.0, **more))
     line = dial(meeting.address, lambda message: None, lambda: None)
     line.say("put", spec)
     until(lambda: spec.id in meeting.specs)
@@ -158,7 +158,7 @@
 
 
 def test_a_hollow_worker_goes_where_it_is_sent_starts_ends_forgets_and_answers_direct_orders() -> None:
-    controllers, meeting = Controllers(), Meeting([])
+    controllers, meeting = Controllers(), GangRendezvous([])
     ident = put(meeting, reckonS=0.2)
     process = hollow(controllers, meeting)
     start = {"signal": "start", "shard": f"{ident}/0", "launch": 1}
@@ -185,21 +185,21 @@
 
 
 def test_a_hollow_worker_whose_lease_runs_out_ends_all_and_goes_on_with_the_next_session() -> None:
-    controllers, meeting = Controllers(), Meeting([])
+    controllers, meeting = Controllers(), GangRendezvous([])
     ident = put(meeting, reckonS=60.0)
     process = hollow(controllers, meeting, lease_s=1.5)
     controllers.signals = [{"signal": "start", "shard": f"{ident}/0", "launch": 1}]
     until(lambda: len(process.rows) == 2)
     machine = process.machines["n-1"]
     controllers.token = 0  # answers that have to be dropped renew nothing
-    until(lambda: machine.session > 1)
+    until(lambda: machine.epoch > 1)
     assert process.rows[2].why == "lease" and process.rows[2].at <= machine.answered_at
-    until(lambda: controllers.reports[-1]["watch"] == machine.session)
+    until(lambda: controllers.reports[-1]["watch"] == machine.epoch)
     assert controllers.reports[-1]["shards"] == []
 
 
 def test_gangs_begin_together_and_end_together_and_lose_the_rest_when_one_is_stopped() -> None:
-    controllers, meeting = Controllers(), Meeting([])
+    controllers, meeting = Controllers(), GangRendezvous([])
     whole = put(meeting, shape="ensemble", shards=2, reckonS=0.3)
     process = hollow(controllers, meeting)
     controllers.signals = [{"signal": "start", "shard": f"{whole}/0", "launch": 1}]
@@ -221,11 +221,11 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         connection = Connection(f"127.0.0.1:{taken.getsockname()[1]}", Traffic())
-        with pytest.raises(NoAnswer, match="refused"):
+        with pytest.raises(NoResponseError, match="refused"):
             connection.ask("GET", "/", b"", 1.0)
         assert connection.fresh
         taken.listen(1)  # taken by nobody
-        with pytest.raises(NoAnswer, match="timeout"):
+        with pytest.raises(NoResponseError, match="timeout"):
             connection.ask("GET", "/", b"", 0.2)
         assert connection.fresh
 
@@ -234,7 +234,7 @@
 
 
 def test_a_small_run_with_real_controllers_loses_nothing_while_two_of_them_are_killed(tmp_path: Path) -> None:
-    plan = Plan(
+    plan = ScaleRunPlan(
         workers=40, controllers=3, teams=8, rate=30.0, seconds=10.0, hollow=2, task_s=(1.0, 2.0), report_s=1.0,
         lease_s=8.0, gang_wait_s=10.0, gang_peer_s=2.0, cancel_s=20.0,
     )  # fmt: skip
@@ -257,17 +257,23 @@
     assert "--workers must be 1 to 10000" in capsys.readouterr().err
 
 
-@pytest.mark.parametrize(("verdict", "status"), [(Verdict(), 0), (Verdict(twice=1), 1), (Verdict(over_quota=2), 1)])
+@pytest.mark.parametrize(
+    ("verdict", "status"), [(ScaleVerdict(), 0), (ScaleVerdict(twice=1), 1), (ScaleVerdict(over_quota=2), 1)]
+)
 def test_the_run_ends_with_one_line_and_a_status_that_follows_the_verdict(
-    verdict: Verdict, status: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+    verdict: ScaleVerdict,
+    status: int,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
-    plans: list[Plan] = []
+    plans: list[ScaleRunPlan] = []
 
-    def played(plan: Plan, *_: object) -> Outcome:
+    def played(plan: ScaleRunPlan, *_: object) -> ScaleRunResult:
         plans.append(plan)
-        return Outcome(verdict, "workers 3", {"starts": 4})
+        return ScaleRunResult(verdict, "workers 3", {"starts": 4})
 
-    monkeypatch.setattr(scale, "rehearse", played)
+    monkeypatch.setattr(scale_run, "rehearse", played)
     file = tmp_path / "figures.json"
     assert main(["rehearse", "scale", "--workers", "3", "--rate", "8", "--json", str(file)]) == status
     assert capsys.readouterr().out == "workers 3\n" and json.loads(file.read_text()) == {"starts": 4}
--- a/tests/test_away.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -12,20 +12,20 @@
 import gevent
 import pytest
 
-from grebestand.books import fleet
-from grebestand.books.fleet import Fleet
-from grebestand.books.ledger import Ledger
-from grebestand.decisions.clearing import Clearing
-from grebestand.decisions.placing import Placing
-from grebestand.doors import users
-from grebestand.leading.knowledge import Knowledge
-from grebestand.leading.leadership import Leadership
-from grebestand.outside.state import absent
-from grebestand.process.controller import Controller
-from grebestand.records.jobs import ending
-from grebestand.standin.cluster import STATE, SimulatedCluster, Way
-from grebestand.standin.virtual import VirtualLoop, simulated
-from worlds import any_report_is_proof, back, crash_leader, heal
+from grebestand.api import job_api
+from grebestand.clients.kv_store import absent
+from grebestand.cluster_state import machine_inventory
+from grebestand.cluster_state.job_registry import JobRegistry
+from grebestand.cluster_state.machine_inventory import MachineInventory
+from grebestand.controller.controller import Controller
+from grebestand.leader.cancellation_horizon import CancellationHorizon
+from grebestand.leader.election import LeaderElection
+from grebestand.scheduling.placement import Placement
+from grebestand.scheduling.preemption import Preemption
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.storage.job_records import completion_transaction
+from support.cluster_actions import any_report_is_proof, back, crash_leader, heal
 
 Story = Callable[[VirtualLoop, int], SimulatedCluster]
 
@@ -82,7 +82,7 @@
 
 def test_mute_machines_that_count_as_there_hold_it_up(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: a machine that is silent is taken for one that reports."""
-    monkeypatch.setattr(fleet, "SILENT_REPORTS", 1e9)
+    monkeypatch.setattr(machine_inventory, "SILENT_AFTER_INTERVALS", 1e9)
     with pytest.raises(AssertionError):
         test_machines_that_open_no_connection_hold_nothing_up(loop)
 
@@ -131,7 +131,7 @@
         else:
             world.cloud.request("POST", "/machines/delete", json.dumps({"vessels": [name]}).encode(), 1.0)
         for node in world.controllers:
-            world.links.set(node, "ab"[i % 2], Way.HELD if i < 2 else Way.OPEN)
+            world.links.set(node, "ab"[i % 2], LinkMode.HELD if i < 2 else LinkMode.OPEN)
         gevent.sleep(5)
         crash_leader(world, 0.3 if i % 2 else 6.0)
         gevent.sleep(6)
@@ -153,7 +153,7 @@
     for _ in range(3):
         (first,) = world.leading() or [world.leaders[-1][1]]
         for name in world.controllers:
-            world.links.set(name, "a", Way.HELD)
+            world.links.set(name, "a", LinkMode.HELD)
         world.copies = 0.5
         gevent.sleep(3.5)
         world.crash(first)
@@ -205,7 +205,7 @@
     world.task_s = (8.0, 20.0)
     for name in world.controllers:
         for far in ("a", "b", STATE, *(n for n in world.controllers if n != name)):
-            world.links.set(name, far, Way.SLOW)
+            world.links.set(name, far, LinkMode.SLOW)
     gevent.sleep(8)
     for i in range(20):
         world.submit("blue", 10, 2.0, rank="best_effort")
@@ -234,7 +234,7 @@
 
 def test_urgent_work_that_waits_for_room_is_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: nothing is stopped for it."""
-    monkeypatch.setattr(Clearing, "displace", lambda self, *more: None)
+    monkeypatch.setattr(Preemption, "displace", lambda self, *more: None)
     with pytest.raises(AssertionError):
         test_more_work_than_room_over_slow_links(loop)
 
@@ -248,14 +248,14 @@
     for i in range(10):
         if i % 3 == 0:
             for name in world.controllers:
-                world.links.set(name, "ab"[i % 2], Way.HELD)
+                world.links.set(name, "ab"[i % 2], LinkMode.HELD)
         if outage and i == 4:
-            world.state.down = True
-            gevent.spawn_later(20.0, setattr, world.state, "down", False)
+            world.store.down = True
+            gevent.spawn_later(20.0, setattr, world.store, "down", False)
         names = world.leading() or [world.leaders[-1][1]]
         node = world.nodes[names[0]]
         if i % 2 and node is not None:
-            gevent.spawn(node.handover._give_way, "played", "")
+            gevent.spawn(node.leadership_transfer._give_way, "played", "")
         else:
             crash_leader(world, [0.2, 7.0][i % 4 // 2])
         gevent.sleep(12.0)
@@ -312,7 +312,7 @@
 
 
 def called_off_as_the_leader_is_refused(
-    loop: VirtualLoop, seed: int = 60, way: Way = Way.REFUSED, writes: str = ""
+    loop: VirtualLoop, seed: int = 60, way: LinkMode = LinkMode.REFUSED, writes: str = ""
 ) -> SimulatedCluster:
     """A second later nobody is served, for longer than `cancel_s`; the commits themselves lie at the edge."""
     world = busy(loop, seed, task_s=(80.0, 120.0))
@@ -322,17 +322,17 @@
     world.links.set(first, STATE, way)
     world.cancel_now(10)
     gevent.sleep(1.0)
-    world.state.down = True
+    world.store.down = True
     gevent.sleep(world.cancel_s + 12.0)
-    world.state.down = False
+    world.store.down = False
     gevent.sleep(10.0)
     heal(world)
     return world
 
 
 @pytest.mark.parametrize("writes", ["", "late_writes", "lost_answers"])
-@pytest.mark.parametrize("way", [Way.REFUSED, Way.HELD])
-def test_called_off_at_the_moment_at_which_the_leader_is_refused(loop: VirtualLoop, way: Way, writes: str) -> None:
+@pytest.mark.parametrize("way", [LinkMode.REFUSED, LinkMode.HELD])
+def test_called_off_at_the_moment_at_which_the_leader_is_refused(loop: VirtualLoop, way: LinkMode, writes: str) -> None:
     assert called_off_as_the_leader_is_refused(loop, way=way, writes=writes).settled(600.0) == []
 
 
@@ -347,9 +347,9 @@
     inside = first if leads else next(n for n in world.controllers if n != first)
     outside = [n for n in world.controllers if n != inside]
     for far in (STATE, "b", *outside):
-        world.links.set(inside, far, Way.HELD)
+        world.links.set(inside, far, LinkMode.HELD)
     for name in outside:
-        world.links.set(name, "a", Way.HELD)
+        world.links.set(name, "a", LinkMode.HELD)
     for _ in range(3):
         world.cancel_now(4)
         gevent.sleep(0.5 * world.lease_s)
@@ -370,27 +370,31 @@
 
 
 def zones_not_looked_at(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Placing, "_zone_counts", lambda self, job: {})
+    monkeypatch.setattr(Placement, "_zone_counts", lambda self, job: {})
 
 
 def nothing_waits_for_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     """A new leader starts what it has not seen, wherever it may be."""
 
-    def nowhere(self: Ledger, job: Any, machines: Any, hi: int) -> None:
+    def nowhere(self: JobRegistry, job: Any, machines: Any, hi: int) -> None:
         job.unseen_below = job.fresh = hi
         self._clear(job)
 
-    monkeypatch.setattr(Ledger, "suspect", nowhere)
+    monkeypatch.setattr(JobRegistry, "add_possible_holders", nowhere)
 
 
 def live_records_stay(monkeypatch: pytest.MonkeyPatch) -> None:
     """A cancellation leaves the live record where it is."""
-    monkeypatch.setattr(users, "ending", lambda *a: (ending(*a)[0], [c for c in ending(*a)[1] if c.put]))
+    monkeypatch.setattr(
+        job_api,
+        "completion_transaction",
+        lambda *a: (completion_transaction(*a)[0], [c for c in completion_transaction(*a)[1] if c.put]),
+    )
 
 
 def unknown_counts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """What may be on machines that are not proved counts against no team."""
-    monkeypatch.setattr(Fleet, "_share_unknown", lambda self: None)
+    monkeypatch.setattr(MachineInventory, "_share_unknown", lambda self: None)
 
 
 def unseen_runs_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -400,20 +404,24 @@
 
 def both_may_win(monkeypatch: pytest.MonkeyPatch) -> None:
     """A cancellation does not ask whether its job is over."""
-    monkeypatch.setattr(users, "ending", lambda ident, *a: ([absent(f"none/{ident}")], ending(ident, *a)[1]))
+    monkeypatch.setattr(
+        job_api,
+        "completion_transaction",
+        lambda ident, *a: ([absent(f"none/{ident}")], completion_transaction(ident, *a)[1]),
+    )
 
 
 def knows_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is known is never too old, and nobody hints at what is new."""
     monkeypatch.setattr(Controller, "_hear_cancelled", lambda self, idents: None)
-    monkeypatch.setattr(Knowledge, "fresh", lambda self: True)
-    extend = Leadership._extend
-    monkeypatch.setattr(Leadership, "_extend", lambda self, sent: extend(self, sent + 60.0))
+    monkeypatch.setattr(CancellationHorizon, "fresh", lambda self: True)
+    extend = LeaderElection._extend
+    monkeypatch.setattr(LeaderElection, "_extend", lambda self, sent: extend(self, sent + 60.0))
 
 
 def longer_authority(monkeypatch: pytest.MonkeyPatch) -> None:
-    extend = Leadership._extend
-    monkeypatch.setattr(Leadership, "_extend", lambda self, sent: extend(self, sent + 15.0))
+    extend = LeaderElection._extend
+    monkeypatch.setattr(LeaderElection, "_extend", lambda self, sent: extend(self, sent + 15.0))
 
 
 BREAKS: list[tuple[Story, Callable[[pytest.MonkeyPatch], None]]] = [
--- a/tests/test_apart.py
+++ b/tests/scenarios/test_asymmetric_faults.py
@@ -7,11 +7,11 @@
 import gevent
 import pytest
 
-from grebestand.books.fleet import Fleet
-from grebestand.doors.peers import PeerDoor
-from grebestand.standin.cluster import STATE, SimulatedCluster, Way
-from grebestand.standin.virtual import VirtualLoop, simulated
-from grebestand.states import LeaderState, Reception
+from grebestand.api.peer_api import PeerApi
+from grebestand.cluster_state.machine_inventory import MachineInventory
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.state_machines import LeaderState, Reception
 
 
 @pytest.fixture
@@ -46,14 +46,14 @@
     gevent.sleep(40)
     node = world.nodes[world.leading()[0]]
     assert node is not None and node.term is not None
-    known = {m.name: m.reception for m in node.term.fleet.machines}
-    assert {known[s.name] for s in deaf if s.name in known} <= {Reception.DEAF}
+    known = {m.name: m.reception for m in node.term.inventory.machines}
+    assert {known[s.name] for s in deaf if s.name in known} <= {Reception.UNREACHABLE}
     assert len(world.leaders) == 1  # the other zone hears, so nobody gives way
     assert world.longest_pause(world.loop.time - 20.0, world.loop.time) < 12.0
     for seat in deaf:
         seat.deaf_to = frozenset()
     gevent.sleep(15)
-    assert {m.reception for m in node.term.fleet.machines} == {Reception.HEARS}
+    assert {m.reception for m in node.term.inventory.machines} == {Reception.REACHABLE}
     all_over(world)
 
 
@@ -71,7 +71,7 @@
 
 def test_without_doubt_that_leader_would_keep_the_lead(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: that its workers report is all that it asks for."""
-    monkeypatch.setattr(Fleet, "doubt", lambda *_: None)
+    monkeypatch.setattr(MachineInventory, "doubt", lambda *_: None)
     world = busy(loop, until_s=60.0)
     (first,) = world.leading()
     for seat in world.machines.values():
@@ -80,9 +80,9 @@
     assert world.leading() == [first] and world.longest_pause(20.0, world.loop.time) > 40.0
 
 
-@pytest.mark.parametrize("way", [Way.REFUSED, Way.HELD])
+@pytest.mark.parametrize("way", [LinkMode.REFUSED, LinkMode.HELD])
 def test_a_leader_alone_with_its_workers_lets_them_go_and_another_leads_within_its_hold(
-    loop: VirtualLoop, way: Way
+    loop: VirtualLoop, way: LinkMode
 ) -> None:
     world = busy(loop, until_s=100.0)
     (first,) = world.leading()
@@ -91,10 +91,10 @@
         world.links.set(first, far, way)
     gevent.sleep(8)
     node = world.nodes[first]
-    assert node is not None and not node.handover.healthy()
+    assert node is not None and not node.leadership_transfer.healthy()
     gevent.sleep(12)
     at, second, _ = world.leaders[1]
-    hold_s = node.leadership.ttl_s
+    hold_s = node.election.ttl_s
     assert second != first and at - cut_at < hold_s + 4.0
     gevent.sleep(15)
     world.links.heal()
@@ -108,7 +108,7 @@
     for _ in range(5):
         (first,) = world.leading()
         for far in (STATE, *(n for n in world.controllers if n != first)):
-            world.links.set(first, far, Way.HELD)
+            world.links.set(first, far, LinkMode.HELD)
         gevent.sleep(20)
         world.links.heal()
         gevent.sleep(6)
@@ -151,7 +151,7 @@
         assert not world.killed
     else:
         node = world.nodes[first]
-        assert node is not None and node.leadership.state is LeaderState.FOLLOWING
+        assert node is not None and node.election.state is LeaderState.FOLLOWING
         assert len(world.leaders) == 2
     all_over(world)
 
@@ -188,13 +188,13 @@
 
     kept = killed()
     assert kept <= 160
-    monkeypatch.setattr(PeerDoor, "hangs", lambda self, name: False)
+    monkeypatch.setattr(PeerApi, "hangs", lambda self, name: False)
     assert kept < 0.75 * killed()
 
 
 def test_polls_fifty_times_as_often_starve_neither_submissions_nor_the_hold(loop: VirtualLoop) -> None:
     world = busy(loop, until_s=60.0)
-    world.state.rps = 250.0
+    world.store.rps = 250.0
     world.eager = 50.0
     gevent.sleep(45)
     world.eager = 1.0
--- a/tests/test_each_meeting.py
+++ b/tests/scenarios/test_fault_combinations.py
@@ -9,23 +9,23 @@
 import msgspec
 import pytest
 
-from grebestand.books.fleet import Fleet
-from grebestand.books.jobs import Job
-from grebestand.doors.users import UserDoor
-from grebestand.leading.leadership import KEY, Leadership
-from grebestand.leading.progress import Progress
-from grebestand.leading.term import Term
-from grebestand.limits.budget import Urgency
-from grebestand.outside.state import StateError, absent, put
-from grebestand.records.jobs import OverRecord, ending
-from grebestand.reports.answers import Answers
-from grebestand.standin.cluster import STATE, SimulatedCluster, Way
-from grebestand.standin.memory import Node, World
-from grebestand.standin.virtual import VirtualLoop, simulated
-from grebestand.states import JobState, Reception
-from grebestand.wire.jobs import JobView
-from grebestand.wire.workers import Report, Why
-from worlds import CHANGES, back, change
+from grebestand.api.job_api import JobApi
+from grebestand.clients.kv_store import StoreError, absent, put
+from grebestand.cluster_state.jobs import Job
+from grebestand.cluster_state.machine_inventory import MachineInventory
+from grebestand.flow_control.rate_limiter import Urgency
+from grebestand.heartbeats.commands import CommandBuilder
+from grebestand.leader.election import LEADER_KEY, LeaderElection
+from grebestand.leader.task_progress import TaskProgress
+from grebestand.leader.term import Term
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.state_machines import JobState, Reception
+from grebestand.storage.job_records import CompletedJobRecord, completion_transaction
+from grebestand.wire.jobs import JobStatus
+from grebestand.wire.workers import ExitReason, Heartbeat
+from support.cluster_actions import CHANGES, back, change
 
 
 @pytest.fixture
@@ -70,27 +70,27 @@
 def test_a_result_is_not_forgotten_before_it_is_durable() -> None:
     """The first task of two is done, its leader ends before progress is written, and its page is dropped and written
     late: the next leader has it from the worker's report, which still has it."""
-    world = World()
+    world = InMemoryCluster()
     w = world.worker("n-000000")
-    term = Node(world, "node-0").lead()
+    term = InMemoryController(world, "node-0").lead()
     world.settle(term, 3)
-    ref = world.accept(Node(world, "node-9"), shards=2)
+    ref = world.accept(InMemoryController(world, "node-9"), shards=2)
     world.settle(term, 3)
     w.finish(f"{ref}/0")
-    world.checkin(term, w)
-    assert w.tasks[f"{ref}/0"].why is Why.DONE  # still there: nothing is durable yet
+    world.handle_heartbeat(term, w)
+    assert w.tasks[f"{ref}/0"].why is ExitReason.DONE  # still there: nothing is durable yet
     world.clock.now += 13.0
-    after = Node(world, "node-1").lead()
+    after = InMemoryController(world, "node-1").lead()
     world.settle(after, 3)
-    assert after.ledger.jobs[ref].is_done(0) and not after.ledger.jobs[ref].is_done(1)
+    assert after.registry.jobs[ref].is_done(0) and not after.registry.jobs[ref].is_done(1)
     w.finish(f"{ref}/1")
     world.settle(after, 4)
-    assert ref not in after.ledger.jobs or after.ledger.jobs[ref].state is JobState.DONE
+    assert ref not in after.registry.jobs or after.registry.jobs[ref].state is JobState.DONE
 
 
 def test_forgotten_before_it_is_durable_it_would_be_done_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Answers, "_may_forget", lambda *_: True)
-    monkeypatch.setattr(Progress, "save", lambda self: None)
+    monkeypatch.setattr(CommandBuilder, "_may_forget", lambda *_: True)
+    monkeypatch.setattr(TaskProgress, "save", lambda self: None)
     with pytest.raises((AssertionError, KeyError)):
         test_a_result_is_not_forgotten_before_it_is_durable()
 
@@ -102,15 +102,15 @@
     """What users asked, how long it took, and the status."""
     seen: list[tuple[str, float, int]] = []
     for what in ("submit", "poll", "cancel"):
-        inner = getattr(UserDoor, what)
+        inner = getattr(JobApi, what)
 
-        def timed(self: UserDoor, body: object, what: str = what, inner: object = inner) -> object:
+        def timed(self: JobApi, body: object, what: str = what, inner: object = inner) -> object:
             begun = world.loop.time
             answer = inner(self, body)  # type: ignore[operator]
             seen.append((what, world.loop.time - begun, answer.status))
             return answer
 
-        monkeypatch.setattr(UserDoor, what, timed)
+        monkeypatch.setattr(JobApi, what, timed)
     return seen
 
 
@@ -123,11 +123,11 @@
     cancel_all(world)
     gevent.sleep(20)
     (first,) = world.leading() or [world.leaders[-1][1]]
-    world.links.set(first, STATE, Way.REFUSED)
+    world.links.set(first, STATE, LinkMode.REFUSED)
     gevent.sleep(6)
-    world.state.down = True
+    world.store.down = True
     gevent.sleep(60)
-    world.state.down = False
+    world.store.down = False
     gevent.sleep(15)
     world.links.heal()
     world.slow_s = 0.0
@@ -147,7 +147,7 @@
     away = [s for s in world.machines.values() if s.zone == "b"]
     if what == "unreachable":
         for name in world.controllers:
-            world.links.set(name, "b", Way.HELD)
+            world.links.set(name, "b", LinkMode.HELD)
     for seat in away:
         if what == "deaf to the next":
             seat.deaf_to = frozenset(n for n in world.controllers if n != first)
@@ -169,8 +169,8 @@
 # 4. a leader alone with its workers and users ---------------------------------------------------------------
 
 
-@pytest.mark.parametrize("way", [Way.REFUSED, Way.HELD])
-def test_jobs_are_cancelled_through_the_new_leader_while_the_old_is_alone(loop: VirtualLoop, way: Way) -> None:
+@pytest.mark.parametrize("way", [LinkMode.REFUSED, LinkMode.HELD])
+def test_jobs_are_cancelled_through_the_new_leader_while_the_old_is_alone(loop: VirtualLoop, way: LinkMode) -> None:
     world = at_work(loop, seed=24)
     (first,) = world.leading()
     for far in (STATE, *(n for n in world.controllers if n != first)):
@@ -230,67 +230,67 @@
 def test_writes_that_come_late_and_change_nothing() -> None:
     """A submission after its cancellation, a close after a cancellation, a cancellation after a close, a key after a
     later term: each by its condition, not by its order."""
-    world = World()
-    node = Node(world, "node-0")
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     ref = world.accept(node)
-    version = world.state.data[f"live/{ref}"][1]
+    version = world.store.data[f"live/{ref}"][1]
     assert json.loads(node.users.cancel(ref).body)["tide"] == "cancelled"
     late = [
         ([absent(f"live/{ref}"), absent(f"over/{ref}")], [put(f"live/{ref}", {})]),
-        ending(ref, version, OverRecord(JobView.DONE, 1)),
-        ([absent(KEY)], [put(KEY, {"name": "node-7"})]),
+        completion_transaction(ref, version, CompletedJobRecord(JobStatus.DONE, 1)),
+        ([absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-7"})]),
     ]
     term = node.lead()
     for conditions, changes in late:
-        assert node.state.commit(conditions, changes, Urgency.DONE)[1]  # some condition failed
-    assert world.state.data[f"over/{ref}"][0]["state"] == "cancelled"
-    assert f"live/{ref}" not in world.state.data and world.state.data[KEY][1] == term.token
+        assert node.store.commit(conditions, changes, Urgency.DONE)[1]  # some condition failed
+    assert world.store.data[f"over/{ref}"][0]["state"] == "cancelled"
+    assert f"live/{ref}" not in world.store.data and world.store.data[LEADER_KEY][1] == term.token
 
 
 def test_a_campaign_that_was_given_up_on_is_carried_out_late() -> None:
     """Its controller, which has resigned since, takes the key away; following, it takes it over under a new token."""
-    world = World()
-    node = Node(world, "node-0")
+    world = InMemoryCluster()
+    node = InMemoryController(world, "node-0")
     node.lead()
-    token = node.leadership.resign("test", 20.0)
-    node.leadership.clear_key(token)
-    hold = node.state.create_hold(12_000)
-    late, _ = node.state.commit([absent(KEY)], [put(KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
-    node.leadership.look()
-    assert KEY not in world.state.data and node.leadership.state.name == "RESIGNED"
-    late, _ = node.state.commit([absent(KEY)], [put(KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
+    token = node.election.resign("test", 20.0)
+    node.election.clear_key(token)
+    hold = node.store.grant_lease(12_000)
+    late, _ = node.store.commit([absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
+    node.election.look()
+    assert LEADER_KEY not in world.store.data and node.election.state.name == "RESIGNED"
+    late, _ = node.store.commit([absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
     world.clock.now += 21.0
-    hold = node.state.create_hold(12_000)
-    late, _ = node.state.commit([absent(KEY)], [put(KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
-    node.leadership.look()
-    assert node.leadership.state.name == "LOADING" and node.leadership.token > late
+    hold = node.store.grant_lease(12_000)
+    late, _ = node.store.commit([absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
+    node.election.look()
+    assert node.election.state.name == "LOADING" and node.election.token > late
 
 
 def test_a_rental_that_was_not_answered_is_tried_under_another_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World(rules="rent = true\n")
-    node = Node(world, "node-0")
+    world = InMemoryCluster(rules="rent = true\n")
+    node = InMemoryController(world, "node-0")
     term = node.lead()
     world.accept(node, shards=40)
-    world.state.lose_answers = 0
+    world.store.lose_answers = 0
     names: list[str] = []
-    commit = term.pen.commit
+    commit = term.writer.commit
 
     def losing(conditions: list, changes: list, urgency: Urgency) -> tuple[int, list[str]]:  # type: ignore[type-arg]
         found = commit(conditions, changes, urgency)
         if changes and (changes[0].put or "").startswith("rent/"):
             names.append(changes[0].put)
             if len(names) == 1:
-                raise StateError("the answer was lost", maybe=True)
+                raise StoreError("the answer was lost", maybe=True)
         return found
 
-    monkeypatch.setattr(term.pen, "commit", losing)
+    monkeypatch.setattr(term.writer, "commit", losing)
     for _ in range(6):
         world.clock.now += 3.0
-        term.leadership.renew()
-        term.pace.step(world.clock.now)
+        term.election.renew()
+        term.scheduling_loop.step(world.clock.now)
         try:
             term.step_fleet()
-        except StateError:
+        except StoreError:
             continue
     assert len(names) >= 2 and len(set(names)) == len(names)
 
@@ -329,7 +329,7 @@
     (first,) = world.leading()
     node, heir = world.nodes[first], next(n for n in world.controllers if n != first)
     assert node is not None
-    gevent.spawn(node.handover._give_way, "played", heir)
+    gevent.spawn(node.leadership_transfer._give_way, "played", heir)
     gevent.sleep(0.02)
     world.crash(heir)
     cancel_all(world, every=3)
@@ -338,7 +338,7 @@
     for name in world.leading():
         second = world.nodes[name]
         assert second is not None
-        gevent.spawn(second.handover._give_way, "played", first)
+        gevent.spawn(second.leadership_transfer._give_way, "played", first)
     gevent.sleep(10)
     back(world, heir)
     assert world.longest_pause(20.0, 25.0) <= 5.0 and not world.both
@@ -347,42 +347,42 @@
 
 def test_authority_that_outlasts_the_hold_is_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: that the first leader, alone, goes on for too long."""
-    extend = Leadership._extend
-    monkeypatch.setattr(Leadership, "_extend", lambda self, sent: extend(self, sent + 10.0))
+    extend = LeaderElection._extend
+    monkeypatch.setattr(LeaderElection, "_extend", lambda self, sent: extend(self, sent + 10.0))
     world = at_work(loop, seed=24)
     (first,) = world.leading()
     for far in (STATE, *(n for n in world.controllers if n != first)):
-        world.links.set(first, far, Way.HELD)
+        world.links.set(first, far, LinkMode.HELD)
     gevent.sleep(40)
     assert world.broken()
 
 
-def a_copy_of_an_earlier_life() -> tuple[Term, Job, Report]:
+def a_copy_of_an_earlier_life() -> tuple[Term, Job, Heartbeat]:
     """A machine that lapsed and counted anew while its leader heard nothing; a copy of its later session comes late."""
-    world = World()
+    world = InMemoryCluster()
     w = world.worker("n-000000")
-    term = Node(world, "node-0").lead()
+    term = InMemoryController(world, "node-0").lead()
     world.settle(term, 3)
-    ref = world.accept(Node(world, "node-9"), shards=2)
+    ref = world.accept(InMemoryController(world, "node-9"), shards=2)
     world.settle(term, 4)
     assert len(w.running()) == 2
     seen = w.report()
-    return term, term.ledger.jobs[ref], msgspec.structs.replace(seen, session=seen.session + 1, seq=3, tasks=[])
+    return term, term.registry.jobs[ref], msgspec.structs.replace(seen, epoch=seen.epoch + 1, sequence=3, tasks=[])
 
 
 def test_a_later_session_than_could_have_begun_is_asked_about() -> None:
     """Found by the search (seed 201, world 1080): taken for true, it ended what ran there, and six tasks ran twice."""
     term, job, copy = a_copy_of_an_earlier_life()
-    term.checkin(copy)
-    assert len(job.places) == 2
-    (m,) = term.fleet.machines
-    assert m.reception is Reception.DOUBTED and m in term.proof.to_ask(term.clock())
-    term.proof.ask(m)
-    assert m.reception.name == "HEARS" and len(job.places) == 2
+    term.handle_heartbeat(copy)
+    assert len(job.allocations) == 2
+    (m,) = term.inventory.machines
+    assert m.reception is Reception.SUSPECTED and m in term.machine_reconciliation.to_query(term.clock())
+    term.machine_reconciliation.ask(m)
+    assert m.reception.name == "REACHABLE" and len(job.allocations) == 2
 
 
 def test_believed_it_would_end_what_runs(monkeypatch: pytest.MonkeyPatch) -> None:
     term, job, copy = a_copy_of_an_earlier_life()
-    monkeypatch.setattr(Fleet, "lease_over", lambda self, m, now: True)
-    term.checkin(copy)
-    assert not job.places
+    monkeypatch.setattr(MachineInventory, "lease_expired", lambda self, m, now: True)
+    term.handle_heartbeat(copy)
+    assert not job.allocations
--- a/tests/test_meetings.py
+++ b/tests/scenarios/test_fault_pairs.py
@@ -17,14 +17,14 @@
 import msgspec
 import pytest
 
-from grebestand.decisions.placing import Placing
-from grebestand.leading.term import Term
-from grebestand.reports.reading import Reader
-from grebestand.standin.cluster import RULES, STATE, SimulatedCluster, Way
-from grebestand.standin.memory import Node, World
-from grebestand.standin.virtual import simulated
-from grebestand.wire.workers import TaskReport, TaskStatus
-from worlds import SPREAD, back, heal
+from grebestand.heartbeats.reconciliation import HeartbeatReconciler
+from grebestand.leader.term import Term
+from grebestand.scheduling.placement import Placement
+from grebestand.simulation.cluster import RULES, STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
+from grebestand.simulation.virtual_time import simulated
+from grebestand.wire.workers import TaskPhase, TaskStatus
+from support.cluster_actions import SPREAD, back, heal
 
 MACHINES = 12
 #: plays with a higher seed also have jobs that are bound to one zone, or spread over both
@@ -53,10 +53,10 @@
     gevent.spawn_later(seconds, setattr, what, field, after)
 
 
-def cut(world: SimulatedCluster, near: str, far: list[str], way: Way, seconds: float) -> None:
+def cut(world: SimulatedCluster, near: str, far: list[str], way: LinkMode, seconds: float) -> None:
     for end in far:
         world.links.set(near, end, way)
-        gevent.spawn_later(seconds, world.links.set, near, end, Way.OPEN)
+        gevent.spawn_later(seconds, world.links.set, near, end, LinkMode.OPEN)
 
 
 def others(world: SimulatedCluster, name: str) -> list[str]:
@@ -69,8 +69,8 @@
         gevent.spawn_later(seconds, back, world, name)
 
 
-def way(rng: random.Random) -> Way:
-    return rng.choice([Way.REFUSED, Way.HELD])
+def way(rng: random.Random) -> LinkMode:
+    return rng.choice([LinkMode.REFUSED, LinkMode.HELD])
 
 
 def refused(world: SimulatedCluster, rng: random.Random) -> None:
@@ -83,7 +83,7 @@
 
 
 def outage(world: SimulatedCluster, rng: random.Random) -> None:
-    for_a_while(world.state, "down", True, rng.uniform(5.0, 70.0), False)
+    for_a_while(world.store, "down", True, rng.uniform(5.0, 70.0), False)
 
 
 def slow(world: SimulatedCluster, rng: random.Random) -> None:
@@ -117,7 +117,7 @@
     for name in world.leading():
         node = world.nodes[name]
         if node is not None:
-            gevent.spawn(node.handover._give_way, "played", rng.choice(others(world, name)))
+            gevent.spawn(node.leadership_transfer._give_way, "played", rng.choice(others(world, name)))
 
 
 def alone(world: SimulatedCluster, rng: random.Random) -> None:
@@ -137,7 +137,7 @@
     """One zone's machines, from all controllers."""
     zone, seconds = rng.choice("ab"), rng.uniform(5.0, 60.0)
     for name in world.controllers:
-        cut(world, name, [zone], Way.HELD, seconds)
+        cut(world, name, [zone], LinkMode.HELD, seconds)
 
 
 def deaf(world: SimulatedCluster, rng: random.Random) -> None:
@@ -177,9 +177,9 @@
     """One zone's machines with one controller, from the other controllers and from all that is outside."""
     zone, seconds = rng.choice("ab"), rng.uniform(5.0, 60.0)
     inside = rng.choice([leader(world), *world.controllers])
-    cut(world, inside, [STATE, *others(world, inside), "b" if zone == "a" else "a"], Way.HELD, seconds)
+    cut(world, inside, [STATE, *others(world, inside), "b" if zone == "a" else "a"], LinkMode.HELD, seconds)
     for name in others(world, inside):
-        cut(world, name, [zone], Way.HELD, seconds)
+        cut(world, name, [zone], LinkMode.HELD, seconds)
 
 
 def lost_answers(world: SimulatedCluster, rng: random.Random) -> None:
@@ -243,7 +243,7 @@
     """Called off at the very moment at which the leader alone is refused; then it is out for all for longer."""
     cut(world, leader(world), [STATE], way(rng), rng.uniform(4.0, 20.0))
     world.cancel_now(6)
-    gevent.spawn_later(rng.uniform(0.3, 1.5), for_a_while, world.state, "down", True, rng.uniform(51.0, 70.0), False)
+    gevent.spawn_later(rng.uniform(0.3, 1.5), for_a_while, world.store, "down", True, rng.uniform(51.0, 70.0), False)
 
 
 KINDS: list[Callable[[SimulatedCluster, random.Random], None]] = [
@@ -335,48 +335,48 @@
     assert met(first, second, seed) == [], f"{KINDS[first].__name__} meets {KINDS[second].__name__}, seed {seed}"
 
 
-def cancelled_while_nobody_led() -> tuple[World, Term]:
+def cancelled_while_nobody_led() -> tuple[InMemoryCluster, Term]:
     """A machine that cannot be asked is full of tasks of a team, which is thereby at its limit; nobody knows them."""
-    world = World()
+    world = InMemoryCluster()
     full, empty = world.worker("n-000000"), world.worker("n-000001")
-    term = Node(world, "node-0").lead()
+    term = InMemoryController(world, "node-0").lead()
     world.settle(term, 3)
     for i in range(16):
-        full.tasks[f"j-000900/{i}"] = TaskStatus(f"j-000900/{i}", 5, TaskReport.RUNNING)
+        full.tasks[f"j-000900/{i}"] = TaskStatus(f"j-000900/{i}", 5, TaskPhase.RUNNING)
     world.clock.now += 13.0
-    node = Node(world, "node-1")
+    node = InMemoryController(world, "node-1")
     term = node.lead()
     world.accept(node, crew="red", shards=4)
-    world.checkin(term, empty)
-    world.checkin(term, full, lose=True)
+    world.handle_heartbeat(term, empty)
+    world.handle_heartbeat(term, full, lose=True)
     full.token = term.token
-    world.checkin(term, full, lose=True)
+    world.handle_heartbeat(term, full, lose=True)
     for _ in range(3):
-        term.pace.step(world.clock.now)
+        term.scheduling_loop.step(world.clock.now)
         world.clock.now += 1.0
-        world.checkin(term, empty)
+        world.handle_heartbeat(term, empty)
     return world, term
 
 
 def test_tasks_that_are_in_no_books_count_until_they_are_gone() -> None:
     """Their job was cancelled while nobody led. Others of their team were started beside them: 21 of 16 CPUs."""
     world, term = cancelled_while_nobody_led()
-    assert [len(j.places) for j in term.ledger.jobs.values()] == [0]
+    assert [len(j.allocations) for j in term.registry.jobs.values()] == [0]
     for _ in range(4):
         world.settle(term, 1)
-        term.pace.step(world.clock.now)
+        term.scheduling_loop.step(world.clock.now)
     assert not any(t.startswith("j-000900") for t in world.workers["n-000000"].running())
     assert sum(len(w.running()) for w in world.workers.values()) == 4
 
 
 def test_taken_for_proved_they_would_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Reader, "_strangers", staticmethod(lambda m, r: False))
+    monkeypatch.setattr(HeartbeatReconciler, "_strangers", staticmethod(lambda m, r: False))
     _, term = cancelled_while_nobody_led()
-    assert [len(j.places) for j in term.ledger.jobs.values()] == [4]
+    assert [len(j.allocations) for j in term.registry.jobs.values()] == [4]
 
 
 def test_zones_that_are_not_looked_at_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: where the other tasks of a job are."""
     assert met(0, 11, 9) == []
-    monkeypatch.setattr(Placing, "_zone_counts", lambda self, job: {})
+    monkeypatch.setattr(Placement, "_zone_counts", lambda self, job: {})
     assert any("zone" in text for text in met(0, 11, 9))
--- a/tests/test_mass.py
+++ b/tests/scenarios/test_mass_failure.py
@@ -4,20 +4,20 @@
 
 from collections import Counter
 
-from grebestand.standin.memory import SETTINGS, TYPES, Node, World
-from grebestand.standin.worker import WorkerModel
+from grebestand.emulators.worker import WorkerEmulator
+from grebestand.simulation.single_controller_cluster import SETTINGS, TYPES, InMemoryCluster, InMemoryController
 
 MANY = 120
 WIDE = SETTINGS.replace("cpus_max = 64.0", "cpus_max = 64000.0")
 
 
-def crowd(rules: str) -> tuple[World, Node, list[WorkerModel], list[str]]:
+def crowd(rules: str) -> tuple[InMemoryCluster, InMemoryController, list[WorkerEmulator], list[str]]:
     """A fleet full of arrays, with gangs over a quarter of it; direct orders are counted by address."""
-    world = World(WIDE, rules)
+    world = InMemoryCluster(WIDE, rules)
     workers = [world.worker(f"n-{i:06d}", zone="ab"[i % 2]) for i in range(MANY)]
-    node = Node(world, "node-0")
+    node = InMemoryController(world, "node-0")
     term = node.lead()
-    term.fleet.learn_types(TYPES)
+    term.inventory.learn_types(TYPES)
     world.settle(term, 3)
     gangs = [world.accept(node, shape="ensemble", shards=6, cpus=15.0, samePlace=True) for _ in range(MANY // 24)]
     world.accept(node, shards=12 * MANY, cpus=1.0, ramGb=0.1, rank="best_effort")
@@ -26,12 +26,12 @@
     return world, node, workers, gangs
 
 
-def listed(world: World) -> None:
+def listed(world: InMemoryCluster) -> None:
     row = {"addr": "x:1", "hull": "m4", "driftwood": False, "tide": "running", "heldS": 999.0}
     world.cloud.listed = [{"ref": w.name, "quay": w.zone, **row} for w in world.workers.values()]
 
 
-def whole(workers: list[WorkerModel], gang: str, size: int = 6) -> bool:
+def whole(workers: list[WorkerEmulator], gang: str, size: int = 6) -> bool:
     """All tasks of the gang run, once each, under one attempt."""
     found = [t for w in workers for t in w.tasks.values() if t.task.startswith(gang) and t.why is None]
     return len(found) == size and len({t.task for t in found}) == size and len({t.attempt for t in found}) == 1
@@ -50,7 +50,7 @@
         orders[addr] += 1
         return direct(addr, path, body)
 
-    term.proof.direct = counted
+    term.machine_reconciliation.direct = counted
     for w in workers:
         w.reachable = False
     for _ in range(13):
@@ -83,21 +83,26 @@
     for w in workers[: MANY // 2]:
         w.reachable = False
     world.clock.now += 13.0
-    again = Node(world, "node-1")
+    again = InMemoryController(world, "node-1")
     term = again.lead()
-    assert term.fleet.unproved_count == MANY
+    assert term.inventory.unreconciled_count == MANY
     world.settle(term, 4)
-    assert term.fleet.unproved_count == len(term.fleet.unproved()) == MANY // 2
-    unknown = sum(m.room[0] for m in term.fleet.unproved())
-    assert all(team.unknown[0] == unknown for team in term.ledger.teams)
+    assert term.inventory.unreconciled_count == len(term.inventory.unreconciled()) == MANY // 2
+    unknown = sum(m.capacity[0] for m in term.inventory.unreconciled())
+    assert all(team.unknown[0] == unknown for team in term.registry.teams)
     # the wide array names no machines in its grant: it shares one set with others that may be anywhere
-    job = next(j for j in term.ledger.jobs.values() if j.spec.tasks == 12 * MANY)
-    assert job.suspects is term.ledger.anywhere and len(job.suspects) == MANY // 2
+    job = next(j for j in term.registry.jobs.values() if j.spec.tasks == 12 * MANY)
+    assert job.possible_holders is term.registry.anywhere and len(job.possible_holders) == MANY // 2
     for w in workers[: MANY // 2]:
         w.reachable = True
         w.lapse()
     world.settle(term, 8)
-    assert term.proof.proved and not term.ledger.anywhere and not job.suspects and not job.unseen_below
-    assert all(team.unknown == [0, 0] for team in term.ledger.teams)
+    assert (
+        term.machine_reconciliation.proved
+        and not term.registry.anywhere
+        and not job.possible_holders
+        and not job.unseen_below
+    )
+    assert all(team.unknown == [0, 0] for team in term.registry.teams)
     assert all(whole(workers, g) for g in gangs)
-    assert node.term is not None and node.term.checkin(workers[0].report()) is None
+    assert node.term is not None and node.term.handle_heartbeat(workers[0].report()) is None
--- a/tests/test_stopped.py
+++ b/tests/scenarios/test_paused_leader.py
@@ -8,30 +8,33 @@
 import gevent
 import pytest
 
-from grebestand.doors.users import UserDoor
-from grebestand.leading.checkins import Checkins
-from grebestand.leading.closing import Closing
-from grebestand.leading.grants import Grants
-from grebestand.leading.leadership import Leadership
-from grebestand.leading.live_jobs import LiveJobs
-from grebestand.leading.pen import Pen
-from grebestand.leading.progress import Progress
-from grebestand.leading.proof import Proof
-from grebestand.leading.rentals import Rentals
-from grebestand.leading.roster import Roster
-from grebestand.outside.state import StateClient
-from grebestand.process.handover import Handover
-from grebestand.reports.answers import Answers
-from grebestand.standin.cluster import SimulatedCluster
-from grebestand.standin.virtual import VirtualLoop, simulated
-from worlds import heal
+from grebestand.api.job_api import JobApi
+from grebestand.clients.kv_store import KeyValueStoreClient
+from grebestand.controller.leadership_transfer import LeadershipTransfer
+from grebestand.heartbeats.commands import CommandBuilder
+from grebestand.leader.durable_grants import DurableGrants
+from grebestand.leader.election import LeaderElection
+from grebestand.leader.fenced_writes import FencedWriter
+from grebestand.leader.heartbeat_handler import HeartbeatHandler
+from grebestand.leader.job_completion import JobCompletion
+from grebestand.leader.job_watch import JobWatch
+from grebestand.leader.machine_reconciliation import MachineReconciliation
+from grebestand.leader.machine_records import MachineRecords
+from grebestand.leader.provisioning import Provisioning
+from grebestand.leader.task_progress import TaskProgress
+from grebestand.simulation.cluster import SimulatedCluster
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from support.cluster_actions import heal
 
 #: a method, and the place in it at which the leader stops: as it begins, or when it has done its work
 STEPS: list[tuple[type, str]] = [
-    (Checkins, "take"), (Answers, "commands"), (Grants, "write"), (Pen, "commit"), (StateClient, "commit"),
-    (Leadership, "renew"), (LiveJobs, "_follow"), (Closing, "_close"), (Progress, "save"), (Roster, "record"),
-    (Rentals, "_rent_under"), (Proof, "take_direct"), (Handover, "_give_way"), (UserDoor, "_lookup"),
-    (UserDoor, "_accept"), (UserDoor, "cancel"),
+    (HeartbeatHandler, "take"), (CommandBuilder, "commands"), (DurableGrants, "write"), (FencedWriter, "commit"),
+    (KeyValueStoreClient, "commit"),
+    (LeaderElection, "renew"), (JobWatch, "_follow"), (JobCompletion, "_close"), (TaskProgress, "save"),
+    (MachineRecords, "record"),
+    (Provisioning, "_rent_under"), (MachineReconciliation, "take_direct"), (LeadershipTransfer, "_give_way"),
+    (JobApi, "_lookup"),
+    (JobApi, "_accept"), (JobApi, "cancel"),
 ]  # fmt: skip
 
 
@@ -61,7 +64,7 @@
             world.hosts[leader].awake()
 
     def stopping(self: Any, *args: Any, **more: Any) -> Any:
-        due = worlds and worlds[0].loop.time >= (RENTING_S if kind is Rentals else FROM_S)
+        due = worlds and worlds[0].loop.time >= (RENTING_S if kind is Provisioning else FROM_S)
         leader = (worlds[0].leading() or [""])[0] if due else ""
         if not after:
             stand_still(leader)
@@ -88,11 +91,11 @@
     world.boot_s = (0.5, 6.0)
     world.crowd(1.2, 60.0)
     gevent.sleep(FROM_S)
-    if step[0] is Handover:
+    if step[0] is LeadershipTransfer:
         for name in world.leading():
             node = world.nodes[name]
             assert node is not None
-            gevent.spawn(node.handover._give_way, "played", "")
+            gevent.spawn(node.leadership_transfer._give_way, "played", "")
     gevent.sleep(4)
     for _ in range(3):
         world.cancel_now(3)
--- a/tests/test_schedules.py
+++ b/tests/scenarios/test_random_fault_schedules.py
@@ -14,17 +14,17 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, seed, settings
 
-from grebestand.books.fleet import Fleet
-from grebestand.doors.answer import Answer
-from grebestand.doors.users import Known, UserDoor
-from grebestand.leading.leadership import Leadership
-from grebestand.standin.cluster import RULES, STATE, SimulatedCluster, Way
-from grebestand.standin.virtual import simulated
-from worlds import SPREAD, any_report_is_proof, back, heal
+from grebestand.api.job_api import JobApi, JobLookup
+from grebestand.api.response import Response
+from grebestand.cluster_state.machine_inventory import MachineInventory
+from grebestand.leader.election import LeaderElection
+from grebestand.simulation.cluster import RULES, STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.virtual_time import simulated
+from support.cluster_actions import SPREAD, any_report_is_proof, back, heal
 
 NODES = ("node-0", "node-1", "node-2")
 ENDS = (STATE, "a", "b", *NODES)
-WAYS = (Way.OPEN, Way.REFUSED, Way.HELD, Way.ASKS_LOST, Way.ANSWERS_LOST, Way.SLOW)
+WAYS = (LinkMode.OPEN, LinkMode.REFUSED, LinkMode.HELD, LinkMode.ASKS_LOST, LinkMode.ANSWERS_LOST, LinkMode.SLOW)
 
 cuts = st.tuples(st.just("cut"), st.sampled_from(NODES), st.sampled_from(ENDS), st.sampled_from(WAYS))
 crashes = st.tuples(st.just("crash"), st.sampled_from(NODES), st.floats(1.0, 12.0))
@@ -42,7 +42,7 @@
 copies = st.tuples(st.just("copies"), st.floats(0.02, 0.4), st.floats(5.0, 40.0))
 freezes = st.tuples(st.just("freeze"), st.sampled_from(NODES), st.floats(0.5, 40.0))
 #: without the state service and the other controllers, with its workers
-alone = st.tuples(st.just("alone"), st.sampled_from(NODES), st.sampled_from((Way.REFUSED, Way.HELD)))
+alone = st.tuples(st.just("alone"), st.sampled_from(NODES), st.sampled_from((LinkMode.REFUSED, LinkMode.HELD)))
 #: jobs submitted with a mistake, and users who ask many times as often
 mistakes = st.tuples(st.just("mistake"), st.integers(1, 12))
 storms = st.tuples(st.just("storm"), st.floats(4.0, 20.0), st.floats(3.0, 15.0))
@@ -51,7 +51,9 @@
 slowness = st.tuples(st.just("slow"), st.floats(0.2, 3.0), st.floats(5.0, 40.0))
 late_orders = st.tuples(st.just("late orders"), st.floats(0.2, 1.0), st.floats(5.0, 40.0))
 #: the state service refuses whoever leads, and then, so long after, is down for all, for longer than `cancel_s` or less
-gaps = st.tuples(st.just("gap"), st.floats(0.2, 15.0), st.floats(10.0, 80.0), st.sampled_from((Way.REFUSED, Way.HELD)))
+gaps = st.tuples(
+    st.just("gap"), st.floats(0.2, 15.0), st.floats(10.0, 80.0), st.sampled_from((LinkMode.REFUSED, LinkMode.HELD))
+)
 #: writes carried out at once of which only the answer is lost; reports kept for the next leader, which begins so long
 #: after; close looks at all controllers; jobs called off at their end, or all at once while their machines hang
 lost_answers = st.tuples(st.just("lost answers"), st.floats(0.05, 0.6), st.floats(5.0, 40.0))
@@ -107,14 +109,14 @@
 
 def do(world: SimulatedCluster, event: tuple[object, ...]) -> None:
     match event:
-        case ("cut", str(near), str(far), Way() as way) if near != far:
+        case ("cut", str(near), str(far), LinkMode() as way) if near != far:
             world.links.set(near, far, way)
         case ("crash", str(name), float(seconds)):
             world.crash(name)
             gevent.spawn_later(seconds, back, world, name)
         case ("outage", float(seconds)):
-            world.state.down = True
-            gevent.spawn_later(seconds, setattr, world.state, "down", False)
+            world.store.down = True
+            gevent.spawn_later(seconds, setattr, world.store, "down", False)
         case ("hang", int(index), float(seconds)):
             seat = world.machines[f"n-{index:06d}"]
             seat.hung = True
@@ -151,12 +153,12 @@
         case ("late orders", float(part), float(seconds)):
             world.late_orders = part
             gevent.spawn_later(seconds, setattr, world, "late_orders", 0.0)
-        case ("gap", float(gap), float(outage), Way() as way):
+        case ("gap", float(gap), float(outage), LinkMode() as way):
             for name in world.leading():
                 world.links.set(name, STATE, way)
-                gevent.spawn_later(gap + 10.0, world.links.set, name, STATE, Way.OPEN)
-            gevent.spawn_later(gap, setattr, world.state, "down", True)
-            gevent.spawn_later(gap + outage, setattr, world.state, "down", False)
+                gevent.spawn_later(gap + 10.0, world.links.set, name, STATE, LinkMode.OPEN)
+            gevent.spawn_later(gap, setattr, world.store, "down", True)
+            gevent.spawn_later(gap + outage, setattr, world.store, "down", False)
         case ("lost answers", float(part), float(seconds)):
             world.lost_answers = part
             gevent.spawn_later(seconds, setattr, world, "lost_answers", 0.0)
@@ -188,9 +190,9 @@
             outside = [n for n in NODES if n != inside]
             pairs = [(inside, far) for far in (STATE, "b" if zone == "a" else "a", *outside)]
             for near, far in pairs + [(name, zone) for name in outside]:
-                world.links.set(near, far, Way.HELD)
-                gevent.spawn_later(seconds, world.links.set, near, far, Way.OPEN)
-        case ("alone", str(name), Way() as way):
+                world.links.set(near, far, LinkMode.HELD)
+                gevent.spawn_later(seconds, world.links.set, near, far, LinkMode.OPEN)
+        case ("alone", str(name), LinkMode() as way):
             for far in (STATE, *(n for n in NODES if n != name)):
                 world.links.set(name, far, way)
 
@@ -236,14 +238,14 @@
 
 def longer_authority(monkeypatch: pytest.MonkeyPatch) -> None:
     """Authority that is not counted from when the renewal left."""
-    extend = Leadership._extend
-    monkeypatch.setattr(Leadership, "_extend", lambda self, sent: extend(self, sent + 8.0))
+    extend = LeaderElection._extend
+    monkeypatch.setattr(LeaderElection, "_extend", lambda self, sent: extend(self, sent + 8.0))
 
 
 def leases_over_early(monkeypatch: pytest.MonkeyPatch) -> None:
     """A silent machine that is taken for empty before its worker's lease has surely ended."""
-    over = Fleet.lease_over
-    monkeypatch.setattr(Fleet, "lease_over", lambda self, m, now: over(self, m, now + 8.0))
+    over = MachineInventory.lease_expired
+    monkeypatch.setattr(MachineInventory, "lease_expired", lambda self, m, now: over(self, m, now + 8.0))
 
 
 @pytest.mark.parametrize("break_it", [longer_authority, leases_over_early])
@@ -257,10 +259,10 @@
         schedule: list[tuple[float, tuple[object, ...]]] = []
         for name in NODES:
             others = [n for n in NODES if n != name]
-            schedule += [(0.0, ("cut", name, far, Way.HELD)) for far in (STATE, *others)]
-            schedule += [(0.0, ("cut", other, "a", Way.HELD)) for other in others]
+            schedule += [(0.0, ("cut", name, far, LinkMode.HELD)) for far in (STATE, *others)]
+            schedule += [(0.0, ("cut", other, "a", LinkMode.HELD)) for other in others]
             schedule += [(26.0, ("heal",))]
-        schedule += [(0.0, ("cut", name, "b", Way.HELD)) for name in NODES]
+        schedule += [(0.0, ("cut", name, "b", LinkMode.HELD)) for name in NODES]
         found += played(schedule, luck, longest_s=40.0)[0]
     assert found
 
@@ -268,7 +270,7 @@
 def test_late_copies_that_are_believed_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     copied: list[tuple[float, tuple[object, ...]]] = [(0.0, ("copies", 0.4, 60.0))]
     for name in NODES:
-        copied += [(8.0, ("crash", name, 1.0)), (8.0, ("restart", 1, False)), (2.0, ("cut", name, "a", Way.HELD))]
+        copied += [(8.0, ("crash", name, 1.0)), (8.0, ("restart", 1, False)), (2.0, ("cut", name, "a", LinkMode.HELD))]
         copied += [(9.0, ("heal",))]
     assert played(copied, 1) == ([], [])
     any_report_is_proof(monkeypatch)
@@ -276,14 +278,14 @@
 
 
 def test_a_job_that_is_never_answered_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    poll, view = UserDoor.poll, UserDoor._view
-    unlucky = Answer(503)
-    monkeypatch.setattr(UserDoor, "poll", lambda self, ref: unlucky if ref == "j-000003" else poll(self, ref))
+    poll, view = JobApi.poll, JobApi._view
+    unlucky = Response(503)
+    monkeypatch.setattr(JobApi, "poll", lambda self, ref: unlucky if ref == "j-000003" else poll(self, ref))
 
-    def shy(status: int, ref: str, known: Known) -> Answer:
+    def shy(status: int, ref: str, known: JobLookup) -> Response:
         return unlucky if (status, ref) == (200, "j-000003") else view(status, ref, known)
 
-    monkeypatch.setattr(UserDoor, "_view", staticmethod(shy))
+    monkeypatch.setattr(JobApi, "_view", staticmethod(shy))
     _, lost = played([(4.0, ("heal",))], 1)
     assert any(text.startswith("j-000003 unanswered") for text in lost)
 
@@ -300,6 +302,6 @@
         (9.985583614723279, ("restart", 0, True)),
         (0.7197903570281452, ("heal",)),
         (1.3210451293192578, ("hang", 4, 18.05333604901736)),
-        (2.00001, ("alone", "node-0", Way.REFUSED)),
+        (2.00001, ("alone", "node-0", LinkMode.REFUSED)),
     ]
     assert played(schedule, 861) == ([], [])
--- a/tests/test_steps.py
+++ b/tests/scheduling/test_incremental_passes.py
@@ -8,28 +8,28 @@
 
 import pytest
 
-from grebestand.books.jobs import Job, Place
-from grebestand.books.machine import Machine
-from grebestand.decisions import gangs, placing, targets
-from grebestand.decisions.gangs import Offer, Room
-from grebestand.decisions.greedy import Seat, Wanted, cra
-from grebestand.decisions.view import Steps
-from grebestand.leading.pace import SLICE_S
-from grebestand.leading.term import Term
-from grebestand.standin.memory import SETTINGS, Node, World
-from grebestand.standin.worker import WorkerModel
-from grebestand.states import MachineState
-from grebestand.wire.workers import TaskReport, Why
+from grebestand.cluster_state.jobs import Allocation, Job
+from grebestand.cluster_state.machine import Machine
+from grebestand.emulators.worker import WorkerEmulator
+from grebestand.leader.scheduling_loop import SLICE_S
+from grebestand.leader.term import Term
+from grebestand.scheduling import gang_scheduling, placement, template_targets
+from grebestand.scheduling.gang_scheduling import GangCandidates, GangPlacement
+from grebestand.scheduling.greedy import ServerDemand, TemplateAssignment, cra
+from grebestand.scheduling.scheduling_context import Steps
+from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController
+from grebestand.state_machines import MachineState
+from grebestand.wire.workers import ExitReason, TaskPhase
 
 
 def led(
     n: int, monkeypatch: pytest.MonkeyPatch, settings: str = SETTINGS
-) -> tuple[World, Node, Term, list[WorkerModel]]:
+) -> tuple[InMemoryCluster, InMemoryController, Term, list[WorkerEmulator]]:
     """A leader of machines that are looked at one in a step."""
-    for module in (gangs, placing, targets):
+    for module in (gang_scheduling, placement, template_targets):
         monkeypatch.setattr(module, "MACHINES_A_STEP", 1)
-    world = World(settings)
-    node = Node(world, "node-0")
+    world = InMemoryCluster(settings)
+    node = InMemoryController(world, "node-0")
     term = node.lead()
     workers = [world.worker(f"n-{i:06d}") for i in range(n)]
     world.settle(term, 6)
@@ -46,8 +46,8 @@
     term.scheduler.view.turn += 1
 
 
-def machine(term: Term, worker: WorkerModel) -> Machine:
-    return term.fleet.by_name[worker.name]
+def machine(term: Term, worker: WorkerEmulator) -> Machine:
+    return term.inventory.by_name[worker.name]
 
 
 def test_a_gang_does_not_start_on_a_machine_that_fell_silent_while_others_were_looked_at(
@@ -59,12 +59,12 @@
     steps = term.scheduler.passing(world.clock.now)
     until(steps, 4)  # the job, and all three machines have been looked at
     first = machine(term, workers[0])
-    term.fleet.move(first, MachineState.SUSPECT, world.clock.now)
+    term.inventory.move(first, MachineState.SUSPECT, world.clock.now)
     others_run(term)
     for _ in steps:
         pass
-    places = term.ledger.jobs[ident].places
-    assert sorted(p.machine for p in places.values()) == [machine(term, w).index for w in workers[1:]]
+    allocations = term.registry.jobs[ident].allocations
+    assert sorted(p.machine for p in allocations.values()) == [machine(term, w).index for w in workers[1:]]
 
 
 def test_a_gang_waits_if_what_is_left_after_a_change_is_not_enough(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -76,42 +76,42 @@
     others_run(term)
     for _ in steps:
         pass
-    job = term.ledger.jobs[ident]
-    assert not job.places and "not all slots" in job.why_waiting
+    job = term.registry.jobs[ident]
+    assert not job.allocations and "not all slots" in job.why_waiting
 
 
 def test_a_gang_cancelled_while_its_machines_are_looked_at_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     world, node, term, _workers = led(2, monkeypatch)
     ident = world.accept(node, shape="ensemble", shards=2, cpus=16.0)
-    job = term.ledger.jobs[ident]
+    job = term.registry.jobs[ident]
     steps = term.scheduler.passing(world.clock.now)
     until(steps, 2)
     assert node.users.cancel(ident).status == 200
-    term.jobs.watch()
+    term.job_watch.watch()
     others_run(term)
     for _ in steps:
         pass
-    assert not job.places and ident not in term.ledger.jobs
+    assert not job.allocations and ident not in term.registry.jobs
 
 
 def test_a_team_s_limit_counts_what_started_between_two_steps(monkeypatch: pytest.MonkeyPatch) -> None:
     """The limit is read again for each machine: a report's own filling may have used it up."""
     settings = SETTINGS.replace("cpus_max = 16.0", "cpus_max = 32.0")
     world, node, term, workers = led(3, monkeypatch, settings)
-    monkeypatch.setattr(placing, "STARTS_A_STEP", 1)
+    monkeypatch.setattr(placement, "STARTS_A_STEP", 1)
     ident = world.accept(node, crew="red", shards=30, cpus=4.0)
     other = world.accept(node, crew="red", shards=30, cpus=1.0, rank="best_effort")
     term.scheduler.retarget(world.clock.now)
-    jobs = term.ledger.jobs
+    jobs = term.registry.jobs
     steps = term.scheduler.passing(world.clock.now)
-    while not jobs[ident].places:
+    while not jobs[ident].allocations:
         next(steps)
     term.scheduler.placing._start_tasks(jobs[other], machine(term, workers[2]), 12, world.clock.now)
     others_run(term)
     for _ in steps:
         pass
     # 16 + 12 of 32 CPUs were used when it went on: room for one more task of four
-    assert [len(jobs[i].places) for i in (ident, other)] == [5, 12]
+    assert [len(jobs[i].allocations) for i in (ident, other)] == [5, 12]
 
 
 def test_a_template_is_not_given_to_a_machine_that_was_filled_while_the_plan_was_made(
@@ -122,17 +122,17 @@
     first = world.accept(node, shards=4, cpus=3.0, rank="best_effort")
     term.scheduler.retarget(world.clock.now)
     m = machine(term, w)
-    before = m.config
+    before = m.template
     world.accept(node, shards=9, cpus=7.0)
     steps = term.scheduler.retargeting(world.clock.now)
     until(steps, 3)  # the plan is made: a template with two slots of the second type
-    job = term.ledger.jobs[first]
+    job = term.registry.jobs[first]
     for index in range(4):
         term.dispatch.start(job, index, m, 9, world.clock.now)
     others_run(term)
     for _ in steps:
         pass
-    assert m.config == before != ()
+    assert m.template == before != ()
 
 
 def test_a_long_pass_is_taken_in_slices_and_reports_are_answered_in_between(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -148,19 +148,19 @@
     monkeypatch.setattr(term.scheduler, "passing", slow)
     ident = world.accept(node, shape="ensemble", shards=3, cpus=16.0)
     world.clock.now += 1.0
-    term.pace.retarget_after = world.clock.now + 100.0
+    term.scheduling_loop.retarget_after = world.clock.now + 100.0
     begin = world.clock.now
-    term.pace.step(begin)
-    assert term.pace.busy and world.clock.now - begin < SLICE_S + 0.03
-    assert world.checkin(term, workers[0]) is not None
+    term.scheduling_loop.step(begin)
+    assert term.scheduling_loop.busy and world.clock.now - begin < SLICE_S + 0.03
+    assert world.handle_heartbeat(term, workers[0]) is not None
     for _ in range(50):
         slice_began = world.clock.now
-        term.pace.go_on()
+        term.scheduling_loop.go_on()
         assert world.clock.now - slice_began < SLICE_S + 0.03
-    assert len(term.ledger.jobs[ident].places) == 3
+    assert len(term.registry.jobs[ident].allocations) == 3
     # a change that came with the report in between brings another pass; the pass's own starts do not
-    term.pace.place_after = world.clock.now
-    assert not term.ledger.changed
+    term.scheduling_loop.place_after = world.clock.now
+    assert not term.registry.changed
 
 
 def test_a_computation_is_given_up_with_the_authority(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -175,12 +175,12 @@
 
     monkeypatch.setattr(term.scheduler, "passing", slow)
     world.clock.now += 1.0
-    term.pace.retarget_after = world.clock.now + 100.0
-    term.pace.step(world.clock.now)
-    assert term.pace.busy
-    node.leadership.resign("gives way", 10.0)
-    term.pace.go_on()
-    assert term.pace._work is None and not term.ledger.jobs[ident].places
+    term.scheduling_loop.retarget_after = world.clock.now + 100.0
+    term.scheduling_loop.step(world.clock.now)
+    assert term.scheduling_loop.busy
+    node.election.resign("gives way", 10.0)
+    term.scheduling_loop.go_on()
+    assert term.scheduling_loop._work is None and not term.registry.jobs[ident].allocations
 
 
 def test_reports_without_news_are_not_filled_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -196,18 +196,18 @@
         return slots(job, m, blocked, now)
 
     monkeypatch.setattr(term.scheduler.placing, "_slots_for", counted)
-    term.pace.place_after = term.pace.retarget_after = world.clock.now + 100.0
+    term.scheduling_loop.place_after = term.scheduling_loop.retarget_after = world.clock.now + 100.0
     for _ in range(5):
         world.clock.now += 1.0
-        assert world.checkin(term, w) is not None
+        assert world.handle_heartbeat(term, w) is not None
     assert not looked
     w.finish(w.running()[0])
     world.clock.now += 1.0
-    assert world.checkin(term, w) is not None
+    assert world.handle_heartbeat(term, w) is not None
     assert looked
 
 
-def one_by_one(seats: list[Seat], plan: list[Wanted]) -> int:
+def one_by_one(seats: list[TemplateAssignment], plan: list[ServerDemand]) -> int:
     """Algorithm 2 as plainly as it can be written: every entry of the plan looks at every seat."""
     worst = short = len(plan) + 1
     for seat in seats:
@@ -236,9 +236,9 @@
         for tag in range(12):
             empty = rng.random() < 0.5
             holds = () if empty else rng.choice([(), (1, 0), (0, 1), (1, 1)])
-            seats.append(Seat(rng.randrange(2), rng.choice(configs), empty, holds, tag=tag))
+            seats.append(TemplateAssignment(rng.randrange(2), rng.choice(configs), empty, holds, tag=tag))
         seats.sort(key=lambda s: (s.empty, s.tag))
-        plan = [Wanted(rng.randrange(2), rng.choice(configs), rng.randrange(1, 6)) for _ in range(4)]
+        plan = [ServerDemand(rng.randrange(2), rng.choice(configs), rng.randrange(1, 6)) for _ in range(4)]
         plainly = [dataclasses.replace(s) for s in seats]
         assert cra(seats, plan) == one_by_one(plainly, plan)
         assert [(s.config, s.rank) for s in seats] == [(s.config, s.rank) for s in plainly]
@@ -253,11 +253,11 @@
     world.settle(term, 2)
     for w in workers:
         for status in w.tasks.values():
-            status.state = TaskReport.FETCHING
+            status.state = TaskPhase.FETCHING
     world.settle(term, 2)
     for w in workers:
         for status in w.tasks.values():
-            status.state = TaskReport.RUNNING
+            status.state = TaskPhase.RUNNING
     world.settle(term, 3)
     told = [r.getMessage() for r in caplog.records if "runs whole" in r.getMessage()]
     assert len(told) == 1 and told[0].startswith(f"gang {gang} runs whole: 2 tasks, placed 1.0 s after there was room")
@@ -281,13 +281,13 @@
             for w in some:
                 for task in begun[w.name]:
                     if task in w.tasks and w.tasks[task].why is None:
-                        w.finish(task, Why.DONE)
+                        w.finish(task, ExitReason.DONE)
         world.settle(term, 4)
     assert slow.slowness > 1.5 and all(machine(term, w).slowness < 1.3 for w in workers[:5])
     assert slow.drain == "slow"
     assert sum("as long as others" in r.getMessage() for r in caplog.records) == 1
     # work of no machine's past goes to the others, and the empty machine goes back to the cloud
-    term.returning.return_idle()
+    term.deprovisioning.return_idle()
     assert world.cloud.deleted == [workers[5].name]
 
 
@@ -299,18 +299,18 @@
     assert sum(len(w.running()) for w in workers) == 64
     high = [world.accept(node, cpus=2.0, crew="red", rank="high") for _ in range(6)]
     world.clock.now += 30.0  # patient for a while, and no longer
-    for job in (term.ledger.jobs[i] for i in high):
+    for job in (term.registry.jobs[i] for i in high):
         job.wait_since -= 60.0
     looked: list[str] = []
     eviction = term.scheduler.clearing.eviction
 
-    def counted(job: Job, m: Machine, tasks: int, now: float) -> tuple[list[Place], float] | None:
+    def counted(job: Job, m: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
         looked.append(job.spec.id)
         return eviction(job, m, tasks, now)
 
     monkeypatch.setattr(term.scheduler.clearing, "eviction", counted)
     term.scheduler.place(world.clock.now)
-    reserved = {m.reserved_for for m in term.fleet.machines} - {None}
+    reserved = {m.reserved_for for m in term.inventory.machines} - {None}
     assert len(reserved) == 4 and reserved <= set(high)  # a machine each, and no machine for two of them
     assert len(looked) <= 8  # one look at each of the four machines, and one more when it is used
 
@@ -318,11 +318,13 @@
 def test_a_gang_stops_looking_once_there_is_enough_to_choose_from(monkeypatch: pytest.MonkeyPatch) -> None:
     """In an empty fleet of thousands every gang looked at every machine, though the first ones would do."""
     world, node, term, _workers = led(12, monkeypatch, SETTINGS.replace("cpus_max = 64.0", "cpus_max = 640.0"))
-    monkeypatch.setattr(gangs, "ENOUGH", 2)
+    monkeypatch.setattr(gang_scheduling, "ENOUGH", 2)
     looked: set[int] = set()
     offers = term.scheduler.gangs.offers
 
-    def counted(job: Job, m: Machine, rooms: dict[int, tuple[int, list[Room]]], now: float) -> list[Offer]:
+    def counted(
+        job: Job, m: Machine, rooms: dict[int, tuple[int, list[GangPlacement]]], now: float
+    ) -> list[GangCandidates]:
         looked.add(m.index)
         return offers(job, m, rooms, now)
 
@@ -332,15 +334,15 @@
     assert len(looked) == 4  # four times as many as its tasks
     world.accept(node, shape="ensemble", shards=9, cpus=15.0)
     term.scheduler.place(world.clock.now)
-    assert all(job.places for job in term.ledger.jobs.values()) and len(looked) == 12
+    assert all(job.allocations for job in term.registry.jobs.values()) and len(looked) == 12
 
 
 def test_what_is_remembered_from_one_pass_to_the_next_is_what_a_fresh_look_finds() -> None:
     """Passes keep what machines let in and what they hold by price, by the count of a machine's edits. An edit that
     was not counted would start tasks where a template has no slot, or stop the wrong ones."""
     rng = random.Random(5)
-    world = World(rules="rent = false\ntype_bound = 6\n")
-    node = Node(world, "node-0")
+    world = InMemoryCluster(rules="rent = false\ntype_bound = 6\n")
+    node = InMemoryController(world, "node-0")
     term = node.lead()
     for i in range(12):
         world.worker(f"n-{i:06d}", zone="ab"[i % 2])
@@ -356,22 +358,22 @@
             w.reachable = rng.random() < 0.95
             for task in w.running():
                 if rng.random() < 0.1:
-                    w.finish(task, Why.ERROR if rng.random() < 0.02 else Why.DONE)
+                    w.finish(task, ExitReason.ERROR if rng.random() < 0.02 else ExitReason.DONE)
         world.settle(term, 2)
         now = world.clock.now
         term.scheduler.retarget(now) if rng.random() < 0.2 else term.scheduler.place(now)
-        placing, clearing = term.scheduler.placing, term.scheduler.clearing
-        for (kind, aged), known in placing._known.items():
-            rank = term.ledger.types[kind].rank
-            for index, (edits, allowance) in known.items():
-                m = term.fleet.at(index)
-                if m is not None and m.edits == edits:
+        placement, clearing = term.scheduler.placing, term.scheduler.clearing
+        for (kind, aged), known in placement._known.items():
+            rank = term.registry.types[kind].rank
+            for index, (change_count, allowance) in known.items():
+                m = term.inventory.at(index)
+                if m is not None and m.change_count == change_count:
                     looked += 1
-                    assert placing._allowance(kind, rank, aged, m, placing.blocked) == allowance
-        for index, (edits, ranked) in clearing._ranked.items():
-            m = term.fleet.at(index)
-            if m is not None and m.edits == edits:
+                    assert placement._allowance(kind, rank, aged, m, placement.blocked) == allowance
+        for index, (change_count, ranked) in clearing._ranked.items():
+            m = term.inventory.at(index)
+            if m is not None and m.change_count == change_count:
                 looked += 1
-                assert {p.name for _, p in ranked} == {n for n, p in m.places.items() if p.stop is None}
+                assert {p.name for _, p in ranked} == {n for n, p in m.allocations.items() if p.stop is None}
                 assert [loss for loss, _ in ranked] == sorted(loss for loss, _ in ranked)
     assert looked > 500
--- a/tests/test_pages.py
+++ b/tests/storage/test_paged_records.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from grebestand.limits.budget import Budget, Urgency
-from grebestand.outside.http import Unreachable
-from grebestand.outside.state import StateClient, StateError
-from grebestand.records.pages import Pages
-from grebestand.standin.memory import Clock
-from grebestand.standin.store import StoreModel
+from grebestand.clients.http import UnreachableError
+from grebestand.clients.kv_store import KeyValueStoreClient, StoreError
+from grebestand.emulators.kv_store import KeyValueStoreEmulator
+from grebestand.flow_control.rate_limiter import RateLimiter, Urgency
+from grebestand.simulation.single_controller_cluster import ManualClock
+from grebestand.storage.paged_records import PagedRecords
 
 
-class Late(StoreModel):
+class Late(KeyValueStoreEmulator):
     """Holds transactions back: the sender hears nothing, and they are carried out when released."""
 
-    def __init__(self, clock: Clock) -> None:
+    def __init__(self, clock: ManualClock) -> None:
         super().__init__(clock)
         self.hold_back = False
         self.held: list[tuple[str, str, bytes, float]] = []
@@ -23,7 +23,7 @@
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         if self.hold_back and path == "/commit":
             self.held.append((method, path, body, timeout))
-            raise Unreachable("no answer in time")
+            raise UnreachableError("no answer in time")
         return super().request(method, path, body, timeout)
 
     def release(self) -> None:
@@ -33,32 +33,32 @@
         self.held.clear()
 
 
-def client(state: StoreModel) -> StateClient:
-    plenty = Budget(1e9, 1e9, state.clock, lambda s, f: None)
-    return StateClient(state, state, plenty, plenty)
+def client(state: KeyValueStoreEmulator) -> KeyValueStoreClient:
+    plenty = RateLimiter(1e9, 1e9, state.clock, lambda s, f: None)
+    return KeyValueStoreClient(state, state, plenty, plenty)
 
 
-def pages_on(state: StoreModel, value_bytes: int = 4096, txn_ops: int = 12) -> Pages:
+def pages_on(state: KeyValueStoreEmulator, value_bytes: int = 4096, txn_ops: int = 12) -> PagedRecords:
     store = client(state)
 
     def version_of(key: str) -> int:
         found = store.get(key)
         return found.version if found is not None else 0
 
-    return Pages("p/", value_bytes, txn_ops, store.commit, version_of)
+    return PagedRecords("p/", value_bytes, txn_ops, store.commit, version_of)
 
 
-def read_back(state: StoreModel, pages: Pages | None = None) -> dict[str, list[object]]:
+def read_back(state: KeyValueStoreEmulator, pages: PagedRecords | None = None) -> dict[str, list[object]]:
     found: dict[str, list[object]] = {}
-    reader = pages if pages is not None else pages_on(state)
-    for name, value in reader.load(client(state).pairs("p/")):
+    reconciler = pages if pages is not None else pages_on(state)
+    for name, value in reconciler.load(client(state).pairs("p/")):
         found.setdefault(name, []).append(value)
     return found
 
 
 def test_hundreds_of_records_take_a_few_writes() -> None:
     """At one write a record, hundreds of machines took most of a minute to be recorded at 20 writes a second."""
-    state = StoreModel(Clock())
+    state = KeyValueStoreEmulator(ManualClock())
     pages = pages_on(state)
     for i in range(500):
         pages.put(f"n-{i:06d}", ["atlas", "north", False, f"10.0.{i // 250}.{i % 250}:9000"])
@@ -72,13 +72,13 @@
 
 def test_a_write_that_is_carried_out_late_does_not_undo_a_newer_one() -> None:
     """The sender gave the first write up and wrote more; the first one must not come back over it."""
-    state = Late(Clock())
+    state = Late(ManualClock())
     pages = pages_on(state)
     pages.put("a", 1)
     pages.save(Urgency.ACCEPT)
     state.hold_back = True
     pages.put("a", 2)
-    with pytest.raises(StateError):
+    with pytest.raises(StoreError):
         pages.save(Urgency.ACCEPT)
     state.hold_back = False
     pages.put("a", 3)
@@ -88,11 +88,11 @@
 
 
 def test_a_write_that_was_made_though_nobody_heard_does_not_block_the_next() -> None:
-    state = StoreModel(Clock())
+    state = KeyValueStoreEmulator(ManualClock())
     pages = pages_on(state)
     pages.put("a", 1)
     state.lose_answers = 1
-    with pytest.raises(StateError):
+    with pytest.raises(StoreError):
         pages.save(Urgency.ACCEPT)
     pages.put("b", 2)
     pages.save(Urgency.ACCEPT)
@@ -101,7 +101,7 @@
 
 def test_a_record_that_outgrows_its_page_is_always_found_somewhere() -> None:
     """It moves to another page; a leader that ends between the two writes leaves it on both, never on neither."""
-    state = Late(Clock())
+    state = Late(ManualClock())
     pages = pages_on(state, value_bytes=256, txn_ops=1)
     pages.put("a", "x" * 100)
     pages.put("b", "y" * 100)
@@ -121,12 +121,12 @@
 
 def test_a_record_too_large_for_any_page_is_refused() -> None:
     with pytest.raises(ValueError, match="fits no page"):
-        pages_on(StoreModel(Clock()), value_bytes=256).put("a", "x" * 300)
+        pages_on(KeyValueStoreEmulator(ManualClock()), value_bytes=256).put("a", "x" * 300)
 
 
 def test_of_a_record_found_twice_neither_copy_goes_before_it_is_written_anew() -> None:
     """A successor joins both; writing the older copy's page for another record once erased the newer, wider one."""
-    state = Late(Clock())
+    state = Late(ManualClock())
     pages = pages_on(state, value_bytes=256, txn_ops=1)
     pages.put("a", "x" * 100)
     pages.put("b", "narrow")
--- a/tests/worlds.py
+++ b/tests/support/cluster_actions.py
@@ -6,10 +6,10 @@
 import msgspec
 import pytest
 
-from grebestand.books.machine import Machine
-from grebestand.reports.reading import Reader
-from grebestand.standin.cluster import RULES, SimulatedCluster
-from grebestand.wire.workers import Report
+from grebestand.cluster_state.machine import Machine
+from grebestand.heartbeats.reconciliation import HeartbeatReconciler
+from grebestand.simulation.cluster import RULES, SimulatedCluster
+from grebestand.wire.workers import Heartbeat
 
 #: every controller answers reports, and passes them on to the leader; machines stay as they are
 SPREAD = RULES + "spread_reports = true\n"
@@ -39,13 +39,13 @@
     for name in world.leading():
         node = world.nodes[name]
         assert node is not None
-        gevent.spawn(node.handover._give_way, "played", "")
+        gevent.spawn(node.leadership_transfer._give_way, "played", "")
 
 
 def heal(world: SimulatedCluster) -> None:
     """All troubles are over, whatever else has begun meanwhile."""
     world.links.heal()
-    world.state.down = False
+    world.store.down = False
     world.copies = world.late_writes = world.slow_s = world.late_orders = 0.0
     world.lost_answers = world.kept = world.at_end = 0.0
     world.kept_reports.clear()
@@ -60,12 +60,12 @@
 
 def any_report_is_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: every report is taken as if it echoed this term's token, and as the newest."""
-    read = Reader.read
+    read = HeartbeatReconciler.read
 
-    def believing(self: Reader, r: Report, now: float, direct: bool) -> Machine | None:
-        m = self.fleet.by_name.get(r.machine)
-        newest = (m.session, m.seq + 1) if m is not None else (r.session, r.seq)
-        session, seq = max((r.session, r.seq), newest)
-        return read(self, msgspec.structs.replace(r, token=self.token, session=session, seq=seq), now, direct)
+    def believing(self: HeartbeatReconciler, r: Heartbeat, now: float, direct: bool) -> Machine | None:
+        m = self.inventory.by_name.get(r.machine)
+        newest = (m.epoch, m.sequence + 1) if m is not None else (r.epoch, r.sequence)
+        epoch, sequence = max((r.epoch, r.sequence), newest)
+        return read(self, msgspec.structs.replace(r, token=self.token, epoch=epoch, sequence=sequence), now, direct)
 
-    monkeypatch.setattr(Reader, "read", believing)
+    monkeypatch.setattr(HeartbeatReconciler, "read", believing)
--- a/tests/tiny_feature.py
+++ b/tests/support/tiny_feature.py
@@ -4,14 +4,14 @@
 
 from typing import Any
 
-from grebestand.books.jobs import Job
-from grebestand.features.hooks import Features, Listener, Records, Refusal
+from grebestand.clients.kv_store import put
+from grebestand.cluster_state.jobs import Job
+from grebestand.features.hooks import Features, HookRefusal, Listener, Records
 from grebestand.features.registry import Feature, Plain
-from grebestand.outside.state import put
-from grebestand.records.jobs import OverRecord
-from grebestand.records.pages import Pages
 from grebestand.settings.expressions import Expressions, Rule, Vocabulary
 from grebestand.settings.platform import Settings
+from grebestand.storage.job_records import CompletedJobRecord
+from grebestand.storage.paged_records import PagedRecords
 from grebestand.wire.jobs import JobSpec
 from grebestand.wire.store import Change
 
@@ -21,19 +21,19 @@
         names = {"teams": float(len(settings.params.teams))}
         self.most_tasks = values.value("most_tasks", names)
         self.on = False
-        self.pages: Pages | None = None
+        self.pages: PagedRecords | None = None
         self.found: dict[str, Any] = {}
 
-    def accept(self, spec: JobSpec) -> Refusal | None:
-        return Refusal(429, "too many tasks", 7) if spec.tasks > self.most_tasks else None
+    def accept(self, spec: JobSpec) -> HookRefusal | None:
+        return HookRefusal(429, "too many tasks", 7) if spec.tasks > self.most_tasks else None
 
     def place(self, job: Job, now: float) -> str | None:
         return "curfew" if self.on and not job.gang else None
 
-    def close(self, job: Job, record: OverRecord) -> list[Change]:
+    def close(self, job: Job, record: CompletedJobRecord) -> list[Change]:
         return [put(f"curfew-done/{job.spec.id}", record.tasks)]
 
-    def load(self, pages: Pages, found: dict[str, Any]) -> None:
+    def load(self, pages: PagedRecords, found: dict[str, Any]) -> None:
         self.pages, self.found = pages, found
 
     def step(self) -> None:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -12,10 +12,9 @@
 
 #: lowest first; a module may import from its own layer's package and from layers before it
 LAYERS = (
-    "clocks", "log_events", "errors",
-    "states", "measures", "wire", "settings", "books", "limits", "outside", "reach", "records", "features",
-    "decisions", "reports", "leading", "relays", "doors", "federation", "process", "standin", "rehearsal",
-    "commands", "cli", "__main__",
+    "clocks", "log_events", "errors", "state_machines", "metrics", "wire", "settings", "cluster_state", "flow_control",
+    "clients", "connectivity", "storage", "features", "scheduling", "heartbeats", "leader", "heartbeat_relay", "api",
+    "federation", "controller", "emulators", "simulation", "fault_test", "load_test", "commands", "cli", "__main__",
 )  # fmt: skip
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -27,21 +27,21 @@
 from msgspec import inspect
 
 import grebestand
-from grebestand import cli, rehearsal, standin
+from grebestand import cli, load_test, simulation
+from grebestand.controller import machine_type_catalog
+from grebestand.emulators.task_execution import TaskEvent
+from grebestand.emulators.worker import WorkerEmulator
 from grebestand.features.hooks import Features
 from grebestand.features.registry import BUILT_IN
 from grebestand.federation import feature as federation
-from grebestand.federation import guest, messages, settle
-from grebestand.leading import leadership, rentals
-from grebestand.process import types
-from grebestand.records import jobs as job_records
-from grebestand.records import leader as leader_records
+from grebestand.federation import guest, messages, settlement
+from grebestand.leader import election, provisioning
 from grebestand.settings import expressions, platform, policy
-from grebestand.standin.memory import Node, World
-from grebestand.standin.worker import WorkerModel
-from grebestand.standin.yard import Happened
-from grebestand.states import LoadState
-from grebestand.wire import abroad, cloud, jobs, peers, store, workers
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
+from grebestand.state_machines import LoadState
+from grebestand.storage import job_records as job_records
+from grebestand.storage import leader_records as leader_records
+from grebestand.wire import cloud, jobs, peers, remote_assignment, store, workers
 
 ROOT = Path(grebestand.__file__).parent
 DEPLOY = ROOT.parent.parent / "deploy"
@@ -49,44 +49,73 @@
 
 #: sent as JSON, or stored as JSON by the state service
 JSON: dict[str, type[msgspec.Struct]] = {
-    "job submission": jobs.JobSpec, "job answer": jobs.JobAnswer, "worker's task status": workers.TaskStatus,
-    "worker's report": workers.Report, "command to a worker": workers.Command, "answer to a report": workers.Orders,
-    "direct request to a worker": workers.DirectOrders, "report elsewhere": workers.Elsewhere,
-    "cloud: machine type": cloud.MachineType, "cloud: machine types": cloud.MachineTypes,
-    "cloud: rent request": cloud.RentRequest, "cloud: rented": cloud.Rented,
-    "cloud: listed machine": cloud.ListedMachine, "cloud: machine list": cloud.MachineList,
-    "cloud: machine names": cloud.MachineNames, "state service: pair": store.Pair,
-    "state service: list of pairs": store.PairList, "state service: revision": store.Revision,
-    "state service: lease": store.Hold, "state service: new lease": store.NewHold,
-    "state service: condition": store.Condition, "state service: change": store.Change,
-    "state service: transaction": store.Transaction, "state service: event": store.Event,
-    "state service: events": store.Events, "record: job that another cluster runs": abroad.Abroad,
-    "record: live job": job_records.LiveRecord, "record: job that is over": job_records.OverRecord,
-    "record: machine": leader_records.MachineRecord, "record: where tasks may be": leader_records.GrantRecord,
-    "record: rental": leader_records.RentRecord, "record: leader": leadership.LeaderValue,
-    "record: settled gang": settle.Settled, "record: guest gang": guest.GuestRecord,
-}  # fmt: skip
+    "job submission": jobs.JobSpec,
+    "job answer": jobs.JobStatusResponse,
+    "worker's task status": workers.TaskStatus,
+    "worker's report": workers.Heartbeat,
+    "command to a worker": workers.Command,
+    "answer to a report": workers.HeartbeatResponse,
+    "direct request to a worker": workers.DirectCommands,
+    "report elsewhere": workers.Redirect,
+    "cloud: machine type": cloud.MachineType,
+    "cloud: machine types": cloud.MachineTypes,
+    "cloud: rent request": cloud.RentRequest,
+    "cloud: rented": cloud.Rented,
+    "cloud: listed machine": cloud.ListedMachine,
+    "cloud: machine list": cloud.MachineList,
+    "cloud: machine names": cloud.MachineNames,
+    "state service: pair": store.KeyValue,
+    "state service: list of pairs": store.KeyValuePage,
+    "state service: revision": store.CommitResult,
+    "state service: lease": store.LeaseGrant,
+    "state service: new lease": store.LeaseRequest,
+    "state service: condition": store.Condition,
+    "state service: change": store.Change,
+    "state service: transaction": store.Transaction,
+    "state service: event": store.ChangeEvent,
+    "state service: events": store.ChangeEvents,
+    "record: job that another cluster runs": remote_assignment.RemoteAssignment,
+    "record: live job": job_records.LiveJobRecord,
+    "record: job that is over": job_records.CompletedJobRecord,
+    "record: machine": leader_records.MachineRecord,
+    "record: where tasks may be": leader_records.GrantRecord,
+    "record: rental": leader_records.RentalRecord,
+    "record: leader": election.LeaderValue,
+    "record: settled gang": settlement.Settled,
+    "record: guest gang": guest.GuestRecord,
+}
 #: sent as MessagePack between controllers of one cluster, and between clusters
 MSGPACK: dict[str, type[msgspec.Struct]] = {
-    "controllers: hello": peers.Hello, "controllers: resigned": peers.Resigned,
-    "controllers: relayed request": peers.Relayed, "controllers: relayed answer": peers.RelayedAnswer,
-    "controllers: batch of reports": peers.Batch, "controllers: answers to a batch": peers.Replies,
-    "controllers: cached images": peers.CachedImages, "clusters: look": messages.Look,
-    "clusters: offer": messages.Offer, "clusters: commit": messages.Commit, "clusters: ask": messages.Ask,
-    "clusters: recall": messages.Recall, "clusters: forget": messages.Forget, "clusters: room": messages.Room,
-    "clusters: reserved": messages.Reserved, "clusters: refused": messages.Refused,
-    "clusters: running": messages.Running, "clusters: ended": messages.Ended, "clusters: unsure": messages.Unsure,
-}  # fmt: skip
+    "controllers: hello": peers.PeerStatus,
+    "controllers: resigned": peers.ResignationNotice,
+    "controllers: relayed request": peers.ProxiedRequest,
+    "controllers: relayed answer": peers.ProxiedResponse,
+    "controllers: batch of reports": peers.HeartbeatBatch,
+    "controllers: answers to a batch": peers.HeartbeatBatchResponse,
+    "controllers: cached images": peers.CachedImages,
+    "clusters: look": messages.Probe,
+    "clusters: offer": messages.ReservationRequest,
+    "clusters: commit": messages.Commit,
+    "clusters: ask": messages.StatusQuery,
+    "clusters: recall": messages.Recall,
+    "clusters: forget": messages.Forget,
+    "clusters: room": messages.FreeCapacity,
+    "clusters: reserved": messages.Reserved,
+    "clusters: refused": messages.Rejection,
+    "clusters: running": messages.Running,
+    "clusters: ended": messages.Ended,
+    "clusters: unsure": messages.UncertainReply,
+}
 MESSAGES = JSON | MSGPACK
 #: settings files, whose fields are fixtures of their own
-FILES: dict[str, type[msgspec.Struct]] = {"platform": platform.Settings, "federation": federation.Told}
+FILES: dict[str, type[msgspec.Struct]] = {"platform": platform.Settings, "federation": federation.LocalLoad}
 #: a common base, and what stays in a process
-NOT_SENT = {messages._About, rentals.Expected}
+NOT_SENT = {messages._About, provisioning.PendingMachine}
 #: packages whose structures are for simulations and rehearsals only
-SIMULATION = (standin.__name__, rehearsal.__name__)
+SIMULATION = (simulation.__name__, load_test.__name__)
 ENUMERATIONS: dict[str, type[Enum]] = {
-    "shape of a job": jobs.Kind, "rank of a job": jobs.Priority, "state of a job": jobs.JobView,
-    "state of a task": workers.TaskReport, "why a task ended": workers.Why, "load of a controller": LoadState,
+    "shape of a job": jobs.Kind, "rank of a job": jobs.Priority, "state of a job": jobs.JobStatus,
+    "state of a task": workers.TaskPhase, "why a task ended": workers.ExitReason, "load of a controller": LoadState,
 }  # fmt: skip
 
 
@@ -163,15 +192,15 @@
 def keys_now() -> dict[str, Any]:
     """Keys in the state service, most as a leader has written them in its work, and what it has told workers."""
     commands: set[str] = set()
-    obey = WorkerModel.obey
+    obey = WorkerEmulator.obey
 
-    def noted(self: WorkerModel, orders: workers.Orders) -> None:
+    def noted(self: WorkerEmulator, orders: workers.HeartbeatResponse) -> None:
         commands.update(command.op for command in orders.commands)
         obey(self, orders)
 
-    with mock.patch.object(WorkerModel, "obey", noted):
-        world = World()
-        worker, node = world.worker("n-000000"), Node(world, "node-0")
+    with mock.patch.object(WorkerEmulator, "obey", noted):
+        world = InMemoryCluster()
+        worker, node = world.worker("n-000000"), InMemoryController(world, "node-0")
         term = node.lead()
         world.settle(term, 3)
         ended, cancelled, _ = [world.accept(node) for _ in range(3)]
@@ -180,10 +209,10 @@
         node.users.cancel(cancelled)
         world.settle(term)
     return {
-        "machine types": types.TYPES_KEY,
+        "machine types": machine_type_catalog.TYPES_KEY,
         "guest gang": guest.guest_key("id"),
-        "settled gangs": settle.PREFIX,
-        "written by a leader": sorted(world.state.data),
+        "settled gangs": settlement.PREFIX,
+        "written by a leader": sorted(world.store.data),
         "commands to workers": sorted(commands),
     }
 
@@ -213,7 +242,7 @@
         "federation: plain keys": sorted(federation.PLAIN),
         "features": sorted(BUILT_IN),
         "hooks": sorted(f.name for f in dataclasses.fields(Features)),
-        "columns of a history": sorted(f.name for f in dataclasses.fields(Happened)),
+        "columns of a history": sorted(f.name for f in dataclasses.fields(TaskEvent)),
     }
 
 
--- a/tests/test_capacity.py
+++ b/tests/tools/test_capacity.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 def _tool() -> Any:
--- a/tools/account.py
+++ b/tools/account.py
@@ -31,43 +31,43 @@
 import gevent  # noqa: E402
 import greenlet  # noqa: E402
 
-from grebestand.books.fleet import Fleet  # noqa: E402
-from grebestand.books.ledger import Ledger  # noqa: E402
 from grebestand.cli import main  # noqa: E402
-from grebestand.decisions.explain import Explanation  # noqa: E402
-from grebestand.decisions.gangs import Gangs  # noqa: E402
-from grebestand.decisions.images import Images  # noqa: E402
-from grebestand.decisions.migration import Migration  # noqa: E402
-from grebestand.decisions.placing import Placing  # noqa: E402
-from grebestand.decisions.renting import Renting  # noqa: E402
-from grebestand.decisions.scheduler import Scheduler  # noqa: E402
-from grebestand.decisions.targets import Targets  # noqa: E402
-from grebestand.leading.gossip import Gossip  # noqa: E402
-from grebestand.leading.pace import Pace  # noqa: E402
-from grebestand.leading.proof import Proof  # noqa: E402
-from grebestand.measures.sketches import Sketches  # noqa: E402
-from grebestand.process.controller import Controller  # noqa: E402
-from grebestand.reports.answers import Answers  # noqa: E402
-from grebestand.reports.reading import Reader  # noqa: E402
+from grebestand.cluster_state.job_registry import JobRegistry  # noqa: E402
+from grebestand.cluster_state.machine_inventory import MachineInventory  # noqa: E402
+from grebestand.controller.controller import Controller  # noqa: E402
+from grebestand.heartbeats.commands import CommandBuilder  # noqa: E402
+from grebestand.heartbeats.reconciliation import HeartbeatReconciler  # noqa: E402
+from grebestand.leader.machine_reconciliation import MachineReconciliation  # noqa: E402
+from grebestand.leader.scheduling_loop import SchedulingLoop  # noqa: E402
+from grebestand.leader.status_broadcast import StatusBroadcast  # noqa: E402
+from grebestand.metrics.duration_sketches import DurationSketches  # noqa: E402
+from grebestand.scheduling.gang_scheduling import GangScheduling  # noqa: E402
+from grebestand.scheduling.image_locality import ImageLocality  # noqa: E402
+from grebestand.scheduling.migration import Migration  # noqa: E402
+from grebestand.scheduling.pending_reasons import PendingReasons  # noqa: E402
+from grebestand.scheduling.placement import Placement  # noqa: E402
+from grebestand.scheduling.scale_out import ScaleOut  # noqa: E402
+from grebestand.scheduling.scheduler import Scheduler  # noqa: E402
+from grebestand.scheduling.template_targets import TemplateTargets  # noqa: E402
 
 #: parts that never yield, so that a clock around them tells what they take
 PARTS: list[tuple[type, list[str]]] = [
     (Controller, ["_hello"]),
-    (Reader, ["read"]),
-    (Answers, ["commands"]),
-    (Fleet, ["sweep_silence"]),
-    (Ledger, ["rate_guarantees"]),
-    (Pace, ["step", "go_on"]),
-    (Proof, ["check"]),
-    (Gossip, ["cached_images"]),
+    (HeartbeatReconciler, ["read"]),
+    (CommandBuilder, ["commands"]),
+    (MachineInventory, ["detect_silent_machines"]),
+    (JobRegistry, ["rate_guarantees"]),
+    (SchedulingLoop, ["step", "go_on"]),
+    (MachineReconciliation, ["check"]),
+    (StatusBroadcast, ["cached_images"]),
     (Scheduler, ["passing", "retargeting", "fill"]),
-    (Targets, ["set"]),
-    (Renting, ["measure"]),
-    (Images, ["measure"]),
+    (TemplateTargets, ["set"]),
+    (ScaleOut, ["measure"]),
+    (ImageLocality, ["measure"]),
     (Migration, ["migrate"]),
-    (Gangs, ["place", "offers"]),
-    (Placing, ["place", "_make_room"]),
-    (Explanation, ["tell"]),
+    (GangScheduling, ["place", "offers"]),
+    (Placement, ["place", "_make_room"]),
+    (PendingReasons, ["tell"]),
 ]
 
 
@@ -89,7 +89,7 @@
     def reset(self) -> None:
         self.took: Counter[str] = Counter()
         self.runs: Counter[str] = Counter()
-        self.stretches = Sketches()
+        self.stretches = DurationSketches()
 
     def add(self, label: str, seconds: float, runs: int = 1) -> None:
         self.took[label] += seconds
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -25,19 +25,19 @@
 _ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(_ROOT / "src"), str(_ROOT / "target" / "deps")]
 
+from grebestand.api.peer_api import IMAGES_S  # noqa: E402
 from grebestand.clocks import DRIFT, MARGIN_S  # noqa: E402
-from grebestand.doors.peers import IMAGES_S  # noqa: E402
-from grebestand.federation.breaker import LONGEST_S  # noqa: E402
-from grebestand.leading.pace import ARRIVAL_GAP_S, MOST_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST  # noqa: E402
-from grebestand.leading.proof import MOST_ASKED  # noqa: E402
-from grebestand.leading.rentals import MOST_RENTED  # noqa: E402
-from grebestand.limits.sockets import plan  # noqa: E402
-from grebestand.process.controller import RENEW_S, TELL_S  # noqa: E402
-from grebestand.records.finals import TERMINAL_KEPT  # noqa: E402
-from grebestand.relays.sender import GATHER_S, MOST_REPORTS  # noqa: E402
-from grebestand.relays.spread import SHARE_SLACK  # noqa: E402
+from grebestand.controller.controller import RENEW_S, TELL_S  # noqa: E402
+from grebestand.federation.circuit_breaker import LONGEST_S  # noqa: E402
+from grebestand.flow_control.connection_limits import plan_connections  # noqa: E402
+from grebestand.heartbeat_relay.forwarder import GATHER_S, MOST_REPORTS  # noqa: E402
+from grebestand.heartbeat_relay.worker_assignment import SHARE_SLACK  # noqa: E402
+from grebestand.leader.machine_reconciliation import MOST_ASKED  # noqa: E402
+from grebestand.leader.provisioning import MOST_RENTED  # noqa: E402
+from grebestand.leader.scheduling_loop import ARRIVAL_GAP_S, MOST_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST  # noqa: E402
 from grebestand.settings import policy  # noqa: E402
 from grebestand.settings.platform import Quota  # noqa: E402
+from grebestand.storage.completed_jobs import MAX_COMPLETED_KEPT  # noqa: E402
 
 SLOPES, PAGE, CODE = _ROOT / "tools" / "capacity.toml", _ROOT / "docs" / "CAPACITY.md", _ROOT / "src" / "grebestand"
 MEASURED, WORKED_OUT, OPEN = "measured", "worked out", "open"
@@ -48,11 +48,11 @@
 CHANGE_S = 0.5
 #: a report's interval is drawn within this share of it, by the protocol
 JITTER = 0.25
-#: between two greetings of a controller to another, at most, and how long one may take (process/controller, peer)
+#: between two greetings of a controller to another, at most, and how long one may take (controller/controller, peer)
 GREETING_S, GREETING_TIMEOUT_S = 1.1, 1.0
-#: a watch is asked again after this, at the latest, with newer knowledge for starts (leading/knowledge)
+#: a watch is asked again after this, at the latest, with newer knowledge for starts (leader/cancellation_horizon)
 WATCH_S = 1.0
-#: pause between two looks at what lacks a grant (process/controller), and how long a report waits for one
+#: pause between two looks at what lacks a grant (controller/controller), and how long a report waits for one
 COVER_S, GRANT_WAIT_S = 0.1, 0.25
 #: the longest stretch that the decision side may take without a yield
 STRETCH_S = 0.2
@@ -225,7 +225,7 @@
     def sockets(self, s: Size) -> float:
         """Connections of workers that a controller may keep."""
         quota = Quota(self.limits["core"], self.limits["memory_mb"], self.limits["sockets"])
-        return float(plan(quota, s.controllers - 1).workers)
+        return float(plan_connections(quota, s.controllers - 1).workers)
 
     def spread_from(self, s: Size) -> float:
         """From how many machines on `spread_reports` of the shipped policy holds."""
@@ -367,49 +367,53 @@
     return lambda m, s: m.at(name)
 
 
-RELAYED = ("relays/sender.py", "relays/spread.py")
+RELAYED = ("heartbeat_relay/forwarder.py", "heartbeat_relay/worker_assignment.py")
 
 LEADER = [
-    Row("reports a second, quiet", "1/s", lambda m, s: m.quiet_reports(s), ("doors/workers.py",)),
-    Row("reports a second, peak", "1/s", lambda m, s: m.reports(s), ("doors/workers.py", "reports/reading.py")),
-    Row("connections of workers, all at the leader", "", lambda m, s: s.workers, ("limits/sockets.py",),
+    Row("reports a second, quiet", "1/s", lambda m, s: m.quiet_reports(s), ("api/heartbeat_api.py",)),
+    Row("reports a second, peak", "1/s", lambda m, s: m.reports(s), ("api/heartbeat_api.py",
+        "heartbeats/reconciliation.py")),
+    Row("connections of workers, all at the leader", "", lambda m, s: s.workers, ("flow_control/connection_limits.py",),
         lambda m, s: m.sockets(s)),
     Row("bytes read a second, peak", "KB/s",
         lambda m, s: m.reports(s) * (m.at("report head") + m.report_bytes(s)) / 1e3, ("wire/workers.py",)),
     Row("bytes answered a second, peak", "KB/s",
         lambda m, s: m.reports(s) * (m.at("answer head") + m.at("answer body", m.answer_commands(s))) / 1e3,
-        ("reports/answers.py",)),
+        ("heartbeats/commands.py",)),
     Row("processor, peak, all reports at the leader", "core", lambda m, s: m.leader_core(s),
-        ("doors/server.py", "leading/checkins.py"), lambda m, s: m.limits["core"]),
+        ("api/http_server.py", "leader/heartbeat_handler.py"), lambda m, s: m.limits["core"]),
     Row("processor, peak, all reports at the leader, by the scale run", "core",
         lambda m, s: m.at("leader, processor in the scale run", m.reports(s)),
-        ("doors/server.py", "leading/checkins.py"), lambda m, s: m.limits["core"], direct=True),
+        ("api/http_server.py", "leader/heartbeat_handler.py"), lambda m, s: m.limits["core"], direct=True),
     Row("what no relay can take: decisions and steps, by the bench", "core", lambda m, s: m.deciding_core(s),
-        ("decisions/placing.py", "leading/pace.py"), lambda m, s: m.limits["core"]),
+        ("scheduling/placement.py", "leader/scheduling_loop.py"), lambda m, s: m.limits["core"]),
     Row("decisions, by the decision side alone", "core", lambda m, s: m.decision_core(s),
-        ("decisions/scheduler.py", "leading/pace.py"), lambda m, s: m.limits["core"]),
+        ("scheduling/scheduler.py", "leader/scheduling_loop.py"), lambda m, s: m.limits["core"]),
     Row("a report over a connection of its own: HTTP, sockets, event loop", "ms",
-        lambda m, s: 1e3 * m.at("leader, HTTP", m.reports(s)) / m.reports(s), ("doors/server.py",)),
-    Row("a report in a batch, in their place", "ms", lambda m, s: 1e3 * m.batch_core(), ("relays/receiver.py",)),
+        lambda m, s: 1e3 * m.at("leader, HTTP", m.reports(s)) / m.reports(s), ("api/http_server.py",)),
+    Row("a report in a batch, in their place", "ms", lambda m, s: 1e3 * m.batch_core(),
+        ("heartbeat_relay/batch_receiver.py",)),
     Row("processor, peak, reports spread evenly", "core", lambda m, s: m.spread_core(s),
-        ("relays/receiver.py", "relays/spread.py"), lambda m, s: m.limits["core"]),
+        ("heartbeat_relay/batch_receiver.py", "heartbeat_relay/worker_assignment.py"), lambda m, s: m.limits["core"]),
     Row("processor, peak, reports spread evenly, by the scale run", "core",
         lambda m, s: m.at("leader, reports spread, scale run", m.reports(s)),
-        ("relays/receiver.py", "relays/spread.py"), lambda m, s: m.limits["core"], direct=True),
-    Row("targets, once", "s", lambda m, s: m.at("targets", s.workers), ("decisions/targets.py",), direct=True),
+        ("heartbeat_relay/batch_receiver.py", "heartbeat_relay/worker_assignment.py"),
+            lambda m, s: m.limits["core"], direct=True),
+    Row("targets, once", "s", lambda m, s: m.at("targets", s.workers), ("scheduling/template_targets.py",),
+        direct=True),
     Row("full pass, once, with as much waiting as runs", "s", lambda m, s: m.at("full pass", s.workers),
-        ("decisions/scheduler.py",), direct=True),
+        ("scheduling/scheduler.py",), direct=True),
     Row("longest stretch without a yield", "s",
         lambda m, s: max(m.at("longest stretch of a pass", s.workers), m.at("longest stretch of targets", s.workers)),
-        ("leading/pace.py",), lambda m, s: STRETCH_S, direct=True),
-    Row("taking over: the books, once", "s", lambda m, s: m.at("taking over", s.workers), ("leading/term.py",),
+        ("leader/scheduling_loop.py",), lambda m, s: STRETCH_S, direct=True),
+    Row("taking over: the books, once", "s", lambda m, s: m.at("taking over", s.workers), ("leader/term.py",),
         direct=True),
     Row("books: machines, jobs, 25 tasks for each worker", "MB", lambda m, s: m.at("books in all", s.workers),
-        ("books/fleet.py", "books/ledger.py"), direct=True),
+        ("cluster_state/machine_inventory.py", "cluster_state/job_registry.py"), direct=True),
     Row("memory, as the bench counts it", "MB", lambda m, s: m.at("leader, memory", s.workers),
-        ("books/fleet.py", "doors/server.py"), lambda m, s: m.limits["memory_mb"], direct=True),
+        ("cluster_state/machine_inventory.py", "api/http_server.py"), lambda m, s: m.limits["memory_mb"], direct=True),
     Row("memory, resident", "MB", lambda m, s: m.at("leader, resident", s.workers),
-        ("books/fleet.py", "doors/server.py"), lambda m, s: m.limits["memory_mb"], direct=True),
+        ("cluster_state/machine_inventory.py", "api/http_server.py"), lambda m, s: m.limits["memory_mb"], direct=True),
 ]  # fmt: skip
 
 RELAY = [
@@ -439,81 +443,86 @@
 ]  # fmt: skip
 
 FOLLOWER = [
-    Row("memory, resident", "MB", lambda m, s: m.at("follower, resident", s.workers), ("process/controller.py",),
+    Row("memory, resident", "MB", lambda m, s: m.at("follower, resident", s.workers), ("controller/controller.py",),
         lambda m, s: m.limits["memory_mb"], direct=True),
     Row("greetings a second, sent and answered", "1/s", lambda m, s: 2 * (s.controllers - 1) / GREETING_S,
-        ("doors/peers.py",)),
+        ("api/peer_api.py",)),
     Row("bytes of greetings a second, each way, peak", "KB/s",
         lambda m, s: 2 * (s.controllers - 1) / GREETING_S * m.at("greeting", m.live(s)) / 1e3, ("wire/peers.py",)),
     Row("bytes a second of the leader's word of images", "KB/s",
-        lambda m, s: (s.controllers - 1) * m.at("word of images", s.workers) / IMAGES_S / 1e3, ("leading/gossip.py",)),
-    Row("requests of the state service a second: the key", "1/s", lambda m, s: 1.0, ("leading/leadership.py",)),
-    Row("cancelled jobs and final states kept", "records", lambda m, s: float(TERMINAL_KEPT), ("records/finals.py",)),
+        lambda m, s: (s.controllers - 1) * m.at("word of images", s.workers) / IMAGES_S / 1e3,
+            ("leader/status_broadcast.py",)),
+    Row("requests of the state service a second: the key", "1/s", lambda m, s: 1.0, ("leader/election.py",)),
+    Row("cancelled jobs and final states kept", "records", lambda m, s: float(MAX_COMPLETED_KEPT),
+        ("storage/completed_jobs.py",)),
 ]  # fmt: skip
 
 USERS = [
-    Row("jobs accepted a second, day's mean", "1/s", lambda m, s: s.jobs_day / 86_400, ("doors/users.py",)),
-    Row("jobs accepted a second, peak", "1/s", lambda m, s: m.jobs_s(s), ("doors/users.py",)),
-    Row("live jobs, peak", "", lambda m, s: m.live(s), ("doors/users.py",)),
-    Row("polls a second, every 5 s each", "1/s", lambda m, s: m.live(s) / 5, ("doors/current.py",)),
+    Row("jobs accepted a second, day's mean", "1/s", lambda m, s: s.jobs_day / 86_400, ("api/job_api.py",)),
+    Row("jobs accepted a second, peak", "1/s", lambda m, s: m.jobs_s(s), ("api/job_api.py",)),
+    Row("live jobs, peak", "", lambda m, s: m.live(s), ("api/job_api.py",)),
+    Row("polls a second, every 5 s each", "1/s", lambda m, s: m.live(s) / 5, ("api/read_batching.py",)),
     Row("writes a second of jobs at a follower, of its share", "1/s", lambda m, s: m.jobs_s(s) / s.controllers,
-        ("limits/budget.py",), lambda m, s: 0.3 / max(1, s.controllers - 1) * m.limits["write_rps"]),
+        ("flow_control/rate_limiter.py",), lambda m, s: 0.3 / max(1, s.controllers - 1) * m.limits["write_rps"]),
     Row("the same at the rate of the copy on the bench", "1/s",
         lambda m, s: m.assumed["bench_jobs_s"] * s.workers / m.letter["workers"] / s.controllers,
-        ("limits/budget.py",), lambda m, s: 0.3 / max(1, s.controllers - 1) * m.limits["write_rps"]),
-    Row("processor of polls", "core", lambda m, s: m.live(s) / 5 * m.at("poll of a user") / 1e3, ("doors/users.py",)),
+        ("flow_control/rate_limiter.py",), lambda m, s: 0.3 / max(1, s.controllers - 1) * m.limits["write_rps"]),
+    Row("processor of polls", "core", lambda m, s: m.live(s) / 5 * m.at("poll of a user") / 1e3, ("api/job_api.py",)),
     Row("processor of submissions", "core", lambda m, s: m.jobs_s(s) * m.at("acceptance of a job") / 1e3,
-        ("doors/users.py",)),
+        ("api/job_api.py",)),
 ]  # fmt: skip
 
 STATE = [
-    Row("records of machines", "KB", lambda m, s: s.workers * m.at("machine record") / 1e3, ("records/pages.py",)),
+    Row("records of machines", "KB", lambda m, s: s.workers * m.at("machine record") / 1e3,
+        ("storage/paged_records.py",)),
     Row("keys that they stand on", "", lambda m, s: math.ceil(
-        s.workers * m.at("machine record") / (1024 * m.limits["value_kb"] - 32)), ("records/pages.py",)),
-    Row("live records, peak", "KB", lambda m, s: m.live(s) * m.at("live record", 44) / 1e3, ("records/jobs.py",)),
+        s.workers * m.at("machine record") / (1024 * m.limits["value_kb"] - 32)), ("storage/paged_records.py",)),
+    Row("live records, peak", "KB", lambda m, s: m.live(s) * m.at("live record", 44) / 1e3,
+        ("storage/job_records.py",)),
     Row("progress: bits of live jobs' tasks, peak", "KB",
-        lambda m, s: m.live(s) * m.assumed["tasks_a_job"] / 8 * 4 / 3 / 1e3, ("leading/progress.py",)),
+        lambda m, s: m.live(s) * m.assumed["tasks_a_job"] / 8 * 4 / 3 / 1e3, ("leader/task_progress.py",)),
     Row("grants of live jobs, peak: half of them on 16 machines", "KB",
         lambda m, s: m.live(s) * (m.at("grant record", 16) + m.at("grant record", 0)) / 2 / 1e3,
-        ("leading/grants.py", "records/leader.py")),
+        ("leader/durable_grants.py", "storage/leader_records.py")),
     Row("final states after a year", "MB", lambda m, s: 365 * s.jobs_day * m.at("over record", 44) / 1e6,
         "open: nothing removes them, and the protocol forbids it"),
     Row("writes a second, peak: accepting and closing", "1/s", lambda m, s: 3 * m.jobs_s(s),
-        ("records/jobs.py", "leading/closing.py"), lambda m, s: m.limits["write_rps"]),
+        ("storage/job_records.py", "leader/job_completion.py"), lambda m, s: m.limits["write_rps"]),
     Row("the same at the rate of the copy on the bench", "1/s",
         lambda m, s: 3 * m.assumed["bench_jobs_s"] * s.workers / m.letter["workers"],
-        ("records/jobs.py", "leading/closing.py"), lambda m, s: m.limits["write_rps"]),
+        ("storage/job_records.py", "leader/job_completion.py"), lambda m, s: m.limits["write_rps"]),
     Row("writes a second in all, peak", "1/s", lambda m, s: m.at("writes in all", s.starts_s),
-        ("limits/budget.py", "records/pages.py"), lambda m, s: m.limits["write_rps"], direct=True),
+        ("flow_control/rate_limiter.py", "storage/paged_records.py"), lambda m, s: m.limits["write_rps"], direct=True),
     Row("writes a second in all, many small jobs as on the bench", "1/s",
         lambda m, s: m.at("writes in all, small jobs", m.assumed["bench_jobs_s"] * s.workers / m.letter["workers"]),
-        ("limits/budget.py", "records/pages.py"), lambda m, s: m.limits["write_rps"]),
+        ("flow_control/rate_limiter.py", "storage/paged_records.py"), lambda m, s: m.limits["write_rps"]),
     Row("requests a second that do not grow: hold, watch, the key", "1/s",
-        lambda m, s: 1 / RENEW_S + 1 / WATCH_S + s.controllers - 1, ("leading/leadership.py", "leading/live_jobs.py"),
+        lambda m, s: 1 / RENEW_S + 1 / WATCH_S + s.controllers - 1, ("leader/election.py", "leader/job_watch.py"),
         lambda m, s: m.limits["state_rps"]),
     Row("requests a second in all, peak", "1/s", lambda m, s: m.at("requests of the state service", s.starts_s),
-        ("outside/state.py",), lambda m, s: m.limits["state_rps"], direct=True),
+        ("clients/kv_store.py",), lambda m, s: m.limits["state_rps"], direct=True),
     Row("requests a second in all, many small jobs as on the bench", "1/s",
         lambda m, s: m.at("requests of the state service, small jobs",
                           m.assumed["bench_jobs_s"] * s.workers / m.letter["workers"]),
-        ("outside/state.py",), lambda m, s: m.limits["state_rps"]),
+        ("clients/kv_store.py",), lambda m, s: m.limits["state_rps"]),
     Row("processor of the stand-in", "core",
         lambda m, s: m.at("state service, processor", m.at("requests of the state service", s.starts_s)),
-        ("standin/store.py",)),
-    Row("memory of the stand-in", "MB", lambda m, s: m.at("state service, resident", s.workers), ("standin/store.py",),
+        ("emulators/kv_store.py",)),
+    Row("memory of the stand-in", "MB", lambda m, s: m.at("state service, resident", s.workers),
+        ("emulators/kv_store.py",),
         direct=True),
 ]  # fmt: skip
 
 CLOUD = [
     Row("machines restarted or replaced a day", "", lambda m, s: m.letter["restarts_day"] * s.workers
-        / m.letter["workers"], ("leading/rentals.py", "leading/returning.py")),
+        / m.letter["workers"], ("leader/provisioning.py", "leader/deprovisioning.py")),
     Row("requests a second for them, day's mean: one to rent, one to delete", "1/s",
-        lambda m, s: 2 * m.letter["restarts_day"] * s.workers / m.letter["workers"] / 86_400, ("outside/cloud.py",),
+        lambda m, s: 2 * m.letter["restarts_day"] * s.workers / m.letter["workers"] / 86_400, ("clients/cloud.py",),
         lambda m, s: 0.8 * m.limits["cloud_rps"]),
-    Row("requests to list all machines", "", lambda m, s: math.ceil(s.workers / 500), ("outside/cloud.py",)),
+    Row("requests to list all machines", "", lambda m, s: math.ceil(s.workers / 500), ("clients/cloud.py",)),
     Row("seconds of its budget to list all", "s",
-        lambda m, s: math.ceil(s.workers / 500) / (0.8 * m.limits["cloud_rps"]), ("limits/budget.py",)),
-    Row("processor", "core", lambda m, s: m.at("cloud client, processor"), ("outside/cloud.py",)),
+        lambda m, s: math.ceil(s.workers / 500) / (0.8 * m.limits["cloud_rps"]), ("flow_control/rate_limiter.py",)),
+    Row("processor", "core", lambda m, s: m.at("cloud client, processor"), ("clients/cloud.py",)),
 ]  # fmt: skip
 
 WORKER = [
@@ -525,16 +534,16 @@
         ("wire/workers.py",), lambda m, s: m.letter["worker_kb_s"]),
     Row("bytes a second, both ways, peak, of a worker process", "KB/s",
         lambda m, s: m.reports_a_worker(s) * m.at("worker, traffic of a message", s.workers),
-        ("standin/worker.py",), lambda m, s: m.letter["worker_kb_s"]),
+        ("emulators/worker.py",), lambda m, s: m.letter["worker_kb_s"]),
     Row("processor of a worker process", "core", lambda m, s: m.at("worker, processor", s.workers),
-        ("standin/worker.py",), lambda m, s: m.letter["worker_core"], direct=True),
+        ("emulators/worker.py",), lambda m, s: m.letter["worker_core"], direct=True),
     Row("memory of a worker process", "MB", lambda m, s: m.at("worker, resident", s.workers),
-        ("standin/worker.py",), lambda m, s: m.letter["worker_mb"], direct=True),
+        ("emulators/worker.py",), lambda m, s: m.letter["worker_mb"], direct=True),
 ]  # fmt: skip
 
 LINK = [
     Row("looks a second of one cluster at three", "1/s", lambda m, s: m.at("looks between clusters", 3),
-        ("federation/link.py", "federation/routing.py"), direct=True),
+        ("federation/tls_link.py", "federation/routing.py"), direct=True),
     Row("messages of a gang at three clusters", "", lambda m, s: m.at("messages of a gang", 3),
         ("federation/home.py", "federation/guest.py"), direct=True),
     Row("gangs a second that may ask", "1/s", lambda m, s: m.assumed["gangs"] * m.jobs_s(s), ("federation/home.py",)),
@@ -714,10 +723,10 @@
         ("over the link to the others", m.assumed["link_s"], m.assumed["link_slow_s"], "assumed; not measured"),
         ("commit there", usual, slow, "as above"),
         ("watch: its answer, or the next question", usual, WATCH_S + slow,
-         "`leading/knowledge.py` asks again each second"),
+         "`leader/cancellation_horizon.py` asks again each second"),
         ("check, with the share of a core", check, check + STRETCH_S, "slope: check of settings; one stretch between"),
         ("greeting that tells the version", TELL_S, GREETING_S + lim["messages_s"],
-         "`process/controller.py`: at once, or with the next"),
+         "`controller/controller.py`: at once, or with the next"),
     ]  # fmt: skip
 
 
@@ -726,19 +735,29 @@
 ) -> list[tuple[str, float, float, str]]:
     """From the acceptance to the last start; with `stops`, room is made first, and a second pass places what waits."""
     lim = m.limits
-    one_pass = ("next pass", PASS_GAP_S / 2, PASS_GAP_S, f"`leading/pace.py`; up to {MOST_REST_S:g} s where much waits")
+    one_pass = (
+        "next pass",
+        PASS_GAP_S / 2,
+        PASS_GAP_S,
+        f"`leader/scheduling_loop.py`; up to {MOST_REST_S:g} s where much waits",
+    )
     found = [
         ("acceptance to the leader's books: the watch", lim["state_usual_s"], lim["state_slow_s"],
-         "`leading/live_jobs.py`"),
+         "`leader/job_watch.py`"),
         one_pass,
     ]  # fmt: skip
     if stops is not None:
-        found += [("direct stops, and reports of the ends", *stops, "`leading/proof.py`"), one_pass]
+        found += [("direct stops, and reports of the ends", *stops, "`leader/machine_reconciliation.py`"), one_pass]
     return [
         *found,
-        ("durable grant", COVER_S / 2 + lim["state_usual_s"], COVER_S + lim["state_slow_s"], "`leading/grants.py`"),
+        (
+            "durable grant",
+            COVER_S / 2 + lim["state_usual_s"],
+            COVER_S + lim["state_slow_s"],
+            "`leader/durable_grants.py`",
+        ),
         ("report of the last machine that is needed", *wait, by),
-        ("the answer's way", lim["messages_s"], 2 * lim["messages_s"], "`doors/server.py`"),
+        ("the answer's way", lim["messages_s"], 2 * lim["messages_s"], "`api/http_server.py`"),
     ]
 
 
@@ -870,30 +889,31 @@
         [f"{t['restarts_day']} restarts or replacements a day, unannounced", show(t["restarts_day"] * tasks) + " a day",
          "the next session's report, or " + f"{lapse:.1f} s of silence",
          f"{show(2 * t['restarts_day'])} requests of the cloud, as many writes, a direct question each, a day",
-         "`books/fleet.py`, `leading/proof.py`, `leading/rentals.py`", WORKED_OUT],
+         "`cluster_state/machine_inventory.py`, `leader/machine_reconciliation.py`, `leader/provisioning.py`",
+             WORKED_OUT],
         [f"{t['fail_day']} failures a day", show(t["fail_day"] * tasks) + " a day", f"{lapse:.1f}",
-         f"{show(2 * t['fail_day'])} requests of the cloud a day", "`books/fleet.py`", WORKED_OUT],
+         f"{show(2 * t['fail_day'])} requests of the cloud a day", "`cluster_state/machine_inventory.py`", WORKED_OUT],
         [f"a rack or switch, {rack} machines", show(rack * tasks), f"{lapse:.1f}, then room",
          f"{writes(rack)} writes, {rents(rack)} requests of the cloud, {math.ceil(rack / MOST_ASKED)} round of direct "
-         "questions", "`leading/proof.py`, `records/pages.py`", WORKED_OUT],
+         "questions", "`leader/machine_reconciliation.py`, `storage/paged_records.py`", WORKED_OUT],
         [f"a zone, {show(zone)} machines", show(zone * tasks),
          f"{lapse:.1f}, then {rents(zone) / budget:.1f} to ask the cloud, then boots",
          f"{writes(zone)} writes, {rents(zone)} requests of the cloud, "
-         f"{math.ceil(zone / MOST_ASKED)} rounds of direct questions", "`leading/rentals.py`", WORKED_OUT],
+         f"{math.ceil(zone / MOST_ASKED)} rounds of direct questions", "`leader/provisioning.py`", WORKED_OUT],
         ["the same, the leader in it", "the same, and those of answers under way: "
          + told(m, "starts lost with the leader"), f"{hold:.1f} until the hold ends, then taking over",
-         f"{math.ceil(region / MOST_ASKED)} rounds of direct questions to show the token", "`leading/leadership.py`",
+         f"{math.ceil(region / MOST_ASKED)} rounds of direct questions to show the token", "`leader/election.py`",
          OPEN],
         ["an answering controller", "of answers under way: " + told(m, "starts lost with the leader"),
          "up to 4, its workers' wait, then 1", f"{show(region / m.split['controllers'])} connections anew",
-         "`relays/sender.py`", OPEN],
+         "`heartbeat_relay/forwarder.py`", OPEN],
         ["a region apart for an hour", "0", "0: it has its own leader, state service and quota shares",
          f"a try of the link at most each {LONGEST_S:g} s; gangs abroad wait for their news",
-         "`federation/breaker.py`; open: quotas across regions", WORKED_OUT],
+         "`federation/circuit_breaker.py`; open: quotas across regions", WORKED_OUT],
         ["state service of a region out",
          f"0 for {hold + lim['lease_s']:.0f} s; then all that runs: {show(m.sizes()[0].running)}",
          f"{hold:.1f} until nothing is answered, a lease more until it ends, then until it is back", "none",
-         "`leading/leadership.py`, `leading/knowledge.py`", WORKED_OUT],
+         "`leader/election.py`, `leader/cancellation_horizon.py`", WORKED_OUT],
     ]  # fmt: skip
     yield from table(["failure", "starts again", "seconds until they may", "messages", "carried by", "state"], rows)
 
--- a/tools/cuts.py
+++ b/tools/cuts.py
@@ -23,8 +23,8 @@
 
 import gevent  # noqa: E402
 
-from grebestand.standin.cluster import STATE, SimulatedCluster, Way  # noqa: E402
-from grebestand.standin.virtual import simulated  # noqa: E402
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster  # noqa: E402
+from grebestand.simulation.virtual_time import simulated  # noqa: E402
 
 NODES = ("node-0", "node-1", "node-2")
 LINKS = [(n, STATE) for n in NODES] + [(n, "workers") for n in NODES] + list(itertools.combinations(NODES, 2))
@@ -56,7 +56,7 @@
     return any(joined(n, "workers") and stored(n) for n in NODES)
 
 
-def play(task: tuple[int, Way, int]) -> Outcome:
+def play(task: tuple[int, LinkMode, int]) -> Outcome:
     pattern, way, seed = task
     cut = [link for i, link in enumerate(LINKS) if pattern >> i & 1]
     with simulated() as loop:
@@ -88,7 +88,7 @@
     options = parser.parse_args()
     if options.every < 1 or options.jobs < 1:
         parser.error("--every and --jobs take numbers from 1 on")
-    way = Way.REFUSED if options.way == "refused" else Way.HELD
+    way = LinkMode.REFUSED if options.way == "refused" else LinkMode.HELD
     tasks = [(p, way, options.seed) for p in range(0, 512, options.every)]
     with multiprocessing.Pool(options.jobs) as pool:
         found = pool.map(play, tasks, chunksize=4)
--- a/tools/decisions.py
+++ b/tools/decisions.py
@@ -25,23 +25,23 @@
 _ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 sys.path[:0] = [os.path.join(_ROOT, "src"), os.path.join(_ROOT, "target", "deps")]
 
-from grebestand.books.dispatch import Dispatch  # noqa: E402
-from grebestand.books.fleet import Fleet  # noqa: E402
-from grebestand.books.learned import RunTimes  # noqa: E402
-from grebestand.books.ledger import Ledger  # noqa: E402
-from grebestand.decisions.health import Health  # noqa: E402
-from grebestand.decisions.knobs import Dials  # noqa: E402
-from grebestand.decisions.scheduler import Scheduler  # noqa: E402
-from grebestand.decisions.speed import Speeds  # noqa: E402
-from grebestand.decisions.view import View  # noqa: E402
+from grebestand.cluster_state.dispatch import Dispatch  # noqa: E402
+from grebestand.cluster_state.job_registry import JobRegistry  # noqa: E402
+from grebestand.cluster_state.machine_inventory import MachineInventory  # noqa: E402
+from grebestand.cluster_state.run_time_estimates import RunTimeEstimates  # noqa: E402
 from grebestand.features.hooks import Features  # noqa: E402
-from grebestand.measures.sketches import Sketches  # noqa: E402
-from grebestand.reports.answers import Answers  # noqa: E402
-from grebestand.reports.reading import Reader  # noqa: E402
+from grebestand.heartbeats.commands import CommandBuilder  # noqa: E402
+from grebestand.heartbeats.reconciliation import HeartbeatReconciler  # noqa: E402
+from grebestand.metrics.duration_sketches import DurationSketches  # noqa: E402
+from grebestand.scheduling.machine_health import MachineHealth  # noqa: E402
+from grebestand.scheduling.policy_values import PolicyEvaluator  # noqa: E402
+from grebestand.scheduling.scheduler import Scheduler  # noqa: E402
+from grebestand.scheduling.scheduling_context import SchedulingContext  # noqa: E402
+from grebestand.scheduling.stragglers import StragglerDetector  # noqa: E402
 from grebestand.settings import platform, policy  # noqa: E402
 from grebestand.wire.cloud import MachineType  # noqa: E402
 from grebestand.wire.jobs import JobSpec, Kind, Priority  # noqa: E402
-from grebestand.wire.workers import Command, Report, TaskReport, TaskStatus, Why  # noqa: E402
+from grebestand.wire.workers import Command, ExitReason, Heartbeat, TaskPhase, TaskStatus  # noqa: E402
 
 ZONES = ["north", "east", "south"]
 TEAMS = 8
@@ -100,26 +100,34 @@
         )
         settings = platform.parse(text)
         p = settings.params
-        self.ledger = Ledger(p.teams, p.zones)
-        self.fleet = Fleet(self.ledger, p.workers.lease_s, p.workers.report_s)
-        self.fleet.learn_types(TYPES)
-        self.dispatch = Dispatch(self.ledger, self.fleet, 7)
-        run_times = RunTimes()
-        dials = Dials(policy.default(), p, self.ledger, self.fleet)
-        view = View(self.ledger, self.fleet, self.dispatch, run_times, dials.knobs, Features())
+        self.registry = JobRegistry(p.teams, p.zones)
+        self.inventory = MachineInventory(self.registry, p.workers.lease_s, p.workers.report_s)
+        self.inventory.learn_types(TYPES)
+        self.dispatch = Dispatch(self.registry, self.inventory, 7)
+        run_times = RunTimeEstimates()
+        policy_evaluator = PolicyEvaluator(policy.default(), p, self.registry, self.inventory)
+        view = SchedulingContext(
+            self.registry, self.inventory, self.dispatch, run_times, policy_evaluator.policy_values, Features()
+        )
         self.scheduler = Scheduler(view, p.objectives, p.workers.gang_wait_s)
-        health = Health(self.fleet, self.dispatch, run_times, 3)
-        sketches = Sketches()
-        self.reader = Reader(
-            self.ledger, self.fleet, self.dispatch, run_times, health, Speeds(self.fleet, health, 1.5, 8), sketches
+        health = MachineHealth(self.inventory, self.dispatch, run_times, 3)
+        sketches = DurationSketches()
+        self.reconciler = HeartbeatReconciler(
+            self.registry,
+            self.inventory,
+            self.dispatch,
+            run_times,
+            health,
+            StragglerDetector(self.inventory, health, 1.5, 8),
+            sketches,
         )
-        self.answers = Answers(self.ledger, sketches)
+        self.answers = CommandBuilder(self.registry, sketches)
         self.specs = list(self._specs(tasks))
         self.machines = [
             (f"n-{i:06d}", self.rng.choice(TYPES).name, self.rng.choice(ZONES), self.rng.random() < 0.2)
             for i in range(machines)
         ]
-        self.seq = dict.fromkeys((m[0] for m in self.machines), 0)
+        self.sequence = dict.fromkeys((m[0] for m in self.machines), 0)
         self.held: dict[str, dict[str, TaskStatus]] = {m[0]: {} for m in self.machines}
 
     def _specs(self, tasks: int) -> Iterator[JobSpec]:
@@ -139,23 +147,23 @@
     def report(self, machine: int) -> list[Command]:
         """One report of a machine, and its answer."""
         name, kind, zone, spot = self.machines[machine]
-        self.seq[name] += 1
+        self.sequence[name] += 1
         held = self.held[name]
-        m = self.reader.read(
-            Report(name, f"{name}:1", kind, zone, spot, 1, self.seq[name], 7, None, list(held.values())),
+        m = self.reconciler.read(
+            Heartbeat(name, f"{name}:1", kind, zone, spot, 1, self.sequence[name], 7, None, list(held.values())),
             self.now,
             False,
         )
         assert m is not None
         self.scheduler.fill(m, self.now)
-        for place in m.places.values():  # grants are taken as written
-            place.job.granted, place.job.granted_hi = None, place.job.spec.tasks
-        commands = self.answers.commands(m, Report(name, "", kind, zone, spot, 1, self.seq[name]), self.now)
+        for allocation in m.allocations.values():  # grants are taken as written
+            allocation.job.granted, allocation.job.granted_hi = None, allocation.job.spec.tasks
+        commands = self.answers.commands(m, Heartbeat(name, "", kind, zone, spot, 1, self.sequence[name]), self.now)
         for c in commands:
             if c.op == "start":
-                held[c.task] = TaskStatus(c.task, c.attempt, TaskReport.RUNNING)
+                held[c.task] = TaskStatus(c.task, c.attempt, TaskPhase.RUNNING)
             elif c.op == "stop" and c.task in held:
-                held[c.task].state, held[c.task].why = TaskReport.EXITED, Why.STOPPED
+                held[c.task].state, held[c.task].why = TaskPhase.EXITED, ExitReason.STOPPED
             elif c.op == "forget":
                 held.pop(c.task, None)
         return commands
@@ -168,13 +176,13 @@
 
     def take_over(self) -> Iterator[None]:
         for name, kind, zone, spot in self.machines:
-            self.fleet.add(name, f"{name}:1", kind, zone, spot, self.now, recorded=True)
+            self.inventory.add(name, f"{name}:1", kind, zone, spot, self.now, recorded=True)
         yield
         for i, spec in enumerate(self.specs):
-            self.ledger.add(spec, i + 1, self.now - 20.0, self.now)
+            self.registry.add(spec, i + 1, self.now - 20.0, self.now)
             if not i % 100:
                 yield
-        self.fleet.count_unknown()
+        self.inventory.count_unknown()
         yield
         for i in range(len(self.machines)):
             self.report(i)
@@ -200,9 +208,9 @@
         for i in range(100):
             machine = i * len(self.machines) // 100
             held = self.held[self.machines[machine][0]]
-            ended = next((t for t in held.values() if t.state is TaskReport.RUNNING), None)
+            ended = next((t for t in held.values() if t.state is TaskPhase.RUNNING), None)
             if ended is not None:
-                ended.state, ended.why = TaskReport.EXITED, Why.DONE
+                ended.state, ended.why = TaskPhase.EXITED, ExitReason.DONE
             self.report(machine)
             yield
 
--- a/tools/history_digest.py
+++ b/tools/history_digest.py
@@ -2,7 +2,7 @@
 
     python3 tools/history_digest.py [--only NAME] > digests.txt
 
-Plays seeded schedules of troubles over real controllers on simulated time (`standin.cluster`) and prints for each a
+Plays seeded schedules of troubles over real controllers on simulated time (`simulation.cluster`) and prints for each a
 sha256 digest of what could be seen from outside: each answer to a user, each set of orders that a worker executed, each
 request that changed the state service, in order, with simulated time in milliseconds. Only messages as they are sent
 are taken in, no name of the code. `tests/fixtures/history_digests.txt` is the output before packages, modules, classes
@@ -27,14 +27,14 @@
 import gevent  # noqa: E402
 import msgspec  # noqa: E402
 
-from grebestand.standin.asked import Asked, News  # noqa: E402
-from grebestand.standin.cluster import STATE, SimulatedCluster, Way  # noqa: E402
-from grebestand.standin.seats import Seat  # noqa: E402
-from grebestand.standin.store import StoreModel  # noqa: E402
-from grebestand.standin.virtual import simulated  # noqa: E402
-from grebestand.wire.workers import Orders  # noqa: E402
-from test_schedules import NODES, played  # noqa: E402
-from worlds import SPREAD  # noqa: E402
+from grebestand.emulators.kv_store import KeyValueStoreEmulator  # noqa: E402
+from grebestand.simulation.client_history import ClientHistory, ClientObservation  # noqa: E402
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster  # noqa: E402
+from grebestand.simulation.simulated_worker import SimulatedWorker  # noqa: E402
+from grebestand.simulation.virtual_time import simulated  # noqa: E402
+from grebestand.wire.workers import HeartbeatResponse  # noqa: E402
+from scenarios.test_random_fault_schedules import NODES, played  # noqa: E402
+from support.cluster_actions import SPREAD  # noqa: E402
 
 Schedule = list[tuple[float, tuple[object, ...]]]
 
@@ -51,11 +51,11 @@
     (6.0, ("taken", 2)),
 ]
 CUTS: Schedule = [
-    (5.0, ("gap", 3.0, 15.0, Way.REFUSED)),
-    (30.0, ("alone", "node-1", Way.HELD)),
+    (5.0, ("gap", 3.0, 15.0, LinkMode.REFUSED)),
+    (30.0, ("alone", "node-1", LinkMode.HELD)),
     (12.0, ("heal",)),
-    (6.0, ("cut", "node-0", STATE, Way.SLOW)),
-    (7.0, ("cut", "node-2", "a", Way.ANSWERS_LOST)),
+    (6.0, ("cut", "node-0", STATE, LinkMode.SLOW)),
+    (7.0, ("cut", "node-2", "a", LinkMode.ANSWERS_LOST)),
     (10.0, ("zone", "node-0", "b", 20.0)),
 ]
 LATE: Schedule = [
@@ -81,8 +81,10 @@
         for number in range(24):
             shape = ("ensemble", "array", "daemon")[number % 3]
             rank = ("critical", "high", "standard", "best_effort")[number % 4]
-            place = PLACES[number // 2 % len(PLACES)]
-            world.submit(("red", "blue")[number % 2], 2 + number % 5, 1.0 + number % 3, shape=shape, rank=rank, **place)
+            allocation = PLACES[number // 2 % len(PLACES)]
+            world.submit(
+                ("red", "blue")[number % 2], 2 + number % 5, 1.0 + number % 3, shape=shape, rank=rank, **allocation
+            )
             gevent.sleep(4)
         world.cancel_now(5)
         gevent.sleep(60)
@@ -129,21 +131,23 @@
 def recorded() -> Iterator[History]:
     """All that users are told, workers are told and the state service is made to change, while it lasts."""
     history = History()
-    told, obey, request = Asked.told, Seat.obey, StoreModel.request
+    told, obey, request = ClientHistory.told, SimulatedWorker.obey, KeyValueStoreEmulator.request
 
     def told_and_kept(
-        self: Asked, status: int, body: bytes, asked: float, now: float, calm_at: float, undone: list[str]
-    ) -> News:
+        self: ClientHistory, status: int, body: bytes, asked: float, now: float, calm_at: float, undone: list[str]
+    ) -> ClientObservation:
         history.answers += 1
         history.add(now, f"user {self.ref} {status}", body)
         return told(self, status, body, asked, now, calm_at, undone)
 
-    def obeyed_and_kept(self: Seat, orders: Orders) -> None:
+    def obeyed_and_kept(self: SimulatedWorker, orders: HeartbeatResponse) -> None:
         history.orders += len(orders.commands)
-        history.add(self.basis.loop.time, f"worker {self.name} {self.session}", msgspec.json.encode(orders))
+        history.add(self.basis.loop.time, f"worker {self.name} {self.epoch}", msgspec.json.encode(orders))
         obey(self, orders)
 
-    def requested_and_kept(self: StoreModel, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+    def requested_and_kept(
+        self: KeyValueStoreEmulator, method: str, path: str, body: bytes, timeout: float
+    ) -> tuple[int, bytes]:
         status, answer = request(self, method, path, body, timeout)
         if method != "GET":
             history.writes += status == 200 and path == "/commit"
@@ -151,9 +155,9 @@
         return status, answer
 
     with (
-        mock.patch.object(Asked, "told", told_and_kept),
-        mock.patch.object(Seat, "obey", obeyed_and_kept),
-        mock.patch.object(StoreModel, "request", requested_and_kept),
+        mock.patch.object(ClientHistory, "told", told_and_kept),
+        mock.patch.object(SimulatedWorker, "obey", obeyed_and_kept),
+        mock.patch.object(KeyValueStoreEmulator, "request", requested_and_kept),
     ):
         yield history
 
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -28,15 +28,15 @@
 import gevent.socket  # noqa: E402
 import msgspec  # noqa: E402
 
-from grebestand.doors import server  # noqa: E402
-from grebestand.doors.answer import Answer  # noqa: E402
-from grebestand.outside.state import put  # noqa: E402
-from grebestand.records.jobs import LiveRecord, OverRecord  # noqa: E402
-from grebestand.records.leader import GrantRecord, MachineRecord  # noqa: E402
+from grebestand.api import http_server  # noqa: E402
+from grebestand.api.response import Response  # noqa: E402
+from grebestand.clients.kv_store import put  # noqa: E402
 from grebestand.settings import platform, policy  # noqa: E402
-from grebestand.wire.jobs import JobView  # noqa: E402
-from grebestand.wire.peers import CachedImages, Hello  # noqa: E402
-from grebestand.wire.workers import Command, Orders, Report, TaskReport, TaskStatus  # noqa: E402
+from grebestand.storage.job_records import CompletedJobRecord, LiveJobRecord  # noqa: E402
+from grebestand.storage.leader_records import GrantRecord, MachineRecord  # noqa: E402
+from grebestand.wire.jobs import JobStatus  # noqa: E402
+from grebestand.wire.peers import CachedImages, PeerStatus  # noqa: E402
+from grebestand.wire.workers import Command, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus  # noqa: E402
 
 TASKS_A_MACHINE = 25
 
@@ -63,13 +63,13 @@
 
 def _in_child(measure: Callable[[], float]) -> float:
     """What a measure gives in a process of its own, so that nothing freed earlier is used again."""
-    reader, writer = os.pipe()
+    reconciler, writer = os.pipe()
     child = os.fork()
     if not child:
         os.write(writer, repr(measure()).encode())
         os._exit(0)
     os.close(writer)
-    with os.fdopen(reader) as f:
+    with os.fdopen(reconciler) as f:
         answer = f.read()
     os.waitpid(child, 0)
     return float(answer)
@@ -81,10 +81,10 @@
     before = _resident()
     if part == "machines":
         for name, kind, zone, spot in model.machines:
-            model.fleet.add(name, f"{name}:1", kind, zone, spot, model.now, recorded=True)
+            model.inventory.add(name, f"{name}:1", kind, zone, spot, model.now, recorded=True)
     elif part == "waiting":
         for i, spec in enumerate(model.specs):
-            model.ledger.add(spec, i + 1, model.now - 20.0, model.now)
+            model.registry.add(spec, i + 1, model.now - 20.0, model.now)
     else:  # everything, with what is placed and what passes remember
         for _ in model.take_over():
             pass
@@ -109,15 +109,18 @@
 
 
 def _status(i: int) -> TaskStatus:
-    return TaskStatus(f"j-{412 + i:06d}/{17 * i}", 2, TaskReport.RUNNING)
+    return TaskStatus(f"j-{412 + i:06d}/{17 * i}", 2, TaskPhase.RUNNING)
 
 
 def measure_bytes() -> None:
     model = decisions.Model(100, 20_000, 1)
     specs = model.specs
     encode = msgspec.json.encode
-    live = [len(encode(put(f"live/{s.id}", msgspec.to_builtins(LiveRecord(s, 1764652719.25))))) for s in specs]
-    over = [len(encode(put(f"over/{s.id}", msgspec.to_builtins(OverRecord(JobView.DONE, s.tasks))))) for s in specs]
+    live = [len(encode(put(f"live/{s.id}", msgspec.to_builtins(LiveJobRecord(s, 1764652719.25))))) for s in specs]
+    over = [
+        len(encode(put(f"over/{s.id}", msgspec.to_builtins(CompletedJobRecord(JobStatus.DONE, s.tasks)))))
+        for s in specs
+    ]
     teams = [
         len(f"t-{i:04d}") + 4 + len(encode(platform.Team(f"t-{i:04d}", 90.0, 270.0, 8.0, 24.0))) for i in range(710)
     ]
@@ -134,7 +137,7 @@
             {"bytes": [len("j-000412") + 4 + len(encode(GrantRecord(400, names)))]},
         )
     for tasks in (0, 6, 16, 32):
-        report = Report(
+        report = Heartbeat(
             "n-000231",
             "10.1.0.232:9000",
             "g8",
@@ -148,7 +151,7 @@
         )
         say("bytes of a report's body", tasks, {"bytes": [len(encode(report))]})
     for commands in (0, 1, 6, 16):
-        orders = Orders(41, [Command("start", f"j-000412/{i}", 2) for i in range(commands)])
+        orders = HeartbeatResponse(41, [Command("start", f"j-000412/{i}", 2) for i in range(commands)])
         say("bytes of an answer's body", commands, {"bytes": [len(encode(orders))]})
 
 
@@ -157,7 +160,9 @@
     encode = msgspec.msgpack.encode
     for jobs in (0, 100, 400, 1600):
         counts = {f"j-{i:06d}": (400, 300) for i in range(jobs)}
-        hello = Hello("berth-0", 4_812_000, 0.02, counts, 0, 0.01, [f"10.1.0.{i}:9000" for i in range(4)], 1 << 61, [])
+        hello = PeerStatus(
+            "berth-0", 4_812_000, 0.02, counts, 0, 0.01, [f"10.1.0.{i}:9000" for i in range(4)], 1 << 61, []
+        )
         say("bytes of a greeting", jobs, {"bytes": [len(encode(hello))]})
     for machines in (650, 1300, 2600, 5200):
         held = {f"n-{i:06d}": [i % 40, (i + 7) % 40, (i + 19) % 40] for i in range(machines)}
@@ -167,14 +172,14 @@
 
 def measure_envelope() -> None:
     """Bytes of a request's and a response's head over a real connection, and the processor time of both ends."""
-    body = msgspec.json.encode(Orders(41, []))
+    body = msgspec.json.encode(HeartbeatResponse(41, []))
     seen: list[int] = []
 
     def app(environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
-        server.read_body(environ)
-        return server.respond(Answer(200, body), start)
+        http_server.read_body(environ)
+        return http_server.respond(Response(200, body), start)
 
-    served = server.listen("127.0.0.1:18911", "serve_on", app, 10)
+    served = http_server.listen("127.0.0.1:18911", "serve_on", app, 10)
     served.start()
     conn = gevent.socket.create_connection(("127.0.0.1", 18911))
     report = b"x" * 480
