--- a/src/grebestand/cli.py
+++ b/src/grebestand/cli.py
@@ -84,6 +84,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Parse the command line, run its verb and return the exit status."""
     parser = argparse.ArgumentParser(
         prog="grebestand", description="A cluster scheduler that reserves slots by a greedy template per machine."
     )
--- a/src/grebestand/commands/federation.py
+++ b/src/grebestand/commands/federation.py
@@ -14,6 +14,7 @@
 
 
 def add(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
+    """Add the verb `federation` to the command line."""
     verb = commands.add_parser("federation", help="keys of the link to other clusters; settle what a lost cluster ran")
     verbs = verb.add_subparsers(dest="verb", required=True)
     keys = verbs.add_parser("keys", help="make, hand over, rotate and revoke keys and certificates")
@@ -49,6 +50,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
+    """Run the verb; return its exit status."""
     if arguments.verb == "settle":
         return _settle(arguments)
     try:
--- a/src/grebestand/commands/rehearse.py
+++ b/src/grebestand/commands/rehearse.py
@@ -16,6 +16,7 @@
 
 
 def add(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
+    """Add the verbs `rehearse` and `check-history` to the command line."""
     verb = commands.add_parser("rehearse", help="run real controllers on loopback under faults, and check it")
     verb.add_argument(
         "name", choices=("federation", "clusters", "scale"),
@@ -45,6 +46,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
+    """Run either verb; return its exit status."""
     try:
         if arguments.command == "check-history":
             return _check(Path(arguments.file))
--- a/src/grebestand/commands/up.py
+++ b/src/grebestand/commands/up.py
@@ -22,6 +22,7 @@
 
 
 def add(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
+    """Add the verb `up` to the command line."""
     verb = commands.add_parser(
         "up", help="run a small cluster on this machine, with stand-ins for state service, cloud and workers",
         description="Starts controllers and a simulated fleet on loopback, prints their addresses, and ends all of it "
@@ -33,6 +34,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
+    """Run a small cluster until it is interrupted; return the exit status."""
     if not 1 <= arguments.machines <= 200:
         print("grebestand: up: --machines must be 1 to 200", file=sys.stderr)
         return 2
--- a/src/grebestand/emulators/cloud.py
+++ b/src/grebestand/emulators/cloud.py
@@ -32,6 +32,7 @@
         self.removed: Callable[[list[str]], None] = lambda names: None
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+        """Answer a request of the cloud's protocol; raise `UnreachableError` while answers are to be lost."""
         if path == "/flavors":
             return 200, msgspec.json.encode(MachineTypes(self.types))
         if path == "/machines" and method == "POST":
--- a/src/grebestand/emulators/controller_processes.py
+++ b/src/grebestand/emulators/controller_processes.py
@@ -56,6 +56,7 @@
             )
 
     def start(self, name: str) -> None:
+        """Start a controller's process, unless it is alive."""
         if self.alive(name):
             return
         command = [sys.executable, "-m", "grebestand", "serve", "--config", str(self.root / f"{name}.toml")]
@@ -77,10 +78,12 @@
         return self._running[name].pid if self.alive(name) else None
 
     def start_all(self) -> None:
+        """Start every controller that is not alive."""
         for name in self.names:
             self.start(name)
 
     def alive(self, name: str) -> bool:
+        """Whether a controller's process is running."""
         process = self._running.get(name)
         return process is not None and process.poll() is None
 
--- a/src/grebestand/emulators/kv_store.py
+++ b/src/grebestand/emulators/kv_store.py
@@ -41,6 +41,7 @@
 
     @down.setter
     def down(self, down: bool) -> None:
+        """Begin or end an outage."""
         if down == self._down:
             return
         if down:
@@ -50,6 +51,7 @@
         self._down = down
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+        """Answer a request of the store's protocol; raise `UnreachableError` while answers are to be lost."""
         if self.down:
             return 503, b"{}"
         content = json.loads(body) if body else {}
@@ -77,6 +79,7 @@
         return not enough
 
     def expire(self) -> None:
+        """End leases whose time is over, with the keys attached to them."""
         for hold, (_, end) in list(self.holds.items()):
             if self.clock() > end:
                 self._end(hold)
--- a/src/grebestand/emulators/site.py
+++ b/src/grebestand/emulators/site.py
@@ -65,6 +65,7 @@
         gevent.spawn(self._expire)
 
     def handle(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+        """Answer one request over HTTP, late or not at all while told so, and count it."""
         while self.silent:
             gevent.sleep(0.1)  # holds are given their full time again when the silence ends (`speak`)
         if self.late_s:
--- a/src/grebestand/emulators/task_execution.py
+++ b/src/grebestand/emulators/task_execution.py
@@ -70,6 +70,7 @@
     changed: bool = True
 
     def begin(self, task: str, attempt: int) -> None:
+        """Start fetching a task's image; what an earlier attempt left behind is kept until its end was seen."""
         self.tasks[task] = TaskStatus(task, attempt, T.FETCHING)
         old = self.held.pop(task, None)
         if old is not None:
@@ -77,6 +78,7 @@
         self.changed = True
 
     def end(self, held: TaskStatus, grace_s: float) -> None:
+        """Stop a task: it saves first if it runs, can save, and was given the time for it."""
         more = self.held.get(held.task)
         if held.state is T.EXITED:
             return
@@ -115,6 +117,7 @@
         self.results: set[str] = set()
 
     def add(self, player: TaskRunner, now: float) -> None:
+        """Take in a machine that is up from now on."""
         player.answered_at = now
         self.players[player.name] = player
 
@@ -125,6 +128,7 @@
             self._clear(player, now, "machine gone")
 
     def step(self, now: float) -> None:
+        """Advance every task to the given time, in seconds of the site's clock."""
         for player in self.players.values():
             # stopped and forgotten, or followed by another attempt, between two steps
             gone = [player.held.pop(t) for t in [t for t in player.held if t not in player.tasks]]
--- a/src/grebestand/emulators/tcp_relay.py
+++ b/src/grebestand/emulators/tcp_relay.py
@@ -21,6 +21,8 @@
 
 
 class TcpRelay:
+    """A TCP proxy on a loopback port in front of a target address, whose behaviour is switched by `set`."""
+
     def __init__(self, target: str, rng: random.Random) -> None:
         self.target = target
         self.rng = rng
@@ -35,6 +37,7 @@
         self.address = f"127.0.0.1:{self._server.server_port}"
 
     def set(self, line: RelayMode) -> None:
+        """Switch the mode; `BROKEN` closes the connections that are open."""
         self.line = line
         if line is RelayMode.BROKEN:
             for sock in list(self._open):
--- a/src/grebestand/emulators/worker.py
+++ b/src/grebestand/emulators/worker.py
@@ -27,6 +27,7 @@
     started: list[tuple[str, int]] = field(default_factory=list)
 
     def report(self) -> Heartbeat:
+        """The next heartbeat, with a sequence number above the last one's."""
         self.sequence += 1
         tasks = [msgspec.structs.replace(t) for t in self.tasks.values()]
         return Heartbeat(
@@ -43,6 +44,7 @@
         )
 
     def obey(self, orders: HeartbeatResponse) -> None:
+        """Execute the commands of a response, unless its token is older than one that was seen."""
         if orders.token < self.token:
             return
         self.token = orders.token
@@ -65,6 +67,7 @@
         held.state, held.why = TaskPhase.EXITED, ExitReason.STOPPED
 
     def finish(self, task: str, why: ExitReason = ExitReason.DONE) -> None:
+        """End a task by itself, for the given reason."""
         self.tasks[task].state, self.tasks[task].why = TaskPhase.EXITED, why
 
     def direct(self, orders: DirectCommands) -> tuple[int, Heartbeat]:
@@ -81,4 +84,5 @@
         self.tasks.clear()
 
     def running(self) -> list[str]:
+        """Names of the tasks that have not exited, sorted."""
         return sorted(t.task for t in self.tasks.values() if t.state is not TaskPhase.EXITED)
--- a/src/grebestand/fault_test/federation.py
+++ b/src/grebestand/fault_test/federation.py
@@ -68,6 +68,8 @@
 
 @dataclass
 class Gang:
+    """A gang that a user submits, and what that user was told."""
+
     ref: str
     klass: str
     home: str
@@ -83,6 +85,8 @@
 
 @dataclass
 class FaultTestResult:
+    """The verdict of a run, its history and its figures."""
+
     verdict: HistoryVerdict
     history: History
     gangs: list[Gang]
@@ -93,6 +97,8 @@
 
 
 class FederationFaultTest:
+    """One run: clusters on loopback, users, faults drawn from the seed, and the history of it all."""
+
     def __init__(self, plan: FaultTestPlan, root: Path, say: Callable[[str], None]) -> None:
         self.plan = plan
         self.root = root
@@ -354,6 +360,7 @@
     # the run ----------------------------------------------------------------------------------------------
 
     def run(self) -> FaultTestResult:
+        """Play the whole run and judge it; raise `RuntimeError` if a cluster does not come up."""
         plan = self.plan
         try:
             for name in self.names:
--- a/src/grebestand/fault_test/history.py
+++ b/src/grebestand/fault_test/history.py
@@ -25,10 +25,12 @@
     about: dict[str, Any] = field(default_factory=dict)
 
     def tell(self, row: TaskEvent) -> None:
+        """Append an event."""
         self.rows.append(row)
 
 
 def write(path: Path, history: History) -> None:
+    """Write a history as a Parquet file."""
     import pyarrow as pa
     import pyarrow.parquet as pq
 
@@ -42,6 +44,7 @@
 
 
 def read(path: Path) -> History:
+    """Read a history from a Parquet file; raise `HistoryFileError` if it is not one."""
     import pyarrow as pa
     import pyarrow.parquet as pq
 
--- a/src/grebestand/fault_test/history_checker.py
+++ b/src/grebestand/fault_test/history_checker.py
@@ -28,9 +28,11 @@
 
     @property
     def good(self) -> bool:
+        """Whether no rule was broken and every gang ran whole, once."""
         return not self.faults and self.whole_once == self.gangs
 
     def line(self) -> str:
+        """One line with the counts."""
         return (
             f"gangs {self.gangs}, whole once {self.whole_once}, partly {self.partly}, twice {self.twice}, "
             f"lost {self.lost}"
@@ -44,6 +46,7 @@
 
 
 def check(history: History) -> HistoryVerdict:
+    """Hold a history against the rules and return the verdict."""
     verdict = HistoryVerdict()
     gangs: dict[str, _Gang] = defaultdict(_Gang)
     end = max((r.at for r in history.rows), default=0.0)
--- a/src/grebestand/fault_test/many_clusters.py
+++ b/src/grebestand/fault_test/many_clusters.py
@@ -45,6 +45,7 @@
     waits: list[float] = field(default_factory=list)
 
     def row(self) -> str:
+        """One line with all figures."""
         n = max(1, self.gangs)
         mean = sum(self.waits) / max(1, len(self.waits))
         return (
@@ -86,18 +87,23 @@
         self.federation = Federation(values, self.world.settings, told, clock, random.Random(name), lambda work: work())
 
     def present(self) -> Term:
+        """The term of this cluster's leader."""
         return self.term
 
     def leader(self) -> str | None:
+        """The name of this cluster's only controller."""
         return self.node.name
 
     def cancel(self, ref: str) -> bool:
+        """Cancel a job of this cluster; whether it was known."""
         return self.node.users.cancel(ref).status == 200
 
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
+        """None: the only controller leads."""
         return None
 
     def second(self, last: bool) -> None:
+        """Play one second: submissions, ends of tasks, and heartbeats."""
         now = self.clock.now
         while not last and self.rng.random() < self.rate:
             ident = self.world.accept(self.node, shape="ensemble", shards=GANG, cpus=15.0, pullGb=0.0)
@@ -123,6 +129,7 @@
         self.count = count
 
     def tell(self, message: Message) -> Reply | None:
+        """Deliver a message to another cluster and return its reply."""
         guest = self.to.federation.guest
         assert guest is not None
         answer = guest.answer(decode(msgspec.msgpack.encode(message)))
@@ -131,6 +138,7 @@
 
 
 def simulate(clusters: int, load: float, seed: int, seconds: int = SECONDS) -> Result:
+    """Play that many clusters for so many simulated seconds and return the figures."""
     clock = ManualClock()
     result = Result(clusters, load)
     names = [f"c{i:02d}" for i in range(clusters)]
--- a/src/grebestand/federation/allowed_networks.py
+++ b/src/grebestand/federation/allowed_networks.py
@@ -10,6 +10,8 @@
 
 
 class AllowedNetworks:
+    """The networks from which other clusters may connect."""
+
     def __init__(self, texts: list[str]) -> None:
         """Each text an address with a prefix; overlapping ones are merged."""
         self._set = IPSet()
--- a/src/grebestand/federation/circuit_breaker.py
+++ b/src/grebestand/federation/circuit_breaker.py
@@ -18,6 +18,8 @@
 
 
 class CircuitBreaker:
+    """Leaves a cluster that does not answer alone for growing pauses, and tries it once after each."""
+
     def __init__(
         self,
         name: str,
@@ -55,12 +57,14 @@
         return self.state is BreakerState.CLOSED
 
     def answered(self) -> None:
+        """A request was answered."""
         self._failures = 0
         if self.state is BreakerState.TRYING:
             self._pause_s = SHORTEST_S
             self.move(BreakerState.CLOSED, "it answers")
 
     def failed(self, why: str) -> None:
+        """A request was not answered; opens the breaker after several in a row, or after a failed try."""
         self._failures += 1
         if self.state is BreakerState.OPEN or (
             self.state is BreakerState.CLOSED and self._failures < self.most_failures
--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -181,6 +181,7 @@
     # hooks ------------------------------------------------------------------------------------------------
 
     def take_host(self, host: Host) -> None:
+        """Keep the controller that this feature is part of."""
         self.host = host
 
     def begin(self, term: Any) -> None:
@@ -222,6 +223,7 @@
         return self.host is not None and self.term is not None and self.host.present() is self.term
 
     def step(self) -> None:
+        """One round of both sides, while this controller leads."""
         if self._leads() and self.home is not None and self.guest is not None:
             self.guest.step()
             self.home.step()
@@ -231,6 +233,7 @@
         return self.guest.answer if self._leads() and self.guest is not None else None
 
     def recall(self, ref: str) -> None:
+        """Call a cancelled gang back from another cluster, here or through the leader."""
         if self._leads() and self.home is not None:
             self.home.recall(ref)
         elif self.host is not None:
@@ -243,6 +246,7 @@
         return b""
 
     def leader(self) -> str | None:
+        """The name of the controller that leads this cluster, as far as it is known."""
         return self.host.leader() if self.host is not None else None
 
     # expressions ------------------------------------------------------------------------------------------
@@ -253,6 +257,7 @@
         return {**self.rest, **gang, **more}
 
     def overflow_after_s(self, job: Job, now: float) -> float:
+        """Seconds that a gang waits before it is offered to other clusters, by the operators' expression."""
         names = self._names(job, waited_s=now - job.accepted_at, zone_load=self._zone_load(job))
         return self.values.value("overflow_after_s", names)
 
@@ -273,6 +278,7 @@
         return min(self._loads.values(), default=1.0)
 
     def prefer(self, job: Job, room: FreeCapacity, age_s: float) -> float:
+        """How much a cluster is preferred for a gang, by the operators' expression."""
         names = self._names(
             job,
             free_machines=float(room.free),
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -67,6 +67,7 @@
 
 
 def guest_key(ident: str) -> str:
+    """The key of a guest gang's record."""
     return PREFIX + ident
 
 
@@ -91,6 +92,8 @@
 
 @dataclass
 class GuestLimits:
+    """What this cluster takes in from others."""
+
     #: clusters that may send gangs, the team whose limit their tasks count against, and its class here
     homes: frozenset[str]
     team: str
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -69,7 +69,8 @@
 class Link(Protocol):
     """The way to another cluster: the answer, or None if there was none that can be relied on."""
 
-    def tell(self, message: Message) -> Reply | None: ...
+    def tell(self, message: Message) -> Reply | None:
+        """Send a message and return the reply, or None without one."""
 
 
 @dataclass
--- a/src/grebestand/federation/keyring.py
+++ b/src/grebestand/federation/keyring.py
@@ -37,6 +37,8 @@
 
 
 class Keyring:
+    """The keys and certificates in force, read anew when their files change."""
+
     def __init__(self, root: Path, cluster: str, clock: Callable[[], float]) -> None:
         """Raises `KeyringError` if there is nothing to begin with; later faults are logged, and the old keys stay."""
         self.root = root
--- a/src/grebestand/federation/keys.py
+++ b/src/grebestand/federation/keys.py
@@ -50,12 +50,14 @@
 
 
 def check_name(name: str) -> str:
+    """Return a cluster's name; raise `KeyFileError` if it cannot be one."""
     if not name or len(name) > 60 or not all(c.isalnum() or c in "-_." for c in name) or name.startswith("."):
         raise KeyFileError(f"not a cluster's name: {name!r} (letters, digits, '-', '_' and '.')")
     return name
 
 
 def fingerprint(cert: x509.Certificate) -> str:
+    """The SHA-256 of a certificate, in hexadecimal digits."""
     return cert.fingerprint(hashes.SHA256()).hex()
 
 
--- a/src/grebestand/federation/link_server.py
+++ b/src/grebestand/federation/link_server.py
@@ -29,12 +29,14 @@
         self._told = TokenBucket(TOLD_PER_S, clock)
 
     def admit(self, host: str) -> bool:
+        """Whether connections of this host are accepted."""
         inside = host in self.networks
         if not inside and self._told.take(1.0):
             log.warning("link from %s refused: not in the networks of any cluster", host)
         return inside
 
     def wrap(self, socket: Any, host: str) -> Any:
+        """The TLS handshake; returns the wrapped socket."""
         return self.ring.greet(socket, host)
 
 
@@ -60,6 +62,7 @@
         return [text.encode()]
 
     def app(self, environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
+        """WSGI application: one message of another cluster and its reply."""
         peer = environ.get("grebestand.peer")
         who = peer[0] if peer else "nobody known"
         if not self.ring.believes(peer):
--- a/src/grebestand/federation/messages.py
+++ b/src/grebestand/federation/messages.py
@@ -68,6 +68,8 @@
 
 
 class FreeCapacity(msgspec.Struct, tag="room", frozen=True):
+    """Reply to `Probe`: what a gang would find."""
+
     version: int
     #: empty machines that take work, and the CPUs of the largest of them
     free: int
@@ -79,6 +81,8 @@
 
 
 class Reserved(msgspec.Struct, tag="reserved", frozen=True):
+    """Reply to `ReservationRequest`: machines are reserved."""
+
     id: str
     #: room is kept for so many seconds by the guest's clock
     for_s: float
@@ -145,6 +149,7 @@
 
 
 def decode_reply(body: bytes) -> Reply:
+    """Decode a reply; raise `InvalidMessageError` if it is too long or malformed."""
     if len(body) > MOST_BYTES:
         raise InvalidMessageError("an answer that is too long")
     try:
--- a/src/grebestand/federation/rate_limits.py
+++ b/src/grebestand/federation/rate_limits.py
@@ -15,6 +15,7 @@
         self._level, self._at = per_s, clock()
 
     def room(self) -> float:
+        """Tokens that can be taken now."""
         now = self.clock()
         self._level = min(self.per_s, self._level + (now - self._at) * self.per_s)
         self._at = now
@@ -39,9 +40,11 @@
         self._base = TokenBucket(least_per_s, clock)
 
     def first(self) -> None:
+        """A first try: it earns a share of a retry."""
         self._earned = min(20.0, self._earned + self.share)
 
     def again(self) -> bool:
+        """Whether a retry may be made now; takes it if so."""
         if self._earned >= 1.0:
             self._earned -= 1.0
             return True
--- a/src/grebestand/federation/state_machines.py
+++ b/src/grebestand/federation/state_machines.py
@@ -46,6 +46,8 @@
 
 
 class BreakerState(Enum):
+    """States of a circuit breaker."""
+
     CLOSED = auto()  # asked as usual
     OPEN = auto()  # left alone for a while
     TRYING = auto()  # asked once to see
--- a/src/grebestand/federation/tls_link.py
+++ b/src/grebestand/federation/tls_link.py
@@ -111,5 +111,6 @@
 
     @staticmethod
     def close(transport: Transport) -> None:
+        """Close a transport that this link opened."""
         if isinstance(transport, HttpTransport):
             transport.close()
--- a/src/grebestand/load_test/child_process.py
+++ b/src/grebestand/load_test/child_process.py
@@ -19,10 +19,15 @@
 
 
 class Part(Protocol):
-    def counts(self) -> dict[str, Any]: ...
+    """A part of the run that a child process plays."""
+
+    def counts(self) -> dict[str, Any]:
+        """Counters so far, sent to the parent every second."""
 
 
 class Child:
+    """The child's side of a part process: reads messages from standard input, writes counts to standard output."""
+
     def __init__(self, role: str) -> None:
         self.role = role
         self.faults = 0
@@ -38,12 +43,14 @@
         self._print_error(context, kind, error, trace)
 
     def tell(self, **what: object) -> None:
+        """Send a message to the parent."""
         # the parent reads all the time; a line is far below what a pipe holds
         data = msgspec.json.encode(what) + b"\n"
         while data:
             data = data[os.write(1, data) :]
 
     def hear(self) -> dict[str, Any]:
+        """The next message of the parent; ends the process if the parent is gone."""
         line = self._input.readline()
         if not line:
             os._exit(1)  # whoever started it is gone
@@ -51,6 +58,7 @@
         return found
 
     def run(self) -> None:
+        """Play the part until the parent says that it ends."""
         part, ready = self._make(self.hear())
         self.tell(ready=ready)
         gevent.spawn(self._count, part)
@@ -113,6 +121,7 @@
 
 
 def main() -> None:
+    """Raise the limit of open files and play the role that the command line names."""
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     Child(sys.argv[1]).run()
--- a/src/grebestand/load_test/connection.py
+++ b/src/grebestand/load_test/connection.py
@@ -63,6 +63,7 @@
         self._rest = b""
 
     def close(self) -> None:
+        """Close the connection; the next request opens another."""
         if self._socket is not None:
             self._socket.close()
         self._socket, self._rest, self.fresh = None, b"", True
--- a/src/grebestand/load_test/gang_rendezvous.py
+++ b/src/grebestand/load_test/gang_rendezvous.py
@@ -37,6 +37,7 @@
         gevent.spawn(self._send)
 
     def say(self, *message: object) -> None:
+        """Queue a message for the other end."""
         self._said.append(msgspec.json.encode(message))
         self._wake.set()
 
@@ -66,6 +67,7 @@
 
 
 def dial(address: str, hear: Callable[[Message], None], ended: Callable[[], None]) -> MessageLine:
+    """Connect to the rendezvous at an address; `hear` gets its messages, `ended` is called when it is gone."""
     host, _, port = address.rpartition(":")
     line = MessageLine(socket.create_connection((host, int(port)), timeout=10.0))
     line._socket.settimeout(None)
@@ -88,6 +90,10 @@
 
 
 class GangRendezvous:
+    """Where the members of gangs wait for each other across worker processes, and the cloud that lists their
+    machines.
+    """
+
     def __init__(self, types: list[MachineType]) -> None:
         self.cloud = CloudEmulator()
         self.cloud.types, self.cloud.capacity = types, 0
@@ -172,4 +178,5 @@
             line.say(what, job, attempt)
 
     def counts(self) -> dict[str, float]:
+        """Requests of the cloud, messages, and machines deleted so far."""
         return {"cloud_requests": self.cloud_requests, "messages": self.messages, "deleted": len(self.cloud.deleted)}
--- a/src/grebestand/load_test/hollow_workers.py
+++ b/src/grebestand/load_test/hollow_workers.py
@@ -97,6 +97,8 @@
 
 @dataclass(slots=True, eq=False)
 class HeldTask:
+    """A task on a hollow worker."""
+
     status: TaskStatus
     job: str
     index: int
@@ -277,6 +279,7 @@
                 del self.held[c.task, c.attempt]
 
     def report(self) -> Heartbeat:
+        """The next heartbeat."""
         self.sequence += 1
         tasks = [h.status for h in self.held.values()]
         plan = self.plan
@@ -403,6 +406,7 @@
         return self._told_at
 
     def begin(self) -> None:
+        """Start the heartbeats of all workers."""
         for m in self.machines.values():
             m.answered_at = self.clock()
             gevent.spawn(m.loop)
@@ -426,12 +430,14 @@
         waiting.append(then)
 
     def meet(self, machine: HollowWorker, held: HeldTask) -> None:
+        """Have a member of a gang wait for the others."""
         spec = held.spec
         assert spec is not None
         self._gangs[held.job, held.status.attempt].append((machine, held))
         self.line.say("wait", held.job, held.status.attempt, held.index, spec.tasks, spec.estimate_s)
 
     def leave(self, held: HeldTask) -> None:
+        """Say that a member of a gang is gone."""
         self.line.say("gone", held.job, held.status.attempt, held.index)
 
     def _hear(self, message: Message) -> None:
@@ -467,6 +473,7 @@
                 machine._left(held, "machine gone")
 
     def counts(self) -> dict[str, Any]:
+        """Counters of all workers of this process so far."""
         machines = self.machines.values()
         traffic = [*self.reported.values(), self.ordered]
         return {
@@ -488,4 +495,5 @@
         }
 
     def kept_rows(self) -> KeptRecords:
+        """What ran where and when, for the checker."""
         return KeptRecords(self.rows, self.unserved, list(self.sent_at), list(self.waits))
--- a/src/grebestand/load_test/part_process.py
+++ b/src/grebestand/load_test/part_process.py
@@ -17,6 +17,8 @@
 
 
 class PartProcess:
+    """The parent's side of a child process that plays one part of the run."""
+
     def __init__(self, name: str, role: str, config: object, root: Path) -> None:
         self.name = name
         self.log = root / f"{name}.log"
@@ -65,6 +67,7 @@
         return found
 
     def tell(self, **message: object) -> None:
+        """Send a message to the child."""
         self._write(message)
 
     def do(self, **message: object) -> dict[str, Any]:
@@ -79,13 +82,16 @@
 
     @property
     def alive(self) -> bool:
+        """Whether the process is running."""
         return self._process.poll() is None
 
     def last_words(self) -> str:
+        """The last line of its log."""
         text = self.log.read_text("utf-8", "replace").strip() if self.log.exists() else ""
         return text.splitlines()[-1] if text else "nothing in its log"
 
     def stop(self) -> None:
+        """End the process, by force if it does not end by itself in time."""
         if self.alive:
             self._process.terminate()
             try:
--- a/src/grebestand/load_test/scale_check.py
+++ b/src/grebestand/load_test/scale_check.py
@@ -29,6 +29,7 @@
 
     @property
     def good(self) -> bool:
+        """Whether nothing ran twice, was lost or exceeded a quota."""
         return not (self.twice or self.lost or self.over_quota)
 
 
--- a/src/grebestand/load_test/scale_run.py
+++ b/src/grebestand/load_test/scale_run.py
@@ -87,6 +87,7 @@
 
     @property
     def cpus(self) -> float:
+        """CPUs of all workers."""
         return self.workers * CPUS
 
     @property
@@ -119,6 +120,8 @@
 
 @dataclass
 class ScaleRunResult:
+    """The verdict of a run, one line that says it, and all figures."""
+
     verdict: ScaleVerdict
     line: str
     figures: dict[str, Any]
@@ -146,6 +149,8 @@
 
 
 class ScaleRun:
+    """One run: controllers, hollow workers and users in processes, two kills, and what was measured."""
+
     def __init__(self, plan: ScaleRunPlan, root: Path, say: Callable[[str], None]) -> None:
         self.plan = plan
         self.root = root
@@ -286,6 +291,7 @@
     # the run ----------------------------------------------------------------------------------------------
 
     def run(self) -> ScaleRunResult:
+        """Play the whole run and judge it."""
         plan = self.plan
         try:
             controllers = self._start()
--- a/src/grebestand/load_test/scale_users.py
+++ b/src/grebestand/load_test/scale_users.py
@@ -99,6 +99,7 @@
         return max(allowed, key=lambda n: self.plan.teams[n] - self.open[n]) if allowed else None
 
     def job(self, urgent: bool) -> tuple[JobSpec, JobRow]:
+        """Draw a job and the row that records what becomes of it."""
         rng = self.rng
         gang = rng.random() < (URGENT_GANGS if urgent else GANGS)
         tasks = self._size(*(URGENT_TASKS if urgent else GANG_TASKS if gang else ARRAY_TASKS))
@@ -147,6 +148,7 @@
             gevent.sleep(PROBE_S)
 
     def choose(self, but: set[str]) -> str:
+        """A healthy controller outside `but`, or any if there is none."""
         now = time.monotonic()
         names = [n for n in self.controllers if n not in but]
         good = [n for n in names if self.healthy[n] and self.passed_until[n] < now]
@@ -154,6 +156,8 @@
 
 
 class LoadUsers:
+    """Users who submit jobs at a rate, poll them until they are done, and record each answer."""
+
     def __init__(self, plan: LoadPlan, ended: Callable[[], None]) -> None:
         self.plan = plan
         self.clock = time.monotonic
@@ -175,6 +179,7 @@
             self._known.pop(message[1]).set()
 
     def begin(self) -> None:
+        """Start submitting."""
         self.loading = True
         gevent.spawn(self._arrive, False, self.plan.rate)
         gevent.spawn(self._arrive, True, self.plan.urgent_rate)
@@ -221,6 +226,7 @@
         return False
 
     def poll(self, connection: Connection, row: JobRow) -> None:
+        """Ask about one job and record the answer, wrong ones as such."""
         status, content, _ = self._ask(connection, "GET", f"/v2/runs/{row.id}", b"", POLL_S, "polls")
         row.last = str(status)
         if status == 200:
@@ -275,6 +281,7 @@
         gevent.joinall([gevent.spawn(ask, rows[i::16]) for i in range(16)], raise_error=True)
 
     def counts(self) -> dict[str, Any]:
+        """Counters so far."""
         accepted = [r for r in self.jobs if r.accepted_at is not None]
         return {
             "jobs": len(self.jobs),
@@ -290,4 +297,5 @@
         }
 
     def kept_rows(self) -> PollRecord:
+        """All jobs, and requests that were not served, for the checker."""
         return PollRecord(self.jobs, self.unserved)
--- a/src/grebestand/simulation/client_history.py
+++ b/src/grebestand/simulation/client_history.py
@@ -57,6 +57,7 @@
 
     @property
     def over(self) -> bool:
+        """Whether a final state was told."""
         return self.done_at is not None or self.cancelled_at is not None
 
     def told(
--- a/src/grebestand/simulation/cluster_base.py
+++ b/src/grebestand/simulation/cluster_base.py
@@ -33,6 +33,8 @@
 
 
 class ClusterBase(FaultInjection):
+    """What all parts of a simulated cluster share: clock, randomness, links, settings, faults in force, and jobs."""
+
     def __init__(self, loop: VirtualLoop, seed: int, controllers: int, rules: str, rates: tuple[float, float]) -> None:
         super().__init__()
         self.loop = loop
--- a/src/grebestand/simulation/invalid_requests.py
+++ b/src/grebestand/simulation/invalid_requests.py
@@ -12,6 +12,8 @@
 
 
 class InvalidRequests:
+    """Sends requests that break the protocol to controllers, and checks how they are answered."""
+
     def __init__(self, basis: ClusterBase, checks: InvariantChecks, processes: SimulatedControllers) -> None:
         self.basis = basis
         self.checks = checks
@@ -56,6 +58,8 @@
             self.checks.wrong.append(f"{asked:.2f} {spec['ref']}: answered {answer.status} though it can't run: {spec}")
 
     def until(self, until_s: float) -> None:
+        """Send one every 0.3 s until the given simulated time."""
+
         def go() -> None:
             while self.basis.loop.time < until_s:
                 gevent.spawn(self.one)
--- a/src/grebestand/simulation/invariant_checks.py
+++ b/src/grebestand/simulation/invariant_checks.py
@@ -16,10 +16,13 @@
     zone: str
     dead: bool
 
-    def running(self) -> list[str]: ...
+    def running(self) -> list[str]:
+        """Names of the tasks that run there."""
 
 
 class InvariantChecks:
+    """Checks the rules from what workers and users saw: tasks that run twice, limits, zones, gangs, cancellations."""
+
     def __init__(self, basis: ClusterBase, machines: Mapping[str, ObservedWorker]) -> None:
         self.basis = basis
         self.machines = machines
@@ -89,6 +92,7 @@
             ]
 
     def use_of_teams(self) -> dict[str, tuple[float, float]]:
+        """CPUs and GPUs that each team's running tasks use."""
         use: dict[str, tuple[float, float]] = {}
         for task in self.tasks:
             job = self.basis.jobs[task.rpartition("/")[0]]
--- a/src/grebestand/simulation/machines.py
+++ b/src/grebestand/simulation/machines.py
@@ -20,6 +20,8 @@
 
 
 class SimulatedMachines:
+    """The machines of a simulated cluster: those it begins with, and those that are rented, booted and deleted."""
+
     def __init__(
         self,
         basis: ClusterBase,
@@ -78,6 +80,7 @@
             self.cloud.listed.append({**entry, "tide": tide, "heldS": self.basis.loop.time - since})
 
     def removed(self, names: list[str]) -> None:
+        """Delete machines, as the cloud was asked to."""
         self._deleted.update(names)
         self.cloud.listed = [m for m in self.cloud.listed if m["ref"] not in names]
         for name in names:
--- a/src/grebestand/simulation/network_links.py
+++ b/src/grebestand/simulation/network_links.py
@@ -63,10 +63,12 @@
                     gevent.spawn(deliver)
 
     def heal(self) -> None:
+        """Open every link."""
         for a, b in list(self.ways):
             self.set(a, b, LinkMode.OPEN)
 
     def way(self, a: str, b: str) -> LinkMode:
+        """The mode of the link from one end to another."""
         return self.ways.get((a, b), LinkMode.OPEN)
 
 
@@ -85,6 +87,7 @@
     handler: Callable[[], Handler | None]
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+        """Send a request over the link; raise `UnreachableError` after `timeout` seconds without an answer."""
         with gevent.Timeout(timeout, False):
             return self._request(method, path, body)
         raise UnreachableError("timeout")
--- a/src/grebestand/simulation/quiescence_checks.py
+++ b/src/grebestand/simulation/quiescence_checks.py
@@ -15,6 +15,8 @@
 
 
 class QuiescenceChecks:
+    """Checks once faults are over: every job is known, and none waits that could begin."""
+
     def __init__(self, basis: ClusterBase, checks: InvariantChecks) -> None:
         self.basis = basis
         self.checks = checks
--- a/src/grebestand/simulation/simulated_controllers.py
+++ b/src/grebestand/simulation/simulated_controllers.py
@@ -23,6 +23,10 @@
 
 
 class SimulatedControllers:
+    """The controllers of a simulated cluster: real ones, each on a runtime of its own, started, frozen and
+    crashed.
+    """
+
     def __init__(
         self, basis: ClusterBase, state: KeyValueStoreEmulator, cloud: CloudEmulator, machines: Mapping[str, Commanded]
     ) -> None:
@@ -62,6 +66,7 @@
         self.basis.loop.frozen[self.hosts[name]] = self.basis.loop.time + seconds
 
     def stands_still(self, name: str) -> bool:
+        """Whether a controller's process is frozen at the moment."""
         return self.basis.loop.frozen.get(self.hosts[name], 0.0) > self.basis.loop.time
 
     def crash(self, name: str) -> None:
@@ -73,6 +78,7 @@
     # what reaches them, and what they reach ---------------------------------------------------------------
 
     def server(self, near: str, far: str) -> Handler | None:
+        """What answers `near` at the address of `far`, or None if no process is there."""
         if far == STATE:
             return lambda m, p, b: self.store.request(near, m, p, b)
         if far == CLOUD:
@@ -90,6 +96,7 @@
         return (404, b"") if answer is None else (200, answer)
 
     def door(self, name: str) -> Handler | None:
+        """What answers workers' heartbeats at a controller, or None if its process is gone."""
         node, host = self.nodes[name], self.hosts[name]
 
         def handle_heartbeat(method: str, path: str, body: bytes) -> tuple[int, bytes]:
--- a/src/grebestand/simulation/simulated_runtime.py
+++ b/src/grebestand/simulation/simulated_runtime.py
@@ -19,7 +19,8 @@
     zone: str
     deaf_to: frozenset[str]
 
-    def answer(self, method: str, path: str, body: bytes) -> tuple[int, bytes]: ...
+    def answer(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+        """Answer a direct request of a controller."""
 
 
 class SimulatedRuntime:
@@ -48,9 +49,11 @@
         self.gone = False
 
     def clock(self) -> float:
+        """This host's monotonic clock, in seconds; it drifts against the simulated time."""
         return 1000.0 + self.basis.loop.time * (1 + self.drift)
 
     def wall(self) -> float:
+        """The time of day, in seconds."""
         return 1.7e9 + self.basis.loop.time
 
     def awake(self) -> None:
@@ -59,12 +62,14 @@
             gevent.sleep(left)
 
     def connect(self, address: str, field: str, connections: int, connect_s: float = 1.5) -> Transport:
+        """A transport over the simulated link to the server at an address."""
         far = self.addresses[address]
         return SimulatedTransport(
             self.basis.links, self.rng, self.name, far, lambda: None if self.gone else self.server(self.name, far)
         )
 
     def once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+        """One request to a machine; held up, lost or unanswered by the faults in force."""
         machine = address.rpartition(":")[0]
         if machine not in self.machines:
             raise UnreachableError("no such machine")
--- a/src/grebestand/simulation/simulated_users.py
+++ b/src/grebestand/simulation/simulated_users.py
@@ -16,6 +16,8 @@
 
 
 class SimulatedUsers:
+    """Users who submit, poll, repeat and cancel jobs at any controller, and record what they are told."""
+
     def __init__(self, basis: ClusterBase, checks: InvariantChecks, processes: SimulatedControllers) -> None:
         self.basis = basis
         self.checks = checks
--- a/src/grebestand/simulation/simulated_worker.py
+++ b/src/grebestand/simulation/simulated_worker.py
@@ -42,6 +42,7 @@
     begun: int = 0
 
     def answer(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+        """Answer a direct request; never, while it hangs or is dead."""
         if self.hung or self.dead:
             gevent.sleep(1e6)
         if path == "/show":
@@ -51,6 +52,7 @@
         return status, msgspec.json.encode(report)
 
     def begin(self, task: str, attempt: int) -> None:
+        """Start a task that ends by itself after a time drawn for it."""
         super().begin(task, attempt)
         self.checks.began(task)
         self.ends[task] = self.basis.loop.time + self.basis.rng.uniform(*self.basis.task_s)
@@ -89,6 +91,7 @@
         self.checks.saw(self)
 
     def report_to(self, name: str) -> tuple[int, bytes]:
+        """Send a heartbeat to a controller and return status and body; raise `UnreachableError` without an answer."""
         basis = self.basis
         if self.mute:
             gevent.sleep(1.0)
@@ -124,6 +127,9 @@
             gevent.sleep(0.25)
 
     def run(self) -> None:
+        """Send heartbeats until the machine is dead, following redirects and going on to the next controller on
+        failure.
+        """
         basis = self.basis
         gevent.spawn(self.keep)
         while not self.dead:
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -70,6 +70,8 @@
 
 
 class ManualClock:
+    """A clock that stands still until a test moves `now`, in seconds."""
+
     def __init__(self) -> None:
         self.now = 1000.0
 
@@ -113,6 +115,7 @@
         )  # fmt: skip
 
     def lead(self) -> Term:
+        """Win the election, load a term and lead it."""
         p = self.world.settings.params
         self.election.look()
         assert self.election.state is LeaderState.LOADING, self.election.state
@@ -127,6 +130,8 @@
 
 
 class InMemoryCluster:
+    """Store, cloud and workers in memory, for controllers whose loops a test steps by hand."""
+
     def __init__(self, settings: str = SETTINGS, rules: str = "rent = false\n") -> None:
         self.clock = ManualClock()
         self.settings: Settings = parse(settings)
@@ -137,10 +142,12 @@
         self._jobs = 0
 
     def worker(self, name: str, **more: Any) -> WorkerEmulator:
+        """Add a worker."""
         w = self.workers[name] = WorkerEmulator(name, **more)
         return w
 
     def direct(self, addr: str, path: str, body: bytes) -> tuple[int, bytes]:
+        """Deliver a direct request to the worker at an address; raise `UnreachableError` if it is cut off."""
         w = self.workers[addr.rpartition(":")[0]]
         if not w.reachable:
             raise UnreachableError("cut off")
@@ -148,6 +155,7 @@
         return status, msgspec.json.encode(report)
 
     def job(self, **more: Any) -> bytes:
+        """The body of a submission with the next id; keyword arguments replace fields by their wire names."""
         self._jobs += 1
         spec = {
             "ref": f"j-{self._jobs:06d}", "lane": "train", "crew": "blue", "shape": "array", "rank": "standard",
@@ -162,6 +170,7 @@
         return {n: r for k, v in self.store.data.items() if k.startswith(prefix) for n, r in v[0].items()}
 
     def accept(self, node: InMemoryController, **more: Any) -> str:
+        """Submit a job, have the leader see it, and return its id."""
         body = self.job(**more)
         answer = node.users.submit(body)
         assert answer.status == 201, answer
@@ -170,6 +179,7 @@
         return str(json.loads(answer.body)["ref"])
 
     def handle_heartbeat(self, term: Term, worker: WorkerEmulator, lose: bool = False) -> HeartbeatResponse | None:
+        """Deliver a worker's heartbeat to a term and, unless it is to be lost, the response to the worker."""
         orders = term.handle_heartbeat(worker.report())
         if isinstance(orders, HeartbeatResponse) and not lose:
             worker.obey(orders)
--- a/src/grebestand/simulation/store_access.py
+++ b/src/grebestand/simulation/store_access.py
@@ -13,6 +13,8 @@
 
 
 class StoreAccess:
+    """The store as controllers reach it: watches that wait, slow answers, lost answers and late writes."""
+
     def __init__(self, basis: ClusterBase, state: KeyValueStoreEmulator, new_leader: Callable[[], None]) -> None:
         self.basis = basis
         self.store = state
@@ -20,6 +22,7 @@
         self.new_leader = new_leader
 
     def request(self, near: str, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+        """Answer a controller's request, under the faults in force."""
         if method != "GET" and self.basis.luck.random() < self.basis.late_writes:
             # nobody is answered, and it is carried out after what the same controller sends next
             later(self.basis.luck.uniform(*LATE_S), self.store.request, method, path, body, 1.0)
--- a/src/grebestand/simulation/virtual_time.py
+++ b/src/grebestand/simulation/virtual_time.py
@@ -26,6 +26,7 @@
 
 
 def owner_now() -> object:
+    """The owner of the running greenlet, or None."""
     return getattr(gevent.getcurrent(), "spawn_tree_locals", {}).get(OWNER)
 
 
@@ -122,6 +123,7 @@
         self.frozen: dict[object, float] = {}
 
     def run_callback(self, func: Callable[..., Any], *args: Any) -> _Call:
+        """Have a function called in this turn of the loop."""
         call = _Call(func, args)
         self.ready.append(call)
         return call
@@ -129,21 +131,26 @@
     run_callback_threadsafe = run_callback
 
     def timer(self, after: float, repeat: float = 0.0, ref: bool = True, priority: Any = None) -> _Timer:
+        """A timer in simulated seconds."""
         return _Timer(self, after, repeat)
 
     def now(self) -> float:
+        """The simulated time, in seconds."""
         return self.time
 
     def update_now(self) -> None:
+        """Nothing: simulated time moves only when the loop has nothing else to do."""
         return None
 
     update = update_now
 
     def destroy(self) -> None:
+        """Drop all calls and timers."""
         self.ready.clear()
         self.timers.clear()
 
     def run(self, nowait: bool = False, once: bool = False) -> None:
+        """Run calls and timers in order, moving time to the next timer, until none is left."""
         while True:
             while self.ready:
                 call = self.ready.popleft()
