--- a/tests/tools/test_capacity.py
+++ b/tests/tools/test_capacity.py
@@ -105,7 +105,7 @@
     m = capacity.Model(TEXT)
     for name, slope in m.slopes.items():
         if slope.state == capacity.OPEN:
-            with pytest.raises(capacity.Open):
+            with pytest.raises(capacity.OpenSlopeError):
                 m.at(name)
     worked = [capacity.work_out(row, m) for rows in capacity.ROLES.values() for row in rows]
     assert all((w.state == capacity.OPEN) == (None in w.values) for w in worked)
@@ -130,7 +130,7 @@
         "sizes": [1.0, 2.0, 3.0], "values": [[1.0], [2.0], [3.0]],
     }  # fmt: skip
     capacity.Slope(**good).check()
-    with pytest.raises(capacity.Wrong, match="^" + told.replace("(", r"\(")):
+    with pytest.raises(capacity.SlopeError, match="^" + told.replace("(", r"\(")):
         capacity.Slope(**(good | change)).check()
 
 
--- a/tools/account.py
+++ b/tools/account.py
@@ -81,17 +81,21 @@
 
 
 class Account:
+    """Processor time, runs and stretches without a yield, by what a greenlet runs."""
+
     def __init__(self) -> None:
         self.clock = time.perf_counter
         self.reset()
         self.since = self.collecting_since = self.clock()
 
     def reset(self) -> None:
+        """Forget what was counted."""
         self.took: Counter[str] = Counter()
         self.runs: Counter[str] = Counter()
         self.stretches = DurationSketches()
 
     def add(self, label: str, seconds: float, runs: int = 1) -> None:
+        """Count one stretch of a label, in seconds."""
         self.took[label] += seconds
         self.runs[label] += runs
         self.stretches.add(label, seconds)
@@ -105,6 +109,7 @@
             self.add(f"(collection {info['generation']})", now - self.collecting_since)
 
     def switched(self, event: str, args: tuple[Any, Any]) -> None:
+        """Trace function of greenlets: the stretch that ends belongs to the greenlet that is left."""
         now = self.clock()
         origin = args[0]
         label = getattr(origin, "_account_label", None)
@@ -145,6 +150,7 @@
         setattr(owner, name, stepped if inspect.isgeneratorfunction(inner) else timed)
 
     def show(self, seconds: float) -> None:
+        """Print the account of the last so many seconds to standard error and begin anew."""
         rows = [
             f"account of {seconds:.0f} s: seconds, runs; stretches in ms: half are below, 99% are below, the longest"
         ]
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -62,11 +62,11 @@
 MOVE_WRITES, MOVE_MESSAGES = 3, 4
 
 
-class Open(Exception):
+class OpenSlopeError(Exception):
     """A slope that nobody has measured yet."""
 
 
-class Wrong(Exception):
+class SlopeError(Exception):
     """The file of slopes does not hold together."""
 
 
@@ -79,6 +79,8 @@
 
 @dataclass
 class Slope:
+    """A measured cost by size: medians of several runs at each size, and what they show of its shape."""
+
     name: str
     unit: str
     per: str
@@ -91,6 +93,7 @@
 
     @cached_property
     def medians(self) -> list[float]:
+        """The median at each size."""
         return [statistics.median(v) for v in self.values]
 
     @property
@@ -110,24 +113,26 @@
         return line([math.log(x) for x in self.sizes], [math.log(y) for y in self.medians])[1]
 
     def check(self) -> None:
+        """Raise `SlopeError` for a slope that contradicts itself."""
         if self.state not in (MEASURED, OPEN) or not self.run:
-            raise Wrong(f"{self.name}: state {self.state!r}, run {self.run!r}")
+            raise SlopeError(f"{self.name}: state {self.state!r}, run {self.run!r}")
         if (self.state == OPEN) != (not self.values) or len(self.sizes) != len(self.values):
-            raise Wrong(f"{self.name}: {self.state}, with {len(self.sizes)} sizes and {len(self.values)} values")
+            raise SlopeError(f"{self.name}: {self.state}, with {len(self.sizes)} sizes and {len(self.values)} values")
         if self.sizes != sorted(set(self.sizes)) or any(not v for v in self.values):
-            raise Wrong(f"{self.name}: sizes in order, and values for each")
+            raise SlopeError(f"{self.name}: sizes in order, and values for each")
         if (self.linear is None) != (len(self.sizes) < 3):
-            raise Wrong(f"{self.name}: whether it is linear is told from three sizes on")
+            raise SlopeError(f"{self.name}: whether it is linear is told from three sizes on")
         if self.linear is not None and self.linear != (self.residual <= STRAIGHT):
-            raise Wrong(f"{self.name}: linear = {self.linear}, but a line misses by {self.residual:.0%}")
+            raise SlopeError(f"{self.name}: linear = {self.linear}, but a line misses by {self.residual:.0%}")
 
     def beyond(self, x: float) -> bool:
         """Whether a size lies outside of what was measured; of one size only, everything else does."""
         return bool(self.sizes and not self.sizes[0] <= x <= self.sizes[-1])
 
     def at(self, x: float) -> float:
+        """The cost at a size, interpolated or extrapolated; raises `OpenSlopeError` if it was not measured."""
         if self.state == OPEN:
-            raise Open(self.name)
+            raise OpenSlopeError(self.name)
         xs, ys = self.sizes, self.medians
         if len(xs) == 1:
             return ys[0]
@@ -143,6 +148,7 @@
         return ys[i] * math.exp(grows * math.log(x / xs[i]))
 
     def told(self) -> str:
+        """The shape in words."""
         if self.linear is None:
             return "one size" if len(self.sizes) == 1 else "two sizes"
         if self.linear:
@@ -172,17 +178,19 @@
         self.limits, self.assumed = raw["limits"], raw["assumed"]
         self.slopes = {s["name"]: Slope(**s) for s in raw["slope"]}
         if len(self.slopes) != len(raw["slope"]):
-            raise Wrong("a slope's name stands twice")
+            raise SlopeError("a slope's name stands twice")
         for s in self.slopes.values():
             s.check()
         self.used: dict[str, bool] = {}
 
     def at(self, name: str, x: float = 1.0) -> float:
+        """The cost of a slope at a size; notes whether that lies beyond what was measured."""
         s = self.slopes[name]
         self.used[name] = self.used.get(name, False) or (len(s.sizes) > 1 and s.beyond(x))
         return s.at(x)
 
     def sizes(self) -> list[Size]:
+        """The sizes that the page works out, from the letter's figures."""
         t, more = self.letter, self.letter["more"]
         part = self.split["zones_largest"] / t["zones"]
 
@@ -208,18 +216,23 @@
         return float(1 / (CHANGE_S + (1 - math.exp(-changes * rest)) / changes))
 
     def reports(self, s: Size) -> float:
+        """Heartbeats a second."""
         return s.workers * self.reports_a_worker(s)
 
     def quiet_reports(self, s: Size) -> float:
+        """Heartbeats a second while nothing changes."""
         return float(s.workers / self.limits["report_s"])
 
     def jobs_s(self, s: Size) -> float:
+        """Jobs a second at the peak."""
         return float(s.starts_s / self.assumed["tasks_a_job"])
 
     def live(self, s: Size) -> float:
+        """Live jobs at a time."""
         return float(self.jobs_s(s) * self.assumed["job_s"])
 
     def tasks_a_worker(self, s: Size) -> float:
+        """Running tasks of a worker."""
         return s.running / s.workers
 
     def sockets(self, s: Size) -> float:
@@ -276,6 +289,7 @@
         return 2 * s.starts_s / self.reports(s)
 
     def report_bytes(self, s: Size) -> float:
+        """Bytes of a heartbeat's body."""
         return self.at("report body", self.tasks_a_worker(s))
 
     def blocks_from(self, core: Callable[[Size], float]) -> float | None:
@@ -339,6 +353,7 @@
 
 
 def quantile(chance: Callable[[float], float], q: float, most: float) -> float:
+    """The value below which the share `q` lies, by bisection of a rising chance between 0 and `most`."""
     low, high = 0.0, most
     for _ in range(40):
         mid = (low + high) / 2
@@ -353,6 +368,8 @@
 
 @dataclass
 class Row:
+    """One row of the page: what it is, its unit, how it is worked out, and the modules that do it."""
+
     what: str
     unit: str
     value: Value
@@ -364,6 +381,7 @@
 
 
 def const(name: str) -> Value:
+    """A value that is the same at every size."""
     return lambda m, s: m.at(name)
 
 
@@ -595,6 +613,8 @@
 
 @dataclass
 class Worked:
+    """A row's values and bounds at all sizes, and how well founded they are."""
+
     row: Row
     values: list[float | None]
     bounds: list[float | None]
@@ -606,12 +626,14 @@
 
     @property
     def over(self) -> list[bool]:
+        """Whether each value exceeds its bound."""
         return [
             v is not None and b is not None and v > b for v, b in zip(self.values, self.bounds, strict=True)
         ]  # fmt: skip
 
 
 def work_out(row: Row, m: Model) -> Worked:
+    """Work a row out at all sizes."""
     values: list[float | None] = []
     bounds: list[float | None] = []
     beyond: list[bool] = []
@@ -621,7 +643,7 @@
         m.used = {}
         try:
             values.append(float(row.value(m, s)))
-        except Open as e:
+        except OpenSlopeError as e:
             values.append(None)
             missing = str(e)
         beyond.append(any(m.used.values()))
@@ -652,6 +674,7 @@
 
 
 def modules(by: tuple[str, ...] | str) -> str:
+    """The modules of a row as Markdown."""
     return by if isinstance(by, str) else ", ".join(f"`{p}`" for p in by)
 
 
@@ -663,6 +686,7 @@
 
 
 def table(head: list[str], rows: list[list[str]]) -> Iterator[str]:
+    """A Markdown table, line by line."""
     yield "| " + " | ".join(head) + " |"
     yield "| " + " | ".join(["---"] * len(head)) + " |"
     for r in rows:
@@ -670,6 +694,7 @@
 
 
 def role(name: str, m: Model) -> Iterator[str]:
+    """The table of one role."""
     rows = []
     for row in ROLES[name]:
         w = work_out(row, m)
@@ -686,6 +711,7 @@
 
 
 def sizes(m: Model) -> Iterator[str]:
+    """The table of the sizes."""
     rows = []
     named = m.sizes()
     lines: list[tuple[str, Callable[[Size], float]]] = [
@@ -768,6 +794,7 @@
 
 
 def urgent_cases(m: Model) -> list[tuple[str, list[tuple[str, float, float, str]]]]:
+    """The cases of urgent work: a title, and the parts of its delay."""
     room, gang, t = int(m.assumed["start_room"]), int(m.letter["gang"]), m.limits["report_s"]
     orders = math.ceil(gang / MOST_ASKED) * 2 * m.limits["messages_s"]
     stops = awaited(m, lambda x: cleared(x - orders, t) ** gang)
@@ -786,6 +813,7 @@
 
 
 def urgent(m: Model) -> Iterator[str]:
+    """The tables of urgent work."""
     t, bound, gang = m.limits["report_s"], m.letter["urgent_s"], int(m.letter["gang"])
     cases = urgent_cases(m)
     for title, found in cases:
@@ -829,6 +857,7 @@
 
 
 def told(m: Model, name: str) -> str:
+    """A slope's medians in words."""
     s = m.slopes[name]
     if s.state == OPEN:
         return "open"
@@ -836,6 +865,7 @@
 
 
 def blocks(m: Model) -> Iterator[str]:
+    """The table of the size from which leased blocks pay."""
     rows = []
     cases: list[tuple[str, Callable[[Size], float]]] = [
         ("the leader's whole work, all reports at it", m.leader_core),
@@ -847,7 +877,7 @@
     for what, core in cases:
         try:
             full = m.blocks_from(core)
-        except Open as e:
+        except OpenSlopeError as e:
             rows.append([what, f"open: {e}"])
             continue
         if full is not None:
@@ -869,6 +899,7 @@
 
 
 def failures(m: Model) -> Iterator[str]:
+    """The table of failures and what they cost."""
     t, lim = m.letter, m.limits
     tasks = t["running"] / t["workers"]
     lapse = lim["lease_s"] * (1 + 2 * DRIFT) + MARGIN_S
@@ -986,6 +1017,7 @@
 
 
 def slopes(m: Model) -> Iterator[str]:
+    """The table of all slopes."""
     rows = []
     for s in m.slopes.values():
         if s.state == OPEN:
@@ -998,6 +1030,7 @@
 
 
 def everything(m: Model) -> dict[str, str]:
+    """All tables of the page, by name."""
     made: dict[str, Callable[[], Iterator[str]]] = {"sizes": lambda: sizes(m)}
     for name in ROLES:
         made[name] = lambda name=name: role(name, m)  # type: ignore[misc]
@@ -1015,6 +1048,7 @@
 
 
 def marked(name: str, body: str) -> str:
+    """A table between its markers."""
     return f"<!-- capacity: {name} -->\n{body}\n<!-- end -->"
 
 
@@ -1039,6 +1073,7 @@
 
 
 def main() -> int:
+    """Print, write or check the page's tables; return the exit status."""
     parser = argparse.ArgumentParser(description="Works out the figures of docs/CAPACITY.md.")
     what = parser.add_mutually_exclusive_group(required=True)
     what.add_argument("--page", action="store_true", help="print the page's tables, between their markers")
@@ -1048,7 +1083,7 @@
     options = parser.parse_args()
     try:
         m = Model(_text(options.slopes))
-    except (Wrong, tomllib.TOMLDecodeError) as e:
+    except (SlopeError, tomllib.TOMLDecodeError) as e:
         print(f"capacity: {options.slopes}: {e}", file=sys.stderr)
         return 1
     if options.page:
--- a/tools/cuts.py
+++ b/tools/cuts.py
@@ -35,6 +35,8 @@
 
 @dataclass
 class Outcome:
+    """What became of one pattern of cut links."""
+
     cut: tuple[tuple[str, str], ...]
     path: bool
     served: bool
@@ -47,6 +49,8 @@
 
 
 def has_path(cut: set[tuple[str, str]]) -> bool:
+    """Whether a controller that workers reach is joined to the store, directly or over one other controller."""
+
     def joined(a: str, b: str) -> bool:
         return (a, b) not in cut and (b, a) not in cut
 
@@ -57,6 +61,7 @@
 
 
 def play(task: tuple[int, LinkMode, int]) -> Outcome:
+    """Play one pattern on simulated time."""
     pattern, way, seed = task
     cut = [link for i, link in enumerate(LINKS) if pattern >> i & 1]
     with simulated() as loop:
@@ -79,6 +84,7 @@
 
 
 def main() -> int:
+    """Play the patterns and print what was not served; return the exit status."""
     parser = argparse.ArgumentParser(description="Plays every pattern of cut links of three controllers.")
     parser.add_argument("--seed", type=int, default=1, metavar="S")
     parser.add_argument("--way", choices=["refused", "held"], default="held", help="what becomes of messages")
--- a/tools/decisions.py
+++ b/tools/decisions.py
@@ -169,12 +169,14 @@
         return commands
 
     def everyone(self) -> None:
+        """Deliver a heartbeat of every machine."""
         for i in range(len(self.machines)):
             self.report(i)
 
     # steps ------------------------------------------------------------------------------------------------
 
     def take_over(self) -> Iterator[None]:
+        """The steps of a failover: machines and jobs from records, then a heartbeat of every machine."""
         for name, kind, zone, spot in self.machines:
             self.inventory.add(name, f"{name}:1", kind, zone, spot, self.now, recorded=True)
         yield
@@ -189,14 +191,17 @@
             yield
 
     def retarget(self) -> Iterator[None]:
+        """The steps of setting targets."""
         self.now += 5.0
         return self.scheduler.retargeting(self.now)
 
     def one_pass(self) -> Iterator[None]:
+        """The steps of a full pass."""
         self.now += 1.0
         return self.scheduler.passing(self.now)
 
     def quiet_reports(self) -> Iterator[None]:
+        """Heartbeats of a hundred machines with nothing new."""
         self.now += 1.0
         for i in range(100):
             self.report(i * len(self.machines) // 100)
@@ -217,6 +222,8 @@
 
 @dataclass
 class Cost:
+    """What some steps cost: operations, processor seconds, and the longest step in seconds."""
+
     operations: int = 0
     seconds: float = 0.0
     longest: float = 0.0
@@ -239,6 +246,7 @@
 
 
 def timed(steps: Iterable[None]) -> Cost:
+    """Run steps and return their processor time."""
     cost = Cost()
     clock = time.process_time
     begin = since = clock()
@@ -253,6 +261,7 @@
 
 
 def counted(steps: Iterable[None]) -> int:
+    """Run steps and return the number of function calls."""
     calls = 0
 
     def count(frame: object, event: str, argument: object) -> None:
@@ -299,6 +308,7 @@
 
 
 def show(table: Table, machines: int) -> None:
+    """Print the rows of one size."""
     print(f"\n{machines} machines")
     print(f"  {'step':26} {'operations':>12} {'processor s':>12} {'longest ms':>11}")
     for step, costs in table.rows.items():
@@ -308,6 +318,7 @@
 
 
 def main() -> int:
+    """Measure the sizes that the command line names; return the exit status."""
     parser = argparse.ArgumentParser(description="Measures the cost of decisions as machines grow in number.")
     parser.add_argument(
         "--machines", type=int, nargs="+", metavar="N", default=[5000],
--- a/tools/history_digest.py
+++ b/tools/history_digest.py
@@ -124,6 +124,7 @@
         self.answers = self.orders = self.writes = 0
 
     def add(self, seconds: float, what: str, content: bytes) -> None:
+        """Take in one event at a simulated time."""
         self.digest.update(f"{round(seconds * 1000)} {what} {len(content)} ".encode() + content + b"\n")
 
 
@@ -163,6 +164,7 @@
 
 
 def main() -> int:
+    """Play and print; return the exit status."""
     parser = argparse.ArgumentParser(description="Prints digests of what simulated clusters did.")
     parser.add_argument("--only", choices=list(PLAYS), metavar="NAME", help="one play: " + "; ".join(PLAYS))
     options = parser.parse_args()
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -42,10 +42,12 @@
 
 
 def say(kind: str, size: int, values: Mapping[str, Sequence[float]]) -> None:
+    """Print one measurement as a line of JSON."""
     print(json.dumps({"kind": kind, "size": size, "values": values}), flush=True)
 
 
 def measure_decisions(sizes: list[int], seeds: int) -> None:
+    """Measure the decision side at each size."""
     for n in sizes:
         found: dict[str, list[float]] = {}
         for seed in range(1, seeds + 1):
@@ -97,6 +99,7 @@
 
 
 def measure_books(sizes: list[int], seeds: int) -> None:
+    """Measure the memory of the cluster state at each size."""
     for n in sizes:
         found: dict[str, list[float]] = {"machines, MB": [], "waiting tasks, MB": [], "whole, MB": []}
         for seed in range(1, seeds + 1):
@@ -113,6 +116,7 @@
 
 
 def measure_bytes() -> None:
+    """Measure the bytes of records."""
     model = decisions.Model(100, 20_000, 1)
     specs = model.specs
     encode = msgspec.json.encode
@@ -209,6 +213,7 @@
 
 
 def main() -> int:
+    """Measure what the command line names; return the exit status."""
     parser = argparse.ArgumentParser(description="Measures slopes of the books and decisions.")
     parser.add_argument("what", nargs="*", default=["decisions", "books", "bytes"])
     parser.add_argument("--machines", type=int, nargs="+", default=[650, 1300, 2600, 5200, 10400, 20000])
