--- a/src/grebestand/federation/circuit_breaker.py
+++ b/src/grebestand/federation/circuit_breaker.py
@@ -6,6 +6,7 @@
 import random
 from collections.abc import Callable
 
+from ..log_events import LogEvent
 from ..state_machines import check_transition
 from .state_machines import BREAKER_TRANSITIONS, BreakerState
 
@@ -41,7 +42,7 @@
     def move(self, new: BreakerState, why: str) -> None:
         """The one function that changes the state."""
         check_transition(BREAKER_TRANSITIONS, self.state, new, f"breaker of {self.name}")
-        log.info("cluster %s: %s -> %s: %s", self.name, self.state.name, new.name, why)
+        log.info(LogEvent("circuit_breaker_changed", cluster=self.name, from_=self.state, to=new, reason=why))
         self.state = new
 
     def lets(self) -> bool:
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -24,6 +24,7 @@
 from ..flow_control.rate_limiter import Urgency
 from ..leader.election import FencedError
 from ..leader.term import Term
+from ..log_events import LogEvent
 from ..state_machines import check_transition
 from ..storage.job_records import LiveJobRecord, completed_key, live_key
 from ..wire.jobs import PRIORITIES, JobSpec, JobStatus, Priority
@@ -130,7 +131,7 @@
     def move(self, r: Reservation, new: GuestState, why: str) -> None:
         """The one function that changes a reservation's state; its machines are free again once it is none."""
         check_transition(GUEST_TRANSITIONS, r.state, new, f"reservation of {r.home} for {r.ref}")
-        log.info("reservation of %s for %s: %s -> %s: %s", r.home, r.ref, r.state.name, new.name, why)
+        log.info(LogEvent("reservation_state_changed", home=r.home, job_id=r.ref, from_=r.state, to=new, reason=why))
         r.state = new
         if new in (GuestState.RELEASED, GuestState.STARTED):
             self.reservations.pop(r.id, None)
@@ -213,7 +214,7 @@
             m.reserved_for, m.reserved_until = job.spec.id, until
         self.term.inventory.kept.add(job.spec.id)
         self.reservations[ident] = Reservation(offer.home, spec.id, job.spec, ident, until, chosen)
-        log.info("reservation of %s for %s: %d machines", offer.home, spec.id, len(chosen))
+        log.info(LogEvent("machines_reserved", home=offer.home, job_id=spec.id, machines=len(chosen)))
         return Reserved(ident, limits.reserve_s)
 
     def _job(self, spec: JobSpec, now: float) -> Job:
@@ -349,11 +350,17 @@
                 continue
             if not job.unasked and now - self.heard.get(record.id, -math.inf) > QUIET_S:
                 job.unasked = True
-                log.info("guest %s of %s: home is silent; what runs goes on, nothing starts", record.ref, record.home)
+                log.info(LogEvent("guest_home_silent", job_id=record.ref, home=record.home))
             if job.allocations or job.unasked:
                 continue
             if job.startable() == job.spec.tasks and now - job.wait_since > self.limits.give_back_s:
                 log.info(
-                    "guest %s of %s is given back: no room for %.0f s", record.ref, record.home, now - job.wait_since
+                    LogEvent(
+                        "guest_returned",
+                        job_id=record.ref,
+                        home=record.home,
+                        reason="no capacity",
+                        wait_s=now - job.wait_since,
+                    )
                 )
                 self.cancel(record.job)
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -22,6 +22,7 @@
 from ..flow_control.rate_limiter import Urgency
 from ..leader.election import FencedError
 from ..leader.term import Term
+from ..log_events import LogEvent
 from ..metrics.duration_sketches import DurationSketches
 from ..state_machines import JobState, check_transition
 from ..storage.job_records import CompletedJobRecord, LiveJobRecord, completion_transaction, live_key
@@ -182,7 +183,7 @@
             return
         ident = trip.job.spec.id
         check_transition(HOME_TRANSITIONS, trip.state, new, ident)
-        log.info("gang %s: %s -> %s: %s", ident, trip.state.name, new.name, why)
+        log.info(LogEvent("remote_gang_state_changed", job_id=ident, from_=trip.state, to=new, reason=why))
         trip.state = new
         trip.job.away = new not in (HomeState.WAITING, HomeState.OFFERED, HomeState.OVER)
         if new is HomeState.WAITING:
@@ -217,7 +218,7 @@
         if now - self._told_at >= 60.0:
             self._told_at = now
             text = ", ".join(f"{n} {k}" for k, n in self.counts.items())
-            log.info("federation: %s; %s", text, self.sketches.tell())
+            log.info(LogEvent("federation_summary", gangs=text, durations=self.sketches.tell()))
 
     def _work(self, trip: RemoteGang, what: Callable[[RemoteGang], None]) -> None:
         """At most one greenlet at a time is at work on a gang."""
@@ -229,7 +230,7 @@
             try:
                 what(trip)
             except Exception:
-                log.exception("gang %s in state %s", trip.job.spec.id, trip.state.name)
+                log.exception(LogEvent("remote_gang_step_failed", job_id=trip.job.spec.id, state=trip.state))
                 trip.next_at = self.term.clock() + 5.0
             finally:
                 trip.busy = False
@@ -255,7 +256,11 @@
         if isinstance(answer, FreeCapacity):
             if (answer.version != VERSION) is not cluster.strange:
                 cluster.strange = answer.version != VERSION
-                log.warning("cluster %s speaks version %d, this one %d", cluster.name, answer.version, VERSION)
+                log.warning(
+                    LogEvent(
+                        "cluster_version_differs", cluster=cluster.name, version=answer.version, own_version=VERSION
+                    )
+                )
             cluster.told = RemoteLoad(answer, self.term.clock())
 
     # settled by operators ---------------------------------------------------------------------------------
@@ -285,10 +290,10 @@
             if found is not None:
                 self.term.writer.commit([at(key, found.version)], [delete(key)], Urgency.PROGRESS)
         except (StoreError, FencedError) as e:
-            log.info("settled gang %s: %s", entry.ref, e)
+            log.info(LogEvent("settlement_removal_postponed", job_id=entry.ref, error=e))
             return
         self.lost.pop(entry.id, None)
-        log.info("settled gang %s: cluster %s is back and runs nothing of it any more", entry.ref, entry.cluster)
+        log.info(LogEvent("settled_gang_gone", job_id=entry.ref, cluster=entry.cluster))
         self._settled.append((entry.cluster, entry.ref, entry.id))
 
     def _go_on(self, trip: RemoteGang) -> None:
@@ -308,7 +313,7 @@
             elif trip.state is HomeState.RETURNING:
                 self._return(trip)
         except (StoreError, FencedError) as e:
-            log.info("gang %s stays %s: %s", trip.job.spec.id, trip.state.name, e)
+            log.info(LogEvent("remote_gang_step_postponed", job_id=trip.job.spec.id, state=trip.state, error=e))
             trip.next_at = self.term.clock() + 1.0
 
     # offering ---------------------------------------------------------------------------------------------
@@ -403,7 +408,9 @@
                 cluster.refusals.answered()
             elif isinstance(answer, Rejection):
                 cluster.refusals.failed(answer.why)
-                log.info("gang %s: %s does not take it: %s", trip.job.spec.id, cluster.name, answer.why)
+                log.info(
+                    LogEvent("reservation_rejected", job_id=trip.job.spec.id, cluster=cluster.name, reason=answer.why)
+                )
         self._decide(trip)
 
     def _ask(self, cluster: Cluster, message: Message) -> Reply | None:
@@ -441,7 +448,7 @@
         try:
             self._write(trip, trip.abroad)
         except (StoreError, FencedError) as e:
-            log.info("gang %s: whether %s was named is not known: %s", job.spec.id, chosen, e)
+            log.info(LogEvent("remote_assignment_unknown", job_id=job.spec.id, cluster=chosen, error=e))
             trip.next_at = self.term.clock() + 0.5
             return
         self._release(trip, but=chosen)
@@ -449,7 +456,7 @@
             self.counts["decided"] += 1
             took = self.term.clock() - trip.offered_at
             self.sketches.add("offer", took)
-            log.info("gang %s: decided for %s %.0f ms after it was offered", job.spec.id, chosen, 1e3 * took)
+            log.info(LogEvent("remote_gang_assigned", job_id=job.spec.id, cluster=chosen, after_s=took))
             self._go_on(trip)
 
     def _write(self, trip: RemoteGang, abroad: RemoteAssignment | None) -> None:
--- a/src/grebestand/federation/keyring.py
+++ b/src/grebestand/federation/keyring.py
@@ -16,6 +16,8 @@
 import gevent
 from gevent import ssl as gssl
 
+from ..log_events import LogEvent
+
 log = logging.getLogger(__name__)
 
 #: how often the files are looked at, and how long a handshake may take, in seconds
@@ -69,9 +71,9 @@
             state = self._state()
             if state != self._seen:
                 self._load(state)
-                log.info("federation keys read anew, edition %d", self.edition)
+                log.info(LogEvent("federation_keys_reloaded", edition=self.edition))
         except (KeyringError, OSError) as e:
-            log.warning("federation keys not read, the earlier ones stay: %s", e)
+            log.warning(LogEvent("federation_keys_reload_failed", kept="the earlier ones stay", error=e))
 
     def _load(self, state: tuple[tuple[str, int, int], ...]) -> None:
         self._seen = state
@@ -130,19 +132,29 @@
             with gevent.Timeout(HANDSHAKE_S, TimeoutError("no handshake")):
                 made = self._server.wrap_socket(sock, server_side=True)
         except ssl.SSLCertVerificationError as e:
-            log.warning("link from %s refused: its certificate is %s", host, _WHY.get(e.verify_code, e.verify_message))
+            log.warning(
+                LogEvent(
+                    "link_refused",
+                    host=host,
+                    reason=f"its certificate is {_WHY.get(e.verify_code, e.verify_message)}",
+                )
+            )
             return None
         except (ssl.SSLEOFError, ConnectionError, TimeoutError) as e:
-            log.debug("link from %s broke off in the handshake: %s", host, e)
+            log.debug(LogEvent("link_handshake_broken_off", host=host, error=e))
             return None
         except (OSError, ValueError) as e:
-            log.warning("link from %s refused: %s", host, getattr(e, "reason", None) or e)
+            log.warning(LogEvent("link_refused", host=host, reason=getattr(e, "reason", None) or e))
             return None
         mark = hashlib.sha256(made.getpeercert(binary_form=True) or b"").hexdigest()
         owner = self._owners.get(mark)
         if mark in self._revoked or owner is None:
             why = "revoked" if mark in self._revoked else "unknown"
-            log.warning("link from %s refused: its certificate %s of %s is %s", host, mark[:16], owner, why)
+            log.warning(
+                LogEvent(
+                    "link_refused", host=host, certificate=mark[:16], owner=owner, reason=f"its certificate is {why}"
+                )
+            )
             made.close()
             return None
         made.peer = (owner, mark)  # type: ignore[attr-defined]
--- a/src/grebestand/federation/link_server.py
+++ b/src/grebestand/federation/link_server.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from ..log_events import LogEvent
 from .allowed_networks import AllowedNetworks
 from .keyring import Keyring
 from .messages import MOST_BYTES, NOT_LEADING, InvalidMessageError, Message, Reply, UncertainReply, decode
@@ -32,7 +33,7 @@
         """Whether connections of this host are accepted."""
         inside = host in self.networks
         if not inside and self._told.take(1.0):
-            log.warning("link from %s refused: not in the networks of any cluster", host)
+            log.warning(LogEvent("link_refused", host=host, reason="not in the networks of any cluster"))
         return inside
 
     def wrap(self, socket: Any, host: str) -> Any:
@@ -57,7 +58,7 @@
 
     def _refuse(self, start: Callable[..., Any], status: str, text: str, who: object) -> list[bytes]:
         if self._told.take(1.0):
-            log.warning("message from %s refused: %s", who, text)
+            log.warning(LogEvent("link_message_refused", sender=who, reason=text))
         start(status, [("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", str(len(text.encode())))])
         return [text.encode()]
 
--- a/src/grebestand/federation/tls_link.py
+++ b/src/grebestand/federation/tls_link.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from ..clients.http import HttpTransport, Transport, UnreachableError
+from ..log_events import LogEvent
 from .keyring import Keyring
 from .messages import NOT_LEADING, InvalidMessageError, Message, Reply, UncertainReply, decode_reply
 
@@ -87,14 +88,21 @@
         try:
             status, answer = transport.request("POST", PATH, body, timeout)
             if status != 200:
-                log.info("controller %s answers %d: %s", name, status, answer[:120].decode("utf-8", "replace"))
+                log.info(
+                    LogEvent(
+                        "link_request_refused",
+                        controller=name,
+                        status=status,
+                        body=answer[:120].decode("utf-8", "replace"),
+                    )
+                )
                 return None
             return decode_reply(answer)
         except UnreachableError as e:
-            log.debug("controller %s does not answer: %s", name, e)
+            log.debug(LogEvent("link_request_unanswered", controller=name, error=e))
             return None
         except InvalidMessageError as e:
-            log.warning("controller %s: %s", name, e)
+            log.warning(LogEvent("link_reply_invalid", controller=name, error=e))
             return None
 
     def _transport(self, name: str) -> Transport | None:
