--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -1,51 +1,61 @@
-"""Gangs: whole or not at all, on the cheapest machines, cleared where that is worth it."""
+"""Gang scheduling: all tasks of a gang start at once or none does, on the cheapest machines, with preemption."""
 
 from __future__ import annotations
 
 import itertools
 import logging
 import math
-from collections.abc import Iterator
+from collections.abc import Generator, Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..cluster_state.jobs import Allocation, GangStartTimeline, Job
 from ..cluster_state.machine import Machine
-from ..cluster_state.resources import Resources, fits, tasks_that_fit
+from ..cluster_state.resources import MICRO_UNITS, Resources, fits, tasks_that_fit
+from ..log_events import LogEvent
 from .image_locality import ImageLocality
-from .placement import PLACED_LAST, Placement
+from .placement import SLOW_MACHINE_RATIO, Placement
 from .preemption import Preemption
-from .scheduling_context import MACHINES_A_STEP, SchedulingComponent, SchedulingContext, Steps
+from .scheduling_context import MACHINES_PER_STEP, SchedulingComponent, SchedulingContext, Steps
 
 log = logging.getLogger(__name__)
 
-RESERVE_S = 20.0
+#: how long a machine stays reserved for a gang: longer than stopped tasks take to save, and several passes
+RESERVATION_S = 20.0
+#: how long gangs avoid a machine after a failure on it: one bad machine costs the whole gang its start
 GANG_PROBATION_S = 30.0
-#: a core that waits for an image also makes its job late, so it counts for more than a lost second of work
+#: a core that idles while an image is fetched also delays its job, so it counts for more than a lost second of work
 IDLE_WEIGHT = 2.0
-CLEARING_COST = 5.0
-#: where the slowest image of a gang takes more than this part of what tasks wait for their gang, the others start later
-UNEVEN = 0.5
-#: room for so many tasks in one zone, free and at the least price, is enough to choose from
+#: CPU seconds added to the cost of each task for which others are stopped: capacity that is free now starts sooner
+PREEMPTION_DELAY_COST = 5.0
+#: if the slowest image fetch of a gang takes more than this share of the time for which workers let tasks wait for
+#: their gang, the tasks that need no fetch start later
+UNEVEN_FETCH_SHARE = 0.5
+#: free slots in one zone at the lowest possible cost that are enough to choose from: the search may stop there
 ENOUGH = 200
-#: how often a choice is mended for machines that changed while others were looked at
-MOST_MENDS = 3
+#: the same, as a multiple of the gang's tasks
+ENOUGH_PER_TASK = 4
+#: how often a choice is repaired for machines that changed during the search
+MAX_REPAIRS = 3
 NO_ROOM_FOR_GANG = "not all slots are free at once, nor can they be cleared in one zone"
 
 
 @dataclass(frozen=True)
 class GangPlacement:
-    """Room for so many tasks on one machine, what has to be stopped for it, and the price of that for each task."""
+    """Slots for a gang's tasks on one machine, whatever the gang's image."""
 
     tasks: int
+    #: what has to be stopped first
     victims: list[Allocation]
+    #: CPU seconds lost, for each task
     cost: float
-    #: the room is there now; without victims it may still have to wait for tasks that were stopped before
+    #: whether the slots are free now; without victims they may still have to wait for tasks that were stopped before
     ready: bool = False
 
 
 @dataclass(frozen=True)
 class GangCandidates:
-    """Room on a machine as it was at a count of its edits, with the price of fetching the gang's image added."""
+    """Slots for a gang's tasks on one machine, as of a change count, with the cost of fetching the image included."""
 
     machine: Machine
     change_count: int
@@ -55,136 +65,120 @@
     ready: bool
 
 
-#: what is known of a machine that was not looked at
-NEVER: tuple[int, list[GangPlacement]] = (-1, [])
+class GangShare(NamedTuple):
+    """How many of a gang's tasks are to start on one machine."""
+
+    candidate: GangCandidates
+    tasks: int
+
+
+@dataclass
+class GangSelection:
+    """The candidates that a search found, and the shares chosen from them: None if they are not enough."""
+
+    candidates: list[GangCandidates]
+    shares: list[GangShare] | None
+
+
+#: gangs that find the same slots: their type, whether bound to one zone, whether spread, and the team that reclaims
+#: its guarantee
+GangShape = tuple[int, bool, bool, int]
+#: by machine: its change count when it was examined, and the slots it had
+PlacementTable = dict[int, tuple[int, list[GangPlacement]]]
+
+#: entry of a machine that was not examined yet; real change counts are not negative
+NOT_EXAMINED: tuple[int, list[GangPlacement]] = (-1, [])
 
 
 class GangScheduling(SchedulingComponent):
+    """Starts gangs whole, or preempts other work and reserves machines for them."""
+
     def __init__(
         self,
-        view: SchedulingContext,
+        context: SchedulingContext,
+        *,
         images: ImageLocality,
-        clearing: Preemption,
-        placing: Placement,
+        preemption: Preemption,
+        placement: Placement,
         gang_wait_s: float,
     ) -> None:
-        super().__init__(view)
+        """Build the component.
+
+        Args:
+            context: what all scheduling components share.
+            images: where images are, and how long fetching them takes.
+            preemption: finds and stops work that a gang may displace.
+            placement: a job's constraints and preferences for machines.
+            gang_wait_s: how long workers let a started task wait for the rest of its gang.
+        """
+        super().__init__(context)
         self.images = images
-        self.clearing = clearing
-        self.placing = placing
+        self.preemption = preemption
+        self.placement = placement
         self.gang_wait_s = gang_wait_s
-        #: the smallest gang for which the pass has found no room, by type, how it may be spread, and whose work may go
-        self._no_gang: dict[tuple[int, bool, bool, int], tuple[int, Resources]] = {}
+        #: tasks and size of the smallest gang for which this pass found no room
+        self._smallest_refused: dict[GangShape, tuple[int, Resources]] = {}
+        #: borrowing teams for which the cached tables hold
         self._borrowers: set[int] = set()
-        #: the overdue gang for which this pass keeps machines
-        self._kept_for = ""
-        #: what was seen of machines, by all that matters of a gang but its image
-        self._known: dict[tuple[object, ...], dict[int, tuple[int, list[GangPlacement]]]] = {}
+        #: the overdue gang for which this pass reserves free machines
+        self._overdue_gang = ""
+        #: what was found on machines, by everything about a gang that matters but its image
+        self._tables: dict[tuple[object, ...], PlacementTable] = {}
 
     def begin(self) -> None:
-        """A full pass begins."""
-        self._no_gang = {}
-        self._kept_for = ""
-        if self.clearing.borrowers != self._borrowers:
+        """Start a full pass."""
+        self._smallest_refused = {}
+        self._overdue_gang = ""
+        if self.preemption.borrowers != self._borrowers:
             self.forget()
 
     def forget(self) -> None:
-        """What stopping work costs has to be looked up again: time has passed, or others may be asked for room."""
-        self._known = {}
-        self._borrowers = set(self.clearing.borrowers)
+        """Drop cached tables: time has passed, so that costs are higher, or other teams borrow."""
+        self._tables = {}
+        self._borrowers = set(self.preemption.borrowers)
 
     def place(self, job: Job, ready: list[Machine], now: float, has_reserved: bool) -> Steps:
-        """Whole or not at all: every task needs a slot at the same moment."""
-        n = job.spec.tasks
-        overdue = self.clearing.aims.overdue(job, now, self.policy_values.begin_after_s)
+        """Start a gang whole, or preempt other work for it, or note why it waits.
+
+        Args:
+            job: a gang.
+            ready: all usable machines.
+            now: seconds on the leader's clock.
+            has_reserved: whether machines are reserved for this gang.
+        """
+        is_overdue = self.preemption.ordering.overdue(job, now, self.policy_values.begin_after_s)
         if not self._may_start(job):
-            team = self.registry.teams[job.team]
-            if overdue and not team.kept_for and job.startable() and team.headroom(job.size) < n:
-                # smaller jobs of its own team would take what is left of the limit again and again
-                team.kept_for = job.spec.id
-            return
-        # nothing in a pass makes room for a gang like one that found none; trying each of thirty took 130 ms
-        alike = job.type, job.spec.one_zone, job.spec.spread, self.clearing.reclaims_for(job, now)
-        tasks, size = self._no_gang.get(alike, (n + 1, job.size))
-        keeps = overdue and not self._kept_for
-        if n >= tasks and fits(size, job.size) and not has_reserved and not keeps:
-            job.why_waiting = NO_ROOM_FOR_GANG
+            if is_overdue:
+                self._keep_team_limit(job)
             return
-        turn = self.view.turn
-        offers: list[GangCandidates] = []
-        rooms = self._rooms(job, now)
-        #: by zone, tasks that would start now at the least price there can be
-        perfect: dict[int, int] = {}
-        least = IDLE_WEIGHT * self.images.least_s(job) * job.size[0] / 1e6
-        for looked, m in enumerate(ready, 1):
-            if not looked % MACHINES_A_STEP:
-                yield
-            change_count, found = rooms.get(m.index, NEVER)
-            if not found and change_count == m.change_count:
-                continue
-            for offer in self.offers(job, m, rooms, now):
-                offers.append(offer)
-                if offer.ready and offer.cost <= least:
-                    perfect[m.zone] = perfect.get(m.zone, 0) + offer.tasks
-            if perfect.get(m.zone, 0) >= max(ENOUGH, 4 * n):
-                break  # there is nothing better, and enough to choose from
-        chosen = self.choose(job, offers)
-        for _ in range(MOST_MENDS):
-            if chosen is None or self.view.turn == turn:
-                break
-            # the books may have changed while they were looked through: what was chosen is looked at again
-            stale = {
-                o.machine
-                for o, _ in chosen
-                if o.change_count != o.machine.change_count or not self.inventory.usable(o.machine, now)
-            }
-            if not stale:
-                break
-            offers = [o for o in offers if o.machine not in stale]
-            for m in sorted(stale, key=lambda m: m.index):
-                if self.inventory.usable(m, now):
-                    offers += self.offers(job, m, rooms, now)
-            chosen = self.choose(job, offers)
-        else:
-            job.why_waiting = "its machines changed while it was placed"
-            return
-        if self.view.turn != turn and not self._may_start(job):
-            return
-        if chosen is None:
+        reserves_free = is_overdue and not self._overdue_gang
+        shape = job.type, job.spec.one_zone, job.spec.spread, self.preemption.reclaims_for(job, now)
+        if self._similar_was_refused(job, shape) and not has_reserved and not reserves_free:
             job.why_waiting = NO_ROOM_FOR_GANG
-            if keeps:
-                self._keep(job, offers, now)
-            if not job.avoid and not self.clearing.patient(job, self.policy_values.preempt_after_s, now):
-                self._no_gang[alike] = n, job.size
             return
-        if not all(offer.ready for offer, _ in chosen):
-            if not all(self.clearing.may_stop(job, v, now) for offer, _ in chosen for v in offer.victims):
-                self.forget()  # a guarantee or a limit has changed since they were looked up
-                job.why_waiting = NO_ROOM_FOR_GANG
+        turn = self.context.turn
+        table = self._table_for(job, now)
+        candidates = yield from self._find_candidates(job, ready, table, now)
+        selection = GangSelection(candidates, self.choose(job, candidates))
+        if self.context.turn != turn:
+            if not self._repair(job, selection, table, now):
+                job.why_waiting = "its machines changed while it was placed"
                 return
-            job.why_waiting = "its slots are being cleared"
-            job.preempt_at = now
-            for offer, _ in chosen:
-                offer.machine.reserved_for, offer.machine.reserved_until = job.spec.id, now + RESERVE_S
-                self.clearing.displace(offer.victims, job, now)
-            return
-        self._start(job, chosen, now)
-
-    def room_for(self, job: Job, now: float) -> list[Machine] | None:
-        """Machines that would take the whole gang now, with nothing stopped for it; None if there are not enough.
-
-        For a gang that is not in the books: another cluster asks.
-        """
-        offers: list[GangCandidates] = []
-        rooms: dict[int, tuple[int, list[GangPlacement]]] = {}
-        for m in self.inventory.machines:
-            if self.inventory.usable(m, now) and m.free[0] >= job.size[0]:
-                offers += [o for o in self.offers(job, m, rooms, now) if o.ready]
-        chosen = self.choose(job, offers)
-        return [offer.machine for offer, _ in chosen] if chosen is not None else None
+            if not self._may_start(job):
+                return
+        if selection.shares is None:
+            job.why_waiting = NO_ROOM_FOR_GANG
+            if reserves_free:
+                self._reserve_free_machines(job, selection.candidates, now)
+            if not job.avoid and not self._must_not_preempt_yet(job, now):
+                self._smallest_refused[shape] = job.spec.tasks, job.size
+        elif all(share.candidate.ready for share in selection.shares):
+            self._start(job, selection.shares, now)
+        else:
+            self._clear(job, selection.shares, now)
 
     def _may_start(self, job: Job) -> bool:
-        """Whether the whole gang is nowhere, and its team's limit leaves room for it."""
+        """Return whether none of the gang's tasks may run anywhere and its team's limit admits all of them."""
         if not job.live or not job.startable():
             return False
         if job.allocations:
@@ -199,139 +193,252 @@
             return False
         return True
 
-    def _keep(self, job: Job, offers: list[GangCandidates], now: float) -> None:
-        """Keeps free machines for an overdue gang, in the zone where most of it has room, until it can start whole.
+    def _keep_team_limit(self, job: Job) -> None:
+        """Keep what is left of its team's limit for an overdue gang that this limit alone keeps from starting.
+
+        Smaller jobs of its team would use up the limit again and again.
+        """
+        team = self.registry.teams[job.team]
+        if not team.kept_for and job.startable() and team.headroom(job.size) < job.spec.tasks:
+            team.kept_for = job.spec.id
+
+    def _similar_was_refused(self, job: Job, shape: GangShape) -> bool:
+        """Return whether this pass found no room for a gang of the same shape that was no larger.
+
+        Nothing within a pass makes room for such a gang, and each search takes milliseconds.
+        """
+        tasks, size = self._smallest_refused.get(shape, (job.spec.tasks + 1, job.size))
+        return job.spec.tasks >= tasks and fits(size, job.size)
+
+    def _must_not_preempt_yet(self, job: Job, now: float) -> bool:
+        """Return whether a gang should go on waiting before other work is stopped for it."""
+        return self.preemption.patient(job, self.policy_values.preempt_after_s, now)
+
+    def _find_candidates(
+        self, job: Job, ready: list[Machine], table: PlacementTable, now: float
+    ) -> Generator[None, None, list[GangCandidates]]:
+        """Return what machines could do for a gang; the search ends early once there is enough of the cheapest."""
+        candidates: list[GangCandidates] = []
+        #: by zone, tasks that could start now at the lowest cost there can be
+        cheapest_slots: dict[int, int] = {}
+        lowest_cost = IDLE_WEIGHT * self.images.least_s(job) * job.size[0] / MICRO_UNITS
+        enough = max(ENOUGH, ENOUGH_PER_TASK * job.spec.tasks)
+        for examined, machine in enumerate(ready, 1):
+            if not examined % MACHINES_PER_STEP:
+                yield
+            # `offers` looks this up as well: most machines have nothing, and are skipped here without a call
+            change_count, placements = table.get(machine.index, NOT_EXAMINED)
+            if not placements and change_count == machine.change_count:
+                continue
+            for candidate in self.offers(job, machine, table, now):
+                candidates.append(candidate)
+                if candidate.ready and candidate.cost <= lowest_cost:
+                    cheapest_slots[machine.zone] = cheapest_slots.get(machine.zone, 0) + candidate.tasks
+            if cheapest_slots.get(machine.zone, 0) >= enough:
+                break
+        return candidates
+
+    def _repair(self, job: Job, selection: GangSelection, table: PlacementTable, now: float) -> bool:
+        """Replace chosen machines that changed while others were examined.
 
-        One gang a pass, the first in order of service, and no more machines than it needs; each pass looks anew, so
-        that what is kept is given back within `RESERVE_S` once it starts elsewhere, is cancelled, or another zone is
-        better.
-        Nothing is stopped for it that could not be stopped anyway.
+        Returns:
+            False if the choice still rests on outdated candidates after `MAX_REPAIRS` attempts.
         """
-        self._kept_for = job.spec.id
-        free: dict[int, list[GangCandidates]] = {}
-        for o in offers:
-            if o.ready and not o.victims and o.machine.reserved_for in (None, job.spec.id):
-                free.setdefault(o.machine.zone if job.spec.one_zone else -1, []).append(o)
-        if not free:
+        for _ in range(MAX_REPAIRS):
+            if selection.shares is None:
+                return True
+            outdated = {
+                candidate.machine
+                for candidate, _ in selection.shares
+                if candidate.change_count != candidate.machine.change_count
+                or not self.inventory.usable(candidate.machine, now)
+            }
+            if not outdated:
+                return True
+            selection.candidates = [c for c in selection.candidates if c.machine not in outdated]
+            for machine in sorted(outdated, key=lambda m: m.index):
+                if self.inventory.usable(machine, now):
+                    selection.candidates += self.offers(job, machine, table, now)
+            selection.shares = self.choose(job, selection.candidates)
+        return False
+
+    def _clear(self, job: Job, shares: list[GangShare], now: float) -> None:
+        """Stop the victims on the chosen machines, and reserve these for the gang."""
+        victims = [victim for candidate, _ in shares for victim in candidate.victims]
+        if not all(self.preemption.may_stop(job, victim, now) for victim in victims):
+            self.forget()  # a guarantee or a limit has changed since they were looked up
+            job.why_waiting = NO_ROOM_FOR_GANG
             return
-        best = max(free.values(), key=lambda group: sum(o.tasks for o in group))
-        left = job.spec.tasks
-        for o in sorted(best, key=lambda o: (o.machine.reserved_for is None, o.cost, o.machine.index)):
-            if left <= 0:
+        job.why_waiting = "its slots are being cleared"
+        job.preempt_at = now
+        for candidate, _ in shares:
+            self._reserve(candidate.machine, job, until=now + RESERVATION_S)
+            self.preemption.displace(candidate.victims, job, now)
+
+    def _reserve_free_machines(self, job: Job, candidates: list[GangCandidates], now: float) -> None:
+        """Reserve free machines for an overdue gang, in the zone where most of it fits, until it can start whole.
+
+        This is done for one gang in a pass, the first in order of service, and for no more machines than it needs.
+        Nothing is stopped for it that could not be stopped anyway. Each pass selects again, so that reservations end
+        within `RESERVATION_S` if the gang starts elsewhere, is cancelled, or fits better into another zone.
+        """
+        self._overdue_gang = job.spec.id
+        free_by_zone: dict[int, list[GangCandidates]] = {}
+        for candidate in candidates:
+            machine = candidate.machine
+            if candidate.ready and not candidate.victims and machine.reserved_for in (None, job.spec.id):
+                free_by_zone.setdefault(machine.zone if job.spec.one_zone else -1, []).append(candidate)
+        if not free_by_zone:
+            return
+        best = max(free_by_zone.values(), key=lambda free: sum(candidate.tasks for candidate in free))
+        best.sort(key=lambda c: (c.machine.reserved_for is None, c.cost, c.machine.index))
+        missing = job.spec.tasks
+        for candidate in best:
+            if missing <= 0:
                 break
-            left -= o.tasks
-            o.machine.reserved_for, o.machine.reserved_until = job.spec.id, now + RESERVE_S
-        job.why_waiting = f"{job.spec.tasks - max(0, left)} of its slots are kept for it, the others are not free"
+            missing -= candidate.tasks
+            self._reserve(candidate.machine, job, until=now + RESERVATION_S)
+        reserved = job.spec.tasks - max(0, missing)
+        job.why_waiting = f"{reserved} of its slots are kept for it, the others are not free"
 
-    def _start(self, job: Job, chosen: list[tuple[GangCandidates, int]], now: float) -> None:
+    def _start(self, job: Job, shares: list[GangShare], now: float) -> None:
+        """Start all tasks of a gang."""
         attempt = self.dispatch.next_attempt()
-        job.stages = GangStartTimeline(attempt, max(job.wait_since, *(o.machine.freed_at for o, _ in chosen)), now)
+        room_since = max(job.wait_since, *(candidate.machine.freed_at for candidate, _ in shares))
+        job.stages = GangStartTimeline(attempt, room_since, now)
+        # a task whose machine has the image would wait for the others, and workers end that wait after a while
+        fetches_s = [self.images.fetch_s(job, candidate.machine) for candidate, _ in shares]
+        uneven = max(fetches_s) > UNEVEN_FETCH_SHARE * self.gang_wait_s
         index = 0
-        # a task whose machine has the image would wait for the others, and not for longer than the workers let it
-        fetches = [self.images.fetch_s(job, offer.machine) for offer, _ in chosen]
-        uneven = max(fetches) > UNEVEN * self.gang_wait_s
-        for (offer, count), fetch in zip(chosen, fetches, strict=True):
-            m = offer.machine
-            for _ in range(count):
-                allocation = self.dispatch.start(job, index, m, attempt, now)
-                allocation.held = uneven and fetch == 0.0
+        for (candidate, tasks), fetch_s in zip(shares, fetches_s, strict=True):
+            machine = candidate.machine
+            for _ in range(tasks):
+                allocation = self.dispatch.start(job, index, machine, attempt, now)
+                allocation.held = uneven and fetch_s == 0.0
                 index += 1
-            if m.reserved_for == job.spec.id:
-                m.reserved_for = None
+            if machine.reserved_for == job.spec.id:
+                machine.reserved_for = None
         log.info(
-            "gang %s: %d tasks placed after %.1f s on %s",
-            job.spec.id,
-            index,
-            now - job.accepted_at,
-            ",".join(offer.machine.name for offer, _ in chosen),
+            LogEvent(
+                "gang_placed",
+                job_id=job.spec.id,
+                tasks=index,
+                wait_s=now - job.accepted_at,
+                machines=[candidate.machine.name for candidate, _ in shares],
+            )
         )
 
-    def _rooms(self, job: Job, now: float) -> dict[int, tuple[int, list[GangPlacement]]]:
-        """What this pass knows of machines for gangs like this one, whatever their images: by machine, its count of
-        edits when it was looked at, and what it had. Most machines have nothing, and are passed over by a look."""
-        most = max((tasks_that_fit(job.size, room) for room in self.inventory.rooms), default=0)
-        patient = self.clearing.patient(job, self.policy_values.preempt_after_s, now)
-        key = job.size, job.rank, self.clearing.reclaims_for(job, now), patient, min(job.spec.tasks, most)
-        return self._remembered(self._known, key)
-
-    def offers(
-        self, job: Job, m: Machine, rooms: dict[int, tuple[int, list[GangPlacement]]], now: float
-    ) -> list[GangCandidates]:
-        """What a machine could do for a gang: free room now, or room that stopping other work would free.
-
-        Both have a price in CPU seconds: work thrown away, and cores that stand still while an image is
-        fetched. A machine that has the image may be worth clearing though another is free.
+    def room_for(self, job: Job, now: float) -> list[Machine] | None:
+        """Return machines that could start the whole gang now without preemption, or None if there are not enough.
+
+        Args:
+            job: a gang that is not registered here: another cluster asks.
+            now: seconds on the leader's clock.
         """
-        change_count, found = rooms.get(m.index, NEVER)
-        if change_count != m.change_count:
-            change_count, found = rooms[m.index] = m.change_count, self._room(job, m, now)
-        # one bad machine would cost the whole gang its start
-        on_probation = m.errors and now - m.error_at <= GANG_PROBATION_S
-        if not found or on_probation or not self.placing.allowed(job, m):
+        candidates: list[GangCandidates] = []
+        table: PlacementTable = {}
+        for machine in self.inventory.machines:
+            if self.inventory.usable(machine, now) and machine.free[0] >= job.size[0]:
+                candidates += [c for c in self.offers(job, machine, table, now) if c.ready]
+        shares = self.choose(job, candidates)
+        return [candidate.machine for candidate, _ in shares] if shares is not None else None
+
+    def _table_for(self, job: Job, now: float) -> PlacementTable:
+        """Return what is known of machines for gangs like this one, whatever their images."""
+        max_per_machine = max((tasks_that_fit(job.size, capacity) for capacity in self.inventory.rooms), default=0)
+        key = (
+            job.size,
+            job.rank,
+            self.preemption.reclaims_for(job, now),
+            self._must_not_preempt_yet(job, now),
+            min(job.spec.tasks, max_per_machine),
+        )
+        return self._cached_table(self._tables, key)
+
+    def offers(self, job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidates]:
+        """Return what a machine could do for a gang: slots that are free now, or that preemption would free.
+
+        Both cost CPU seconds: work that is thrown away, and cores that idle while the image is fetched. A machine
+        that has the image may be worth clearing although another one is free.
+        """
+        change_count, placements = table.get(machine.index, NOT_EXAMINED)
+        if change_count != machine.change_count:
+            change_count, placements = table[machine.index] = machine.change_count, self._examine(job, machine, now)
+        on_probation = machine.errors and now - machine.error_at <= GANG_PROBATION_S
+        if not placements or on_probation or not self.placement.allowed(job, machine):
             return []
-        fetch = IDLE_WEIGHT * self.images.fetch_s(job, m) * job.size[0] / 1e6
-        if m.slowness > PLACED_LAST:  # the slowest machine sets the speed of the whole gang
-            fetch += (m.slowness - 1.0) * self.view.run_times.run_s(job) * job.size[0] / 1e6
-        return [GangCandidates(m, change_count, r.tasks, r.victims, fetch + r.cost, r.ready) for r in found]
-
-    def _room(self, job: Job, m: Machine, now: float) -> list[GangPlacement]:
-        """What there is on a machine for a gang's tasks, whatever their image."""
-        if self.clearing.hopeless(job, m, self.clearing.reclaims_for(job, now) >= 0):
+        fetch_cost = IDLE_WEIGHT * self.images.fetch_s(job, machine) * job.size[0] / MICRO_UNITS
+        if machine.slowness > SLOW_MACHINE_RATIO:  # the slowest machine sets the speed of the whole gang
+            fetch_cost += (machine.slowness - 1.0) * self.context.run_times.run_s(job) * job.size[0] / MICRO_UNITS
+        return [
+            GangCandidates(machine, change_count, p.tasks, p.victims, fetch_cost + p.cost, p.ready) for p in placements
+        ]
+
+    def _examine(self, job: Job, machine: Machine, now: float) -> list[GangPlacement]:
+        """Return the slots that a machine has for a gang, whatever its image: free ones, and more by preemption."""
+        if self.preemption.hopeless(job, machine, self.preemption.reclaims_for(job, now) >= 0):
             return []
-        found = []
-        free = min(tasks_that_fit(job.size, m.free), job.spec.tasks)
+        placements = []
+        free = min(tasks_that_fit(job.size, machine.free), job.spec.tasks)
         if free > 0:
-            found.append(GangPlacement(free, [], 0.0, ready=True))
-        if (m.leaving and free > 0) or self.clearing.patient(job, self.policy_values.preempt_after_s, now):
-            return found
-        for tasks in range(min(tasks_that_fit(job.size, m.capacity), job.spec.tasks), free, -1):
-            evicted = self.clearing.eviction(job, m, tasks, now)
-            if evicted is not None:
-                # clearing takes a moment in any case, and more while something saves
-                found.append(GangPlacement(tasks, evicted[0], evicted[1] / tasks + CLEARING_COST))
+            placements.append(GangPlacement(free, [], 0.0, ready=True))
+        if (machine.leaving and free > 0) or self._must_not_preempt_yet(job, now):
+            return placements
+        for tasks in range(min(tasks_that_fit(job.size, machine.capacity), job.spec.tasks), free, -1):
+            eviction = self.preemption.eviction(job, machine, tasks, now)
+            if eviction is not None:
+                victims, cost = eviction
+                placements.append(GangPlacement(tasks, victims, cost / tasks + PREEMPTION_DELAY_COST))
                 break
-        return found
+        return placements
+
+    def choose(self, job: Job, candidates: list[GangCandidates]) -> list[GangShare] | None:
+        """Return the cheapest machines for a whole gang, in one zone or spread as its job demands.
 
-    def choose(self, job: Job, offers: list[GangCandidates]) -> list[tuple[GangCandidates, int]] | None:
-        """The cheapest machines for a whole gang, in one zone or spread as its job demands."""
+        Returns:
+            None if the candidates do not suffice.
+        """
+        tasks = job.spec.tasks
         if not job.spec.one_zone:
-            limit = -(-job.spec.tasks // 2) if job.spec.spread else job.spec.tasks
-            return self._pick(self._ranked(job, offers), job.spec.tasks, limit)
-        best: list[tuple[GangCandidates, int]] | None = None
+            max_per_zone = -(-tasks // 2) if job.spec.spread else tasks
+            return self._pick(self._ranked(job, candidates), tasks, max_per_zone)
+        best: list[GangShare] | None = None
         best_cost = math.inf
-        for zone in sorted({o.machine.zone for o in offers}):
-            there = self._ranked(job, [o for o in offers if o.machine.zone == zone])
-            picked = self._pick(there, job.spec.tasks, job.spec.tasks)
-            if picked is None:
+        for zone in sorted({c.machine.zone for c in candidates}):
+            in_zone = self._ranked(job, [c for c in candidates if c.machine.zone == zone])
+            shares = self._pick(in_zone, tasks, tasks)
+            if shares is None:
                 continue
-            cost = sum(o.cost * n for o, n in picked)
+            cost = sum(share.candidate.cost * share.tasks for share in shares)
             if cost < best_cost:
-                best, best_cost = picked, cost
+                best, best_cost = shares, cost
         return best
 
-    def _ranked(self, job: Job, offers: list[GangCandidates]) -> Iterator[GangCandidates]:
-        """The best offers first. What decides between equals is looked up only as far as they are asked for."""
+    def _ranked(self, job: Job, candidates: list[GangCandidates]) -> Iterator[GangCandidates]:
+        """Yield the best candidates first. The order among equals is computed only as far as it is asked for."""
 
-        def price(o: GangCandidates) -> tuple[bool, float]:
-            return o.machine.reserved_for is None, o.cost
+        def cost_key(candidate: GangCandidates) -> tuple[bool, float]:
+            return candidate.machine.reserved_for is None, candidate.cost
 
-        for _, equals in itertools.groupby(sorted(offers, key=price), price):
-            yield from sorted(equals, key=lambda o: self.placing.preference(job, o.machine))
+        for _, equals in itertools.groupby(sorted(candidates, key=cost_key), cost_key):
+            yield from sorted(equals, key=lambda c: self.placement.preference(job, c.machine))
 
     @staticmethod
-    def _pick(ranked: Iterator[GangCandidates], tasks: int, zone_limit: int) -> list[tuple[GangCandidates, int]] | None:
-        left = tasks
-        picked: list[tuple[GangCandidates, int]] = []
-        used: dict[int, int] = {}
-        taken: set[int] = set()
-        for offer in ranked:
-            m = offer.machine
-            count = min(offer.tasks, left, zone_limit - used.get(m.zone, 0))
-            if count > 0 and m.index not in taken:
-                taken.add(m.index)
-                picked.append((offer, count))
-                used[m.zone] = used.get(m.zone, 0) + count
-                left -= count
-            if left == 0:
-                return picked
+    def _pick(ranked: Iterator[GangCandidates], tasks: int, max_per_zone: int) -> list[GangShare] | None:
+        """Return shares of the first candidates that take all tasks, or None if they do not suffice."""
+        missing = tasks
+        shares: list[GangShare] = []
+        tasks_by_zone: dict[int, int] = {}
+        machines: set[int] = set()
+        for candidate in ranked:
+            machine = candidate.machine
+            in_zone = tasks_by_zone.get(machine.zone, 0)
+            count = min(candidate.tasks, missing, max_per_zone - in_zone)
+            if count > 0 and machine.index not in machines:
+                machines.add(machine.index)
+                shares.append(GangShare(candidate, count))
+                tasks_by_zone[machine.zone] = in_zone + count
+                missing -= count
+            if missing == 0:
+                return shares
         return None
--- a/src/grebestand/scheduling/image_locality.py
+++ b/src/grebestand/scheduling/image_locality.py
@@ -4,15 +4,15 @@
 
 from ..cluster_state.jobs import Job
 from ..cluster_state.machine import Machine
-from .scheduling_context import MACHINES_A_STEP, SchedulingComponent, SchedulingContext, Steps
+from .scheduling_context import MACHINES_PER_STEP, SchedulingComponent, SchedulingContext, Steps
 
 #: an image is well spread if the machines that have it have so many times the room that is asked for with it
 HOST_FACTOR = 2.0
 
 
 class ImageLocality(SchedulingComponent):
-    def __init__(self, view: SchedulingContext) -> None:
-        super().__init__(view)
+    def __init__(self, context: SchedulingContext) -> None:
+        super().__init__(context)
         #: images for which the machines that have them had room enough when targets were last set
         self.well_spread: set[int] = set()
         #: images that some machine had or fetched then
@@ -27,7 +27,7 @@
                 demand[job.image] = demand.get(job.image, 0) + tasks * job.size[0]
         hosts: dict[int, int] = {}
         for looked, m in enumerate(list(self.inventory.machines), 1):
-            if not looked % MACHINES_A_STEP:
+            if not looked % MACHINES_PER_STEP:
                 yield
             if self.inventory.counts(m):
                 for image in (*m.images, *m.pulls):
--- a/src/grebestand/scheduling/migration.py
+++ b/src/grebestand/scheduling/migration.py
@@ -13,8 +13,8 @@
 
 
 class Migration(SchedulingComponent):
-    def __init__(self, view: SchedulingContext, images: ImageLocality) -> None:
-        super().__init__(view)
+    def __init__(self, context: SchedulingContext, images: ImageLocality) -> None:
+        super().__init__(context)
         self.images = images
 
     def migrate(self, now: float) -> None:
--- a/src/grebestand/scheduling/pending_reasons.py
+++ b/src/grebestand/scheduling/pending_reasons.py
@@ -19,8 +19,8 @@
 
 
 class PendingReasons(SchedulingComponent):
-    def __init__(self, view: SchedulingContext) -> None:
-        super().__init__(view)
+    def __init__(self, context: SchedulingContext) -> None:
+        super().__init__(context)
         self.explained_at = -math.inf
         #: what was last told of each job that waits, and when
         self._told: dict[Job, tuple[str, float]] = {}
--- a/src/grebestand/scheduling/preemption.py
+++ b/src/grebestand/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Room that stopping other work would make: what a job may displace, what that costs, and the stopping itself."""
+"""Preemption: which work a job may displace, what stopping it costs, and the stopping itself."""
 
 from __future__ import annotations
 
@@ -8,163 +8,188 @@
 
 from ..cluster_state.jobs import Allocation, Job
 from ..cluster_state.machine import Machine
-from ..cluster_state.resources import add, fits, multiply
+from ..cluster_state.resources import MICRO_UNITS, add, fits, multiply
+from ..log_events import LogEvent
 from ..state_machines import AllocationState
 from .job_ordering import JobOrdering
-from .scheduling_context import SchedulingComponent, SchedulingContext
+from .scheduling_context import SAVE_MARGIN_S, SchedulingComponent, SchedulingContext
 
 log = logging.getLogger(__name__)
 
-#: what is known of a machine that was not looked at
-NOT_RANKED: tuple[int, list[tuple[float, Allocation]]] = (-1, [])
+#: change count and victims of a machine that was not examined yet; real change counts are not negative
+NOT_EXAMINED: tuple[int, list[tuple[float, Allocation]]] = (-1, [])
+#: how many times its cost protected work counts, so that other victims are found first
+PROTECTED_WEIGHT = 3.0
+#: seconds of work that every stop is taken to lose, so that work that has only just begun is not free to stop
+STOP_OVERHEAD_S = 1.0
+#: the same for a task that has not begun to run, on top of the time for which its cores have been idle
+IDLE_OVERHEAD_S = 1.0
+#: a job that has just preempted others waits this long before it preempts more: their capacity may not be free yet
+PREEMPTION_INTERVAL_S = 1.0
 
 
 class PreemptionCost(NamedTuple):
-    """What is the same for all places of a job when one of them is to be stopped."""
+    """The part of the cost of stopping a task that is the same for all tasks of its job."""
 
-    #: of a second of its work, in CPU seconds, gangs counted whole
-    price: float
-    saves: bool
-    #: it counts for more: within a guarantee, or about to miss an aim
-    dear: bool
+    #: CPU seconds lost for each second of work, with all tasks of a gang counted
+    cpus: float
+    #: whether it saves its progress when it is stopped
+    checkpoints: bool
+    #: whether the job runs within its team's guarantee, or would miss an objective if it started anew
+    is_protected: bool
 
 
 class Preemption(SchedulingComponent):
-    def __init__(self, view: SchedulingContext, aims: JobOrdering) -> None:
-        super().__init__(view)
-        self.aims = aims
-        #: teams over their guarantee when the pass began: only they can be asked to give room back
+    """Finds and stops the work that a job may displace."""
+
+    def __init__(self, context: SchedulingContext, ordering: JobOrdering) -> None:
+        super().__init__(context)
+        self.ordering = ordering
+        #: teams above their guarantee when the pass began: a guarantee is reclaimed from these only
         self.borrowers: set[int] = set()
-        #: by machine: its count of edits, and what it holds, the cheapest to stop first
-        self._ranked: dict[int, tuple[int, list[tuple[float, Allocation]]]] = {}
-        #: by job, what is the same for all its places
-        self._stakes: dict[Job, PreemptionCost] = {}
+        #: by machine: its change count, and its tasks with the cost of stopping each, the cheapest first
+        self._victims_by_machine: dict[int, tuple[int, list[tuple[float, Allocation]]]] = {}
+        self._costs_by_job: dict[Job, PreemptionCost] = {}
 
     def begin(self) -> None:
-        """A full pass begins."""
-        self.borrowers = {t for t, team in enumerate(self.registry.teams) if team.borrows()}
+        """Start a full pass: find the teams that borrow."""
+        self.borrowers = {index for index, team in enumerate(self.registry.teams) if team.borrows()}
 
     def forget(self) -> None:
-        """Time has passed, so that what stopping costs has to be looked up again."""
-        self._ranked = {}
-        self._stakes = {}
+        """Drop cached costs, which grow with time."""
+        self._victims_by_machine = {}
+        self._costs_by_job = {}
 
     def _may_displace(self, job: Job, victim: Allocation, reclaims: bool) -> bool:
-        """Only the protocol's cases: higher priority, or a guarantee against another team's borrowing."""
+        """Return whether a job may displace a task: one of lower priority, or one of a team that borrows.
+
+        Args:
+            job: the job that needs room.
+            victim: a task of any job.
+            reclaims: whether the job may reclaim its team's guarantee now.
+        """
         other = victim.job
         if other is job or not other.live or victim.stop is not None:
             return False
-        mine, theirs = job.rank, other.rank
-        if mine != theirs:
-            # a guarantee never displaces higher priority: that work would displace it again in turn, and two
-            # jobs that take turns in stopping each other get nowhere
-            return mine < theirs
+        if job.rank != other.rank:
+            # a guarantee never displaces work of higher priority: that would displace it in turn, and two jobs that
+            # keep stopping each other make no progress
+            return job.rank < other.rank
         return (
             reclaims and not other.guaranteed and other.team != job.team and self.registry.teams[other.team].borrows()
         )
 
     def may_stop(self, job: Job, victim: Allocation, now: float) -> bool:
-        """Whether that is still so for a victim found earlier."""
+        """Return whether a victim that was found earlier may still be displaced."""
         return victim.state is not AllocationState.GONE and self._may_displace(
             job, victim, self.reclaims_for(job, now) >= 0
         )
 
     def reclaims_for(self, job: Job, now: float) -> int:
-        """The team for which the job may take back a guarantee from others, or -1."""
-        others = job.guaranteed and bool(self.borrowers - {job.team})
-        return job.team if others and now - job.wait_since >= self.policy_values.reclaim_after_s else -1
+        """Return the index of the team whose guarantee the job may reclaim from others now, or -1."""
+        others_borrow = job.guaranteed and bool(self.borrowers - {job.team})
+        return job.team if others_borrow and now - job.wait_since >= self.policy_values.reclaim_after_s else -1
 
-    def _victims(self, m: Machine, now: float) -> list[tuple[float, Allocation]]:
-        """All that a machine holds, the cheapest to stop first, whoever asks.
+    def _ranked_victims(self, machine: Machine, now: float) -> list[tuple[float, Allocation]]:
+        """Return all tasks of a machine that are not being stopped, the cheapest to stop first.
 
-        Sorted once for everybody: once for each team that took its guarantee back, with the same places and the same
-        prices each time, was most of what a pass cost in a crowded fleet. Looked up again when the machine changes,
-        and with each new targets since prices grow with time.
+        The list does not depend on the job that asks, so it is sorted once per machine: sorting it for each team that
+        reclaims its guarantee would dominate a pass on a crowded cluster. It is renewed when the machine changes, and
+        with each computation of targets since costs grow with time.
         """
-        change_count, found = self._ranked.get(m.index, NOT_RANKED)
-        if change_count != m.change_count:
-            found = sorted(
-                ((self._loss(p, now), p) for p in m.allocations.values() if p.stop is None), key=operator.itemgetter(0)
+        change_count, victims = self._victims_by_machine.get(machine.index, NOT_EXAMINED)
+        if change_count != machine.change_count:
+            victims = sorted(
+                ((self._lost_work(a, now), a) for a in machine.allocations.values() if a.stop is None),
+                key=operator.itemgetter(0),
             )
-            self._ranked[m.index] = m.change_count, found
-        return found
-
-    def _stake(self, job: Job, now: float) -> PreemptionCost:
-        known = self._stakes.get(job)
-        if known is None:
-            spec = job.spec
-            tasks = spec.tasks if job.gang else 1
-            # what was stopped before should not be the cheapest again: some gangs were placed nine times
-            price = (1.0 + job.displaced) * tasks * max(job.size[0], 1) / 1e6
-            saves = spec.checkpoint_s > 0
-            dear = job.guaranteed or (not saves and self.aims.tight(job, None, now))
-            known = self._stakes[job] = PreemptionCost(price, saves, dear)
-        return known
-
-    def _loss(self, victim: Allocation, now: float) -> float:
-        """Machine time that stopping this task throws away, gangs counted whole."""
+            self._victims_by_machine[machine.index] = machine.change_count, victims
+        return victims
+
+    def _cost_for_job(self, job: Job, now: float) -> PreemptionCost:
+        """Return what stopping any task of the job costs, from the cache if it is there."""
+        cost = self._costs_by_job.get(job)
+        if cost is None:
+            tasks = job.spec.tasks if job.gang else 1
+            # a gang that was displaced before costs more, so that it is not the cheapest victim again and again
+            cpus = (1.0 + job.displaced) * tasks * max(job.size[0], 1) / MICRO_UNITS
+            checkpoints = job.spec.checkpoint_s > 0
+            is_protected = job.guaranteed or (not checkpoints and self.ordering.tight(job, None, now))
+            cost = self._costs_by_job[job] = PreemptionCost(cpus, checkpoints, is_protected)
+        return cost
+
+    def _lost_work(self, victim: Allocation, now: float) -> float:
+        """Return the CPU seconds that stopping this task would waste, with all tasks of a gang counted."""
         job = victim.job
-        stake = self._stake(job, now)
+        cost = self._cost_for_job(job, now)
         if victim.run_at is None:
-            # its cores have stood still for an image that it will need again elsewhere
-            seconds = 1.0 + now - victim.made_at
-        elif stake.saves:
-            seconds = job.spec.save_s + 1.0
+            # its cores have been idle while its image is fetched, which would have to be fetched again elsewhere
+            seconds = IDLE_OVERHEAD_S + now - victim.made_at
+        elif cost.checkpoints:
+            seconds = job.spec.save_s + SAVE_MARGIN_S
         else:
             seconds = now - victim.run_at
-        dear = stake.dear or (stake.saves and self.aims.tight(job, victim.run_at, now))
-        return (3.0 if dear else 1.0) * stake.price * (1.0 + seconds)
+        is_protected = cost.is_protected or (cost.checkpoints and self.ordering.tight(job, victim.run_at, now))
+        return (PROTECTED_WEIGHT if is_protected else 1.0) * cost.cpus * (STOP_OVERHEAD_S + seconds)
 
-    def hopeless(self, job: Job, m: Machine, reclaims: bool) -> bool:
-        """Whether not even all that the job may displace there, and what leaves already, would make room for a task.
+    def hopeless(self, job: Job, machine: Machine, reclaims: bool) -> bool:
+        """Return whether displacing all that the job may displace on a machine would not make room for one task.
 
-        A look at what each priority uses, and of its own priority what teams beyond their guarantee do; most machines
-        are passed over by it.
+        This is a quick check of CPUs by priority and team, which rules out most machines. It may return False where
+        `eviction` finds nothing, never True where it finds something.
         """
-        if m.leaving:
+        if machine.leaving:
             return False
-        cpus = m.free[0] + sum(m.rank_cpus[job.rank + 1 :])
+        cpus = machine.free[0] + sum(machine.rank_cpus[job.rank + 1 :])
         if reclaims and cpus < job.size[0]:
             cpus += sum(
-                n for (r, t), n in m.team_cpus.items() if r == job.rank and t != job.team and t in self.borrowers
+                used
+                for (rank, team), used in machine.team_cpus.items()
+                if rank == job.rank and team != job.team and team in self.borrowers
             )
         return cpus < job.size[0]
 
-    def eviction(self, job: Job, m: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
-        """The cheapest victims on one machine that free room for so many tasks, or None if none can."""
+    def eviction(self, job: Job, machine: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
+        """Return the cheapest victims on a machine that free capacity for so many tasks, and their cost.
+
+        Returns:
+            The victims and the CPU seconds that stopping them wastes, or None if there are not enough. There are no
+            victims if the capacity is free, or will be once tasks that are being stopped are gone.
+        """
         need = multiply(job.size, tasks)
-        room = m.free
-        if m.leaving:
-            for allocation in m.allocations.values():
+        capacity = machine.free
+        if machine.leaving:
+            for allocation in machine.allocations.values():
                 if allocation.stop is not None:
-                    room = add(room, allocation.job.size)
+                    capacity = add(capacity, allocation.job.size)
         victims: list[Allocation] = []
         cost = 0.0
         reclaims = self.reclaims_for(job, now) >= 0
-        for loss, allocation in self._victims(m, now):
-            if fits(need, room):
+        for lost_work, allocation in self._ranked_victims(machine, now):
+            if fits(need, capacity):
                 break
-            # what has gone or was stopped since the list was made is not asked again
+            # the list may name tasks that have ended or were stopped since
             if allocation.state is not AllocationState.GONE and self._may_displace(job, allocation, reclaims):
                 victims.append(allocation)
-                cost += loss
-                room = add(room, allocation.job.size)
-        return (victims, cost) if fits(need, room) else None
+                cost += lost_work
+                capacity = add(capacity, allocation.job.size)
+        return (victims, cost) if fits(need, capacity) else None
 
     def displace(self, victims: list[Allocation], job: Job, now: float) -> None:
+        """Stop the victims in favour of a job; gangs are stopped whole, and tasks with checkpoints save first."""
         if victims:
-            names = ", ".join(f"{v.job.spec.id}/{v.index}" for v in victims)
-            log.info("stopped to make room for %s: %s", job.spec.id, names)
+            names = [f"{victim.job.spec.id}/{victim.index}" for victim in victims]
+            log.info(LogEvent("tasks_preempted", for_job_id=job.spec.id, tasks=names))
         for victim in victims:
             other = victim.job
-            grace = other.spec.save_s + 1.0 if other.spec.checkpoint_s > 0 else 0.0
+            grace_s = other.spec.save_s + SAVE_MARGIN_S if other.spec.checkpoint_s > 0 else 0.0
             if other.gang:
                 other.displaced += 1
-                self.dispatch.stop_job(other, "preempted", grace, now)
+                self.dispatch.stop_job(other, "preempted", grace_s, now)
             else:
-                self.dispatch.stop(victim, "preempted", grace, now)
+                self.dispatch.stop(victim, "preempted", grace_s, now)
 
     @staticmethod
     def patient(job: Job, after_s: float, now: float) -> bool:
-        """Whether the job should go on waiting before anything is stopped for it."""
-        return now - job.wait_since < after_s or now - job.preempt_at < 1.0
+        """Return whether the job should wait longer before any work is preempted for it."""
+        return now - job.wait_since < after_s or now - job.preempt_at < PREEMPTION_INTERVAL_S
--- a/src/grebestand/scheduling/scale_out.py
+++ b/src/grebestand/scheduling/scale_out.py
@@ -24,8 +24,8 @@
 
 
 class ScaleOut(SchedulingComponent):
-    def __init__(self, view: SchedulingContext) -> None:
-        super().__init__(view)
+    def __init__(self, context: SchedulingContext) -> None:
+        super().__init__(context)
         self.shortages: list[CapacityShortage] = []
 
     def measure(
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -1,9 +1,10 @@
-"""What runs where: targets and templates each period, a full pass over all that waits, and a report's own room."""
+"""The scheduler: targets and templates each period, full passes over waiting jobs, and filling single machines."""
 
 from __future__ import annotations
 
 import math
 
+from ..cluster_state.jobs import Job
 from ..cluster_state.machine import Machine
 from ..settings.platform import Objective
 from .gang_scheduling import GangScheduling
@@ -20,92 +21,128 @@
 
 
 class Scheduler:
-    def __init__(self, view: SchedulingContext, objectives: list[Objective], gang_wait_s: float) -> None:
-        self.view = view
-        self.registry = view.registry
-        self.inventory = view.inventory
+    """Decides what runs where. Builds the parts that decide, and runs them in order."""
+
+    def __init__(self, context: SchedulingContext, objectives: list[Objective], gang_wait_s: float) -> None:
+        self.view = context
+        self.registry = context.registry
+        self.inventory = context.inventory
         self.retargeted_at = -math.inf
-        self.aims = JobOrdering(objectives, view.run_times)
-        self.images = ImageLocality(view)
-        self.clearing = Preemption(view, self.aims)
-        self.placing = Placement(view, self.images, self.clearing)
-        self.gangs = GangScheduling(view, self.images, self.clearing, self.placing, gang_wait_s)
-        self.renting = ScaleOut(view)
-        self.targets = TemplateTargets(view, self.renting)
-        self.migration = Migration(view, self.images)
-        self.explanation = PendingReasons(view)
+        self.ordering = JobOrdering(objectives, context.run_times)
+        self.images = ImageLocality(context)
+        self.preemption = Preemption(context, self.ordering)
+        self.placement = Placement(context, self.images, self.preemption)
+        self.gangs = GangScheduling(
+            context, images=self.images, preemption=self.preemption, placement=self.placement, gang_wait_s=gang_wait_s
+        )
+        self.renting = ScaleOut(context)
+        self.targets = TemplateTargets(context, self.renting)
+        self.migration = Migration(context, self.images)
+        self.pending_reasons = PendingReasons(context)
 
     def retarget(self, now: float, spare: bool = True) -> None:
-        """Targets and templates in one go."""
+        """Compute targets and templates without a break."""
         for _ in self.retargeting(now, spare):
             pass
 
     def retargeting(self, now: float, spare: bool = True) -> Steps:
-        """Targets and templates, and with time to spare migration, cut into steps."""
+        """Compute targets and templates in steps.
+
+        Args:
+            now: seconds on the leader's clock.
+            spare: whether the leader has time to spare, so that tasks may migrate as well.
+        """
         self.retargeted_at = now
-        self.view.policy_values = self.view.knobs_of()
+        self.view.policy_values = self.view.evaluate_policy()
         yield from self.targets.set(now)
-        self.placing.forget()
+        self.placement.forget()
         self.gangs.forget()
-        self.clearing.forget()
+        self.preemption.forget()
         yield from self.images.measure()
         yield
         if spare and self.view.policy_values.migrate:
             self.migration.migrate(now)
             yield
-        self.explanation.tell(now)
+        self.pending_reasons.tell(now)
 
-    def fill(self, m: Machine, now: float) -> None:
-        """Fills the room of one machine that has just reported."""
-        self.placing.fill(m, now)
+    def fill(self, machine: Machine, now: float) -> None:
+        """Fill the free capacity of a machine after its heartbeat."""
+        self.placement.fill(machine, now)
 
     def place(self, now: float) -> None:
-        """A full pass in one go."""
+        """Run a full pass without a break."""
         for _ in self.passing(now):
             pass
 
     def passing(self, now: float) -> Steps:
-        """A full pass, cut into steps: every job that waits, over every machine."""
+        """Run a full pass in steps: every waiting job, over every usable machine."""
         for failed in [j for j in self.registry.jobs.values() if j.avoid]:
             MachineHealth.look_again(failed, now)
         waiting = [j for j in self.registry.waiting_jobs() if now >= j.hold_until and j.startable() > 0]
         if not waiting:
-            self.placing.end([])
+            self.placement.end([])
             return
-        self.registry.rate_guarantees()
-        waiting.sort(key=lambda j: self.aims.urgency(j, now, self.view.policy_values.begin_after_s))
-        for part in (self.clearing, self.placing, self.gangs):
-            part.begin()
-        for team in self.registry.teams:
-            team.kept_for = ""
-        reserved: set[str] = set()
-        for m in self.inventory.machines:
-            if m.reserved_for is not None:
-                if m.reserved_for in self.inventory.kept and now < m.reserved_until:
-                    continue
-                reserved.add(m.reserved_for)
-                job = self.registry.jobs.get(m.reserved_for)
-                if now >= m.reserved_until or job is None or not job.live or job.waiting() == 0:
-                    m.reserved_for = None
+        self._sort_by_urgency(waiting, now)
+        self._begin_pass()
+        reserving_jobs = self._expire_reservations(now)
         ready = [m for m in self.inventory.machines if self.inventory.usable(m, now)]
         turn = self.view.turn
-        # most machines have no room for any of the single tasks; what a report brings meanwhile it fills itself
-        least = min((j.size[0] for j in waiting if not j.gang), default=0)
-        roomy = [m for m in ready if m.free[0] >= least]
+        # most machines have no free capacity for any of the single tasks; those whose heartbeat frees some meanwhile
+        # are filled by `fill`
+        smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
+        roomy = [m for m in ready if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
             if self.view.turn != turn:
                 turn = self.view.turn
                 ready = [m for m in ready if self.inventory.usable(m, now)]
-                roomy = [m for m in ready if m.free[0] >= least]
-            if not job.live or now < job.hold_until or job.startable() <= 0:
-                continue
-            veto = self.view.features.veto(job, now)
-            if veto is not None:
-                job.why_waiting = veto
+                roomy = [m for m in ready if m.free[0] >= smallest_cpus]
+            if self._must_wait(job, now):
                 continue
+            has_reserved = job.spec.id in reserving_jobs
             if job.gang:
-                yield from self.gangs.place(job, ready, now, job.spec.id in reserved)
+                yield from self.gangs.place(job, ready, now, has_reserved)
             else:
-                yield from self.placing.place(job, roomy, ready, now, job.spec.id in reserved)
-        self.placing.end(waiting)
+                yield from self.placement.place(job, roomy, ready, now, has_reserved)
+        self.placement.end(waiting)
+
+    def _sort_by_urgency(self, waiting: list[Job], now: float) -> None:
+        """Sort waiting jobs in the order of service."""
+        self.registry.rate_guarantees()
+        begin_after_s = self.view.policy_values.begin_after_s
+        waiting.sort(key=lambda job: self.ordering.urgency(job, now, begin_after_s))
+
+    def _begin_pass(self) -> None:
+        """Reset what holds for one pass only."""
+        self.preemption.begin()
+        self.placement.begin()
+        self.gangs.begin()
+        for team in self.registry.teams:
+            team.kept_for = ""
+
+    def _expire_reservations(self, now: float) -> set[str]:
+        """Remove reservations that have expired or whose job needs none, and return the jobs that had any.
+
+        A job whose reservation has just expired is returned as well: its machines are looked up in the ordinary way.
+        """
+        reserving_jobs: set[str] = set()
+        for machine in self.inventory.machines:
+            if machine.reserved_for is None:
+                continue
+            if machine.reserved_for in self.inventory.kept and now < machine.reserved_until:
+                continue
+            reserving_jobs.add(machine.reserved_for)
+            job = self.registry.jobs.get(machine.reserved_for)
+            if now >= machine.reserved_until or job is None or not job.live or job.waiting() == 0:
+                machine.reserved_for = None
+        return reserving_jobs
+
+    def _must_wait(self, job: Job, now: float) -> bool:
+        """Return whether a pass skips a job: it has changed since the pass began, or a feature vetoes it."""
+        if not job.live or now < job.hold_until or job.startable() <= 0:
+            return True
+        veto = self.view.features.veto(job, now)
+        if veto is not None:
+            job.why_waiting = veto
+            return True
+        return False
--- a/src/grebestand/scheduling/template_targets.py
+++ b/src/grebestand/scheduling/template_targets.py
@@ -7,14 +7,14 @@
 from ..cluster_state.slots import Slot, SlotTemplate
 from .greedy import Pool, ServerDemand, TemplateAssignment, cra_steps, gpa
 from .scale_out import ScaleOut
-from .scheduling_context import MACHINES_A_STEP, SchedulingComponent, SchedulingContext, Steps
+from .scheduling_context import MACHINES_PER_STEP, SchedulingComponent, SchedulingContext, Steps
 
 TYPE_MEMORY_S = 60.0
 
 
 class TemplateTargets(SchedulingComponent):
-    def __init__(self, view: SchedulingContext, renting: ScaleOut) -> None:
-        super().__init__(view)
+    def __init__(self, context: SchedulingContext, renting: ScaleOut) -> None:
+        super().__init__(context)
         self.renting = renting
 
     def _targets(self, now: float) -> tuple[list[int], list[Slot], list[float], list[float]]:
@@ -53,9 +53,9 @@
         sizes: list[int] = []
         seats: list[TemplateAssignment] = []
         width = len(self.registry.types)
-        turn = self.view.turn
+        turn = self.context.turn
         for looked, m in enumerate(members, 1):
-            if not looked % MACHINES_A_STEP:
+            if not looked % MACHINES_PER_STEP:
                 yield
             pool = Pool(m.kind, m.zone if zoned else -1, m.spot, m.capacity)
             p = pool_index.setdefault(pool, len(pools))
@@ -75,7 +75,7 @@
         yield
         yield from cra_steps(seats, plan)
         for looked, seat in enumerate(seats, 1):
-            if not looked % MACHINES_A_STEP:
+            if not looked % MACHINES_PER_STEP:
                 yield
             found = self.inventory.at(seat.tag)
             if found is None:
@@ -83,7 +83,7 @@
             found.rank, found.in_accept_group = seat.rank, seat.accept
             if not seat.changed:
                 continue
-            if self.view.turn != turn:
+            if self.context.turn != turn:
                 # what it holds may have changed meanwhile; nothing is to be stopped for a template
                 seat.empty, seat.holds = self._held(found, kinds, width)
                 if not seat.may_become(seat.config):
--- a/tests/scheduling/test_incremental_passes.py
+++ b/tests/scheduling/test_incremental_passes.py
@@ -27,7 +27,7 @@
 ) -> tuple[InMemoryCluster, InMemoryController, Term, list[WorkerEmulator]]:
     """A leader of machines that are looked at one in a step."""
     for module in (gang_scheduling, placement, template_targets):
-        monkeypatch.setattr(module, "MACHINES_A_STEP", 1)
+        monkeypatch.setattr(module, "MACHINES_PER_STEP", 1)
     world = InMemoryCluster(settings)
     node = InMemoryController(world, "node-0")
     term = node.lead()
@@ -98,7 +98,7 @@
     """The limit is read again for each machine: a report's own filling may have used it up."""
     settings = SETTINGS.replace("cpus_max = 16.0", "cpus_max = 32.0")
     world, node, term, workers = led(3, monkeypatch, settings)
-    monkeypatch.setattr(placement, "STARTS_A_STEP", 1)
+    monkeypatch.setattr(placement, "STARTS_PER_STEP", 1)
     ident = world.accept(node, crew="red", shards=30, cpus=4.0)
     other = world.accept(node, crew="red", shards=30, cpus=1.0, rank="best_effort")
     term.scheduler.retarget(world.clock.now)
@@ -106,7 +106,7 @@
     steps = term.scheduler.passing(world.clock.now)
     while not jobs[ident].allocations:
         next(steps)
-    term.scheduler.placing._start_tasks(jobs[other], machine(term, workers[2]), 12, world.clock.now)
+    term.scheduler.placement._start_tasks(jobs[other], machine(term, workers[2]), 12, world.clock.now)
     others_run(term)
     for _ in steps:
         pass
@@ -189,13 +189,13 @@
     world.accept(node, shards=100, cpus=3.0, ramGb=30.0)  # memory for two, and CPUs for three more
     world.settle(term, 6)
     looked: list[str] = []
-    slots = term.scheduler.placing._slots_for
+    slots = term.scheduler.placement._slots_for
 
-    def counted(job: Job, m: Machine, blocked: set[int], now: float) -> int:
+    def counted(job: Job, machine: Machine, now: float) -> int:
         looked.append(job.spec.id)
-        return slots(job, m, blocked, now)
+        return slots(job, machine, now)
 
-    monkeypatch.setattr(term.scheduler.placing, "_slots_for", counted)
+    monkeypatch.setattr(term.scheduler.placement, "_slots_for", counted)
     term.scheduling_loop.place_after = term.scheduling_loop.retarget_after = world.clock.now + 100.0
     for _ in range(5):
         world.clock.now += 1.0
@@ -302,13 +302,13 @@
     for job in (term.registry.jobs[i] for i in high):
         job.wait_since -= 60.0
     looked: list[str] = []
-    eviction = term.scheduler.clearing.eviction
+    eviction = term.scheduler.preemption.eviction
 
     def counted(job: Job, m: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
         looked.append(job.spec.id)
         return eviction(job, m, tasks, now)
 
-    monkeypatch.setattr(term.scheduler.clearing, "eviction", counted)
+    monkeypatch.setattr(term.scheduler.preemption, "eviction", counted)
     term.scheduler.place(world.clock.now)
     reserved = {m.reserved_for for m in term.inventory.machines} - {None}
     assert len(reserved) == 4 and reserved <= set(high)  # a machine each, and no machine for two of them
@@ -362,15 +362,15 @@
         world.settle(term, 2)
         now = world.clock.now
         term.scheduler.retarget(now) if rng.random() < 0.2 else term.scheduler.place(now)
-        placement, clearing = term.scheduler.placing, term.scheduler.clearing
-        for (kind, aged), known in placement._known.items():
+        placement, clearing = term.scheduler.placement, term.scheduler.preemption
+        for (kind, aged), known in placement._allowances.items():
             rank = term.registry.types[kind].rank
             for index, (change_count, allowance) in known.items():
                 m = term.inventory.at(index)
                 if m is not None and m.change_count == change_count:
                     looked += 1
-                    assert placement._allowance(kind, rank, aged, m, placement.blocked) == allowance
-        for index, (change_count, ranked) in clearing._ranked.items():
+                    assert placement._allowance(kind, rank, aged, m) == allowance
+        for index, (change_count, ranked) in clearing._victims_by_machine.items():
             m = term.inventory.at(index)
             if m is not None and m.change_count == change_count:
                 looked += 1
