--- a/src/grebestand/scheduling/greedy.py
+++ b/src/grebestand/scheduling/greedy.py
@@ -1,6 +1,12 @@
-"""Greedy templates: the paper's GPA and CRA, over one or several pools of machines.
+"""Greedy slot templates: the algorithms GPA and CRA of the paper, over one or several pools of machines.
 
-Everything here is pure: amounts in, plans out.
+A *configuration* (template) says how many slots of each task type a machine has. The Greedy Placement Algorithm (GPA)
+plans how many machines should have which configuration. Classification and Reassignment (CRA) matches the plan with
+the machines' present configurations, ranks the machines, and changes the configuration of empty ones. Machines up to
+the rank at which the plan first runs short form the *accept group*, which takes tasks by its templates; the others
+form the *reject group*, which takes tasks only after they have waited.
+
+Everything here is pure: it computes plans from amounts and does not touch the cluster state.
 """
 
 from __future__ import annotations
@@ -11,129 +17,184 @@
 from ..cluster_state.resources import Resources, dominant_share, fits, multiply, subtract, tasks_that_fit
 from ..cluster_state.slots import Slot, SlotTemplate
 
+#: a task's share of a machine counts for at least this much, so that payoffs can be divided by it
+MIN_SHARE = 1e-9
+#: rewards that differ by less are equal but for rounding
+REWARD_TOLERANCE = 1e-9
+
 
 @dataclass(frozen=True)
 class Pool:
-    """Machines that are alike for every task type."""
+    """What machines have in common that are the same for every task type."""
 
     machine_type: int
+    #: -1 where no task type is bound to a zone
     zone: int
     spot: bool
-    room: Resources
+    capacity: Resources
 
     def takes(self, slot: Slot) -> bool:
+        """Return whether tasks of a type may run on these machines and one of them fits."""
         return (
             (slot.spot or not self.spot)
             and (slot.machine_types is None or self.machine_type in slot.machine_types)
             and (slot.zone is None or slot.zone == self.zone)
-            and fits(slot.size, self.room)
+            and fits(slot.size, self.capacity)
         )
 
 
-def max_reward(slots: list[Slot], candidates: list[int], room: Resources) -> SlotTemplate:
-    """A configuration of high reward made of candidate types only (Definition 2.3, approximated).
-
-    The exact maximum is a knapsack. Here each candidate in turn is packed first, the others follow by payoff
-    for the share of the machine they take, and the best of these fillings wins; ties go to the lower index
-    (Definition 2.2).
-    """
-    density = sorted(candidates, key=lambda j: (-slots[j].payoff / max(dominant_share(slots[j].size, room), 1e-9), j))
-    best: SlotTemplate = (0,) * len(slots)
-    best_reward = 0.0
-    for first in density:
-        counts = [0] * len(slots)
-        left = room
-        for j in (first, *density):
-            n = tasks_that_fit(slots[j].size, left)
-            if n:
-                counts[j] += n
-                left = subtract(left, multiply(slots[j].size, n))
-        reward = sum(n * slots[j].payoff for j, n in enumerate(counts))
-        config = tuple(counts)
-        if reward > best_reward + 1e-9 or (abs(reward - best_reward) <= 1e-9 and config > best):
-            best, best_reward = config, reward
-    return best
-
-
 @dataclass
 class ServerDemand:
-    """One configuration of the plan, with the machines it should have in a pool."""
+    """One entry of a plan: a configuration, and how many machines of a pool should have it."""
 
     pool: int
     config: SlotTemplate
     count: int
 
 
-def gpa(slots: list[Slot], targets: list[float], pools: list[Pool], sizes: list[int]) -> list[ServerDemand]:
-    """Greedy Placement Algorithm (Algorithm 1), for several pools.
-
-    In each round every pool that still has machines gets the highest-reward configuration of the types that
-    are left; machines are given until a type runs out, which is then dropped.
-    """
-    left = [max(0.0, t) for t in targets]
-    free = list(sizes)
-    candidates = [j for j in range(len(slots)) if left[j] > 0]
-    plan: list[ServerDemand] = []
-    #: pools alike in size and in what they take share a configuration, also from one round to the next
-    known: dict[tuple[Resources, tuple[int, ...]], SlotTemplate] = {}
-    taken = [{j for j, slot in enumerate(slots) if pool.takes(slot)} for pool in pools]
-
-    def best(p: int) -> SlotTemplate:
-        key = pools[p].room, tuple(j for j in candidates if j in taken[p])
-        found = known.get(key)
-        if found is None:
-            found = known[key] = max_reward(slots, list(key[1]), pools[p].room)
-        return found
-
-    while candidates and any(free):
-        configs = [best(p) if free[p] else () for p in range(len(pools))]
-        rewards = [sum(n * slots[j].payoff for j, n in enumerate(c)) for c in configs]
-        p = max(range(len(pools)), key=lambda i: (rewards[i], -i))
-        config = configs[p]
-        if rewards[p] <= 0:
-            break
-        # the type that runs out first decides how many machines get this configuration
-        used = [j for j in candidates if config[j] > 0]
-        out = min(used, key=lambda j: (-(-left[j] // config[j]), j))
-        count = min(int(-(-left[out] // config[out])), free[p])
-        if count:
-            plan.append(ServerDemand(p, config, count))
-            free[p] -= count
-            for j in used:
-                left[j] = max(0.0, left[j] - count * config[j])
-        if left[out] <= 0:
-            candidates.remove(out)
-    return plan
-
-
 @dataclass
 class TemplateAssignment:
-    """A machine as the classification sees it."""
+    """A machine as CRA sees it: what it has and holds, and after CRA its rank, group and new configuration."""
 
     pool: int
     config: SlotTemplate
     empty: bool
+    #: its tasks by type; empty if some have no place in any configuration of these types
     holds: SlotTemplate = ()
+    #: 1 for machines of the plan's first entry; one more than the plan's length for machines that it does not use
     rank: int = 0
     accept: bool = False
     changed: bool = False
+    #: the machine's index, for the caller
     tag: int = field(default=0)
+    #: position in the order of assignment
     order: int = 0
 
     def may_become(self, config: SlotTemplate) -> bool:
-        """The paper reassigns empty machines only, so that nothing is preempted. Nothing is either where all
-        that the machine holds has a slot in the new configuration."""
-        return self.empty or (bool(self.holds) and all(h <= n for h, n in zip(self.holds, config, strict=True)))
+        """Return whether the machine can take over a configuration without preemption.
+
+        The paper reassigns empty machines only. Nothing is preempted either where everything that the machine holds
+        has a slot in the new configuration.
+        """
+        return self.empty or (
+            bool(self.holds) and all(held <= slots for held, slots in zip(self.holds, config, strict=True))
+        )
+
+
+def max_reward(slots: list[Slot], candidates: list[int], capacity: Resources) -> SlotTemplate:
+    """Return a configuration of high reward made of candidate types only (Definition 2.3, approximated).
+
+    The exact maximum is a knapsack problem. Here each candidate in turn is packed first, the others follow by payoff
+    for the share of the machine they take, and the best of these packings wins. Ties go to the configuration with
+    more slots of lower indices (Definition 2.2).
+
+    Args:
+        slots: all task types.
+        candidates: indices of the types to pack.
+        capacity: of one machine.
+    """
+    by_density = sorted(
+        candidates, key=lambda j: (-slots[j].payoff / max(dominant_share(slots[j].size, capacity), MIN_SHARE), j)
+    )
+    best: SlotTemplate = (0,) * len(slots)
+    best_reward = 0.0
+    for first in by_density:
+        config = _pack(slots, [first, *by_density], capacity)
+        reward = _reward(slots, config)
+        is_tie = abs(reward - best_reward) <= REWARD_TOLERANCE
+        if reward > best_reward + REWARD_TOLERANCE or (is_tie and config > best):
+            best, best_reward = config, reward
+    return best
+
+
+def _pack(slots: list[Slot], order: list[int], capacity: Resources) -> SlotTemplate:
+    """Return the configuration that results if as many slots as fit of each type are packed in order."""
+    counts = [0] * len(slots)
+    left = capacity
+    for j in order:
+        count = tasks_that_fit(slots[j].size, left)
+        if count:
+            counts[j] += count
+            left = subtract(left, multiply(slots[j].size, count))
+    return tuple(counts)
+
+
+def _reward(slots: list[Slot], config: SlotTemplate) -> float:
+    """Return the sum of the payoffs of a configuration's slots."""
+    return sum(count * slots[j].payoff for j, count in enumerate(config))
+
+
+class _BestConfigurations:
+    """Computes the best configuration of pools; pools with the same capacity and types share one."""
+
+    def __init__(self, slots: list[Slot], pools: list[Pool]) -> None:
+        self._slots = slots
+        self._pools = pools
+        self._types_by_pool = [{j for j, slot in enumerate(slots) if pool.takes(slot)} for pool in pools]
+        self._known: dict[tuple[Resources, tuple[int, ...]], SlotTemplate] = {}
+
+    def best(self, pool: int, candidates: list[int]) -> SlotTemplate:
+        """Return the configuration of the highest reward made of those candidate types that the pool takes."""
+        capacity = self._pools[pool].capacity
+        types = tuple(j for j in candidates if j in self._types_by_pool[pool])
+        config = self._known.get((capacity, types))
+        if config is None:
+            config = self._known[capacity, types] = max_reward(self._slots, list(types), capacity)
+        return config
+
+
+def gpa(slots: list[Slot], targets: list[float], pools: list[Pool], sizes: list[int]) -> list[ServerDemand]:
+    """Plan configurations with the Greedy Placement Algorithm (Algorithm 1), for several pools.
+
+    In each round every pool that still has machines gets the highest-reward configuration of the types that are
+    left, and the pool with the highest reward is chosen. Machines are assigned until a type reaches its target; this
+    type is then dropped.
+
+    Args:
+        slots: all task types.
+        targets: how many slots of each type are wanted.
+        pools: the pools of machines.
+        sizes: how many machines each pool has.
+    """
+    remaining = [max(0.0, target) for target in targets]
+    free_machines = list(sizes)
+    candidates = [j for j in range(len(slots)) if remaining[j] > 0]
+    configurations = _BestConfigurations(slots, pools)
+    plan: list[ServerDemand] = []
+    while candidates and any(free_machines):
+        configs = [configurations.best(pool, candidates) if free_machines[pool] else () for pool in range(len(pools))]
+        rewards = [_reward(slots, config) for config in configs]
+        pool = max(range(len(pools)), key=lambda i: (rewards[i], -i))
+        config = configs[pool]
+        if rewards[pool] <= 0:
+            break
+        # the type that reaches its target first decides how many machines get this configuration
+        used = [j for j in candidates if config[j] > 0]
+        machines_needed = {j: -(-remaining[j] // config[j]) for j in used}
+        first_done = min(used, key=lambda j: (machines_needed[j], j))
+        count = min(int(machines_needed[first_done]), free_machines[pool])
+        if count:
+            plan.append(ServerDemand(pool, config, count))
+            free_machines[pool] -= count
+            for j in used:
+                remaining[j] = max(0.0, remaining[j] - count * config[j])
+        if remaining[first_done] <= 0:
+            candidates.remove(first_done)
+    return plan
 
 
-def cra(seats: list[TemplateAssignment], plan: list[ServerDemand]) -> int:
-    """Classification and Reassignment (Algorithm 2): sets rank, group and, for empty machines, configuration.
+def cra(assignments: list[TemplateAssignment], plan: list[ServerDemand]) -> int:
+    """Run Classification and Reassignment (Algorithm 2): set each machine's rank, group and configuration.
 
-    Seats are in order of assignment: of the machines with one configuration the earlier ones have the higher
-    index, keep their rank first and so stay in the accept group. Returns the rank of the first configuration
-    short of its target.
+    Args:
+        assignments: the machines in order of assignment. Of the machines with one configuration the earlier ones
+            are ranked first, and so stay in the accept group.
+        plan: the result of `gpa`.
+
+    Returns:
+        The rank of the first configuration that is short of machines, or the plan's length plus one.
     """
-    steps = cra_steps(seats, plan)
+    steps = cra_steps(assignments, plan)
     while True:
         try:
             next(steps)
@@ -141,36 +202,61 @@
             return int(end.value)
 
 
-def cra_steps(seats: list[TemplateAssignment], plan: list[ServerDemand]) -> Generator[None, None, int]:
-    """The same, with a yield after each entry of the plan."""
-    worst = len(plan) + 1
-    #: by pool and configuration, who has no rank yet, in order of assignment
+def cra_steps(assignments: list[TemplateAssignment], plan: list[ServerDemand]) -> Generator[None, None, int]:
+    """Do the same as `cra`, with a yield before each entry of the plan."""
+    worst_rank = len(plan) + 1
+    #: by pool and configuration, the machines without a rank in order of assignment
     unranked: dict[int, dict[SlotTemplate, list[TemplateAssignment]]] = {}
-    for order, seat in enumerate(seats):
-        seat.rank, seat.changed, seat.order = worst, False, order
-        unranked.setdefault(seat.pool, {}).setdefault(seat.config, []).append(seat)
-    short = worst
-    for i, wanted in enumerate(plan, start=1):
+    for order, assignment in enumerate(assignments):
+        assignment.rank, assignment.changed, assignment.order = worst_rank, False, order
+        unranked.setdefault(assignment.pool, {}).setdefault(assignment.config, []).append(assignment)
+    first_short = worst_rank
+    for rank, demand in enumerate(plan, start=1):
         yield
-        groups = unranked.get(wanted.pool, {})
-        mine = groups.get(wanted.config, [])
-        for seat in mine[: wanted.count]:
-            seat.rank = i
-        groups[wanted.config] = mine[wanted.count :]
-        lack = wanted.count - min(len(mine), wanted.count)
-        if not lack:
+        groups = unranked.get(demand.pool, {})
+        missing = demand.count - _rank_configured(groups, demand, rank)
+        if not missing:
             continue
-        later = {w.config for w in plan[i:] if w.pool == wanted.pool}
-        ready = [s for group in groups.values() for s in group if s.may_become(wanted.config)]
-        # an empty machine whose configuration no later entry wants is the cheapest one to take
-        ready.sort(key=lambda s: (not s.empty, s.config in later, s.order))
-        gone = {seat.order for seat in ready[:lack]}
-        for config in {seat.config for seat in ready[:lack]}:
-            groups[config] = [s for s in groups[config] if s.order not in gone]
-        for seat in ready[:lack]:
-            seat.rank, seat.config, seat.changed = i, wanted.config, True
-        if lack > len(ready):
-            short = min(short, i)
-    for seat in seats:
-        seat.accept = seat.rank <= short and seat.rank < worst
-    return short
+        wanted_later = {later.config for later in plan[rank:] if later.pool == demand.pool}
+        if _reassign(groups, demand.config, rank, missing, wanted_later) < missing:
+            first_short = min(first_short, rank)
+    for assignment in assignments:
+        assignment.accept = assignment.rank <= first_short and assignment.rank < worst_rank
+    return first_short
+
+
+def _rank_configured(groups: dict[SlotTemplate, list[TemplateAssignment]], demand: ServerDemand, rank: int) -> int:
+    """Rank the machines that have the wanted configuration already, and return how many were ranked."""
+    configured = groups.get(demand.config, [])
+    ranked = configured[: demand.count]
+    for assignment in ranked:
+        assignment.rank = rank
+    groups[demand.config] = configured[demand.count :]
+    return len(ranked)
+
+
+def _reassign(
+    groups: dict[SlotTemplate, list[TemplateAssignment]],
+    config: SlotTemplate,
+    rank: int,
+    missing: int,
+    wanted_later: set[SlotTemplate],
+) -> int:
+    """Give a configuration to machines that can change without preemption, and return how many there were.
+
+    Args:
+        groups: the pool's machines without a rank, by their configuration; those that change are removed.
+        config: the new configuration.
+        rank: the rank of the machines that get it.
+        missing: how many machines are to get it at most.
+        wanted_later: configurations of later entries of the plan, which are taken last.
+    """
+    convertible = [a for group in groups.values() for a in group if a.may_become(config)]
+    convertible.sort(key=lambda a: (not a.empty, a.config in wanted_later, a.order))
+    reassigned = convertible[:missing]
+    reassigned_orders = {assignment.order for assignment in reassigned}
+    for old_config in {assignment.config for assignment in reassigned}:
+        groups[old_config] = [a for a in groups[old_config] if a.order not in reassigned_orders]
+    for assignment in reassigned:
+        assignment.rank, assignment.config, assignment.changed = rank, config, True
+    return len(reassigned)
--- a/src/grebestand/scheduling/template_targets.py
+++ b/src/grebestand/scheduling/template_targets.py
@@ -1,137 +1,165 @@
-"""Targets, the greedy plan, ranks and groups; templates change only where nothing has to be stopped for it."""
+"""Targets, the greedy plan, and each machine's template, rank and group.
+
+Templates change only where nothing has to be preempted for it.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Generator
+
 from ..cluster_state.machine import Machine
-from ..cluster_state.resources import Resources, dominant_share
-from ..cluster_state.slots import Slot, SlotTemplate
+from ..cluster_state.resources import MICRO_UNITS, Resources, dominant_share
+from ..cluster_state.slots import SlotTemplate
 from .greedy import Pool, ServerDemand, TemplateAssignment, cra_steps, gpa
+from .planning import MachinePools, TypeDemand
 from .scale_out import ScaleOut
 from .scheduling_context import MACHINES_PER_STEP, SchedulingComponent, SchedulingContext, Steps
 
+#: how long a type without tasks keeps its spare slots, so that short gaps between jobs do not change templates
 TYPE_MEMORY_S = 60.0
+#: a type's payoff grows with its share of a machine, which counts for at least this much
+MIN_SHARE = 1e-6
+#: capacity of a machine while none has reported its own: one CPU, one card, one gigabyte
+FALLBACK_CAPACITY: Resources = (MICRO_UNITS, MICRO_UNITS, MICRO_UNITS)
 
 
 class TemplateTargets(SchedulingComponent):
-    def __init__(self, context: SchedulingContext, renting: ScaleOut) -> None:
+    """Computes targets each period and sets templates, ranks and groups accordingly."""
+
+    def __init__(self, context: SchedulingContext, scale_out: ScaleOut) -> None:
         super().__init__(context)
-        self.renting = renting
+        self.scale_out = scale_out
 
-    def _targets(self, now: float) -> tuple[list[int], list[Slot], list[float], list[float]]:
-        """Active types, their slots, targets (running + waiting + g) and the bare need without g."""
+    def set(self, now: float) -> Steps:
+        """Compute targets and the greedy plan, and set templates, ranks and groups, in steps."""
+        demand = self._demand(now)
+        turn = self.context.turn
+        pools = MachinePools()
+        assignments = yield from self._assignments(demand, pools)
+        yield
+        plan = self._plan(demand, pools)
+        yield
+        yield from cra_steps(assignments, plan)
+        yield from self._apply(assignments, demand, turn)
+        yield
+        self.scale_out.measure(demand, pools)
+
+    def _demand(self, now: float) -> TypeDemand:
+        """Return the active types and their targets: tasks that run, tasks that wait, and the policy's spare slots."""
         counts: dict[int, float] = {}
         for job in self.registry.jobs.values():
             if not job.live:
                 continue
             self.registry.types[job.type].seen_at = now
             team = self.registry.teams[job.team]
-            # what a team's limit keeps from running is no reason to reserve room
+            # slots are not reserved for tasks that their team's limit keeps from running
             waiting = min(job.wanted(), team.headroom(job.size))
             counts[job.type] = counts.get(job.type, 0) + len(job.allocations) + waiting
-        kinds = [i for i, t in enumerate(self.registry.types) if i in counts or now - t.seen_at < TYPE_MEMORY_S]
-        kinds.sort(key=lambda i: (self.registry.types[i].rank, i))
-        room = self._typical_room()
+        registered = self.registry.types
+        types = [i for i, t in enumerate(registered) if i in counts or now - t.seen_at < TYPE_MEMORY_S]
+        types.sort(key=lambda i: (registered[i].rank, i))
+        capacity = self._largest_capacity()
         slots = []
-        for i in kinds:
-            t = self.registry.types[i]
-            payoff = self.policy_values.payoffs[t.rank]
-            slots.append(t.slot(payoff * max(dominant_share(t.size, room), 1e-6)))
-        need = [counts.get(i, 0.0) for i in kinds]
-        return kinds, slots, [n + self.policy_values.g for n in need], need
+        for index in types:
+            task_type = registered[index]
+            payoff = self.policy_values.payoffs[task_type.rank]
+            slots.append(task_type.slot(payoff * max(dominant_share(task_type.size, capacity), MIN_SHARE)))
+        needs = [counts.get(index, 0.0) for index in types]
+        targets = [need + self.policy_values.g for need in needs]
+        return TypeDemand(types=types, slots=slots, needs=needs, targets=targets, registered_types=len(registered))
 
-    def _typical_room(self) -> Resources:
-        rooms = [m.capacity for m in self.inventory.machines if m.capacity != (0, 0, 0)]
-        return max(rooms) if rooms else (1_000_000, 1_000_000, 1_000_000)
+    def _largest_capacity(self) -> Resources:
+        """Return the largest capacity of any machine, which shares are relative to."""
+        capacities = [m.capacity for m in self.inventory.machines if m.capacity != (0, 0, 0)]
+        return max(capacities) if capacities else FALLBACK_CAPACITY
 
-    def set(self, now: float) -> Steps:
-        """Targets, greedy plan, ranks and groups; templates change only where nothing has to be stopped for it."""
-        kinds, slots, targets, need = self._targets(now)
+    def _assignments(self, demand: TypeDemand, pools: MachinePools) -> Generator[None, None, list[TemplateAssignment]]:
+        """Return the machines for CRA, those that hold tasks first, and add each to its pool."""
         members = [m for m in self.inventory.machines if self.inventory.counts(m)]
-        zoned = any(s.zone is not None for s in slots)
-        pools: list[Pool] = []
-        pool_index: dict[Pool, int] = {}
-        sizes: list[int] = []
-        seats: list[TemplateAssignment] = []
-        width = len(self.registry.types)
-        turn = self.context.turn
-        for looked, m in enumerate(members, 1):
-            if not looked % MACHINES_PER_STEP:
+        zoned = demand.zoned
+        assignments: list[TemplateAssignment] = []
+        for examined, machine in enumerate(members, 1):
+            if not examined % MACHINES_PER_STEP:
                 yield
-            pool = Pool(m.kind, m.zone if zoned else -1, m.spot, m.capacity)
-            p = pool_index.setdefault(pool, len(pools))
-            if p == len(pools):
-                pools.append(pool)
-                sizes.append(0)
-            sizes[p] += 1
-            if not m.template:
-                # the paper's initialisation: an unconfigured machine's template is what it holds
-                m.template = self._holdings(m, width)
-            config = tuple(m.template[k] if k < len(m.template) else 0 for k in kinds)
-            empty, holds = self._held(m, kinds, width)
-            seats.append(TemplateAssignment(p, config, empty, holds, tag=m.index))
-        seats.sort(key=lambda s: (s.empty, s.tag))
-        yield
-        plan = self._plan(slots, need, targets, pools, sizes)
-        yield
-        yield from cra_steps(seats, plan)
-        for looked, seat in enumerate(seats, 1):
-            if not looked % MACHINES_PER_STEP:
+            pool = pools.add_machine(Pool(machine.kind, machine.zone if zoned else -1, machine.spot, machine.capacity))
+            if not machine.template:
+                # the paper's initialisation: the template of an unconfigured machine is what it holds
+                machine.template = self._tasks_by_type(machine, demand.registered_types)
+            template = machine.template
+            config = tuple(template[index] if index < len(template) else 0 for index in demand.types)
+            empty, holds = self._held(machine, demand)
+            assignments.append(TemplateAssignment(pool, config, empty, holds, tag=machine.index))
+        assignments.sort(key=lambda a: (a.empty, a.tag))
+        return assignments
+
+    def _apply(self, assignments: list[TemplateAssignment], demand: TypeDemand, turn: int) -> Steps:
+        """Set each machine's rank and group, and its template where it changed.
+
+        Args:
+            assignments: the result of CRA.
+            demand: the types that its configurations are made of.
+            turn: the turn in which the machines were examined; in a later one a change of template is checked again.
+        """
+        for examined, assignment in enumerate(assignments, 1):
+            if not examined % MACHINES_PER_STEP:
                 yield
-            found = self.inventory.at(seat.tag)
-            if found is None:
-                continue  # it went while the plan was made
-            found.rank, found.in_accept_group = seat.rank, seat.accept
-            if not seat.changed:
+            machine = self.inventory.at(assignment.tag)
+            if machine is None:
+                continue  # it was removed while the plan was computed
+            machine.rank, machine.in_accept_group = assignment.rank, assignment.accept
+            if not assignment.changed:
                 continue
             if self.context.turn != turn:
-                # what it holds may have changed meanwhile; nothing is to be stopped for a template
-                seat.empty, seat.holds = self._held(found, kinds, width)
-                if not seat.may_become(seat.config):
+                # its tasks may have changed since, and nothing is to be preempted for a template
+                assignment.empty, assignment.holds = self._held(machine, demand)
+                if not assignment.may_become(assignment.config):
                     continue
-            wide = [0] * width
-            for j, k in enumerate(kinds):
-                wide[k] = seat.config[j]
-            found.template = tuple(wide)
-        yield
-        self.renting.measure(slots, need, targets, pools, sizes, zoned)
+            template = [0] * demand.registered_types
+            for slots, index in zip(assignment.config, demand.types, strict=True):
+                template[index] = slots
+            machine.template = tuple(template)
 
-    def _held(self, m: Machine, kinds: list[int], width: int) -> tuple[bool, SlotTemplate]:
-        """Whether a machine is empty, and what it holds if that is all of these types and nobody's reservation."""
-        if m.reserved_for is not None:
+    def _held(self, machine: Machine, demand: TypeDemand) -> tuple[bool, SlotTemplate]:
+        """Return whether a machine is empty, and its tasks by active type.
+
+        The tasks are left out if some are of inactive types or the machine is reserved: its template must not change.
+        """
+        if machine.reserved_for is not None:
             return False, ()
-        if not m.allocations:
+        if not machine.allocations:
             return True, ()
-        every = self._holdings(m, width)
-        held = tuple(every[k] for k in kinds)
-        return False, (held if sum(held) == sum(every) else ())
+        all_tasks = self._tasks_by_type(machine, demand.registered_types)
+        active_tasks = tuple(all_tasks[index] for index in demand.types)
+        return False, (active_tasks if sum(active_tasks) == sum(all_tasks) else ())
 
     @staticmethod
-    def _plan(
-        slots: list[Slot], need: list[float], targets: list[float], pools: list[Pool], sizes: list[int]
-    ) -> list[ServerDemand]:
-        """The greedy plan for what runs and waits, then spare slots from the machines that are left.
+    def _tasks_by_type(machine: Machine, registered_types: int) -> SlotTemplate:
+        """Return how many tasks of each registered type a machine holds."""
+        counts = [0] * registered_types
+        for index, count in machine.slots.items():
+            counts[index] = count
+        return tuple(counts)
 
-        The paper adds g to every type before it shares out machines. With g in the first round a type that
-        came first held every machine as spares while another of the same payoff waited for ever.
+    @staticmethod
+    def _plan(demand: TypeDemand, pools: MachinePools) -> list[ServerDemand]:
+        """Return the greedy plan for tasks that run and wait, then for spare slots on the machines that are left.
+
+        The paper adds the spare slots (g) to every type before it assigns machines. With g in the first round, a type
+        that comes first could take every machine for spare slots while tasks of another with the same payoff wait for
+        ever.
         """
-        plan = gpa(slots, need, pools, sizes)
-        left = list(sizes)
-        given = [0] * len(slots)
-        for w in plan:
-            left[w.pool] -= w.count
-            for j, n in enumerate(w.config):
-                given[j] += n * w.count
-        spare = [max(0.0, t - n) for t, n in zip(targets, given, strict=True)]
-        for w in gpa(slots, spare, pools, left):
-            same = next((x for x in plan if x.pool == w.pool and x.config == w.config), None)
+        plan = gpa(demand.slots, demand.needs, pools.pools, pools.sizes)
+        machines_left = list(pools.sizes)
+        planned_slots = [0] * len(demand.slots)
+        for entry in plan:
+            machines_left[entry.pool] -= entry.count
+            for j, slots in enumerate(entry.config):
+                planned_slots[j] += slots * entry.count
+        spare = [max(0.0, target - slots) for target, slots in zip(demand.targets, planned_slots, strict=True)]
+        for entry in gpa(demand.slots, spare, pools.pools, machines_left):
+            same = next((e for e in plan if e.pool == entry.pool and e.config == entry.config), None)
             if same is not None:
-                same.count += w.count
+                same.count += entry.count
             else:
-                plan.append(w)
+                plan.append(entry)
         return plan
-
-    def _holdings(self, m: Machine, width: int) -> SlotTemplate:
-        wide = [0] * width
-        for kind, count in m.slots.items():
-            wide[kind] = count
-        return tuple(wide)
