--- a/src/grebestand/scheduling/policy_values.py
+++ b/src/grebestand/scheduling/policy_values.py
@@ -1,4 +1,4 @@
-"""The policy's values of the moment."""
+"""The values that the policy's expressions have for the present state of the cluster."""
 
 from __future__ import annotations
 
@@ -10,23 +10,34 @@
 from ..settings.expressions import Expressions
 from ..settings.platform import Params
 
+#: value of the variable `guarantee_s` where no objective says how soon guarantees are to be met
+DEFAULT_GUARANTEE_S = 10.0
+
 
 @dataclass
 class PolicyValues:
-    """The policy's values of the moment."""
+    """The values that scheduling decisions use, named as in the policy; they hold from one period to the next."""
 
+    #: spare slots for each active task type
     g: float
+    #: reward of a slot, by priority
     payoffs: tuple[float, float, float, float]
+    #: seconds between two computations of targets
     period_s: float
+    #: seconds that a gang waits before it preempts other work
     preempt_after_s: float
+    #: seconds that a job waits before it reclaims its team's guarantee
     reclaim_after_s: float
+    #: whether tasks with checkpoints migrate
     migrate: bool
+    #: whether types may use the spare slots of others
     lend_spare: bool
+    #: seconds after which a job that has not begun is overdue
     begin_after_s: float
 
 
 class PolicyEvaluator:
-    """Evaluates the policy under what the books say now."""
+    """Evaluates the policy for the present state of the cluster."""
 
     def __init__(self, policy: Expressions, params: Params, registry: JobRegistry, inventory: MachineInventory) -> None:
         self.policy = policy
@@ -35,43 +46,54 @@
         self.inventory = inventory
 
     def value(self, key: str) -> float:
+        """Return the present value of one policy entry."""
         return self.policy.value(key, self.names())
 
     def names(self) -> dict[str, float]:
-        p, machines = self.params, self.inventory.machines
+        """Return the variables that the policy's expressions may use."""
+        params, machines = self.params, self.inventory.machines
         return {
             "machines": max(1.0, float(len(machines))),
             "busy": float(sum(1 for m in machines if m.allocations)),
             "types": max(1.0, float(len(self.registry.types))),
-            "zones": float(len(p.zones)),
-            "teams": float(len(p.teams)),
-            "controllers": float(p.nodes),
-            "report_s": p.workers.report_s,
-            "sockets": float(p.quota.max_connections),
-            "lease_s": p.workers.lease_s,
-            "cancel_s": p.workers.cancel_s,
-            "gang_wait_s": p.workers.gang_wait_s,
-            "gang_peer_s": p.workers.gang_peer_s,
-            "guarantee_s": min(
-                (o.within_s for o in p.objectives if o.kind == "guarantee" and o.within_s), default=10.0
-            ),
+            "zones": float(len(params.zones)),
+            "teams": float(len(params.teams)),
+            "controllers": float(params.nodes),
+            "report_s": params.workers.report_s,
+            "sockets": float(params.quota.max_connections),
+            "lease_s": params.workers.lease_s,
+            "cancel_s": params.workers.cancel_s,
+            "gang_wait_s": params.workers.gang_wait_s,
+            "gang_peer_s": params.workers.gang_peer_s,
+            "guarantee_s": self._guarantee_s(),
         }
 
+    def _guarantee_s(self) -> float:
+        """Return within how many seconds the strictest objective wants guarantees to be met."""
+        return min(
+            (o.within_s for o in self.params.objectives if o.kind == "guarantee" and o.within_s),
+            default=DEFAULT_GUARANTEE_S,
+        )
+
     def policy_values(self) -> PolicyValues:
+        """Return the present values of all entries that scheduling decisions use."""
         names = self.names()
-        v = self.policy.value
+
+        def value(key: str) -> float:
+            return self.policy.value(key, names)
+
         return PolicyValues(
-            g=math.ceil(v("g", names)),
+            g=math.ceil(value("g")),
             payoffs=(
-                v("payoff_production", names),
-                v("payoff_high", names),
-                v("payoff_normal", names),
-                v("payoff_low", names),
+                value("payoff_production"),
+                value("payoff_high"),
+                value("payoff_normal"),
+                value("payoff_low"),
             ),
-            period_s=v("period_s", names),
-            preempt_after_s=v("preempt_after_s", names),
-            reclaim_after_s=v("reclaim_after_s", names),
-            migrate=bool(v("migrate", names)),
-            lend_spare=bool(v("lend_spare", names)),
-            begin_after_s=v("begin_after_s", names),
+            period_s=value("period_s"),
+            preempt_after_s=value("preempt_after_s"),
+            reclaim_after_s=value("reclaim_after_s"),
+            migrate=bool(value("migrate")),
+            lend_spare=bool(value("lend_spare")),
+            begin_after_s=value("begin_after_s"),
         )
