--- a/src/grebestand/scheduling/job_ordering.py
+++ b/src/grebestand/scheduling/job_ordering.py
@@ -1,4 +1,4 @@
-"""The order of service: guarantees, priorities, and who can still make an aim."""
+"""The order in which waiting jobs are served: guarantees, priorities, and which objectives can still be met."""
 
 from __future__ import annotations
 
@@ -6,69 +6,95 @@
 from ..cluster_state.run_time_estimates import RunTimeEstimates
 from ..settings.platform import Objective
 
+#: how long after its last objective can no longer be met a job moves ahead of the others of its priority
 AGED_S = 180.0
-#: a stopped task starts again about so much later at the earliest: saving, a report, an image, its turn
-TIGHT_S = 30.0
+#: a task that is stopped starts again about this much later at the earliest: it has to save, a heartbeat has to come,
+#: its image has to be fetched and its job has to be served again
+RESTART_S = 30.0
+#: a job that ages is served first, then those that can still meet an objective, then those that cannot
+AGED, ON_TIME, LATE = 0, 1, 2
+#: a job's remaining work counts as if its tasks ran for at least this long, so that short estimates do not hide size
+MIN_RUN_S = 1.0
 
 
 class JobOrdering:
+    """Ranks jobs by urgency, and knows which objectives apply to them."""
+
     def __init__(self, objectives: list[Objective], run_times: RunTimeEstimates) -> None:
         self.run_times = run_times
-        self.within: dict[str, list[float]] = {}
-        self.start_within: dict[str, list[float]] = {}
-        self.deadline_times: dict[str, list[float]] = {}
-        for o in objectives:
-            if o.klass and o.kind == "deadline":
-                self.deadline_times.setdefault(o.klass, []).append(o.times or 1.0)
-            if o.klass and o.within_s and o.kind in ("finished", "wait"):
-                table = self.within if o.kind == "finished" else self.start_within
-                table.setdefault(o.klass, []).append(o.within_s)
+        #: by job class, the seconds after acceptance in which jobs have to be done
+        self._done_within_s: dict[str, list[float]] = {}
+        #: by job class, the seconds after acceptance in which jobs have to start
+        self._start_within_s: dict[str, list[float]] = {}
+        #: by job class, the multiples of their own deadline in which jobs have to be done
+        self._deadline_factors: dict[str, list[float]] = {}
+        for objective in objectives:
+            self._add(objective)
+
+    def _add(self, objective: Objective) -> None:
+        """Take in an objective that is about the jobs of one class; the others do not concern the order."""
+        if not objective.klass:
+            return
+        if objective.kind == "deadline":
+            self._deadline_factors.setdefault(objective.klass, []).append(objective.times or 1.0)
+        elif objective.kind == "finished" and objective.within_s:
+            self._done_within_s.setdefault(objective.klass, []).append(objective.within_s)
+        elif objective.kind == "wait" and objective.within_s:
+            self._start_within_s.setdefault(objective.klass, []).append(objective.within_s)
 
     def ends(self, job: Job) -> list[float]:
-        """When the job has to be done for its aims; found once, as nothing of it ever changes."""
+        """Return when the job has to be done to meet each of its objectives, in seconds on the leader's clock.
+
+        Nothing that this depends on ever changes, so it is kept with the job.
+        """
         if job.ends is not None:
             return job.ends
-        ends = [job.accepted_at + w for w in self.within.get(job.spec.klass, ())]
+        job_class = job.spec.klass
+        ends = [job.accepted_at + within_s for within_s in self._done_within_s.get(job_class, ())]
         if job.spec.deadline_s is not None:
-            times = self.deadline_times.get(job.spec.klass) or [1.0]
-            ends += [job.accepted_at + t * job.spec.deadline_s for t in times]
+            factors = self._deadline_factors.get(job_class) or [1.0]
+            ends += [job.accepted_at + factor * job.spec.deadline_s for factor in factors]
         job.ends = ends
         return ends
 
     @staticmethod
     def overdue(job: Job, now: float, begin_after_s: float) -> bool:
-        """Whether a job has not begun though it was accepted so many seconds ago. That is in its record, so that the
-        age goes on over a change of leaders."""
+        """Return whether a job was accepted more than `begin_after_s` ago and has not begun.
+
+        The time of acceptance is in the job's record, so that its age survives a change of leader.
+        """
         return not job.begun and not job.done_count and now - job.accepted_at > begin_after_s
 
     def urgency(self, job: Job, now: float, begin_after_s: float) -> tuple[object, ...]:
-        """Order of service: guarantees, then priority, then what should have begun, then who can still make an aim,
-        least work first.
+        """Return a sort key: guarantees first, then by priority, then by what can still meet an objective.
 
-        When there is not room for all, serving the least work first lets the most jobs make it. A job too late
-        for every aim comes behind those, but it ages: after a while it comes before them all. Under least work first
-        alone the largest would wait for as long as small ones go on arriving.
+        Among jobs that can, the least work goes first: when capacity does not suffice for all, this lets the most jobs
+        meet their objectives. A job too late for all of its objectives comes behind those, but it ages, and after a
+        while comes before them all, as an overdue job does: with least work first alone, the largest job would wait
+        for as long as small ones keep arriving.
         """
-        spec = job.spec
-        rest = self.run_times.run_s(job)
-        limits = [end - rest for end in self.ends(job)]
-        limits += [job.accepted_at + w for w in self.start_within.get(spec.klass, ())]
-        work = job.unfinished() * job.size[0] * max(rest, 1.0)
-        last = max(limits) if limits else job.accepted_at
-        if now > last + AGED_S or self.overdue(job, now, begin_after_s):
-            group, value = 0, job.accepted_at
-        elif not limits or now <= last:
-            group, value = 1, work
+        remaining_s = self.run_times.run_s(job)
+        latest_starts = [end - remaining_s for end in self.ends(job)]
+        latest_starts += [job.accepted_at + within_s for within_s in self._start_within_s.get(job.spec.klass, ())]
+        last_chance = max(latest_starts) if latest_starts else job.accepted_at
+        value: float
+        if now > last_chance + AGED_S or self.overdue(job, now, begin_after_s):
+            group, value = AGED, job.accepted_at
+        elif not latest_starts or now <= last_chance:
+            group, value = ON_TIME, job.unfinished() * job.size[0] * max(remaining_s, MIN_RUN_S)
         else:
-            group, value = 2, job.accepted_at
+            group, value = LATE, job.accepted_at
         return (not job.guaranteed, job.rank, group, value, job.accepted_at)
 
     def tight(self, job: Job, run_at: float | None, now: float) -> bool:
-        """Whether a task that can still make an aim of its job would miss it if it were stopped.
+        """Return whether a running task that can still meet an objective of its job would miss it if it were stopped.
 
-        `run_at` is when it began to run, of a task that keeps its progress; None: it would start anew.
+        Args:
+            job: the task's job.
+            run_at: when the task began to run, if it keeps its progress; None if it would start anew.
+            now: seconds on the leader's clock.
         """
-        rest = self.run_times.run_s(job)
+        remaining_s = self.run_times.run_s(job)
         if run_at is not None:
-            rest = max(0.0, rest - (now - run_at))
-        return any(0 <= end - now - rest < TIGHT_S for end in self.ends(job))
+            remaining_s = max(0.0, remaining_s - (now - run_at))
+        return any(0 <= end - now - remaining_s < RESTART_S for end in self.ends(job))
