--- a/src/grebestand/scheduling/image_locality.py
+++ b/src/grebestand/scheduling/image_locality.py
@@ -1,4 +1,4 @@
-"""Where an image is, where it is worth fetching, and how long a job would wait for it."""
+"""Image locality: which machines have an image, where it is worth fetching, and how long a job would wait for it."""
 
 from __future__ import annotations
 
@@ -6,67 +6,76 @@
 from ..cluster_state.machine import Machine
 from .scheduling_context import MACHINES_PER_STEP, SchedulingComponent, SchedulingContext, Steps
 
-#: an image is well spread if the machines that have it have so many times the room that is asked for with it
+#: an image is well spread if the machines that have it have this many times the CPUs that its jobs want, as they are
+#: shared with other work
 HOST_FACTOR = 2.0
+#: a fetch that is under way has this share of the image left, on average
+REMAINING_SHARE = 0.5
+#: fetch rate (GB/s) while the cloud's offer is not known
+DEFAULT_FETCH_GB_PER_S = 1.0
+#: fetch rates (GB/s) count for at least this much, so that sizes can be divided by them
+MIN_FETCH_GB_PER_S = 1e-3
 
 
 class ImageLocality(SchedulingComponent):
+    """Knows which machines have which images, and what fetching an image costs."""
+
     def __init__(self, context: SchedulingContext) -> None:
         super().__init__(context)
-        #: images for which the machines that have them had room enough when targets were last set
+        #: images whose machines had enough capacity for the demand at the last computation of targets
         self.well_spread: set[int] = set()
         #: images that some machine had or fetched then
         self.hosted: set[int] = set()
 
     def measure(self) -> Steps:
-        """Finds the images whose machines, shared with other work, can serve what is asked for with them."""
-        demand: dict[int, int] = {}
+        """Find the images whose machines, shared with other work, can serve the demand for them."""
+        demand_cpus: dict[int, int] = {}
         for job in self.registry.jobs.values():
             if job.live:
                 tasks = len(job.allocations) + min(job.wanted(), self.registry.teams[job.team].headroom(job.size))
-                demand[job.image] = demand.get(job.image, 0) + tasks * job.size[0]
-        hosts: dict[int, int] = {}
-        for looked, m in enumerate(list(self.inventory.machines), 1):
-            if not looked % MACHINES_PER_STEP:
+                demand_cpus[job.image] = demand_cpus.get(job.image, 0) + tasks * job.size[0]
+        host_cpus: dict[int, int] = {}
+        for examined, machine in enumerate(list(self.inventory.machines), 1):
+            if not examined % MACHINES_PER_STEP:
                 yield
-            if self.inventory.counts(m):
-                for image in (*m.images, *m.pulls):
-                    hosts[image] = hosts.get(image, 0) + m.capacity[0]
-        self.hosted = set(hosts)
-        self.well_spread = {i for i, need in demand.items() if hosts.get(i, 0) >= HOST_FACTOR * need}
+            if self.inventory.counts(machine):
+                for image in (*machine.images, *machine.pulls):
+                    host_cpus[image] = host_cpus.get(image, 0) + machine.capacity[0]
+        self.hosted = set(host_cpus)
+        self.well_spread = {i for i, cpus in demand_cpus.items() if host_cpus.get(i, 0) >= HOST_FACTOR * cpus}
 
-    def worth_fetching(self, job: Job, m: Machine, now: float) -> bool:
-        """Whether the job's image is there, or should be fetched there.
+    def worth_fetching(self, job: Job, machine: Machine, now: float) -> bool:
+        """Return whether the machine has the job's image, or should fetch it.
 
-        While it is fetched the cores stand still, and several images at once share the machine's rate. So one
-        comes after the other, and where enough machines have the image already, the job waits for those as
-        long as a fetch would take.
+        While an image is fetched the cores are idle, and several fetches at once share the machine's rate. So a
+        machine fetches one after the other, and where enough machines have the image already, the job waits for
+        those as long as a fetch would take.
         """
-        if job.image in m.images or job.image in m.pulls:
+        if job.image in machine.images or job.image in machine.pulls:
             return True
-        fetch = self.fetch_s(job, m)
-        if fetch <= self.inventory.report_s:
+        fetch_s = self.fetch_s(job, machine)
+        if fetch_s <= self.inventory.report_s:
             return True
-        return not m.pulls and (job.image not in self.well_spread or now - job.started_at >= fetch)
+        return not machine.pulls and (job.image not in self.well_spread or now - job.started_at >= fetch_s)
 
     def least_s(self, job: Job) -> float:
-        """The shortest that the job would have to wait for its image anywhere: not at all if a machine has it."""
+        """Return the shortest time for which the job would wait for its image: none if some machine has it."""
         if job.image in self.hosted:
             return 0.0
-        fastest = max((kind.fetch_gb_per_s for kind in self.inventory.kinds.values()), default=1.0)
-        return self.registry.image_gb[job.image] / max(fastest, 1e-3)
+        rates = (kind.fetch_gb_per_s for kind in self.inventory.kinds.values())
+        fastest = max(rates, default=DEFAULT_FETCH_GB_PER_S)
+        return self.registry.image_gb[job.image] / max(fastest, MIN_FETCH_GB_PER_S)
 
-    def fetch_s(self, job: Job, m: Machine) -> float:
-        """How long the job would wait for its image there; images that are fetched together share the rate."""
-        if job.image in m.images:
+    def fetch_s(self, job: Job, machine: Machine) -> float:
+        """Return how long the job would wait for its image on a machine; concurrent fetches share the rate."""
+        if job.image in machine.images:
             return 0.0
-        kind = self.inventory.kinds.get(m.kind)
+        kind = self.inventory.kinds.get(machine.kind)
         if kind is None:
             return 0.0
-        size = self.registry.image_gb
-        # one that is under way is half there on average
-        under_way = job.image in m.pulls
-        gigabytes = size[job.image] / 2 if under_way else size[job.image]
-        if m.pulls and not under_way:
-            gigabytes += sum(size[i] for i in m.pulls)
-        return gigabytes / max(kind.fetch_gb_per_s, 1e-3)
+        sizes_gb = self.registry.image_gb
+        under_way = job.image in machine.pulls
+        gigabytes = sizes_gb[job.image] * REMAINING_SHARE if under_way else sizes_gb[job.image]
+        if machine.pulls and not under_way:
+            gigabytes += sum(sizes_gb[image] for image in machine.pulls)
+        return gigabytes / max(kind.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
