--- a/tests/scheduling/test_incremental_passes.py
+++ b/tests/scheduling/test_incremental_passes.py
@@ -20,6 +20,7 @@
 from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController
 from grebestand.state_machines import MachineState
 from grebestand.wire.workers import ExitReason, TaskPhase
+from support.scheduling_cluster import logged_events
 
 
 def led(
@@ -285,7 +286,8 @@
         world.settle(term, 4)
     assert slow.slowness > 1.5 and all(machine(term, w).slowness < 1.3 for w in workers[:5])
     assert slow.drain == "slow"
-    assert sum("as long as others" in r.getMessage() for r in caplog.records) == 1
+    drained = logged_events(caplog, "machine_drained")
+    assert [(fields["machine"], fields["reason"]) for fields in drained] == [(slow.name, "slow")]
     # work of no machine's past goes to the others, and the empty machine goes back to the cloud
     term.deprovisioning.return_idle()
     assert world.cloud.deleted == [workers[5].name]
