--- a/src/grebestand/scheduling/pending_reasons.py
+++ b/src/grebestand/scheduling/pending_reasons.py
@@ -1,93 +1,117 @@
-"""Tells a stranger who reads the log why something waits."""
+"""Logs a summary of the cluster and the reasons why jobs wait."""
 
 from __future__ import annotations
 
 import logging
 import math
 from collections import Counter
+from dataclasses import dataclass
 
 from ..cluster_state.jobs import Job
 from ..cluster_state.resources import MICRO_UNITS
+from ..log_events import LogEvent
 from ..state_machines import AllocationState
 from .scheduling_context import SchedulingComponent, SchedulingContext
 
 log = logging.getLogger(__name__)
 
 
-#: reasons that are told in one period, and after how long one that has not changed is told again
-MOST_TOLD, TOLD_AGAIN_S = 30, 60.0
+#: reasons that are logged in one period at most: on a crowded cluster one line for each job would drown the others
+MAX_REASONS_LOGGED = 30
+#: after how long a reason that has not changed is logged again
+REPEAT_AFTER_S = 60.0
+#: a job's reason is logged once it has waited for this many periods
+MIN_PERIODS_WAITED = 2
+
+
+@dataclass(frozen=True)
+class LoggedReason:
+    """The reason that was last logged for a job, and when."""
+
+    reason: str
+    logged_at: float
+
+
+NEVER_LOGGED = LoggedReason("", -math.inf)
 
 
 class PendingReasons(SchedulingComponent):
+    """Tells whoever reads the log how full the cluster is and why jobs wait."""
+
     def __init__(self, context: SchedulingContext) -> None:
         super().__init__(context)
-        self.explained_at = -math.inf
-        #: what was last told of each job that waits, and when
-        self._told: dict[Job, tuple[str, float]] = {}
+        self._summarised_at = -math.inf
+        #: what was last logged for each job that waits
+        self._logged: dict[Job, LoggedReason] = {}
 
     def tell(self, now: float) -> None:
-        """Tells a stranger reading the log why something waits."""
-        if now - self.explained_at < self.policy_values.period_s:
+        """Log a summary of the cluster and the reasons why jobs wait, once a period."""
+        if now - self._summarised_at < self.policy_values.period_s:
             return
-        self.explained_at = now
+        self._summarised_at = now
+        self._log_summary(now)
+        self._log_reasons(now)
+
+    def _log_summary(self, now: float) -> None:
+        """Log how many machines there are and how much of them is used."""
         machines = self.inventory.machines
-        by_state: dict[AllocationState, int] = {}
-        for m in machines:
-            for allocation in m.allocations.values():
-                by_state[allocation.state] = by_state.get(allocation.state, 0) + allocation.job.size[0]
-        shares = ", ".join(f"{n / MICRO_UNITS:.0f} {state.name.lower()}" for state, n in by_state.items())
+        cpus_by_state: dict[AllocationState, int] = {}
+        for machine in machines:
+            for allocation in machine.allocations.values():
+                cpus = cpus_by_state.get(allocation.state, 0)
+                cpus_by_state[allocation.state] = cpus + allocation.job.size[0]
         log.info(
-            "%d machines, %d accept, %d ready; %.0f of %.0f CPUs used (%s); %d tasks of %d jobs wait; g %.0f",
-            len(machines),
-            sum(1 for m in machines if m.in_accept_group),
-            sum(1 for m in machines if self.inventory.usable(m, now)),
-            sum(m.used[0] for m in machines) / MICRO_UNITS,
-            sum(m.capacity[0] for m in machines) / MICRO_UNITS,
-            shares,
-            sum(j.waiting() for j in self.registry.waiting_jobs()),
-            sum(1 for _ in self.registry.waiting_jobs()),
-            self.policy_values.g,
+            LogEvent(
+                "cluster_summarised",
+                machines=len(machines),
+                accepting=sum(1 for m in machines if m.in_accept_group),
+                ready=sum(1 for m in machines if self.inventory.usable(m, now)),
+                cpus_used=round(sum(m.used[0] for m in machines) / MICRO_UNITS),
+                cpus=round(sum(m.capacity[0] for m in machines) / MICRO_UNITS),
+                cpus_by_state=[f"{state.name.lower()}:{n / MICRO_UNITS:.0f}" for state, n in cpus_by_state.items()],
+                tasks_waiting=sum(job.waiting() for job in self.registry.waiting_jobs()),
+                jobs_waiting=sum(1 for _ in self.registry.waiting_jobs()),
+                g=self.policy_values.g,
+            )
         )
-        self._tell_reasons(now)
 
-    def _tell_reasons(self, now: float) -> None:
-        """Why each job waits, said when it changes and again after a while: the longest untold first, so many at a
-        time. Said anew of every job each period it was four lines in five of a crowded day's log."""
-        reasons: Counter[str] = Counter()
+    def _log_reasons(self, now: float) -> None:
+        """Log why jobs wait: when the reason changes and again after a while, the longest unlogged first."""
+        counts: Counter[str] = Counter()
         due: list[tuple[float, Job, str]] = []
-        known, self._told = self._told, {}
+        previously_logged, self._logged = self._logged, {}
         for job in self.registry.waiting_jobs():
-            if now - job.wait_since <= 2 * self.policy_values.period_s:
+            if now - job.wait_since <= MIN_PERIODS_WAITED * self.policy_values.period_s:
                 continue
-            why = self._why(job, now)
-            reasons[why] += 1
-            told, at = known.get(job, ("", -math.inf))
-            if told == why:
-                self._told[job] = told, at
-            if told != why or now - at >= TOLD_AGAIN_S:
-                due.append((at, job, why))
-        due.sort(key=lambda d: d[0])
-        for _, job, why in due[:MOST_TOLD]:
-            self._told[job] = why, now
-            log.info(
-                "%s: %d of %d tasks wait, the job for %.0f s: %s",
-                job.spec.id,
-                job.waiting(),
-                job.spec.tasks,
-                now - job.accepted_at,
-                why,
-            )
-        if len(due) > MOST_TOLD:
+            reason = self._reason(job, now)
+            counts[reason] += 1
+            last = previously_logged.get(job, NEVER_LOGGED)
+            if last.reason == reason:
+                self._logged[job] = last
+            if last.reason != reason or now - last.logged_at >= REPEAT_AFTER_S:
+                due.append((last.logged_at, job, reason))
+        due.sort(key=lambda entry: entry[0])
+        for _, job, reason in due[:MAX_REASONS_LOGGED]:
+            self._logged[job] = LoggedReason(reason, now)
             log.info(
-                "%d jobs have waited for a while: %s",
-                reasons.total(),
-                "; ".join(f"{n} {why}" for why, n in reasons.most_common()),
+                LogEvent(
+                    "job_waiting",
+                    job_id=job.spec.id,
+                    tasks_waiting=job.waiting(),
+                    tasks=job.spec.tasks,
+                    age_s=now - job.accepted_at,
+                    reason=reason,
+                )
             )
+        if len(due) > MAX_REASONS_LOGGED:
+            reasons = [f"{count} {reason}" for reason, count in counts.most_common()]
+            log.info(LogEvent("jobs_waiting", jobs=counts.total(), reasons="; ".join(reasons)))
 
     @staticmethod
-    def _why(job: Job, now: float) -> str:
+    def _reason(job: Job, now: float) -> str:
+        """Return why a job waits."""
         if job.possible_holders and not job.startable():
-            return "some machines have not proved what they hold"
+            return "some machines are not reconciled"
         if now < job.hold_until:
             return "its tasks failed lately"
         return job.why_waiting or "not yet tried"
