--- /dev/null
+++ b/tests/scheduling/test_cached_findings.py
@@ -0,0 +1,69 @@
+"""What placement and preemption cache from one pass to the next."""
+
+from __future__ import annotations
+
+import random
+
+from grebestand.leader.term import Term
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
+from grebestand.wire.workers import ExitReason
+
+#: fewer comparisons would say little
+MIN_COMPARISONS = 500
+
+
+def compare_allowances(term: Term) -> int:
+    """Compare each valid cached allowance with a fresh one, and return how many there were."""
+    placement = term.scheduler.placement
+    compared = 0
+    for (task_type, aged), allowances in placement._allowances.items():
+        rank = term.registry.types[task_type].rank
+        for index, (change_count, allowance) in allowances.items():
+            machine = term.inventory.at(index)
+            if machine is not None and machine.change_count == change_count:
+                compared += 1
+                assert placement._allowance(task_type, rank, aged, machine) == allowance
+    return compared
+
+
+def compare_victims(term: Term) -> int:
+    """Compare each valid cached list of victims with its machine, and return how many there were."""
+    compared = 0
+    for index, (change_count, victims) in term.scheduler.preemption._victims_by_machine.items():
+        machine = term.inventory.at(index)
+        if machine is not None and machine.change_count == change_count:
+            compared += 1
+            stoppable = {name for name, allocation in machine.allocations.items() if allocation.stop is None}
+            assert {allocation.name for _, allocation in victims} == stoppable
+            assert [lost_work for lost_work, _ in victims] == sorted(lost_work for lost_work, _ in victims)
+    return compared
+
+
+def test_cached_findings_equal_fresh_ones() -> None:
+    """Passes cache what templates admit and what machines hold by cost, by the machine's change count. A change that
+    was not counted would start tasks where a template has no slot, or stop the wrong ones."""
+    rng = random.Random(5)
+    world = InMemoryCluster(rules="rent = false\ntype_bound = 6\n")
+    controller = InMemoryController(world, "node-0")
+    term = controller.lead()
+    for i in range(12):
+        world.worker(f"n-{i:06d}", zone="ab"[i % 2])
+    world.settle(term, 3)
+    compared = 0
+    for _ in range(120):
+        shape = rng.choice(["array", "array", "ensemble"])
+        world.accept(
+            controller, shape=shape, crew=rng.choice(["red", "blue"]),
+            rank=rng.choice(["high", "standard", "best_effort"]), pullGb=0.5,
+            shards=rng.randint(1, 12 if shape == "array" else 2), cpus=rng.choice([1.0, 2.0, 7.0]),
+        )  # fmt: skip
+        for worker in world.workers.values():
+            worker.reachable = rng.random() < 0.95
+            for task in worker.running():
+                if rng.random() < 0.1:
+                    worker.finish(task, ExitReason.ERROR if rng.random() < 0.02 else ExitReason.DONE)
+        world.settle(term, 2)
+        now = world.clock.now
+        term.scheduler.retarget(now) if rng.random() < 0.2 else term.scheduler.place(now)
+        compared += compare_allowances(term) + compare_victims(term)
+    assert compared > MIN_COMPARISONS
--- /dev/null
+++ b/tests/scheduling/test_gang_scheduling.py
@@ -0,0 +1,99 @@
+"""Gang scheduling: what changes during a search, when a search ends, and what the log says of a start."""
+
+from __future__ import annotations
+
+import logging
+
+import pytest
+
+from grebestand.cluster_state.jobs import Job
+from grebestand.cluster_state.machine import Machine
+from grebestand.scheduling import gang_scheduling
+from grebestand.scheduling.gang_scheduling import GangCandidates, PlacementTable
+from grebestand.state_machines import MachineState
+from grebestand.wire.workers import TaskPhase
+from support.scheduling_cluster import WIDE_LIMIT_SETTINGS, SchedulingCluster, advance, finish, scheduling_cluster
+
+
+def accept_gang(cluster: SchedulingCluster, tasks: int, cpus: float = 16.0) -> str:
+    return cluster.world.accept(cluster.controller, shape="ensemble", shards=tasks, cpus=cpus)
+
+
+def test_gang_does_not_start_on_machine_that_became_suspect_during_search(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A pass over 5000 machines lets heartbeats in between; a decision from before is checked when it is applied."""
+    cluster = scheduling_cluster(3, monkeypatch)
+    job_id = accept_gang(cluster, tasks=2)
+    steps = cluster.term.scheduler.passing(cluster.now)
+    advance(steps, 4)  # the job, and all three machines have been examined
+    first = cluster.machine(cluster.workers[0])
+    cluster.term.inventory.move(first, MachineState.SUSPECT, cluster.now)
+    cluster.begin_turn()
+    finish(steps)
+    allocations = cluster.job(job_id).allocations
+    others = [cluster.machine(worker).index for worker in cluster.workers[1:]]
+    assert sorted(allocation.machine for allocation in allocations.values()) == others
+
+
+def test_gang_waits_if_machines_left_after_change_are_not_enough(monkeypatch: pytest.MonkeyPatch) -> None:
+    cluster = scheduling_cluster(2, monkeypatch)
+    job_id = accept_gang(cluster, tasks=2)
+    steps = cluster.term.scheduler.passing(cluster.now)
+    advance(steps, 3)
+    cluster.machine(cluster.workers[1]).drain = "recall"
+    cluster.begin_turn()
+    finish(steps)
+    job = cluster.job(job_id)
+    assert not job.allocations and "not all slots" in job.why_waiting
+
+
+def test_gang_cancelled_during_search_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    cluster = scheduling_cluster(2, monkeypatch)
+    job_id = accept_gang(cluster, tasks=2)
+    job = cluster.job(job_id)
+    steps = cluster.term.scheduler.passing(cluster.now)
+    advance(steps, 2)
+    assert cluster.controller.users.cancel(job_id).status == 200
+    cluster.term.job_watch.watch()
+    cluster.begin_turn()
+    finish(steps)
+    assert not job.allocations and job_id not in cluster.term.registry.jobs
+
+
+def test_search_for_gang_ends_once_there_is_enough_to_choose_from(monkeypatch: pytest.MonkeyPatch) -> None:
+    """In an empty cluster of thousands every gang examined every machine, though the first ones would do."""
+    cluster = scheduling_cluster(12, monkeypatch, WIDE_LIMIT_SETTINGS)
+    scheduler = cluster.term.scheduler
+    monkeypatch.setattr(gang_scheduling, "ENOUGH", 2)
+    examined: set[int] = set()
+    offers = scheduler.gangs.offers
+
+    def recorded(job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidates]:
+        examined.add(machine.index)
+        return offers(job, machine, table, now)
+
+    monkeypatch.setattr(scheduler.gangs, "offers", recorded)
+    accept_gang(cluster, tasks=1, cpus=15.0)
+    scheduler.place(cluster.now)
+    assert len(examined) == 4  # four times as many as its tasks
+    accept_gang(cluster, tasks=9, cpus=15.0)
+    scheduler.place(cluster.now)
+    jobs = cluster.term.registry.jobs.values()
+    assert all(job.allocations for job in jobs) and len(examined) == 12
+
+
+def test_start_of_gang_logs_how_long_each_stage_took(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    cluster = scheduling_cluster(2, monkeypatch)
+    caplog.set_level(logging.INFO)
+    job_id = accept_gang(cluster, tasks=2)
+    cluster.world.settle(cluster.term, 2)
+    for phase, rounds in ((TaskPhase.FETCHING, 2), (TaskPhase.RUNNING, 3)):
+        for worker in cluster.workers:
+            for status in worker.tasks.values():
+                status.state = phase
+        cluster.world.settle(cluster.term, rounds)
+    lines = [r.getMessage() for r in caplog.records if "runs whole" in r.getMessage()]
+    assert len(lines) == 1
+    assert lines[0].startswith(f"gang {job_id} runs whole: 2 tasks, placed 1.0 s after there was room")
+    assert "1.0 s to the last image" in lines[0]
--- /dev/null
+++ b/tests/scheduling/test_greedy.py
@@ -0,0 +1,54 @@
+"""Classification and Reassignment (CRA) against a plain reading of the paper's algorithm."""
+
+from __future__ import annotations
+
+import dataclasses
+import random
+
+from grebestand.scheduling.greedy import ServerDemand, TemplateAssignment, cra
+
+
+def plain_cra(assignments: list[TemplateAssignment], plan: list[ServerDemand]) -> int:
+    """Algorithm 2 as plainly as it can be written: every entry of the plan examines every machine."""
+    worst_rank = first_short = len(plan) + 1
+    for assignment in assignments:
+        assignment.rank = worst_rank
+    for rank, demand in enumerate(plan, start=1):
+        configured = [
+            a for a in assignments if a.pool == demand.pool and a.rank == worst_rank and a.config == demand.config
+        ]
+        for assignment in configured[: demand.count]:
+            assignment.rank = rank
+        missing = max(0, demand.count - len(configured))
+        wanted_later = {later.config for later in plan[rank:] if later.pool == demand.pool}
+        convertible = [
+            a for a in assignments if a.pool == demand.pool and a.rank == worst_rank and a.may_become(demand.config)
+        ]
+        convertible.sort(key=lambda a: (not a.empty, a.config in wanted_later))
+        for assignment in convertible[:missing]:
+            assignment.rank, assignment.config = rank, demand.config
+        if missing > len(convertible):
+            first_short = min(first_short, rank)
+    return first_short
+
+
+def random_assignments(rng: random.Random, configs: list[tuple[int, int]]) -> list[TemplateAssignment]:
+    assignments = []
+    for tag in range(12):
+        empty = rng.random() < 0.5
+        holds = () if empty else rng.choice([(), (1, 0), (0, 1), (1, 1)])
+        assignments.append(TemplateAssignment(rng.randrange(2), rng.choice(configs), empty, holds, tag=tag))
+    assignments.sort(key=lambda a: (a.empty, a.tag))
+    return assignments
+
+
+def test_cra_by_groups_takes_same_machines_as_plain_algorithm() -> None:
+    """Grouped by configuration it no longer examines every machine for every entry of the plan."""
+    rng = random.Random(5)
+    for _ in range(200):
+        configs = [(rng.randrange(3), rng.randrange(3)) for _ in range(4)]
+        assignments = random_assignments(rng, configs)
+        plan = [ServerDemand(rng.randrange(2), rng.choice(configs), rng.randrange(1, 6)) for _ in range(4)]
+        plain = [dataclasses.replace(a) for a in assignments]
+        assert cra(assignments, plan) == plain_cra(plain, plan)
+        assert [(a.config, a.rank) for a in assignments] == [(a.config, a.rank) for a in plain]
--- /dev/null
+++ b/tests/scheduling/test_scheduling_slices.py
@@ -0,0 +1,62 @@
+"""The scheduling loop runs computations in slices, so that heartbeats are answered in between."""
+
+from __future__ import annotations
+
+import pytest
+
+from grebestand.leader.scheduling_loop import SLICE_S
+from grebestand.scheduling.scheduling_context import Steps
+from support.scheduling_cluster import SchedulingCluster, scheduling_cluster
+
+
+def slow_down_passes(cluster: SchedulingCluster, monkeypatch: pytest.MonkeyPatch, step_s: float) -> None:
+    """Make each step of a pass take so many seconds."""
+    passing = cluster.term.scheduler.passing
+
+    def slow_passing(now: float) -> Steps:
+        for _ in passing(now):
+            cluster.world.clock.now += step_s
+            yield
+
+    monkeypatch.setattr(cluster.term.scheduler, "passing", slow_passing)
+
+
+def accept_gang(cluster: SchedulingCluster) -> str:
+    """Accept a gang for all machines, and make sure that the next computation is the pass that places it."""
+    job_id = cluster.world.accept(cluster.controller, shape="ensemble", shards=3, cpus=16.0)
+    cluster.world.clock.now += 1.0
+    cluster.term.scheduling_loop.retarget_after = cluster.now + 100.0
+    return job_id
+
+
+def test_long_pass_runs_in_slices_with_heartbeats_answered_in_between(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One pass over 5000 machines once occupied the leader for seconds, and nobody was answered meanwhile."""
+    step_s = 0.03
+    cluster = scheduling_cluster(3, monkeypatch)
+    loop = cluster.term.scheduling_loop
+    slow_down_passes(cluster, monkeypatch, step_s)
+    job_id = accept_gang(cluster)
+    slice_began = cluster.now
+    loop.step(slice_began)
+    assert loop.busy and cluster.now - slice_began < SLICE_S + step_s
+    assert cluster.world.handle_heartbeat(cluster.term, cluster.workers[0]) is not None
+    for _ in range(50):
+        slice_began = cluster.now
+        loop.go_on()
+        assert cluster.now - slice_began < SLICE_S + step_s
+    assert len(cluster.job(job_id).allocations) == 3
+    # a change that came with the heartbeat in between brings another pass; the pass's own starts do not
+    loop.place_after = cluster.now
+    assert not cluster.term.registry.changed
+
+
+def test_pass_is_abandoned_when_leadership_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+    cluster = scheduling_cluster(3, monkeypatch)
+    loop = cluster.term.scheduling_loop
+    slow_down_passes(cluster, monkeypatch, 0.05)
+    job_id = accept_gang(cluster)
+    loop.step(cluster.now)
+    assert loop.busy
+    cluster.controller.election.resign("gives way", 10.0)
+    loop.go_on()
+    assert loop._work is None and not cluster.job(job_id).allocations
--- a/tests/support/scheduling_cluster.py
+++ b/tests/support/scheduling_cluster.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import logging
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 import pytest
@@ -72,7 +74,7 @@
         pass
 
 
-def logged_events(caplog: pytest.LogCaptureFixture, event: str) -> list[dict[str, object]]:
+def logged_events(records: Iterable[logging.LogRecord], event: str) -> list[dict[str, object]]:
     """Return the fields of each record of a log event."""
-    messages = (record.msg for record in caplog.records)
+    messages = (record.msg for record in records)
     return [m.fields for m in messages if isinstance(m, LogEvent) and m.event == event]
