--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -37,7 +37,7 @@
 ENOUGH_PER_TASK = 4
 #: how often a choice is repaired for machines that changed during the search
 MAX_REPAIRS = 3
-NO_ROOM_FOR_GANG = "not all slots are free at once, nor can they be cleared in one zone"
+GANG_DOES_NOT_FIT = "not all slots are free at once, nor can they be cleared in one zone"
 
 
 @dataclass(frozen=True)
@@ -116,9 +116,9 @@
         self.preemption = preemption
         self.placement = placement
         self.gang_wait_s = gang_wait_s
-        #: tasks and size of the smallest gang for which this pass found no room
+        #: tasks and size of the smallest gang that this pass could not fit
         self._smallest_refused: dict[GangShape, tuple[int, Resources]] = {}
-        #: borrowing teams for which the cached tables hold
+        #: borrowing teams for which the cached tables are valid
         self._borrowers: set[int] = set()
         #: the overdue gang for which this pass reserves free machines
         self._overdue_gang = ""
@@ -154,7 +154,7 @@
         reserves_free = is_overdue and not self._overdue_gang
         shape = job.type, job.spec.one_zone, job.spec.spread, self.preemption.reclaims_for(job, now)
         if self._similar_was_refused(job, shape) and not has_reserved and not reserves_free:
-            job.why_waiting = NO_ROOM_FOR_GANG
+            job.why_waiting = GANG_DOES_NOT_FIT
             return
         turn = self.context.turn
         table = self._table_for(job, now)
@@ -167,7 +167,7 @@
             if not self._may_start(job):
                 return
         if selection.shares is None:
-            job.why_waiting = NO_ROOM_FOR_GANG
+            job.why_waiting = GANG_DOES_NOT_FIT
             if reserves_free:
                 self._reserve_free_machines(job, selection.candidates, now)
             if not job.avoid and not self._must_not_preempt_yet(job, now):
@@ -203,9 +203,9 @@
             team.kept_for = job.spec.id
 
     def _similar_was_refused(self, job: Job, shape: GangShape) -> bool:
-        """Return whether this pass found no room for a gang of the same shape that was no larger.
+        """Return whether this pass could not fit a gang of the same shape that was no larger.
 
-        Nothing within a pass makes room for such a gang, and each search takes milliseconds.
+        Nothing within a pass frees capacity for such a gang, and each search takes milliseconds.
         """
         tasks, size = self._smallest_refused.get(shape, (job.spec.tasks + 1, job.size))
         return job.spec.tasks >= tasks and fits(size, job.size)
@@ -267,7 +267,7 @@
         victims = [victim for candidate, _ in shares for victim in candidate.victims]
         if not all(self.preemption.may_stop(job, victim, now) for victim in victims):
             self.forget()  # a guarantee or a limit has changed since they were looked up
-            job.why_waiting = NO_ROOM_FOR_GANG
+            job.why_waiting = GANG_DOES_NOT_FIT
             return
         job.why_waiting = "its slots are being cleared"
         job.preempt_at = now
@@ -304,8 +304,8 @@
     def _start(self, job: Job, shares: list[GangShare], now: float) -> None:
         """Start all tasks of a gang."""
         attempt = self.dispatch.next_attempt()
-        room_since = max(job.wait_since, *(candidate.machine.freed_at for candidate, _ in shares))
-        job.stages = GangStartTimeline(attempt, room_since, now)
+        free_since = max(job.wait_since, *(candidate.machine.freed_at for candidate, _ in shares))
+        job.stages = GangStartTimeline(attempt, free_since, now)
         # a task whose machine has the image would wait for the others, and workers end that wait after a while
         fetches_s = [self.images.fetch_s(job, candidate.machine) for candidate, _ in shares]
         uneven = max(fetches_s) > UNEVEN_FETCH_SHARE * self.gang_wait_s
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -372,7 +372,7 @@
     def _rank_machines_to_clear(
         self, job: Job, ready: list[Machine], reclaiming_team: int, now: float
     ) -> Generator[None, None, list[Machine]]:
-        """Return the machines where preemption would make room for a task of the job, the cheapest last."""
+        """Return the machines where preemption would free capacity for a task of the job, the cheapest last."""
         costs: list[tuple[float, Machine]] = []
         for examined, machine in enumerate(ready, 1):
             if not examined % MACHINES_PER_STEP:
@@ -389,9 +389,9 @@
         """Preempt work for the job on the cheapest machines, and reserve them for it.
 
         Args:
-            job: the job that needs room.
+            job: the job that needs capacity.
             machines: candidates, the cheapest last; those that are tried are removed.
-            tasks: how many tasks need room; one machine is cleared for each.
+            tasks: how many tasks need capacity; one machine is cleared for each.
             now: seconds on the leader's clock.
         """
         to_clear = max(1, min(tasks, MAX_MACHINES_CLEARED))
--- a/src/grebestand/scheduling/preemption.py
+++ b/src/grebestand/scheduling/preemption.py
@@ -64,7 +64,7 @@
         """Return whether a job may displace a task: one of lower priority, or one of a team that borrows.
 
         Args:
-            job: the job that needs room.
+            job: the job that needs capacity.
             victim: a task of any job.
             reclaims: whether the job may reclaim its team's guarantee now.
         """
@@ -133,7 +133,7 @@
         return (PROTECTED_WEIGHT if is_protected else 1.0) * cost.cpus * (STOP_OVERHEAD_S + seconds)
 
     def hopeless(self, job: Job, machine: Machine, reclaims: bool) -> bool:
-        """Return whether displacing all that the job may displace on a machine would not make room for one task.
+        """Return whether displacing all that the job may displace on a machine frees too little for one task.
 
         This is a quick check of CPUs by priority and team, which rules out most machines. It may return False where
         `eviction` finds nothing, never True where it finds something.
