--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..clients.kv_store import KeyValueStoreClient, StoreError, absent, put
+from ..clients.kv_store import KeyValueStoreClient, StoreError, key_absent, put
 from ..cluster_state.resources import fits, machine_capacity, task_resources
 from ..features.hooks import Features, HookRefusal
 from ..flow_control.rate_limiter import Urgency
@@ -217,7 +217,7 @@
         while True:
             try:
                 revision, failed = self.store.commit(
-                    [absent(live_key(ident)), absent(completed_key(ident))],
+                    [key_absent(live_key(ident)), key_absent(completed_key(ident))],
                     [put(live_key(ident), value)],
                     Urgency.ACCEPT,
                     timeout=min(REQUEST_S, max(0.3, end - self.clock())),
--- a/src/grebestand/api/read_batching.py
+++ b/src/grebestand/api/read_batching.py
@@ -12,7 +12,7 @@
 from gevent.event import Event
 from gevent.lock import BoundedSemaphore
 
-from ..clients.kv_store import KeyValueStoreClient, StoreError, at
+from ..clients.kv_store import KeyValueStoreClient, StoreError, version_is
 from ..flow_control.rate_limiter import Urgency
 from ..storage.job_records import live_key
 
@@ -89,7 +89,7 @@
     def _ask(self, batch: _ReadBatch) -> None:
         left = dict(batch.versions)
         while left:
-            _, failed = self.store.commit([at(live_key(i), v) for i, v in left.items()], [], None)
+            _, failed = self.store.commit([version_is(live_key(i), v) for i, v in left.items()], [], None)
             if not failed:
                 batch.live.update(left)
                 return
--- a/src/grebestand/clients/kv_store.py
+++ b/src/grebestand/clients/kv_store.py
@@ -51,11 +51,11 @@
     return Change(delete=key)
 
 
-def absent(key: str) -> Condition:
+def key_absent(key: str) -> Condition:
     return Condition(key=key, version=0)
 
 
-def at(key: str, version: int) -> Condition:
+def version_is(key: str, version: int) -> Condition:
     return Condition(key=key, version=version)
 
 
--- a/src/grebestand/controller/machine_type_catalog.py
+++ b/src/grebestand/controller/machine_type_catalog.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..clients.cloud import CloudClient, CloudError
-from ..clients.kv_store import KeyValueStoreClient, StoreError, absent, at, put
+from ..clients.kv_store import KeyValueStoreClient, StoreError, key_absent, put, version_is
 from ..flow_control.rate_limiter import Urgency
 from ..wire.cloud import MachineType, MachineTypes
 
@@ -27,7 +27,7 @@
         """Conditional on what stands there, so that a write that is carried out late puts nothing older over it."""
         found = self.store.get(TYPES_KEY, Urgency.PROGRESS)
         if found is None or found.value != value:
-            condition = absent(TYPES_KEY) if found is None else at(TYPES_KEY, found.version)
+            condition = key_absent(TYPES_KEY) if found is None else version_is(TYPES_KEY, found.version)
             self.store.commit([condition], [put(TYPES_KEY, value)], Urgency.PROGRESS)
 
     def read(self, record: bool) -> bool:
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ..clients.kv_store import StoreError, absent, at, delete, put
+from ..clients.kv_store import StoreError, delete, key_absent, put, version_is
 from ..cluster_state.jobs import Job
 from ..cluster_state.machine import Machine
 from ..cluster_state.resources import MICRO_UNITS
@@ -246,7 +246,7 @@
         # a write that nobody answered may still be carried out: it is made again under the same names until it is known
         record = GuestRecord(r.home, r.ref, r.id, r.job)
         live = msgspec.to_builtins(LiveJobRecord(r.spec, self.term.wall(), guest=True))
-        conditions = [absent(guest_key(r.id)), absent(live_key(r.job)), absent(completed_key(r.job))]
+        conditions = [key_absent(guest_key(r.id)), key_absent(live_key(r.job)), key_absent(completed_key(r.job))]
         changes = [
             put(guest_key(r.id), msgspec.to_builtins(record)),
             put(live_key(r.job), live),
@@ -324,7 +324,7 @@
         found = self.term.writer.store.get(guest_key(record.id), Urgency.PROGRESS)
         if found is not None:
             self.term.writer.commit(
-                [at(guest_key(record.id), found.version)], [delete(guest_key(record.id))], Urgency.PROGRESS
+                [version_is(guest_key(record.id), found.version)], [delete(guest_key(record.id))], Urgency.PROGRESS
             )
         self.records.pop(record.id, None)
         self.heard.pop(record.id, None)
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ..clients.kv_store import StoreError, at, delete, put
+from ..clients.kv_store import StoreError, delete, put, version_is
 from ..cluster_state.jobs import Job
 from ..flow_control.rate_limiter import Urgency
 from ..leader.election import FencedError
@@ -282,7 +282,7 @@
             key = SETTLED + entry.id
             found = self.term.writer.store.get(key, Urgency.PROGRESS)
             if found is not None:
-                self.term.writer.commit([at(key, found.version)], [delete(key)], Urgency.PROGRESS)
+                self.term.writer.commit([version_is(key, found.version)], [delete(key)], Urgency.PROGRESS)
         except (StoreError, FencedError) as e:
             log.info("settled gang %s: %s", entry.ref, e)
             return
@@ -458,7 +458,7 @@
         accepted = self.term.wall() - (self.term.clock() - job.accepted_at)
         record = LiveJobRecord(job.spec, accepted, abroad, job.guest)
         change = put(live_key(ident), msgspec.to_builtins(record))
-        version, failed = self.term.writer.commit([at(live_key(ident), job.version)], [change], Urgency.ACCEPT)
+        version, failed = self.term.writer.commit([version_is(live_key(ident), job.version)], [change], Urgency.ACCEPT)
         if not failed:
             job.version = version
             job.abroad = abroad
--- a/src/grebestand/federation/settlement.py
+++ b/src/grebestand/federation/settlement.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..clients.kv_store import KeyValueStoreClient, at, put
+from ..clients.kv_store import KeyValueStoreClient, put, version_is
 from ..flow_control.rate_limiter import Urgency
 from ..storage.job_records import LiveJobRecord, live_key
 
@@ -58,7 +58,7 @@
     record = msgspec.structs.replace(gang.record, abroad=None)
     word = Settled(gang.cluster, gang.ref, gang.id, by)
     _, failed = state.commit(
-        [at(live_key(gang.ref), gang.version)],
+        [version_is(live_key(gang.ref), gang.version)],
         [
             put(live_key(gang.ref), msgspec.to_builtins(record)),
             put(PREFIX + gang.id, msgspec.to_builtins(word)),
--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -13,7 +13,7 @@
 import msgspec
 from gevent.lock import BoundedSemaphore
 
-from ..clients.kv_store import KeyValueStoreClient, LeaseExpiredError, StoreError, absent, at, delete, put
+from ..clients.kv_store import KeyValueStoreClient, LeaseExpiredError, StoreError, delete, key_absent, put, version_is
 from ..clocks import DRIFT
 from ..flow_control.rate_limiter import Urgency
 from ..state_machines import LEADER_TRANSITIONS, LeaderState, check_transition
@@ -169,7 +169,7 @@
     def campaign(self, version: int) -> None:
         sent = self.clock()
         hold = self.store.grant_lease(int(self.ttl_s * 1000))
-        condition = at(LEADER_KEY, version) if version else absent(LEADER_KEY)
+        condition = version_is(LEADER_KEY, version) if version else key_absent(LEADER_KEY)
         value = msgspec.to_builtins(LeaderValue(self.name))
         try:
             revision, failed = self.store.commit([condition], [put(LEADER_KEY, value, hold)], Urgency.TAKEOVER)
@@ -252,7 +252,7 @@
 
     def clear_key(self, token: int) -> None:
         """Removes the key of a term that its holder has declared over."""
-        self.store.commit([at(LEADER_KEY, token)], [delete(LEADER_KEY)], Urgency.TAKEOVER)
+        self.store.commit([version_is(LEADER_KEY, token)], [delete(LEADER_KEY)], Urgency.TAKEOVER)
 
     def guard(self) -> None:
         if not self.is_leader():
--- a/src/grebestand/leader/fenced_writes.py
+++ b/src/grebestand/leader/fenced_writes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..clients.kv_store import KeyValueStoreClient, at
+from ..clients.kv_store import KeyValueStoreClient, version_is
 from ..flow_control.rate_limiter import Urgency
 from ..storage.paged_records import PagedRecords
 from ..wire.store import Change, Condition
@@ -26,7 +26,7 @@
         """A leader's write: it fails as a whole once another term has begun. The new version, or failed keys."""
         if not self.is_leader():
             raise FencedError("not leading")
-        version, failed = self.store.commit([at(LEADER_KEY, self.token), *conditions], changes, urgency)
+        version, failed = self.store.commit([version_is(LEADER_KEY, self.token), *conditions], changes, urgency)
         if LEADER_KEY in failed:
             self.election.lose("another term has begun")
             raise FencedError("another term has begun")
--- a/src/grebestand/leader/provisioning.py
+++ b/src/grebestand/leader/provisioning.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..clients.cloud import CloudClient, NoCapacityError
-from ..clients.kv_store import StoreError, absent, delete, put
+from ..clients.kv_store import StoreError, delete, key_absent, put
 from ..cluster_state.job_registry import JobRegistry
 from ..cluster_state.machine_inventory import MachineInventory
 from ..flow_control.rate_limiter import Urgency
@@ -153,7 +153,7 @@
         if name not in self.old_rents:
             # one change for up to fifty machines: behind grants and progress, rentals of a burst once came 40 s late
             # a new name, so that this fails only if a reader may have it already
-            _, failed = self.writer.commit([absent(key)], [put(key, msgspec.to_builtins(record))], Urgency.TAKEOVER)
+            _, failed = self.writer.commit([key_absent(key)], [put(key, msgspec.to_builtins(record))], Urgency.TAKEOVER)
             if failed:
                 raise StoreError(f"{name} is on record already", maybe=False)
             self.old_rents[name] = record
--- a/src/grebestand/storage/completed_jobs.py
+++ b/src/grebestand/storage/completed_jobs.py
@@ -1,4 +1,7 @@
-"""How jobs ended, as far as this process remembers. Final states never change, so users may be answered from here."""
+"""Cache of the final states of completed jobs.
+
+A final state never changes, so users may be answered from this cache without reading the key-value store.
+"""
 
 from __future__ import annotations
 
@@ -6,17 +9,22 @@
 
 from .job_records import CompletedJobRecord
 
+#: bounds the memory of a controller; the oldest entries are evicted first and are read from the store again on demand
 MAX_COMPLETED_KEPT = 5000
 
 
 class CompletedJobs:
+    """The final states that this process has seen most recently, by job id."""
+
     def __init__(self) -> None:
-        self._over: OrderedDict[str, CompletedJobRecord] = OrderedDict()
+        self._records: OrderedDict[str, CompletedJobRecord] = OrderedDict()
 
-    def get(self, ident: str) -> CompletedJobRecord | None:
-        return self._over.get(ident)
+    def get(self, job_id: str) -> CompletedJobRecord | None:
+        """Return the final record of a job, or None if this process does not remember it."""
+        return self._records.get(job_id)
 
-    def remember(self, ident: str, record: CompletedJobRecord) -> None:
-        self._over[ident] = record
-        if len(self._over) > MAX_COMPLETED_KEPT:
-            self._over.popitem(last=False)
+    def remember(self, job_id: str, record: CompletedJobRecord) -> None:
+        """Add the final record of a job, and evict the oldest entry if there are too many."""
+        self._records[job_id] = record
+        if len(self._records) > MAX_COMPLETED_KEPT:
+            self._records.popitem(last=False)
--- a/src/grebestand/storage/job_records.py
+++ b/src/grebestand/storage/job_records.py
@@ -1,46 +1,63 @@
-"""The durable record of a job while it is live, and what stays of it when it is over."""
+"""Stored records of jobs: one for a live job and one for a completed job, never both at a time."""
 
 from __future__ import annotations
 
 import msgspec
 
-from ..clients.kv_store import absent, at, delete, put
+from ..clients.kv_store import delete, key_absent, put, version_is
 from ..wire.jobs import JobSpec, JobStatus
 from ..wire.remote_assignment import RemoteAssignment
 from ..wire.store import Change, Condition
 
 
 class LiveJobRecord(msgspec.Struct, omit_defaults=True):
-    """The durable record of an accepted job."""
+    """The record of an accepted job that is neither done nor cancelled.
+
+    Attributes:
+        spec: The job as its user described it.
+        at: Time of day of acceptance, in seconds since the epoch.
+        abroad: The cluster that runs the gang, or may come to run it. While it is set, no task of the job may start in
+            this cluster.
+        guest: Whether the job is a gang of another cluster. Such a gang is never offered to a further cluster.
+    """
 
     spec: JobSpec
     at: float
-    #: while this is set, nothing of the job may start here
     abroad: RemoteAssignment | None = None
-    #: another cluster's gang: however it comes into the books, it is never offered on
     guest: bool = False
 
 
 class CompletedJobRecord(msgspec.Struct):
-    """What stays of a job when it is over."""
+    """The record of a completed job.
+
+    Attributes:
+        state: `JobStatus.DONE` or `JobStatus.CANCELLED`.
+        tasks: Number of tasks known to have succeeded when the record was written.
+    """
 
     state: JobStatus
     tasks: int
 
 
-def live_key(ident: str) -> str:
-    return f"live/{ident}"
+def live_key(job_id: str) -> str:
+    """Return the key of a job's `LiveJobRecord`."""
+    return f"live/{job_id}"
 
 
-def completed_key(ident: str) -> str:
-    return f"over/{ident}"
+def completed_key(job_id: str) -> str:
+    """Return the key of a job's `CompletedJobRecord`."""
+    return f"over/{job_id}"
 
 
 def completion_transaction(
-    ident: str, version: int, record: CompletedJobRecord
+    job_id: str, version: int, record: CompletedJobRecord
 ) -> tuple[list[Condition], list[Change]]:
-    """The one transaction that moves a job from live, at this version, to over: its conditions and its changes."""
+    """Return the conditions and changes of the transaction that completes a job.
+
+    The transaction deletes the live record and writes the completed one. It fails if the live record no longer has
+    `version`, or if the job is completed already.
+    """
     return (
-        [at(live_key(ident), version), absent(completed_key(ident))],
-        [delete(live_key(ident)), put(completed_key(ident), msgspec.to_builtins(record))],
+        [version_is(live_key(job_id), version), key_absent(completed_key(job_id))],
+        [delete(live_key(job_id)), put(completed_key(job_id), msgspec.to_builtins(record))],
     )
--- a/tests/scenarios/test_absent_machines.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -13,7 +13,7 @@
 import pytest
 
 from grebestand.api import job_api
-from grebestand.clients.kv_store import absent
+from grebestand.clients.kv_store import key_absent
 from grebestand.cluster_state import machine_inventory
 from grebestand.cluster_state.job_registry import JobRegistry
 from grebestand.cluster_state.machine_inventory import MachineInventory
@@ -407,7 +407,7 @@
     monkeypatch.setattr(
         job_api,
         "completion_transaction",
-        lambda ident, *a: ([absent(f"none/{ident}")], completion_transaction(ident, *a)[1]),
+        lambda ident, *a: ([key_absent(f"none/{ident}")], completion_transaction(ident, *a)[1]),
     )
 
 
--- a/tests/scenarios/test_fault_combinations.py
+++ b/tests/scenarios/test_fault_combinations.py
@@ -10,7 +10,7 @@
 import pytest
 
 from grebestand.api.job_api import JobApi
-from grebestand.clients.kv_store import StoreError, absent, put
+from grebestand.clients.kv_store import StoreError, key_absent, put
 from grebestand.cluster_state.jobs import Job
 from grebestand.cluster_state.machine_inventory import MachineInventory
 from grebestand.flow_control.rate_limiter import Urgency
@@ -236,9 +236,9 @@
     version = world.store.data[f"live/{ref}"][1]
     assert json.loads(node.users.cancel(ref).body)["tide"] == "cancelled"
     late = [
-        ([absent(f"live/{ref}"), absent(f"over/{ref}")], [put(f"live/{ref}", {})]),
+        ([key_absent(f"live/{ref}"), key_absent(f"over/{ref}")], [put(f"live/{ref}", {})]),
         completion_transaction(ref, version, CompletedJobRecord(JobStatus.DONE, 1)),
-        ([absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-7"})]),
+        ([key_absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-7"})]),
     ]
     term = node.lead()
     for conditions, changes in late:
@@ -255,13 +255,13 @@
     token = node.election.resign("test", 20.0)
     node.election.clear_key(token)
     hold = node.store.grant_lease(12_000)
-    late, _ = node.store.commit([absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
+    late, _ = node.store.commit([key_absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
     node.election.look()
     assert LEADER_KEY not in world.store.data and node.election.state.name == "RESIGNED"
-    late, _ = node.store.commit([absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
+    late, _ = node.store.commit([key_absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
     world.clock.now += 21.0
     hold = node.store.grant_lease(12_000)
-    late, _ = node.store.commit([absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
+    late, _ = node.store.commit([key_absent(LEADER_KEY)], [put(LEADER_KEY, {"name": "node-0"}, hold)], Urgency.TAKEOVER)
     node.election.look()
     assert node.election.state.name == "LOADING" and node.election.token > late
 
