--- a/src/grebestand/clients/__init__.py
+++ b/src/grebestand/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the key-value store, the cloud and other controllers, over HTTP."""
+"""Clients of the key-value store, the cloud and other controllers, over HTTP, and the runtime that they depend on."""
--- a/src/grebestand/clients/cloud.py
+++ b/src/grebestand/clients/cloud.py
@@ -2,68 +2,114 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TypeVar
 
 import msgspec
 
+from ..errors import GrebestandError
 from ..flow_control.rate_limiter import RateLimitedError, RateLimiter, Urgency
 from ..wire.cloud import ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, Rented, RentRequest
 from .http import Transport, UnreachableError
 
-T = TypeVar("T")
+Message = TypeVar("Message")
 
+#: limit on the wait at the rate limiter, and on the request after it
+REQUEST_TIMEOUT_S = 5.0
+#: path of the list of machines, in pages of 500
+LIST_PATH = "/machines?page=500"
+#: bytes of an unexpected response that go into the text of an error
+MAX_QUOTED_BYTES = 100
 
-class CloudError(Exception):
-    """No useful answer; the request may have been carried out."""
 
+class CloudError(GrebestandError):
+    """The cloud gave no usable response; the request may have been executed.
 
-class NoCapacityError(Exception):
-    """None available for this type, zone and kind."""
+    Attributes:
+        reason: Why there is no usable response.
+    """
 
+    def __init__(self, reason: str) -> None:
+        self.reason = reason
+        super().__init__(reason)
 
-class CloudClient:
-    def __init__(self, transport: Transport, budget: RateLimiter) -> None:
-        self._transport = transport
-        self.budget = budget
 
-    def _call(self, method: str, path: str, body: object, urgency: Urgency) -> tuple[int, bytes]:
-        data = b"" if body is None else msgspec.json.encode(body)
-        try:
-            self.budget.take(urgency, 1, patience_s=5.0)
-            return self._transport.request(method, path, data, 5.0)
-        except (RateLimitedError, UnreachableError) as e:
-            raise CloudError(str(e)) from e
+class NoCapacityError(GrebestandError):
+    """The cloud has no machines to rent of a type in a zone.
 
-    @staticmethod
-    def _decode(status: int, answer: bytes, kind: type[T]) -> T:
-        if status != 200:
-            raise CloudError(f"status {status}: {answer[:100]!r}")
-        try:
-            return msgspec.json.decode(answer, type=kind)
-        except msgspec.DecodeError as e:
-            raise CloudError(f"unreadable answer: {e}") from e
+    Attributes:
+        machine_type: Name of the machine type.
+        zone: Name of the zone.
+        spot: Whether spot machines were requested.
+    """
+
+    def __init__(self, machine_type: str, zone: str, spot: bool) -> None:
+        self.machine_type = machine_type
+        self.zone = zone
+        self.spot = spot
+        super().__init__(f"no capacity for {'spot ' if spot else ''}{machine_type} in {zone}")
+
+
+class CloudClient:
+    """Requests to the cloud, within its rate limit. Every method raises `CloudError` without a usable response."""
+
+    def __init__(self, transport: Transport, rate_limiter: RateLimiter) -> None:
+        """Bind the client to its connections and its rate limiter."""
+        self._transport = transport
+        self._rate_limiter = rate_limiter
 
     def machine_types(self) -> list[MachineType]:
+        """Return the machine types that the cloud rents out."""
         return self._decode(*self._call("GET", "/flavors", None, Urgency.TAKEOVER), MachineTypes).types
 
     def rent(self, request: RentRequest) -> list[str]:
-        status, answer = self._call("POST", "/machines", request, Urgency.ACCEPT)
-        if status == 503 and b"no capacity" in answer:
-            raise NoCapacityError
-        return self._decode(status, answer, Rented).machines
+        """Rent machines and return their names; a repeated request with the same name rents none anew.
+
+        Raises:
+            NoCapacityError: The cloud has no such machines to rent.
+        """
+        status, body = self._call("POST", "/machines", request, Urgency.ACCEPT)
+        if status == HTTPStatus.SERVICE_UNAVAILABLE and b"no capacity" in body:
+            raise NoCapacityError(request.type, request.zone, request.spot)
+        return self._decode(status, body, Rented).machines
 
     def remove(self, names: list[str]) -> None:
-        status, answer = self._call("POST", "/machines/delete", MachineNames(machines=names), Urgency.DONE)
-        if status != 200:
-            raise CloudError(f"status {status}: {answer[:100]!r}")
+        """Return machines to the cloud; names of machines that are gone already are ignored."""
+        status, body = self._call("POST", "/machines/delete", MachineNames(machines=names), Urgency.DONE)
+        self._check_status(status, body)
 
     def machines(self) -> list[ListedMachine]:
+        """Return the machines that are rented, as the cloud lists them; its list may lag behind."""
         found: list[ListedMachine] = []
         since = ""
         while True:
-            path = "/machines?page=500" + (f"&since={since}" if since else "")
+            path = LIST_PATH + (f"&since={since}" if since else "")
             page = self._decode(*self._call("GET", path, None, Urgency.PROGRESS), MachineList)
             found.extend(page.machines)
             if not page.more or not page.machines:
                 return found
             since = page.machines[-1].id
+
+    def _call(self, method: str, path: str, message: msgspec.Struct | None, urgency: Urgency) -> tuple[int, bytes]:
+        """Send a request within the rate limit, and return the status and the body of its response."""
+        data = b"" if message is None else msgspec.json.encode(message)
+        try:
+            self._rate_limiter.take(urgency, 1, patience_s=REQUEST_TIMEOUT_S)
+            return self._transport.request(method, path, data, REQUEST_TIMEOUT_S)
+        except (RateLimitedError, UnreachableError) as error:
+            raise CloudError(str(error)) from error
+
+    @staticmethod
+    def _check_status(status: int, body: bytes) -> None:
+        """Raise `CloudError` for a status that says that the request has failed."""
+        if status != HTTPStatus.OK:
+            raise CloudError(f"status {status}: {body[:MAX_QUOTED_BYTES]!r}")
+
+    @classmethod
+    def _decode(cls, status: int, body: bytes, message_type: type[Message]) -> Message:
+        """Return the message that a response holds."""
+        cls._check_status(status, body)
+        try:
+            return msgspec.json.decode(body, type=message_type)
+        except msgspec.DecodeError as error:
+            raise CloudError(f"unreadable answer: {error}") from error
--- a/src/grebestand/errors.py
+++ b/src/grebestand/errors.py
@@ -1,4 +1,8 @@
-"""The base class of the package's errors."""
+"""The base class of the package's errors.
+
+Every error that the package raises on purpose derives from `GrebestandError`, ends in `Error` and keeps the data of its
+text as attributes. An error whose callers expect a standard class, such as `ValueError`, derives from that as well.
+"""
 
 from __future__ import annotations
 
