--- a/src/grebestand/flow_control/__init__.py
+++ b/src/grebestand/flow_control/__init__.py
@@ -1,1 +1,1 @@
-"""Rate limits, overload detection, connection limits and the schedule of garbage collection."""
+"""Limits that a controller imposes on itself: request rates, connections, work under overload, garbage collection."""
--- a/src/grebestand/flow_control/connection_limits.py
+++ b/src/grebestand/flow_control/connection_limits.py
@@ -1,4 +1,4 @@
-"""How the sockets that a controller may have are shared out, so that nobody's connections use up another's."""
+"""The distribution of a controller's sockets, so that no kind of connection can use up the share of another."""
 
 from __future__ import annotations
 
@@ -6,49 +6,69 @@
 
 from ..settings.platform import Quota
 
-#: connections to the state service for requests and for watches, and to the cloud
+#: connections to the key-value store for requests and for watches, and to the cloud
 STATE_REQUESTS, STATE_WATCHES, CLOUD = 24, 4, 4
-#: to each other controller and from it: greetings, and what is asked of the state service for another
+#: connections to and from each other controller for status exchange, and for requests to the store on behalf of another
 GREETINGS, RELAYED = 2, 24
-#: batches of reports that are under way from one controller to the leader
+#: batches of heartbeats that one controller may have in flight to the leader
 BATCHES = 4
-#: controllers that are asked for another at a time, as connections to the one before are still open
+#: controllers that may proxy requests at a time: the connections to a previous one may still be open
 HELPERS = 2
-#: for the direct orders that are under way to workers, at the most
-DIRECT = 100
-#: listeners, files, the event loop's own
+#: connections for commands that are sent directly to workers; at most this part of the quota
+DIRECT, DIRECT_DIVISOR = 100, 12
+#: file descriptors for listeners, files and the event loop
 SPARE = 48
-#: connections beyond what is served: they are told at once where else to go, or when to come back
-TURNED_AWAY = 32
-#: connections that the kernel holds until they are accepted
-BACKLOG = 128
-#: of what is left, this part at least is for users
+#: connections beyond those that are served, whose clients are told at once to go elsewhere or to come back later
+TURNED_AWAY, TURNED_AWAY_DIVISOR = 32, 32
+#: connections that the kernel queues until they are accepted
+BACKLOG, BACKLOG_DIVISOR = 128, 16
+#: connections that are served even with a quota that leaves fewer, as a controller could do nothing useful below
+MIN_SERVING = 50
+#: part of the served connections that is reserved for users
 USERS = 0.125
 
 
 @dataclass(frozen=True)
 class ConnectionPlan:
-    """Counts of connections; together they stay within the quota."""
+    """Numbers of connections; together they stay within the quota.
+
+    Attributes:
+        peers: To all other controllers.
+        from_peers: From all other controllers. Each may proxy its requests here, and come again for those that it has
+            given up on.
+        direct: To workers, for direct commands.
+        serving: From workers and users together.
+        turned_away: From workers and users beyond `serving`, which get one response and are closed.
+        backlog: Queued by the kernel until they are accepted.
+        workers: The part of `serving` that workers may use.
+    """
 
-    #: to all other controllers
     peers: int
-    #: and from them: each may ask this one for what it cannot ask itself, and come again for what it has given up
     from_peers: int
     direct: int
-    #: of workers and users together, and beyond those that are answered once and closed
     serving: int
     turned_away: int
     backlog: int
-    #: of workers
     workers: int
 
 
 def plan_connections(quota: Quota, others: int) -> ConnectionPlan:
-    """The shares of a controller that has so many others beside it."""
-    most = quota.max_connections
+    """Return the distribution for a controller that has `others` controllers beside it."""
+    max_connections = quota.max_connections
     peers = others * (GREETINGS + BATCHES) + min(others, HELPERS) * RELAYED
-    direct, turned_away, backlog = min(DIRECT, most // 12), min(TURNED_AWAY, most // 32), min(BACKLOG, most // 16)
     from_peers = others * (GREETINGS + RELAYED + BATCHES)
-    reserved = STATE_REQUESTS + STATE_WATCHES + CLOUD + peers + from_peers + direct + SPARE + turned_away + backlog
-    serving = max(50, most - reserved)
-    return ConnectionPlan(peers, from_peers, direct, serving, turned_away, backlog, serving - int(USERS * serving))
+    direct = min(DIRECT, max_connections // DIRECT_DIVISOR)
+    turned_away = min(TURNED_AWAY, max_connections // TURNED_AWAY_DIVISOR)
+    backlog = min(BACKLOG, max_connections // BACKLOG_DIVISOR)
+    store_and_cloud = STATE_REQUESTS + STATE_WATCHES + CLOUD
+    reserved = store_and_cloud + peers + from_peers + direct + SPARE + turned_away + backlog
+    serving = max(MIN_SERVING, max_connections - reserved)
+    return ConnectionPlan(
+        peers=peers,
+        from_peers=from_peers,
+        direct=direct,
+        serving=serving,
+        turned_away=turned_away,
+        backlog=backlog,
+        workers=serving - int(USERS * serving),
+    )
--- a/tests/flow_control/test_overload.py
+++ b/tests/flow_control/test_overload.py
@@ -14,11 +14,11 @@
 from grebestand.controller.leadership_transfer import SLOW_S, TAKING_OVER
 from grebestand.emulators.worker import WorkerEmulator
 from grebestand.flow_control.garbage_collection import (
-    EVERY_S,
-    LATE_TIMES,
-    MIDDLE,
+    FULL_COLLECTION_INTERVAL_S,
+    LATE_INTERVALS,
+    MIDDLE_THRESHOLD,
     NEVER,
-    YOUNG,
+    YOUNG_THRESHOLD,
     collect_garbage_by_time,
 )
 from grebestand.flow_control.overload import RECOVERY_S, OverloadMonitor
@@ -253,17 +253,17 @@
     collected: list[float] = []
     thresholds: list[tuple[int, ...]] = []
     now = 0.0
-    late_from = 3 * EVERY_S
+    late_from = 3 * FULL_COLLECTION_INTERVAL_S
 
     def sleep(seconds: float) -> None:
         nonlocal now
         now += seconds
-        if now > late_from + 8 * EVERY_S:
+        if now > late_from + 8 * FULL_COLLECTION_INTERVAL_S:
             raise StopIteration
 
     monkeypatch.setattr(gc, "set_threshold", lambda *counts: thresholds.append(counts))
     monkeypatch.setattr(gc, "collect", lambda: collected.append(now))
     with pytest.raises(StopIteration):
         collect_garbage_by_time(sleep, lambda: now <= late_from)
-    assert collected == [EVERY_S * n for n in (1, 2, 3, 3 + LATE_TIMES, 3 + 2 * LATE_TIMES)]
-    assert thresholds == [(YOUNG, MIDDLE, NEVER)]
+    assert collected == [FULL_COLLECTION_INTERVAL_S * n for n in (1, 2, 3, 3 + LATE_INTERVALS, 3 + 2 * LATE_INTERVALS)]
+    assert thresholds == [(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, NEVER)]
