--- a/src/grebestand/wire/jobs.py
+++ b/src/grebestand/wire/jobs.py
@@ -1,4 +1,4 @@
-"""What users send and are told: the description of a job, its checks, and the answer about it."""
+"""What users send and get: the description of a job, its validation, and the response about its status."""
 
 from __future__ import annotations
 
@@ -8,20 +8,48 @@
 
 import msgspec
 
+from ..errors import GrebestandError
+
 JOB_ID = re.compile(r"j-[0-9]{1,20}\Z")
+#: size limit of a submission, in bytes
 MAX_BODY = 64 * 1024
+#: limit on the tasks of a job
 MAX_TASKS = 100_000
-MAX_NAME = 200
+#: limit on the length of a name, in characters
+MAX_NAME_LENGTH = 200
+#: limit on any amount, of resources or of seconds, so that sums and products of amounts stay finite
 MAX_AMOUNT = 1e9
 
+#: what decoding may raise for a body that is not what is expected
+_DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+
+
+class MalformedError(GrebestandError, ValueError):
+    """An input is not what the protocol allows; users and workers get status 400.
+
+    Attributes:
+        reason: What is wrong with the input.
+    """
+
+    def __init__(self, reason: str) -> None:
+        self.reason = reason
+        super().__init__(reason)
+
 
 class Kind(StrEnum):
+    """How the tasks of a job belong together."""
+
+    #: independent tasks
     ARRAY = "array"
+    #: tasks that run at the same time or not at all; `ensemble` on the wire
     GANG = "ensemble"
+    #: tasks that run until the job is cancelled; `daemon` on the wire
     SERVICE = "daemon"
 
 
 class Priority(StrEnum):
+    """Priority of a job; the wire has words of its own for it."""
+
     PRODUCTION = "critical"
     HIGH = "high"
     NORMAL = "standard"
@@ -33,7 +61,7 @@
 
 
 class JobStatus(StrEnum):
-    """What a user is told about a job."""
+    """The state of a job, as its user sees it."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -66,6 +94,31 @@
         "deadline_s": "dueS",
     },
 ):
+    """The description of a job, as its user submits it.
+
+    Attributes:
+        id: Id of the job, chosen by the user; a submission with the same id is a repetition. `ref` on the wire.
+        klass: Class of the job, to which service-level objectives refer; `lane` on the wire.
+        team: Team whose quota the job counts against; `crew` on the wire.
+        kind: How its tasks belong together; `shape` on the wire.
+        priority: Its priority; `rank` on the wire.
+        tasks: Number of tasks; `shards` on the wire.
+        cpus: Processors of each task.
+        gpus: GPUs of each task; `cards` on the wire.
+        memory_gb: Memory of each task in gigabytes; `ramGb` on the wire.
+        image: Name of the image that its tasks run; `cargo` on the wire.
+        image_gb: Size of the image in gigabytes; `pullGb` on the wire.
+        one_zone: Whether all tasks have to be in one zone; `samePlace` on the wire.
+        spread: Whether the tasks should be spread over zones; `scatter` on the wire.
+        spot: Whether spot machines may be used; `driftwood` on the wire.
+        estimate_s: The user's estimate of a task's run time in seconds, 0 for none; `reckonS` on the wire.
+        checkpoint_s: Seconds between two checkpoints of a task, 0 if it saves none; `markS` on the wire.
+        save_s: Seconds that a task needs to save a checkpoint; `stowS` on the wire.
+        types: Names of the machine types that may be used, None for any; `hulls` on the wire.
+        zone: Name of the zone that has to be used, None for any; `quay` on the wire.
+        deadline_s: Seconds after acceptance by which the job should be done, None for no deadline; `dueS` on the wire.
+    """
+
     id: str
     klass: str
     team: str
@@ -88,66 +141,89 @@
     deadline_s: float | None = None
 
 
-class MalformedError(ValueError):
-    """The input is not what the protocol allows: status 400."""
-
-
 def check_spec(spec: JobSpec) -> None:
-    """Raises `MalformedError` where a field has the right type but not an allowed value."""
+    """Check the values of fields, whose types decoding has checked.
+
+    Raises:
+        MalformedError: A value is not allowed.
+    """
     if not JOB_ID.match(spec.id):
         raise MalformedError("malformed job id")
-    for name in (spec.klass, spec.team, spec.image):
-        if not name or len(name) > MAX_NAME:
-            raise MalformedError("a name is empty or too long")
+    if not all(map(_is_name, (spec.klass, spec.team, spec.image))):
+        raise MalformedError("a name is empty or too long")
     if not 1 <= spec.tasks <= MAX_TASKS:
         raise MalformedError("number of tasks out of range")
     amounts = (spec.gpus, spec.memory_gb, spec.image_gb, spec.estimate_s, spec.checkpoint_s, spec.save_s)
-    for amount in amounts:
-        if not (math.isfinite(amount) and 0 <= amount <= MAX_AMOUNT):
-            raise MalformedError("an amount is out of range")
-    if not (math.isfinite(spec.cpus) and 0 < spec.cpus <= MAX_AMOUNT):
+    if not all(amount == 0 or _is_positive_amount(amount) for amount in amounts):
+        raise MalformedError("an amount is out of range")
+    if not _is_positive_amount(spec.cpus):
         raise MalformedError("cpus out of range")
-    if spec.deadline_s is not None and not (math.isfinite(spec.deadline_s) and 0 < spec.deadline_s <= MAX_AMOUNT):
+    if spec.deadline_s is not None and not _is_positive_amount(spec.deadline_s):
         raise MalformedError("deadline out of range")
-    if spec.types is not None and any(not t or len(t) > MAX_NAME for t in spec.types):
+    if spec.types is not None and not all(map(_is_name, spec.types)):
         raise MalformedError("a machine type is empty or too long")
-    if spec.zone is not None and (not spec.zone or len(spec.zone) > MAX_NAME):
+    if spec.zone is not None and not _is_name(spec.zone):
         raise MalformedError("the zone is empty or too long")
 
 
-_spec_decoder = msgspec.json.Decoder(JobSpec)
+def _is_name(text: str) -> bool:
+    """Return whether a name is neither empty nor too long."""
+    return 0 < len(text) <= MAX_NAME_LENGTH
+
+
+def _is_positive_amount(amount: float) -> bool:
+    """Return whether an amount is finite, positive and within the limit."""
+    return math.isfinite(amount) and 0 < amount <= MAX_AMOUNT
 
 
+_spec_decoder = msgspec.json.Decoder(JobSpec)
 _any_decoder = msgspec.json.Decoder()
 
 
 def peek_id(body: bytes) -> str:
-    """The well-formed job id of a submission whose other fields may be wrong, else `MalformedError`.
+    """Return the job id of a submission whose other fields may be wrong.
+
+    A known job has to be recognised before its other fields are checked, as a repetition never gets status 400.
 
-    A known job has to be recognised before its fields are checked: a repeat is never answered 400.
+    Raises:
+        MalformedError: The body holds no well-formed job id.
     """
     try:
         raw = _any_decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as e:
-        raise MalformedError("not JSON") from e
+    except _DECODE_ERRORS as error:
+        raise MalformedError("not JSON") from error
     if not isinstance(raw, dict):
         raise MalformedError("not an object")
-    ident = raw.get("ref")
-    if not isinstance(ident, str) or not JOB_ID.match(ident):
+    job_id = raw.get("ref")
+    if not isinstance(job_id, str) or not JOB_ID.match(job_id):
         raise MalformedError("malformed job id")
-    return ident
+    return job_id
 
 
 def decode_spec(body: bytes) -> JobSpec:
+    """Return the description that a submission holds.
+
+    Raises:
+        MalformedError: The body is not a description, or a value in it is not allowed.
+    """
     try:
         spec = _spec_decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as e:
-        raise MalformedError(str(e)) from e
+    except _DECODE_ERRORS as error:
+        raise MalformedError(str(error)) from error
     check_spec(spec)
     return spec
 
 
 class JobStatusResponse(msgspec.Struct, omit_defaults=True, rename={"id": "ref", "state": "tide"}):
+    """The response about a job.
+
+    Attributes:
+        id: Id of the job; `ref` on the wire.
+        state: State of the job; `tide` on the wire.
+        done: Number of tasks that have succeeded, if known.
+        running: Number of tasks that are running, if known.
+    """
+
     id: str
     state: JobStatus
     done: int | None = None
@@ -155,10 +231,16 @@
 
 
 def task_name(job: str, index: int) -> str:
+    """Return the name by which workers know a task: the job's id and the index of the task in it."""
     return f"{job}/{index}"
 
 
 def split_task(name: str) -> tuple[str, int]:
+    """Return the job id and the index that a task's name holds.
+
+    Raises:
+        MalformedError: The name does not have this form.
+    """
     job, _, index = name.rpartition("/")
     if not job or not index.isdigit():
         raise MalformedError("malformed task name")
--- a/src/grebestand/wire/peers.py
+++ b/src/grebestand/wire/peers.py
@@ -1,6 +1,7 @@
-"""What controllers tell each other: who leads, whether the state service is reached, jobs' counts, cached images.
+"""Messages between the controllers of one cluster: their status, proxied requests, relayed heartbeats, cached images.
 
-Nothing here is authority. A lost or late message costs a wrong figure on display or a slower takeover.
+None of these messages is evidence for a decision about tasks, except that a job is cancelled, which is final. A message
+that is lost or late costs a wrong figure in a status response or a slower failover.
 """
 
 from __future__ import annotations
@@ -11,47 +12,69 @@
 
 from .jobs import JOB_ID
 
+#: a job id that is checked when a message is decoded, as it becomes part of keys
 JobName = Annotated[str, msgspec.Meta(pattern=f"^{JOB_ID.pattern}")]
 
 
 class PeerStatus(msgspec.Struct):
-    """Sent about once a second both ways."""
+    """The status of a controller, request and response of an exchange that takes place about every second.
+
+    Attributes:
+        name: Name of the sender.
+        token: Fencing token of the sender if it leads, else 0.
+        state_age_s: Seconds since the key-value store last answered the sender.
+        counts: From the leader: by job id, the numbers of done and of running tasks.
+        load: Load state of the sender, a value of `LoadState`.
+        workers_age_s: Seconds since a worker last sent a heartbeat to the sender; negative if none ever has.
+        samples: From the leader: addresses of some workers with recent heartbeats, for others to probe their own links.
+        incarnation: Random number of the sender's process; with another one, what an earlier process has said is void.
+        cancelled: Ids of jobs whose cancellation the sender has recently confirmed to users. A cancellation is final,
+            however late the message arrives.
+        kept: Number of workers that send their heartbeats to the sender.
+        room: Number of further workers that the sender's sockets suffice for; negative if it answers none, as it
+            neither leads nor reaches a leader to relay heartbeats to.
+        reports: Heartbeats that the sender has recently answered per second.
+        spread: From the leader: number of machines whose heartbeats all controllers share; 0 if the leader answers all.
+    """
 
     name: str
     token: int
     state_age_s: float
     counts: dict[str, tuple[int, int]] = {}
-    #: how far it is behind, a `LoadState`
     load: int = 0
-    #: seconds since a worker last reported to it, whatever it was answered; negative: none has
     workers_age_s: float = -1.0
-    #: from the leader: addresses of some workers that reported to it lately, for others to see whether they reach them
     samples: list[str] = []
-    #: drawn anew at each start: what an earlier process of the same name said is over
     incarnation: int = 0
-    #: jobs that users were told lately, by the sender, are cancelled; true for ever, however late this comes
     cancelled: list[JobName] = []
-    #: workers that report to it, and how many more its sockets bear; negative: it answers none, as it does not lead and
-    #: reaches no leader to pass reports on to
     kept: int = 0
     room: int = -1
-    #: reports that it answers a second, of late
     reports: float = 0.0
-    #: from the leader: the machines whose reports every controller answers; 0: the leader answers all itself
     spread: int = 0
 
 
 class ResignationNotice(msgspec.Struct):
-    """The sender has stopped using this token for good: its key may be removed."""
+    """Says that the sender has given up a fencing token for good, so that its leader key may be deleted.
+
+    Attributes:
+        name: Name of the sender.
+        token: The fencing token that it had.
+        heir: Name of the controller that should lead next in the sender's view, or empty.
+    """
 
     name: str
     token: int
-    #: who is to lead next, as far as the sender can tell
     heir: str = ""
 
 
 class ProxiedRequest(msgspec.Struct):
-    """A request to the state service that its sender cannot make itself: to be made once, or refused."""
+    """A request to the key-value store that the receiver should send once on behalf of the sender, or refuse.
+
+    Attributes:
+        method: HTTP method.
+        path: Path with query.
+        body: Body of the request.
+        timeout_ms: Limit on the request in milliseconds.
+    """
 
     method: str
     path: str
@@ -60,32 +83,51 @@
 
 
 class ProxiedResponse(msgspec.Struct):
-    """What the state service said; status 0: nothing, so that it may have been done or may still be."""
+    """The store's response to a `ProxiedRequest`.
+
+    Attributes:
+        status: HTTP status; 503 if the request was not sent; 0 if there was no response, so that it may have been
+            executed, or may be executed later.
+        body: Body of the response.
+    """
 
     status: int
     body: bytes
 
 
 class HeartbeatBatch(msgspec.Struct):
-    """Workers' reports that a controller passes on to the leader, each as it came; one hop only."""
+    """Heartbeats that a controller relays to the leader, which are never relayed further.
+
+    Attributes:
+        sender: Name of the relaying controller.
+        reports: The bodies of the heartbeats as the workers sent them.
+    """
 
     sender: str
     reports: list[bytes]
 
 
 class HeartbeatBatchResponse(msgspec.Struct):
-    """The leader's answers, in the order of the batch: status and body as its worker is to get them.
+    """The leader's response to a `HeartbeatBatch`.
 
-    Status 421: the receiver does not lead; 503: it may not answer this one now.
+    Attributes:
+        answers: Status and body of the response to each heartbeat, in the order of the batch. Status 421 means that the
+            receiver does not lead, 503 that it may not answer this heartbeat now.
+        late: Whether the leader is overloaded, so that the sender should refuse heartbeats rather than let them wait.
     """
 
     answers: list[tuple[int, bytes]]
-    #: the sender does well to refuse sooner rather than let reports wait
     late: bool = False
 
 
 class CachedImages(msgspec.Struct):
-    """Which machine is thought to have which images, by their place in `names`; a successor starts from it."""
+    """Which images the machines are thought to have cached; a new leader starts from it.
+
+    Attributes:
+        names: Names of the images.
+        gigabytes: Sizes of the images, in the order of `names`.
+        machines: By machine name, the positions of its images in `names`.
+    """
 
     names: list[str] = []
     gigabytes: list[float] = []
--- a/src/grebestand/wire/remote_assignment.py
+++ b/src/grebestand/wire/remote_assignment.py
@@ -1,4 +1,4 @@
-"""What a live record says of a gang that another cluster runs, or may come to run."""
+"""The mark in a live job's record that another cluster runs the job, or may come to run it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,12 @@
 
 
 class RemoteAssignment(msgspec.Struct, frozen=True):
-    """The cluster that a gang was decided for, and the reservation there that the decision names."""
+    """The cluster to which a gang was assigned.
+
+    Attributes:
+        cluster: Name of the cluster.
+        id: Name of the reservation in that cluster to which the assignment refers.
+    """
 
     cluster: str
     id: str
