--- a/src/grebestand/settings/policy.py
+++ b/src/grebestand/settings/policy.py
@@ -1,4 +1,7 @@
-"""The operators' policy: what may be set, and the names that its expressions may use."""
+"""The operators' policy: what it may set, and the names that its expressions may use.
+
+`default_policy.toml` describes each key. A policy file of the operators replaces the settings that it names.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from . import expressions
 from .expressions import Expressions, Rule, Vocabulary
 
-#: names an expression may use, with the range that the program guarantees for each
+#: by name that an expression may use, the lowest and the highest value that the program guarantees
 VARIABLES: dict[str, tuple[float, float]] = {
     "machines": (1.0, 1e6),
     "busy": (0.0, 1e6),
@@ -24,7 +27,7 @@
     "guarantee_s": (0.0, 1e6),
 }
 
-
+#: by key, the values that it may have
 KEYS: dict[str, Rule] = {
     "g": Rule(0, 1e6),
     "period_s": Rule(0.2, 600),
@@ -49,19 +52,39 @@
     "slow_samples": Rule(4, 1e6),
     "spread_reports": Rule(0, 1, boolean=True),
 }
+
 VOCABULARY = Vocabulary(KEYS, VARIABLES)
 
 
+#: the shipped policy, beside this module
+DEFAULT_FILE = "default_policy.toml"
+
+
 def parse(text: str, file: str, base: Expressions | None = None) -> Expressions:
-    """A policy from a file's text over `base`; raises `ExpressionError` with all faults found."""
+    """Return the policy that a TOML text describes.
+
+    Args:
+        text: The contents of the file.
+        file: Name of the file, for faults.
+        base: The policy whose settings are replaced; without it, every key has to be set.
+
+    Raises:
+        ExpressionError: The policy is not valid; the error lists all faults.
+    """
     return expressions.parse(expressions.read_text(text, file), file, VOCABULARY, base)
 
 
 def default() -> Expressions:
-    text = resources.files("grebestand.settings").joinpath("default_policy.toml").read_text("utf-8")
-    return parse(text, "default_policy.toml")
+    """Return the shipped policy."""
+    text = resources.files("grebestand.settings").joinpath(DEFAULT_FILE).read_text("utf-8")
+    return parse(text, DEFAULT_FILE)
 
 
 def load(path: str | None) -> Expressions:
+    """Return the policy of a file over the shipped one, or the shipped one if there is no file.
+
+    Raises:
+        ExpressionError: The file cannot be read or is not valid; the error lists all faults.
+    """
     base = default()
     return base if path is None else expressions.parse(expressions.read(path), path, VOCABULARY, base)
--- /dev/null
+++ b/src/grebestand/settings/type_inference.py
@@ -0,0 +1,178 @@
+"""The checker of the expression language: infers a type for every part of an expression, and a range for numbers.
+
+With the range of every name given, the checker refuses an expression that could divide by zero or call a function
+outside its domain, before anything is evaluated.
+"""
+
+from __future__ import annotations
+
+import ast
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import NoReturn
+
+from ..errors import GrebestandError
+from .operations import COMPARISONS, FUNCTIONS, DomainError, Range
+
+#: by name, the lowest and the highest value that the program guarantees
+Names = Mapping[str, tuple[float, float]]
+
+
+class InvalidExpressionError(GrebestandError):
+    """An expression is not allowed.
+
+    Attributes:
+        problem: What is wrong, as text.
+        column: Where it is wrong, counted from 1.
+    """
+
+    def __init__(self, problem: str, column: int = 1) -> None:
+        self.problem = problem
+        self.column = column
+        super().__init__(problem)
+
+
+@dataclass(frozen=True)
+class InferredType:
+    """The type of a part of an expression: a truth value, or a number within a range (unlimited for truth values)."""
+
+    boolean: bool
+    range: Range
+
+
+BOOLEAN = InferredType(True, Range())
+
+
+def infer_type(node: ast.expr, names: Names) -> InferredType:
+    """Return the type of an expression.
+
+    Raises:
+        InvalidExpressionError: The expression is not part of the language, or its evaluation could fail.
+    """
+    match node:
+        case ast.Constant(value=bool()):
+            return BOOLEAN
+        case ast.Constant(value=int() | float()):
+            return _constant_type(node)
+        case ast.Name(id=name):
+            return _name_type(node, name, names)
+        case ast.UnaryOp(op=ast.USub(), operand=operand):
+            number = _number_range(operand, names)
+            return _number(-number.high, -number.low)
+        case ast.UnaryOp(op=ast.Not(), operand=operand):
+            _require_boolean(operand, names)
+            return BOOLEAN
+        case ast.BinOp():
+            return _arithmetic_type(node, names)
+        case ast.BoolOp(values=operands):
+            for operand in operands:
+                _require_boolean(operand, names)
+            return BOOLEAN
+        case ast.Compare():
+            return _comparison_type(node, names)
+        case ast.IfExp():
+            return _conditional_type(node, names)
+        case ast.Call(func=ast.Name(id=name), args=arguments, keywords=[]):
+            return _call_type(node, name, arguments, names)
+        case _:
+            _refuse(node, f"{type(node).__name__} is not allowed here")
+
+
+def _refuse(node: ast.AST, problem: str) -> NoReturn:
+    """Raise `InvalidExpressionError` for a part of an expression."""
+    raise InvalidExpressionError(problem, getattr(node, "col_offset", 0) + 1)
+
+
+def _number(low: float, high: float) -> InferredType:
+    """Return the type of a number in a range."""
+    return InferredType(False, Range.between(low, high))
+
+
+def _number_range(node: ast.expr, names: Names) -> Range:
+    """Return the range of a part that has to be a number."""
+    inferred = infer_type(node, names)
+    if inferred.boolean:
+        _refuse(node, "a number is needed here, not true or false")
+    return inferred.range
+
+
+def _require_boolean(node: ast.expr, names: Names) -> None:
+    """Check a part that has to be a truth value."""
+    if not infer_type(node, names).boolean:
+        _refuse(node, "true or false is needed here, not a number")
+
+
+def _constant_type(node: ast.Constant) -> InferredType:
+    """Return the type of a number that is written in the expression."""
+    value = float(node.value)  # type: ignore[arg-type]
+    if not math.isfinite(value):
+        _refuse(node, "not a finite number")
+    return _number(value, value)
+
+
+def _name_type(node: ast.Name, name: str, names: Names) -> InferredType:
+    """Return the type of a name."""
+    if name not in names:
+        _refuse(node, f"unknown name {name!r} (known: {', '.join(sorted(names))})")
+    return _number(*names[name])
+
+
+def _arithmetic_type(node: ast.BinOp, names: Names) -> InferredType:
+    """Return the type of an operation on two numbers."""
+    left, right = _number_range(node.left, names), _number_range(node.right, names)
+    match node.op:
+        case ast.Add():
+            return _number(left.low + right.low, left.high + right.high)
+        case ast.Sub():
+            return _number(left.low - right.high, left.high - right.low)
+        case ast.Mult():
+            return _product_type((left.low, left.high), (right.low, right.high))
+        case ast.Div():
+            if right.low <= 0 <= right.high:
+                _refuse(node.right, "this division can fail: the divisor may be zero")
+            return _product_type((left.low, left.high), (1 / right.low, 1 / right.high))
+        case _:
+            _refuse(node, f"operator {type(node.op).__name__} is not allowed")
+
+
+def _product_type(left_ends: tuple[float, float], right_ends: tuple[float, float]) -> InferredType:
+    """Return the type of a product of two numbers, given the ends of their ranges."""
+    # zero times an infinite end is zero, as the other number itself is finite
+    products = [0.0 if 0 in (left, right) else left * right for left in left_ends for right in right_ends]
+    return _number(min(products), max(products))
+
+
+def _comparison_type(node: ast.Compare, names: Names) -> InferredType:
+    """Return the type of a comparison, which may have several operators in a row."""
+    for side in (node.left, *node.comparators):
+        _number_range(side, names)
+    if any(type(comparison) not in COMPARISONS for comparison in node.ops):
+        _refuse(node, "this comparison is not allowed")
+    return BOOLEAN
+
+
+def _conditional_type(node: ast.IfExp, names: Names) -> InferredType:
+    """Return the type of `a if condition else b`."""
+    _require_boolean(node.test, names)
+    body, alternative = infer_type(node.body, names), infer_type(node.orelse, names)
+    if body.boolean != alternative.boolean:
+        _refuse(node, "both sides of 'if' must have the same type")
+    low = min(body.range.low, alternative.range.low)
+    high = max(body.range.high, alternative.range.high)
+    return InferredType(body.boolean, Range(low, high))
+
+
+def _call_type(node: ast.Call, name: str, arguments: list[ast.expr], names: Names) -> InferredType:
+    """Return the type of a function call."""
+    function = FUNCTIONS.get(name)
+    if function is None:
+        _refuse(node, f"unknown function {name!r} (known: {', '.join(sorted(FUNCTIONS))})")
+    if not function.min_arguments <= len(arguments) <= function.max_arguments:
+        takes = f"{function.min_arguments} to {function.max_arguments}"
+        _refuse(node, f"{name} takes {takes} arguments, not {len(arguments)}")
+    ranges = [_number_range(argument, names) for argument in arguments]
+    try:
+        return InferredType(False, function.result_range(ranges))
+    except DomainError as error:
+        _refuse(arguments[0], f"{name} can fail: {error.problem}")
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -36,7 +36,7 @@
 from grebestand.federation import feature as federation
 from grebestand.federation import guest, messages, settlement
 from grebestand.leader import election, provisioning
-from grebestand.settings import expressions, platform, policy
+from grebestand.settings import operations, platform, policy
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
 from grebestand.state_machines import LoadState
 from grebestand.storage import job_records as job_records
@@ -237,7 +237,7 @@
         **{f"keys of {name}": keys for name, keys in sorted(files.items())},
         "policy and federation: names": [{n: list(r) for n, r in sorted(names.items())} for names, _ in ranges],
         "policy and federation: keys": [{k: dataclasses.astuple(r) for k, r in sorted(d.items())} for _, d in ranges],
-        "functions of expressions": sorted(expressions._FUNCTIONS),
+        "functions of expressions": sorted(operations.FUNCTIONS),
         "federation: defaults": federation.DEFAULTS,
         "federation: plain keys": sorted(federation.PLAIN),
         "features": sorted(BUILT_IN),
