--- a/src/grebestand/features/__init__.py
+++ b/src/grebestand/features/__init__.py
@@ -1,1 +1,1 @@
-"""The seam for features: what a package beside the core may hook into, and how a process switches it on."""
+"""The interface for features: the hooks that an optional package may use, and how a process switches it on."""
--- a/src/grebestand/metrics/__init__.py
+++ b/src/grebestand/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics: durations as quantile sketches."""
+"""Metrics: distributions of durations, kept as quantile sketches of bounded size."""
