--- a/tests/storage/test_paged_records.py
+++ b/tests/storage/test_paged_records.py
@@ -1,4 +1,4 @@
-"""Records on shared pages: every write counts at the state service, and one that is late must not undo another."""
+"""Records on shared pages: few writes, and no late transaction undoes a newer one."""
 
 from __future__ import annotations
 
@@ -9,139 +9,171 @@
 from grebestand.emulators.kv_store import KeyValueStoreEmulator
 from grebestand.flow_control.rate_limiter import RateLimiter, Urgency
 from grebestand.simulation.single_controller_cluster import ManualClock
-from grebestand.storage.paged_records import PagedRecords
+from grebestand.storage.paged_records import PagedRecords, RecordTooLargeError
 
+PREFIX = "p/"
+SMALL_VALUE_BYTES = 256
 
-class Late(KeyValueStoreEmulator):
-    """Holds transactions back: the sender hears nothing, and they are carried out when released."""
+
+class DelayingStore(KeyValueStoreEmulator):
+    """A store that may delay transactions: their sender gets no response, and they are executed when released."""
 
     def __init__(self, clock: ManualClock) -> None:
         super().__init__(clock)
-        self.hold_back = False
-        self.held: list[tuple[str, str, bytes, float]] = []
+        self.delaying = False
+        self.delayed: list[tuple[str, str, bytes, float]] = []
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        if self.hold_back and path == "/commit":
-            self.held.append((method, path, body, timeout))
+        if self.delaying and path == "/commit":
+            self.delayed.append((method, path, body, timeout))
             raise UnreachableError("no answer in time")
         return super().request(method, path, body, timeout)
 
     def release(self) -> None:
-        self.hold_back = False
-        for call in self.held:
+        self.delaying = False
+        for call in self.delayed:
             self.request(*call)
-        self.held.clear()
+        self.delayed.clear()
 
 
-def client(state: KeyValueStoreEmulator) -> KeyValueStoreClient:
-    plenty = RateLimiter(1e9, 1e9, state.clock, lambda s, f: None)
-    return KeyValueStoreClient(state, state, plenty, plenty)
+def client(store: KeyValueStoreEmulator) -> KeyValueStoreClient:
+    unlimited = RateLimiter(1e9, 1e9, store.clock, lambda delay_s, call: None)
+    return KeyValueStoreClient(store, store, unlimited, unlimited)
 
 
-def pages_on(state: KeyValueStoreEmulator, value_bytes: int = 4096, txn_ops: int = 12) -> PagedRecords:
-    store = client(state)
+def paged_records(store: KeyValueStoreEmulator, value_bytes: int = 4096, txn_ops: int = 12) -> PagedRecords:
+    """Records on the store that are not loaded yet."""
+    store_client = client(store)
 
     def version_of(key: str) -> int:
-        found = store.get(key)
-        return found.version if found is not None else 0
+        pair = store_client.get(key)
+        return pair.version if pair is not None else 0
+
+    return PagedRecords(PREFIX, value_bytes, txn_ops, store_client.commit, version_of)
+
+
+def small_pages(store: KeyValueStoreEmulator) -> PagedRecords:
+    """Records on pages that hold two small records each, one page a transaction."""
+    return paged_records(store, value_bytes=SMALL_VALUE_BYTES, txn_ops=1)
 
-    return PagedRecords("p/", value_bytes, txn_ops, store.commit, version_of)
 
+def load(store: KeyValueStoreEmulator, records: PagedRecords | None = None) -> dict[str, list[object]]:
+    """All values of each record that the store holds, loaded into `records` or into new ones."""
+    loaded: dict[str, list[object]] = {}
+    records = records if records is not None else paged_records(store)
+    for name, value in records.load(client(store).pairs(PREFIX)):
+        loaded.setdefault(name, []).append(value)
+    return loaded
 
-def read_back(state: KeyValueStoreEmulator, pages: PagedRecords | None = None) -> dict[str, list[object]]:
-    found: dict[str, list[object]] = {}
-    reconciler = pages if pages is not None else pages_on(state)
-    for name, value in reconciler.load(client(state).pairs("p/")):
-        found.setdefault(name, []).append(value)
-    return found
+
+def save_until_clean(records: PagedRecords) -> None:
+    """Save often enough for stale copies to be erased from all pages as well."""
+    for _ in range(3):
+        records.save(Urgency.ACCEPT)
 
 
 def test_hundreds_of_records_take_a_few_writes() -> None:
     """At one write a record, hundreds of machines took most of a minute to be recorded at 20 writes a second."""
-    state = KeyValueStoreEmulator(ManualClock())
-    pages = pages_on(state)
+    store = KeyValueStoreEmulator(ManualClock())
+    records = paged_records(store)
+    for i in range(500):
+        records.put(f"n-{i:06d}", ["atlas", "north", False, f"10.0.{i // 250}.{i % 250}:9000"])
+    records.save(Urgency.TAKEOVER)
+    assert len(store.data) <= 12 and store.largest_value <= 4096 and store.largest_txn <= 12
+    assert len(load(store)) == 500
+
+
+def test_record_dropped_soon_is_gone_after_the_next_save() -> None:
+    store = KeyValueStoreEmulator(ManualClock())
+    records = paged_records(store)
     for i in range(500):
-        pages.put(f"n-{i:06d}", ["atlas", "north", False, f"10.0.{i // 250}.{i % 250}:9000"])
-    pages.save(Urgency.TAKEOVER)
-    assert len(state.data) <= 12 and state.largest_value <= 4096 and state.largest_txn <= 12
-    assert len(read_back(state)) == 500
-    pages.drop("n-000007", soon=True)
-    pages.save(Urgency.TAKEOVER)
-    assert "n-000007" not in read_back(state)
+        records.put(f"n-{i:06d}", ["atlas", "north", False, f"10.0.{i // 250}.{i % 250}:9000"])
+    records.save(Urgency.TAKEOVER)
+    records.drop("n-000007", soon=True)
+    records.save(Urgency.TAKEOVER)
+    assert "n-000007" not in load(store)
 
 
-def test_a_write_that_is_carried_out_late_does_not_undo_a_newer_one() -> None:
+def test_late_transaction_does_not_undo_a_newer_one() -> None:
     """The sender gave the first write up and wrote more; the first one must not come back over it."""
-    state = Late(ManualClock())
-    pages = pages_on(state)
-    pages.put("a", 1)
-    pages.save(Urgency.ACCEPT)
-    state.hold_back = True
-    pages.put("a", 2)
+    store = DelayingStore(ManualClock())
+    records = paged_records(store)
+    records.put("a", 1)
+    records.save(Urgency.ACCEPT)
+    store.delaying = True
+    records.put("a", 2)
     with pytest.raises(StoreError):
-        pages.save(Urgency.ACCEPT)
-    state.hold_back = False
-    pages.put("a", 3)
-    pages.save(Urgency.ACCEPT)
-    state.release()
-    assert read_back(state) == {"a": [3]}
-
-
-def test_a_write_that_was_made_though_nobody_heard_does_not_block_the_next() -> None:
-    state = KeyValueStoreEmulator(ManualClock())
-    pages = pages_on(state)
-    pages.put("a", 1)
-    state.lose_answers = 1
+        records.save(Urgency.ACCEPT)
+    store.delaying = False
+    records.put("a", 3)
+    records.save(Urgency.ACCEPT)
+    store.release()
+    assert load(store) == {"a": [3]}
+
+
+def test_executed_write_without_response_does_not_block_the_next() -> None:
+    store = KeyValueStoreEmulator(ManualClock())
+    records = paged_records(store)
+    records.put("a", 1)
+    store.lose_answers = 1
     with pytest.raises(StoreError):
-        pages.save(Urgency.ACCEPT)
-    pages.put("b", 2)
-    pages.save(Urgency.ACCEPT)
-    assert read_back(state) == {"a": [1], "b": [2]}
+        records.save(Urgency.ACCEPT)
+    records.put("b", 2)
+    records.save(Urgency.ACCEPT)
+    assert load(store) == {"a": [1], "b": [2]}
+
 
+def store_with_moved_record() -> KeyValueStoreEmulator:
+    """A store whose writer has ended between the two writes that move record `b` to another page."""
+    store = DelayingStore(ManualClock())
+    records = small_pages(store)
+    records.put("a", "x" * 100)
+    records.put("b", "y" * 100)
+    records.save(Urgency.ACCEPT)
+    records.put("b", "z" * 180)
+    records.save(Urgency.ACCEPT)
+    return store
 
-def test_a_record_that_outgrows_its_page_is_always_found_somewhere() -> None:
+
+def test_record_that_outgrows_its_page_is_never_absent() -> None:
     """It moves to another page; a leader that ends between the two writes leaves it on both, never on neither."""
-    state = Late(ManualClock())
-    pages = pages_on(state, value_bytes=256, txn_ops=1)
-    pages.put("a", "x" * 100)
-    pages.put("b", "y" * 100)
-    pages.save(Urgency.ACCEPT)
-    pages.put("b", "z" * 180)
-    pages.save(Urgency.ACCEPT)
-    assert read_back(state) == {"a": ["x" * 100], "b": ["y" * 100, "z" * 180]}
-    # a successor takes both, and what it writes leaves one
-    heir = pages_on(state, value_bytes=256, txn_ops=1)
-    read_back(state, heir)
-    heir.put("b", "w" * 180)
-    for _ in range(3):
-        heir.save(Urgency.ACCEPT)
-    assert read_back(state) == {"a": ["x" * 100], "b": ["w" * 180]}
-    assert state.largest_value <= 256
+    store = store_with_moved_record()
+    assert load(store) == {"a": ["x" * 100], "b": ["y" * 100, "z" * 180]}
 
 
-def test_a_record_too_large_for_any_page_is_refused() -> None:
-    with pytest.raises(ValueError, match="fits no page"):
-        pages_on(KeyValueStoreEmulator(ManualClock()), value_bytes=256).put("a", "x" * 300)
+def test_successor_that_puts_a_moved_record_leaves_one_copy() -> None:
+    store = store_with_moved_record()
+    successor = small_pages(store)
+    load(store, successor)
+    successor.put("b", "w" * 180)
+    save_until_clean(successor)
+    assert load(store) == {"a": ["x" * 100], "b": ["w" * 180]}
+    assert store.largest_value <= SMALL_VALUE_BYTES
 
 
-def test_of_a_record_found_twice_neither_copy_goes_before_it_is_written_anew() -> None:
+def test_record_too_large_for_any_page_is_refused() -> None:
+    records = paged_records(KeyValueStoreEmulator(ManualClock()), value_bytes=SMALL_VALUE_BYTES)
+    with pytest.raises(ValueError, match="fits no page") as refused:
+        records.put("a", "x" * 300)
+    assert isinstance(refused.value, RecordTooLargeError) and refused.value.name == "a"
+
+
+def test_copies_of_a_record_loaded_twice_stay_until_it_is_put() -> None:
     """A successor joins both; writing the older copy's page for another record once erased the newer, wider one."""
-    state = Late(ManualClock())
-    pages = pages_on(state, value_bytes=256, txn_ops=1)
-    pages.put("a", "x" * 100)
-    pages.put("b", "narrow")
-    pages.save(Urgency.ACCEPT)
-    pages.put("b", "wide" * 45)
-    pages.save(Urgency.ACCEPT)
-    both = {"a": ["x" * 100], "b": ["narrow", "wide" * 45]}
-    assert read_back(state) == both
-    heir = pages_on(state, value_bytes=256, txn_ops=1)
-    read_back(state, heir)
-    heir.put("a", "z" * 100)
-    for _ in range(3):
-        heir.save(Urgency.ACCEPT)
-    assert read_back(state) == {**both, "a": ["z" * 100]}
-    heir.put("b", "joined")
-    for _ in range(3):
-        heir.save(Urgency.ACCEPT)
-    assert read_back(state) == {"a": ["z" * 100], "b": ["joined"]}
+    store = DelayingStore(ManualClock())
+    records = small_pages(store)
+    records.put("a", "x" * 100)
+    records.put("b", "narrow")
+    records.save(Urgency.ACCEPT)
+    records.put("b", "wide" * 45)
+    records.save(Urgency.ACCEPT)
+    both_copies = {"a": ["x" * 100], "b": ["narrow", "wide" * 45]}
+    assert load(store) == both_copies
+    successor = small_pages(store)
+    load(store, successor)
+    successor.put("a", "z" * 100)
+    save_until_clean(successor)
+    assert load(store) == {**both_copies, "a": ["z" * 100]}
+    successor.put("b", "joined")
+    save_until_clean(successor)
+    assert load(store) == {"a": ["z" * 100], "b": ["joined"]}
