--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -357,7 +357,7 @@
                     self.leadership_transfer.check_workers()
                     if lead.state is LeaderState.LEADING:
                         self.leadership_transfer.check_pace()
-                    gevent.sleep(min(RENEW_S, lead.ttl_s / 6))
+                    gevent.sleep(min(RENEW_S, lead.lease_ttl_s / 6))
                 else:
                     self.leadership_transfer.consider_state()
                     gevent.sleep(0.3)
--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -1,7 +1,7 @@
-"""Who may give commands: the leader key, its hold, and the token.
+"""Leader election on one key of the key-value store, and for how long its result may be relied on.
 
-The key is attached to a hold; the revision that created the key is the token. Every write of the leader is
-conditional on that revision, so an old leader is fenced at the state service; workers fence it by the token.
+The leader key is attached to a lease. The revision that created the key is the term's fencing token: every write of the
+leader is conditional on that revision, so that the store rejects an old leader, and workers reject older tokens.
 """
 
 from __future__ import annotations
@@ -15,245 +15,330 @@
 
 from ..clients.kv_store import KeyValueStoreClient, LeaseExpiredError, StoreError, absent, at, delete, put
 from ..clocks import DRIFT
+from ..errors import GrebestandError
 from ..flow_control.rate_limiter import Urgency
+from ..log_events import LogEvent
 from ..state_machines import LEADER_TRANSITIONS, LeaderState, check_transition
+from ..wire.store import KeyValue
 from .cancellation_horizon import CancellationHorizon
 
 log = logging.getLogger(__name__)
 
 LEADER_KEY = "leader"
-#: what was read of the key so long ago, in seconds, may no longer be so
-LOOKED_S = 6.0
-#: of a leader that has begun anew, what was read of its key counts for so long yet, in seconds
-ENDED_S = 2.0
-#: a controller that gave way comes back before its time if nobody has taken the key for so long
+#: A read of the leader key is relied on for this long: an older one may name a controller that no longer leads.
+KEY_READ_VALID_S = 6.0
+#: After the leader's process has restarted, an earlier read of its key is relied on for this long only.
+KEY_READ_VALID_AFTER_RESTART_S = 2.0
+#: A resigned controller may campaign again early if nobody has taken the key for this long. Longer than the others
+#: need to see that the key is free, so that they go first.
 ALONE_S = 6.0
-
-#: tokens that turned out to be nobody's are remembered, so many of them
-MOST_NONSENSE = 64
+#: The lease ends this much earlier by our clock than by its TTL, as the answer to a renewal may have waited in a queue.
+RENEWAL_QUEUE_MARGIN_S = 0.2
+#: Bounds the memory that a broken worker can take by sending ever new tokens that no leader had.
+MAX_INVALID_TOKENS = 64
 
 
 class LeaderValue(msgspec.Struct):
+    """The value of the leader key: the name of the controller that leads."""
+
     name: str
 
 
-class FencedError(Exception):
-    """This controller no longer leads."""
+class FencedError(GrebestandError):
+    """A term's write or command was rejected, as this controller does not lead under the term's token.
+
+    Attributes:
+        token: the fencing token of the rejected term.
+        reason: why it was rejected.
+    """
+
+    def __init__(self, token: int, reason: str) -> None:
+        self.token = token
+        self.reason = reason
+        super().__init__(reason)
 
 
 class LeaderElection:
+    """Campaigns for the leader key, renews its lease, and knows whether this controller may act as the leader."""
+
     def __init__(
         self,
         name: str,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         clock: Callable[[], float],
-        ttl_s: float,
+        lease_ttl_s: float,
         cancellation_horizon: CancellationHorizon | None = None,
     ) -> None:
+        """Start as a follower.
+
+        Args:
+            name: the name of this controller, written into the leader key.
+            store: the key-value store that holds the key.
+            clock: a steady clock, in seconds.
+            lease_ttl_s: the time to live of the lease that the key is attached to.
+            cancellation_horizon: what the present term knows of cancellations; unbounded if not given.
+        """
         self.name = name
-        self.store = state
+        self.store = store
         self.clock = clock
-        self.ttl_s = ttl_s
+        self.lease_ttl_s = lease_ttl_s
         self.state = LeaderState.FOLLOWING
         self.token = 0
-        self.hold = 0
+        self.lease_id = 0
+        #: until when nobody else can lead, by this controller's clock
         self.authority_until = 0.0
-        #: what the present term knows of cancellations
         self.cancellation_horizon = (
             cancellation_horizon if cancellation_horizon is not None else CancellationHorizon(clock)
         )
+        #: the controller that the key named when it was last read
         self.leader: str | None = None
-        #: when the key was last read
-        self.looked_at = -math.inf
-        self.retry_at = 0.0
-        #: since when, as far as this controller has seen, nobody has the key
-        self.free_since: float | None = None
-        self._looking = BoundedSemaphore(1)
-        #: for how long the key has to be free before this controller takes it: better placed ones go first
+        self._key_read_at = -math.inf
+        #: until when a controller that resigned does not campaign
+        self._resigned_until = 0.0
+        #: since when, by reads of this controller, the key has been free
+        self._key_free_since: float | None = None
+        self._read_lock = BoundedSemaphore(1)
+        #: for how long the key has to be free before this controller campaigns: better placed ones go first
         self.patience: Callable[[], float] = lambda: 0.0
-        #: called whenever it becomes known that somebody else leads, or this controller's own state changes
+        #: called whenever another controller is found to lead, or this controller's own state changes
         self.on_news: Callable[[], None] = lambda: None
-        #: a higher token that somebody has seen, until the key has been read, and those that were nobody's
+        #: a higher token that a worker has seen, until a read of the key has decided who leads; else 0
         self.challenged = 0
-        self.malformed_reads: set[int] = set()
+        #: higher tokens that turned out to be no leader's
+        self._invalid_tokens: set[int] = set()
+        #: called with the old and the new state
         self.on_move: Callable[[LeaderState, LeaderState], None] = lambda old, new: None
 
-    def move(self, new: LeaderState, why: str) -> None:
-        """The one function that changes what this controller is."""
+    def move(self, new: LeaderState, reason: str) -> None:
+        """Change the state: the one function that does so.
+
+        Raises:
+            IllegalTransitionError: the table of transitions does not allow it.
+        """
         if new is self.state:
             return
         check_transition(LEADER_TRANSITIONS, self.state, new, self.name)
         old, self.state = self.state, new
         self.on_news()
-        log.info("leadership: %s -> %s (token %d): %s", old.name, new.name, self.token, why)
+        log.info(LogEvent("leadership_changed", from_=old, to=new, token=self.token, reason=reason))
         self.on_move(old, new)
 
     def is_leader(self) -> bool:
-        """Whether commands and answers to workers may be given right now, by this controller's own clock.
+        """Return whether this controller may give commands and answer workers right now, by its own clock.
 
-        Two things: nobody else can be entitled yet, and what was cancelled without this controller's having heard of it
-        was cancelled so lately that the leases which its answers renew end in time (`leading.cancellation_horizon`).
+        Two things are required: no other controller can lead yet; and whatever was cancelled without this controller's
+        knowledge was cancelled so recently that the leases which its answers renew end in time.
         """
+        # called several times for each heartbeat: one expression, without further calls for the state
         in_time = self.state in (LeaderState.LOADING, LeaderState.LEADING) and self.clock() < self.authority_until
         return in_time and self.cancellation_horizon.fresh()
 
-    def caught_up(self, token: int, sent: float) -> None:
-        """The term of this token has taken the answer to a current read that was sent then."""
+    def record_current_read(self, token: int, sent_at: float) -> None:
+        """Note that the term of this token has applied the answer to a current read sent at that time."""
         if token == self.token:
-            self.cancellation_horizon.caught_up(sent)
+            self.cancellation_horizon.record_current_read(sent_at)
 
     def known_leader(self) -> str | None:
-        """Who leads, as far as this controller has read it lately.
+        """Return who leads by a recent read of the key, or None.
 
-        One that could not read the key went on sending its workers to a leader that was none any more, and that sent
-        them back after a timeout: between the two they never came to the third, which led.
+        An old read is not used: workers that are redirected by it to a controller which no longer leads come back after
+        a timeout, and alternate between the two without reaching the new leader.
         """
-        return self.leader if self.clock() - self.looked_at < LOOKED_S else None
+        return self.leader if self.clock() - self._key_read_at < KEY_READ_VALID_S else None
 
     def ended(self, name: str) -> None:
-        """A controller that led has begun anew: the term of its earlier process is over, whatever the key says.
+        """Note that a controller's process has restarted: the term of its earlier process is over.
 
-        Workers go on being sent there, since it takes its own key at once; but what was read of the key is old.
+        Workers are redirected there for a short while yet, since it usually takes its own key again at once.
         """
         if self.leader == name and not self._in_term():
-            self.looked_at = min(self.looked_at, self.clock() - LOOKED_S + ENDED_S)
+            expires_soon = self.clock() - KEY_READ_VALID_S + KEY_READ_VALID_AFTER_RESTART_S
+            self._key_read_at = min(self._key_read_at, expires_soon)
 
     def check_clock(self) -> None:
+        """Pause the term if its lease, or its knowledge of cancellations, has become too old."""
         if self.state in (LeaderState.LOADING, LeaderState.LEADING) and self.clock() >= self.authority_until:
-            self.move(LeaderState.PAUSED, "the hold could not be renewed in time")
+            self.move(LeaderState.PAUSED, "the lease could not be renewed in time")
         elif self.state is LeaderState.LEADING and not self.cancellation_horizon.fresh():
-            self.move(
-                LeaderState.PAUSED, f"cancellations are known up to {self.cancellation_horizon.age_s:.1f} s ago only"
-            )
+            age_s = self.cancellation_horizon.age_s
+            self.move(LeaderState.PAUSED, f"cancellations are known up to {age_s:.1f} s ago only")
 
     # following --------------------------------------------------------------------------------------------
 
     def look(self) -> None:
-        """One look at the key: learn who leads, or take the lead if nobody does.
+        """Read the key once: learn who leads, or campaign if nobody does.
 
-        One at a time. Of two, the one that began earlier once found the key that the other had just taken, by its own
-        name, and removed it as one of an earlier term; the next controller took it, and two led.
+        Serialised: of two concurrent reads, the older one could mistake the key that this controller has just created
+        for a leftover of an earlier term and delete it, while this controller goes on leading.
+
+        Raises:
+            StoreError: the store could not be reached.
         """
-        with self._looking:
+        with self._read_lock:
             if not self._in_term():
-                self._look()
+                self._read_key_and_campaign()
 
-    def _look(self) -> None:
+    def _read_key_and_campaign(self) -> None:
         found = self.store.get(LEADER_KEY, Urgency.TAKEOVER)
-        now = self.looked_at = self.clock()
-        if found is not None:
-            self.free_since = None
-        elif self.free_since is None:
-            self.free_since = now
-        nobody = self.free_since is not None and now - self.free_since >= ALONE_S
-        if self.state is LeaderState.RESIGNED and (now >= self.retry_at or nobody):
-            self.move(LeaderState.FOLLOWING, "nobody else leads" if nobody else "may lead again")
+        now = self._key_read_at = self.clock()
         if found is not None:
-            value = msgspec.convert(found.value, LeaderValue)
-            if value.name != self.name:
-                news, self.leader = self.leader != value.name, value.name
-                if news:
-                    self.on_news()
-                return
-            # its own name: whoever wrote it was an earlier run or term of this controller, and that has ended
+            self._key_free_since = None
+        elif self._key_free_since is None:
+            self._key_free_since = now
+        self._end_resignation_if_due(now)
+        if found is not None and self._is_of_another_controller(found):
+            return
+        # a key under our own name was written by an earlier process or term of this controller, which has ended
         if self.state is not LeaderState.FOLLOWING:
             if found is not None:
-                # a campaign that was given up on was carried out late: the key would stay until its hold has ended
+                # the late write of an abandoned campaign: the key would block all others until its lease expires
                 self.clear_key(found.version)
             return
         self.leader = None
-        if self.free_since is not None and now - self.free_since < self.patience():
+        if self._key_free_since is not None and now - self._key_free_since < self.patience():
             return
-        self.campaign(found.version if found is not None else 0)
+        self._campaign(found.version if found is not None else 0)
+
+    def _end_resignation_if_due(self, now: float) -> None:
+        """Let a resigned controller campaign again after its pause, or earlier if nobody takes the key."""
+        if self.state is not LeaderState.RESIGNED:
+            return
+        if self._key_free_since is not None and now - self._key_free_since >= ALONE_S:
+            self.move(LeaderState.FOLLOWING, "nobody else leads")
+        elif now >= self._resigned_until:
+            self.move(LeaderState.FOLLOWING, "may lead again")
+
+    def _is_of_another_controller(self, found: KeyValue) -> bool:
+        """Return whether the key names another controller, and remember that one as the leader."""
+        name = msgspec.convert(found.value, LeaderValue).name
+        if name == self.name:
+            return False
+        changed, self.leader = self.leader != name, name
+        if changed:
+            self.on_news()
+        return True
 
-    def campaign(self, version: int) -> None:
-        sent = self.clock()
-        hold = self.store.grant_lease(int(self.ttl_s * 1000))
-        condition = at(LEADER_KEY, version) if version else absent(LEADER_KEY)
+    def _campaign(self, replaced_version: int) -> None:
+        """Try to take the key: a free one, or with `replaced_version` the leftover of an earlier term of ours."""
+        sent_at = self.clock()
+        lease_id = self.store.grant_lease(int(self.lease_ttl_s * 1000))
+        condition = at(LEADER_KEY, replaced_version) if replaced_version else absent(LEADER_KEY)
         value = msgspec.to_builtins(LeaderValue(self.name))
         try:
-            revision, failed = self.store.commit([condition], [put(LEADER_KEY, value, hold)], Urgency.TAKEOVER)
+            revision, failed = self.store.commit([condition], [put(LEADER_KEY, value, lease_id)], Urgency.TAKEOVER)
         except LeaseExpiredError:
-            return
+            return  # the request took longer than the lease lasts; the next read of the key starts another campaign
         if failed:
-            return
-        self.token, self.hold, self.leader = revision, hold, self.name
+            return  # another controller was faster
+        self.token, self.lease_id, self.leader = revision, lease_id, self.name
         self.cancellation_horizon.begin()
-        self.free_since = None
-        self._extend(sent)
+        self._key_free_since = None
+        self._extend(sent_at)
         self.move(LeaderState.LOADING, "took the key")
 
-    def _extend(self, sent: float) -> None:
-        # counted from when the request left, shortened by drift and the time an answer may sit in a queue here
-        self.authority_until = sent + self.ttl_s * (1 - 2 * DRIFT) - 0.2
+    def _extend(self, sent_at: float) -> None:
+        """Extend the authority by a lease counted from when the request left, shortened by drift and queueing."""
+        self.authority_until = sent_at + self.lease_ttl_s * (1 - 2 * DRIFT) - RENEWAL_QUEUE_MARGIN_S
 
     # leading ----------------------------------------------------------------------------------------------
 
     def renew(self) -> bool:
-        """Renews the hold; False if the state service could not be asked."""
+        """Renew the lease; a paused term also reads the key, and resumes only if the key is its own.
+
+        Returns:
+            False if the lease is not renewed and the caller should try again soon; True if it was renewed, or if the
+            term is over.
+        """
         if not self._in_term():
             return False
-        hold, token = self.hold, self.token
-        sent = self.clock()
-        read = False
+        lease_id, token = self.lease_id, self.token
+        sent_at = self.clock()
+        key_was_read = False
+        key_is_ours = True
         try:
-            self.store.keep_alive(hold)
+            self.store.keep_alive(lease_id)
             if self.state is LeaderState.PAUSED:
-                read = True
                 found = self.store.get(LEADER_KEY, Urgency.HOLD)
-                if found is None or found.version != token:
-                    raise LeaseExpiredError("the key is another's")
-        except LeaseExpiredError as e:
-            if token == self.token:
-                self.lose(str(e))
+                key_was_read = True
+                key_is_ours = found is not None and found.version == token
+        except LeaseExpiredError as error:
+            self._lose_term(token, str(error))
             return True
-        except StoreError as e:
-            log.debug("hold not renewed: %s", e)
+        except StoreError as error:
+            log.debug(LogEvent("leader_lease_renewal_failed", error=error))
             self.check_clock()
             return False
-        if token == self.token and self._in_term():
-            if self.challenged and not read:
-                return False  # the question came while the hold was renewed
-            if self.challenged:
-                log.warning("token %d, which somebody has seen, is nobody's: the key is this term's", self.challenged)
-                if len(self.malformed_reads) < MOST_NONSENSE:
-                    self.malformed_reads.add(self.challenged)
-                self.challenged = 0
-            self._extend(sent)
+        if not key_is_ours:
+            self._lose_term(token, "the key is another's")
+            return True
+        if token != self.token or not self._in_term():
+            return True  # the term ended while the lease was renewed
+        if self.challenged:
+            if not key_was_read:
+                return False  # the challenge came while the lease was renewed
+            self._dismiss_challenge()
+        self._extend(sent_at)
         return True
 
     def _in_term(self) -> bool:
         return self.state in (LeaderState.LOADING, LeaderState.LEADING, LeaderState.PAUSED)
 
-    def lose(self, why: str) -> None:
+    def _lose_term(self, token: int, reason: str) -> None:
+        """End the term of this token, unless another one has begun meanwhile."""
+        if token == self.token:
+            self.lose(reason)
+
+    def lose(self, reason: str) -> None:
+        """End the term, as the key is no longer this controller's."""
         if self._in_term():
             self.authority_until = 0.0
             self.leader = None
-            self.move(LeaderState.FOLLOWING, why)
+            self.move(LeaderState.FOLLOWING, reason)
 
-    def challenge(self, token: int, why: str) -> None:
-        """Somebody has seen a higher token: no orders until the key has been read. That settles it for good.
+    def challenge(self, token: int, reason: str) -> None:
+        """Pause the term, as somebody has seen a higher token, until a read of the key has decided who leads.
 
-        Tokens are revisions of the state service, so a number that no leader ever had is nonsense, of a broken worker.
+        Tokens are revisions of the store. One that no leader ever had comes from a broken worker; it is remembered, so
+        that it pauses the term only once.
         """
-        if token in self.malformed_reads or not self._in_term():
+        if token in self._invalid_tokens or not self._in_term():
             return
         self.challenged = token
-        self.move(LeaderState.PAUSED, why)
+        self.move(LeaderState.PAUSED, reason)
 
-    def resign(self, why: str, pause_s: float) -> int:
-        """Ends the term here and now; the caller sees to the key. Returns the token given up."""
+    def _dismiss_challenge(self) -> None:
+        """Ignore the challenging token from now on: the key, read after it was seen, is this term's."""
+        log.warning(LogEvent("invalid_token_ignored", invalid_token=self.challenged, token=self.token))
+        if len(self._invalid_tokens) < MAX_INVALID_TOKENS:
+            self._invalid_tokens.add(self.challenged)
+        self.challenged = 0
+
+    def resign(self, reason: str, pause_s: float) -> int:
+        """End the term on purpose and do not campaign for `pause_s` seconds.
+
+        Returns:
+            The token that was given up; the caller removes the key with it (`clear_key`).
+        """
         token = self.token
         self.authority_until = 0.0
         self.leader = None
-        self.retry_at = self.clock() + pause_s
-        self.move(LeaderState.RESIGNED, why)
+        self._resigned_until = self.clock() + pause_s
+        self.move(LeaderState.RESIGNED, reason)
         return token
 
     def clear_key(self, token: int) -> None:
-        """Removes the key of a term that its holder has declared over."""
+        """Delete the key of a term that its leader has ended, if it is still that term's.
+
+        Raises:
+            StoreError: the store could not be reached.
+        """
         self.store.commit([at(LEADER_KEY, token)], [delete(LEADER_KEY)], Urgency.TAKEOVER)
 
     def guard(self) -> None:
+        """Check that this controller may act as the leader.
+
+        Raises:
+            FencedError: it may not.
+        """
         if not self.is_leader():
-            raise FencedError("not leading")
+            raise FencedError(self.token, "not leading")
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -71,7 +71,7 @@
             if event.version > self.watched:
                 self._take_event(event, now)
         self.watched = max(self.watched, events.revision)
-        self.election.caught_up(self.token, asked)
+        self.election.record_current_read(self.token, asked)
 
     def _take_event(self, event: ChangeEvent, now: float) -> None:
         if event.put is not None:
@@ -107,7 +107,7 @@
         """All that was read is in the books, and so is what was heard of meanwhile."""
         for ident in [i for i in self.registry.jobs if self.job_completion.completed_jobs.get(i) is not None]:
             self.removed(ident, self.clock())
-        self.election.caught_up(self.token, self._read_at)
+        self.election.record_current_read(self.token, self._read_at)
 
     def _reread(self) -> None:
         now = self.clock()
--- a/tests/connectivity/test_partial_partitions.py
+++ b/tests/connectivity/test_partial_partitions.py
@@ -207,7 +207,7 @@
     node.store.keep_alive = late  # type: ignore[method-assign]
     sent = world.clock.now
     assert node.election.renew()
-    assert node.election.authority_until < sent + node.election.ttl_s
+    assert node.election.authority_until < sent + node.election.lease_ttl_s
 
 
 def play(world: SimulatedCluster, cut: list[tuple[str, str]], way: LinkMode, seconds: float) -> None:
--- a/tests/leader/test_cancellation_horizon.py
+++ b/tests/leader/test_cancellation_horizon.py
@@ -246,14 +246,14 @@
     clock = ManualClock()
     known = CancellationHorizon(clock, 29.0)
     assert not known.fresh()
-    known.caught_up(clock.now - 5.0)
+    known.record_current_read(clock.now - 5.0)
     clock.now += 23.9
     assert known.fresh()
     clock.now += 0.2
     assert not known.fresh()
-    known.caught_up(clock.now - 40.0)  # an older answer that came later takes nothing back, and adds nothing
+    known.record_current_read(clock.now - 40.0)  # an older answer that came later takes nothing back, and adds nothing
     assert not known.fresh()
-    known.caught_up(clock.now)
+    known.record_current_read(clock.now)
     known.begin()
     assert not known.fresh()  # a new term knows nothing yet
 
--- a/tests/scenarios/test_asymmetric_faults.py
+++ b/tests/scenarios/test_asymmetric_faults.py
@@ -94,7 +94,7 @@
     assert node is not None and not node.leadership_transfer.healthy()
     gevent.sleep(12)
     at, second, _ = world.leaders[1]
-    hold_s = node.election.ttl_s
+    hold_s = node.election.lease_ttl_s
     assert second != first and at - cut_at < hold_s + 4.0
     gevent.sleep(15)
     world.links.heal()
