--- a/src/grebestand/leader/durable_grants.py
+++ b/src/grebestand/leader/durable_grants.py
@@ -1,9 +1,14 @@
-"""Durable coarse grants: where a job's tasks may have been started, written before any of them is sent."""
+"""Durable coarse grants: on which machines a job's tasks may have been started, written before any of them is sent.
+
+A later leader reads the grants and waits only for machines that may run what it has not seen. Grants are coarse, as a
+write for each task would use up the rate limit of the key-value store.
+"""
 
 from __future__ import annotations
 
 import logging
 import math
+from typing import NamedTuple
 
 import gevent
 import msgspec
@@ -12,28 +17,50 @@
 from ..clients.kv_store import StoreError
 from ..cluster_state.jobs import Job
 from ..flow_control.rate_limiter import Urgency
+from ..log_events import LogEvent
 from ..storage.leader_records import GrantRecord
 from .election import FencedError
 from .term_context import TermComponent, TermContext
 
 log = logging.getLogger(__name__)
 
-#: machines that the grant of an array names before it says that tasks may be anywhere
-MOST_NAMED = 16
-#: while the budget of writes is short, and so long after, in seconds, an array is granted once for all its tasks
-WHOLE_S = 15.0
+#: The grant of an array names up to this many machines; a wider one says that tasks may be on any machine.
+MAX_NAMED_MACHINES = 16
+#: After a sign that writes are short, arrays are granted once for all their tasks for this long.
+WHOLE_GRANTS_S = 15.0
+#: A grant covers this many tasks more than are queued, or half as many as it covers, whichever is more, so that the
+#: next few tasks need no write.
+MIN_GRANTED_AHEAD, GRANTED_AHEAD_SHARE = 4, 2
+#: A grant that takes more than this part of a stored value names no machines.
+MAX_VALUE_SHARE = 4
+
+
+class GrantUpdate(NamedTuple):
+    """A job's grant that is to be written, and the indices of the machines that the record names."""
+
+    job: Job
+    record: GrantRecord
+    machines: set[int]
 
 
 class DurableGrants(TermComponent):
+    """Reads the grants of an earlier leader, and widens them before tasks are sent."""
+
     def __init__(self, context: TermContext) -> None:
         super().__init__(context)
         self.pages = self.writer.pages("grants/")
-        self.granting = BoundedSemaphore(1)
+        self._write_lock = BoundedSemaphore(1)
+        #: the write of grants that was begun last
         self.cover_task: gevent.Greenlet | None = None
         #: until when arrays are granted whole
-        self.whole_until = -math.inf
+        self._whole_until = -math.inf
 
     def load(self) -> None:
+        """Restore the grants of an earlier leader, and drop those of jobs that are over.
+
+        Raises:
+            StoreError: the store could not be reached.
+        """
         grants: dict[str, GrantRecord] = {}
         for name, value in self.pages.load(self.writer.store.pairs(self.pages.prefix)):
             grant = msgspec.convert(value, GrantRecord)
@@ -43,34 +70,46 @@
             if job is None:
                 self.pages.drop(name, soon=False)
             else:
-                self._take(job, grant)
+                self._restore(job, grant)
+
+    def _restore(self, job: Job, record: GrantRecord) -> None:
+        """Let a job's unseen tasks wait until the machines of an earlier leader's grant are reconciled.
 
-    def _take(self, job: Job, record: GrantRecord) -> None:
-        """An earlier leader's grant: its machines have to be proved before unseen tasks start again. Machines
-        without a record were deleted; a job without a grant was never started."""
+        A machine without a record was deleted, and a job without a grant was never started.
+        """
         job.granted_hi = record.hi
-        held: set[int] | None = None
+        holders: set[int] | None = None
         job.granted = None
         if record.machines is not None:
-            held = {m.index for m in (self.inventory.by_name.get(n) for n in record.machines) if m is not None}
-            job.granted = set(held)
-        self.registry.add_possible_holders(job, held, min(record.hi, job.spec.tasks))
+            named = (self.inventory.by_name.get(name) for name in record.machines)
+            holders = {machine.index for machine in named if machine is not None}
+            job.granted = set(holders)
+        self.registry.add_possible_holders(job, holders, min(record.hi, job.spec.tasks))
 
     def write(self) -> None:
-        """Makes durable where queued tasks may be, before any of them is sent.
+        """Make durable where queued tasks may be, so that they may be sent.
+
+        A grant is widened as its job grows: a later leader need not wait for what it leaves out. At hundreds of jobs a
+        minute these writes would take most of the rate limit and delay the records of finished jobs; then an array is
+        granted whole at once (`conserve_writes`).
 
-        A grant widens with its job: what it leaves out, a successor need not wait for. At hundreds of jobs a minute
-        that took nine tenths of the budget of writes, and hardly a finished job was recorded: then one has to do.
+        Serialised: a grant counts as far as it was written, so that no other write may replace it meanwhile.
 
-        One at a time: a grant counts as wide as what was written, so nothing may replace it meanwhile.
+        Raises:
+            FencedError: this term may not write any more.
+            StoreError: the store could not be reached; the jobs are kept for the next write.
         """
-        with self.granting:
+        with self._write_lock:
             jobs, self.dispatch.to_cover = self.dispatch.to_cover, {}
-            due = [j for j in jobs.values() if j.live and any(not j.covers(p) for p in j.allocations.values())]
-            batch = [self._widened(job) for job in due]
-            if not batch:
+            due = [
+                job
+                for job in jobs.values()
+                if job.live and any(not job.covers(allocation) for allocation in job.allocations.values())
+            ]
+            updates = [self._widened(job) for job in due]
+            if not updates:
                 return
-            for job, record, _ in batch:
+            for job, record, _ in updates:
                 self.pages.put(job.spec.id, record)
             try:
                 self.pages.save(Urgency.ACCEPT)
@@ -78,51 +117,55 @@
                 self.dispatch.to_cover.update(jobs)
                 raise
             now = self.clock()
-            for job, record, machines in batch:
-                if job.stages is not None:
-                    job.stages.covered = now
-                job.granted_hi = max(job.granted_hi, record.hi)
-                if record.machines is None or job.granted is None:
-                    job.granted = None
-                else:
-                    job.granted |= machines
-
-    def save_writes(self) -> None:
-        """What matters less than grants waits for its writes."""
-        self.whole_until = self.clock() + WHOLE_S
+            for job, record, machines in updates:
+                self._record_written(job, record, machines, now)
+
+    @staticmethod
+    def _record_written(job: Job, record: GrantRecord, machines: set[int], now: float) -> None:
+        if job.stages is not None:
+            job.stages.covered = now
+        job.granted_hi = max(job.granted_hi, record.hi)
+        if record.machines is None or job.granted is None:
+            job.granted = None
+        else:
+            job.granted |= machines
+
+    def conserve_writes(self) -> None:
+        """Grant arrays whole for a while, as more important records wait for the rate limit of writes."""
+        self._whole_until = self.clock() + WHOLE_GRANTS_S
 
     def cover(self) -> None:
-        """Grants are written ahead of the reports that fetch the starts, so that no worker has to wait."""
+        """Write grants ahead of the heartbeats that fetch the starts, so that no worker has to wait."""
         if self.dispatch.to_cover:
             self.covering().join()
 
     def covering(self) -> gevent.Greenlet:
-        """The writing of grants that is under way, or a new one."""
+        """Return the write of grants that is under way, or begin one."""
         if self.cover_task is None or self.cover_task.ready():
-            self.cover_task = gevent.spawn(self._try_grants)
+            self.cover_task = gevent.spawn(self._try_write)
         return self.cover_task
 
-    def _try_grants(self) -> None:
+    def _try_write(self) -> None:
         try:
             self.write()
-        except (StoreError, FencedError) as e:
-            log.info("starts wait for their grants: %s", e)
-
-    def _widened(self, job: Job) -> tuple[Job, GrantRecord, set[int]]:
-        if not job.gang and self.clock() < self.whole_until:
-            return job, GrantRecord(job.spec.tasks, None), set()
-        queued = [p for p in job.allocations.values() if not job.covers(p)]
-        machines = {p.machine for p in queued} | (job.granted or set())
-        # somewhat further than needed, so that the next few tasks need no write
-        hi = max([job.granted_hi, *(p.index + 1 for p in queued)])
+        except (StoreError, FencedError) as error:
+            # the jobs stay in `dispatch.to_cover`, and their starts wait for the next write
+            log.info(LogEvent("grant_write_failed", error=error))
+
+    def _widened(self, job: Job) -> GrantUpdate:
+        """Return a job's grant, widened for its queued tasks."""
+        if not job.gang and self.clock() < self._whole_until:
+            return GrantUpdate(job, GrantRecord(job.spec.tasks, None), set())
+        queued = [allocation for allocation in job.allocations.values() if not job.covers(allocation)]
+        machines = {allocation.machine for allocation in queued} | (job.granted or set())
+        hi = max([job.granted_hi, *(allocation.index + 1 for allocation in queued)])
         if hi > job.granted_hi:
-            hi = min(job.spec.tasks, hi + max(4, hi // 2))
-        if job.granted and not job.gang and len(machines) > MOST_NAMED:
-            # tasks of a wide array come to ever more machines: one write for each would use up the budget
-            record = GrantRecord(hi, None)
-            return job, record, set()
-        known = [m for m in (self.inventory.at(i) for i in machines) if m is not None]
-        record = GrantRecord(hi, sorted(m.name for m in known))
-        if job.granted is None or len(msgspec.json.encode(record)) > self.writer.value_bytes // 4:
+            hi = min(job.spec.tasks, hi + max(MIN_GRANTED_AHEAD, hi // GRANTED_AHEAD_SHARE))
+        if job.granted and not job.gang and len(machines) > MAX_NAMED_MACHINES:
+            # tasks of a wide array reach ever more machines, each of which would cost a write
+            return GrantUpdate(job, GrantRecord(hi, None), set())
+        known = [machine for machine in (self.inventory.at(index) for index in machines) if machine is not None]
+        record = GrantRecord(hi, sorted(machine.name for machine in known))
+        if job.granted is None or len(msgspec.json.encode(record)) > self.writer.value_bytes // MAX_VALUE_SHARE:
             record.machines = None
-        return job, record, {m.index for m in known}
+        return GrantUpdate(job, record, {machine.index for machine in known})
--- a/src/grebestand/leader/heartbeat_handler.py
+++ b/src/grebestand/leader/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Answers workers' reports: reads them, fills their room, waits a moment for grants, and writes the commands."""
+"""Answers workers' heartbeats: applies them, fills freed capacity, and returns commands that are durably granted."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 
 from ..cluster_state.machine import Machine
+from ..log_events import LogEvent
 from ..state_machines import JobState, LeaderState, MachineState, Reception
 from ..wire.jobs import MAX_TASKS, MalformedError, split_task
 from ..wire.workers import Heartbeat, HeartbeatResponse
@@ -18,22 +19,31 @@
 
 log = logging.getLogger(__name__)
 
-#: how long a report waits for its starts' grants before it is answered without them
+#: How long an answer waits for one write of grants before it leaves without the starts: workers whose heartbeats are
+#: not answered in time look for another leader.
 GRANT_WAIT_S = 0.25
+#: A write under way may have begun too early for the tasks of this answer, so that a second one is waited for.
+GRANT_WRITES_AWAITED = 2
 
 
 @dataclass(frozen=True)
 class PendingResponse:
-    """A report that is in the books and not answered yet."""
+    """A heartbeat that has been applied and not been answered yet."""
 
     machine: Machine
-    report: Heartbeat
+    heartbeat: Heartbeat
 
 
 class HeartbeatHandler(TermComponent):
+    """Applies heartbeats to the cluster state and answers them.
+
+    All of this runs for each heartbeat, thousands of times a second: no step allocates or looks up more than it needs.
+    """
+
     def __init__(
         self,
         context: TermContext,
+        *,
         machine_reconciliation: MachineReconciliation,
         grants: DurableGrants,
         provisioning: Provisioning,
@@ -44,128 +54,141 @@
         self.grants = grants
         self.provisioning = provisioning
         self.scheduling_loop = scheduling_loop
-        #: when a worker last reported, and whether one has in this term
+        #: when a worker last sent a heartbeat, and whether one has in this term
         self.last_heard_at = self.clock()
         self.first_heard = False
-        #: since when nothing is started, as too little is known of cancellations
-        self.held_since: float | None = None
+        #: since when nothing is started, as the knowledge of cancellations is too old for it
+        self._starts_paused_since: float | None = None
 
-    def _may_start(self) -> bool:
-        """Whether what is known of cancellations is recent enough for starts; tells when that changes."""
-        starts, held = self.election.cancellation_horizon.allows_starts(), self.held_since
-        if starts and held is not None:
-            log.info("starts go on after %.1f s", self.clock() - held)
-            self.held_since = None
-        elif not starts and held is None:
-            self.held_since = self.clock()
-            log.info(
-                "starts wait: cancellations are known up to %.1f s ago only", self.election.cancellation_horizon.age_s
-            )
-        return starts
-
-    def may_answer(self, report: Heartbeat) -> bool:
-        """Whether this term may answer it. One that has seen a higher token has the key looked at first."""
-        if self.writer.is_leader() and report.token > self.token:
-            self.election.challenge(report.token, f"{report.machine} has seen token {report.token}")
-        return self.writer.is_leader() and report.token <= self.token
-
-    def check(self, report: Heartbeat) -> None:
-        """Raises `MalformedError` for a task that cannot be; names that are in the books are right."""
-        known = self.inventory.by_name.get(report.machine)
-        allocations = known.allocations if known is not None else {}
-        for status in report.tasks:
+    def may_answer(self, heartbeat: Heartbeat) -> bool:
+        """Return whether this term may answer; a worker that has seen a higher token pauses the term."""
+        if self.writer.is_leader() and heartbeat.token > self.token:
+            self.election.challenge(heartbeat.token, f"{heartbeat.machine} has seen token {heartbeat.token}")
+        return self.writer.is_leader() and heartbeat.token <= self.token
+
+    def validate(self, heartbeat: Heartbeat) -> None:
+        """Check the names of tasks; those of the machine's known allocations are right.
+
+        Raises:
+            MalformedError: a task that cannot exist is listed.
+        """
+        machine = self.inventory.by_name.get(heartbeat.machine)
+        allocations = machine.allocations if machine is not None else {}
+        for status in heartbeat.tasks:
             if status.task not in allocations:
-                ident, index = split_task(status.task)
-                job = self.registry.jobs.get(ident)
+                job_id, index = split_task(status.task)
+                job = self.registry.jobs.get(job_id)
                 if index >= (job.spec.tasks if job is not None else MAX_TASKS):
                     raise MalformedError(f"{status.task}: there is no such task")
 
-    def take(self, report: Heartbeat) -> HeartbeatResponse | None:
-        """The answer to a report; None while this controller may not answer. Raises `MalformedError`."""
-        taken = self.begin(report)
-        if not isinstance(taken, PendingResponse):
-            return taken
-        self.cover([taken])
-        return self.finish(taken)
+    def handle(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
+        """Return the answer to a heartbeat, or None while this controller may not answer.
+
+        Raises:
+            MalformedError: a task that cannot exist is listed.
+        """
+        begun = self.begin(heartbeat)
+        if not isinstance(begun, PendingResponse):
+            return begun
+        self.cover([begun])
+        return self.finish(begun)
+
+    def begin(self, heartbeat: Heartbeat) -> PendingResponse | HeartbeatResponse | None:
+        """Apply a heartbeat and fill the capacity that it frees.
 
-    def begin(self, report: Heartbeat) -> PendingResponse | HeartbeatResponse | None:
-        """Reads a report and fills the room that it brings; its answer may have to wait for grants.
+        Returns:
+            A pending response, whose starts may have to wait for their grants; the response itself if the heartbeat
+            brings nothing new; None while this controller may not answer.
 
-        The answer at once where nothing new is in it; None while this controller may not answer.
-        Raises `MalformedError`.
+        Raises:
+            MalformedError: a task that cannot exist is listed.
         """
-        if not self.may_answer(report):
+        if not self.may_answer(heartbeat):
             return None
-        self.check(report)
+        self.validate(heartbeat)
         now = self.clock()
-        m = self.context.reconciler.read(report, now, direct=False)
-        known = m or self.inventory.by_name.get(report.machine)
-        if (
-            known is not None
-            and known.reception is Reception.UNREACHABLE
-            and known.state is not MachineState.LEASE_EXPIRED
-        ):
-            return None  # an answer would renew its lease if it came through, and its end could not be proved
-        if known is not None and known.leaving and self._defies(known, now):
+        machine = self.context.reconciler.read(heartbeat, now, direct=False)
+        if self._must_not_renew(machine or self.inventory.by_name.get(heartbeat.machine), now):
             return None
-        if m is None:
-            return self._nothing_new(report)
-        if m.token == self.token:
-            # a copy that came late shows nobody to be there; one that echoes this term was not answered by another
+        if machine is None:
+            return self._stale_response(heartbeat)
+        if machine.token == self.token:
+            # only a heartbeat with this term's token shows that the worker is there now; others may be late copies
             self.last_heard_at, self.first_heard = now, True
-        if m.state is MachineState.NEW:
-            self.provisioning.arrived(m.name)
+        if machine.state is MachineState.NEW:
+            self.provisioning.arrived(machine.name)
         self.machine_reconciliation.check(now)
-        if m.state is MachineState.GONE:
-            return HeartbeatResponse(self.token, self.context.command_builder.unwanted(report))
+        if machine.state is MachineState.GONE:
+            return HeartbeatResponse(self.token, self.context.command_builder.unwanted(heartbeat))
         self.scheduling_loop.step(now)
         if self.election.state is LeaderState.LEADING:
-            self.context.scheduler.fill(m, now)
-        return PendingResponse(m, report)
-
-    def cover(self, taken: Iterable[PendingResponse]) -> None:
-        """Waits for the grants of what is queued on these machines.
-
-        One that is under way may have begun too early for these, so a second one is waited for; but never
-        for long: workers whose reports are not answered in time take this leader for gone.
-        """
-        machines = [t.machine for t in taken]
-        for _ in range(2):
-            if any(self.context.command_builder.uncovered(m) for m in machines):
+            self.context.scheduler.fill(machine, now)
+        return PendingResponse(machine, heartbeat)
+
+    def cover(self, pending: Iterable[PendingResponse]) -> None:
+        """Wait a short while for the grants of what is queued on these machines."""
+        machines = [response.machine for response in pending]
+        for _ in range(GRANT_WRITES_AWAITED):
+            if any(self.context.command_builder.uncovered(machine) for machine in machines):
                 self.grants.covering().join(timeout=GRANT_WAIT_S)
 
-    def finish(self, taken: PendingResponse) -> HeartbeatResponse | None:
-        """The answer to a report that was read; None if this controller may not answer any more."""
-        m, report, now = taken.machine, taken.report, self.clock()
+    def finish(self, pending: PendingResponse) -> HeartbeatResponse | None:
+        """Return the answer to a heartbeat that was begun, or None if this controller may not answer any more."""
+        machine, heartbeat, now = pending.machine, pending.heartbeat, self.clock()
         if not self.writer.is_leader():
-            return None  # the wait, or a pass, took so long that the authority ran out meanwhile
-        if (m.epoch, m.sequence) != (report.epoch, report.sequence):
-            return self._nothing_new(report)  # a newer report came meanwhile
-        if m.leaving and self._defies(m, now):
-            return None  # the wait made it so
-        # what a report of an older token lists may have changed since, and may not be all: nothing follows from it
-        answers = self.context.command_builder
+            return None  # the wait for grants, or a scheduling pass, outlasted the authority
+        if (machine.epoch, machine.sequence) != (heartbeat.epoch, heartbeat.sequence):
+            return self._stale_response(heartbeat)  # a newer heartbeat came meanwhile
+        if machine.leaving and self._runs_cancelled_too_long(machine, now):
+            return None  # the limit was passed during the wait
+        builder = self.context.command_builder
         starts = self._may_start()
-        commands = answers.commands(m, report, now, starts) if m.token == self.token else answers.unwanted(report)
-        m.last_response_at = now
+        # a heartbeat with an older token may be incomplete or outdated: only stops of unwanted tasks follow from it
+        current = machine.token == self.token
+        commands = builder.commands(machine, heartbeat, now, starts) if current else builder.unwanted(heartbeat)
+        machine.last_response_at = now
         return HeartbeatResponse(self.token, commands)
 
-    def _nothing_new(self, report: Heartbeat) -> HeartbeatResponse:
-        """The answer to a report that came late. If it did not, but its worker counts anew, this renews its lease.
+    def _stale_response(self, heartbeat: Heartbeat) -> HeartbeatResponse:
+        """Return the answer to a heartbeat that is older than what is known of its machine.
 
-        So even this stops what must not be there: a chain of such answers, each by a new leader, would keep it up.
+        If the worker has in fact restarted its counters, the answer renews its lease. So it carries the stops: else
+        a series of leaders that each answer one such heartbeat would keep cancelled tasks running.
         """
-        known = self.inventory.by_name.get(report.machine)
-        if known is not None:
-            known.last_response_at = self.clock()
-        return HeartbeatResponse(self.token, self.context.command_builder.unwanted(report))
+        machine = self.inventory.by_name.get(heartbeat.machine)
+        if machine is not None:
+            machine.last_response_at = self.clock()
+        return HeartbeatResponse(self.token, self.context.command_builder.unwanted(heartbeat))
+
+    def _must_not_renew(self, machine: Machine | None, now: float) -> bool:
+        """Return whether the lease of a machine has to run out, so that it gets no answer."""
+        if machine is None:
+            return False
+        if machine.reception is Reception.UNREACHABLE and machine.state is not MachineState.LEASE_EXPIRED:
+            return True  # an answer that comes through after all renews the lease, and its end could not be known
+        return bool(machine.leaving) and self._runs_cancelled_too_long(machine, now)
 
     @staticmethod
-    def _defies(m: Machine, now: float) -> bool:
-        """Whether it still lists a cancelled task that an answer would now keep up for too long: its lease has to end.
+    def _runs_cancelled_too_long(machine: Machine, now: float) -> bool:
+        """Return whether a machine lists a task that was cancelled too long ago for another renewal of its lease.
 
-        What else is on it is lost with that. An answer that arrives carries the stop, so that only a machine which does
-        not do as it is told comes to this.
+        Everything else on the machine is lost with the lease. Since each answer carries the stop, only a worker that
+        does not follow its commands comes to this.
         """
-        over = JobState.CANCELLED
-        return any(p.job.state is over and now > p.job.may_answer_until for p in m.allocations.values())
+        cancelled = JobState.CANCELLED
+        return any(
+            allocation.job.state is cancelled and now > allocation.job.may_answer_until
+            for allocation in machine.allocations.values()
+        )
+
+    def _may_start(self) -> bool:
+        """Return whether cancellations are known recently enough to start tasks; log when that changes."""
+        horizon = self.election.cancellation_horizon
+        allowed, paused_since = horizon.allows_starts(), self._starts_paused_since
+        if allowed and paused_since is not None:
+            log.info(LogEvent("starts_resumed", paused_s=self.clock() - paused_since))
+            self._starts_paused_since = None
+        elif not allowed and paused_since is None:
+            self._starts_paused_since = self.clock()
+            log.info(LogEvent("starts_paused", cancellations_age_s=horizon.age_s))
+        return allowed
--- a/src/grebestand/leader/job_audit.py
+++ b/src/grebestand/leader/job_audit.py
@@ -1,8 +1,8 @@
-"""Looks over all live jobs, slowly: each has to be startable, placed, held with an end, or waiting for a named proof.
+"""Audits all live jobs at a slow pace: each has to be startable, allocated, delayed with an end, or unreconciled.
 
-The books are kept by events: a report, a change of a record, a proof. One that is lost, or a fault of this program,
-would leave a job waiting for something that never comes. So every job is looked at again and again, in the books and in
-the record; what does not fit is logged and mended by a fresh read, a few at a time.
+The cluster state is kept up to date by events. One that is lost, or a fault of this program, could leave a job waiting
+for something that never comes. So every job is checked over and over, in memory and against its record; a defect is
+logged and repaired by a fresh read, a few at a time.
 """
 
 from __future__ import annotations
@@ -10,152 +10,195 @@
 import logging
 import math
 
-from ..cluster_state.jobs import Job
+from ..cluster_state.jobs import Allocation, Job
 from ..flow_control.rate_limiter import Urgency
+from ..log_events import LogEvent
 from ..state_machines import AllocationState, MachineState
 from ..storage.job_records import live_key
-from .job_watch import JobWatch
+from ..wire.store import KeyValuePage
+from .job_watch import LIVE_PREFIX, JobWatch
 from .term_context import TermComponent, TermContext
 
 log = logging.getLogger(__name__)
 
-#: one page of the record is read so often, in seconds
-PAGE_S = 5.0
-#: records that are read again in one step
-MOST_READ = 4
-#: nothing but a machine that proves nothing takes longer than so many leases
-PLACE_LEASES = 3.0
-#: a job found on record only waits for so many leases, until all machines have told what they hold
-HELD_LEASES = 1.5
-#: without a start for so long, in seconds, a job's own list of waiting tasks is looked through
+#: The interval between two reads of a page of live records, in seconds.
+PAGE_INTERVAL_S = 5.0
+#: Records that are read again after one page; the others follow when the page is read the next time.
+MAX_RECORDS_REREAD = 4
+#: A start that takes longer than this many leases is unexplained: by then its machine has confirmed it or expired.
+START_LEASES = 3.0
+#: A job found only on record waits for this many leases, until every machine has sent what it runs or has expired.
+DELAY_LEASES = 1.5
+#: The list of waiting tasks is checked if a job has waited for this long without a start, in seconds.
 QUIET_S = 60.0
-#: nobody holds a job back for longer, in seconds
-MOST_HELD_S = 120.0
+#: No part of the scheduler delays a job for longer, in seconds.
+MAX_DELAY_S = 120.0
+#: Sorts after every key that begins with the prefix of live records.
+END_OF_LIVE_KEYS = "live0"
 
 
 class JobAudit(TermComponent):
-    def __init__(self, context: TermContext, jobs: JobWatch) -> None:
+    """Finds and repairs jobs that wait for nothing."""
+
+    def __init__(self, context: TermContext, job_watch: JobWatch) -> None:
         super().__init__(context)
-        self.job_watch = jobs
-        self.page_at = -math.inf
-        #: where the next page of the record begins
-        self.since = ""
-        self._turn = 0
-        #: what was mended so far
+        self.job_watch = job_watch
+        self._page_read_at = -math.inf
+        #: the last key of the page that was read last, or empty at the beginning
+        self._last_key = ""
+        self._quiet_turn = 0
+        #: the number of defects repaired so far
         self.mended = 0
 
     def step(self) -> None:
+        """Check all jobs in memory, the waiting tasks of one quiet job, and now and then a page of records.
+
+        Raises:
+            StoreError: the store could not be reached.
+        """
         now = self.clock()
         quiet = []
         for job in list(self.registry.jobs.values()):
             if job.live:
-                self._look(job, now)
-                if (
-                    now - max(job.started_at, job.wait_since) > QUIET_S
-                    and not job.possible_holders
-                    and job.waiting() > 0
-                ):
+                self._check_job(job, now)
+                if self._is_quiet(job, now):
                     quiet.append(job)
         if quiet:
-            # a look through 100,000 tasks takes a while: one job each time
-            self._turn += 1
-            self._count(quiet[self._turn % len(quiet)])
-        if now - self.page_at >= PAGE_S:
-            self.page_at = now
+            # checking the tasks of a job of 100,000 takes a while: one job each time
+            self._quiet_turn += 1
+            self._check_waiting_tasks(quiet[self._quiet_turn % len(quiet)])
+        if now - self._page_read_at >= PAGE_INTERVAL_S:
+            self._page_read_at = now
             self._read_page()
 
-    # the books --------------------------------------------------------------------------------------------
-
-    def _defect(self, job: Job, what: str) -> None:
+    def _log_defect(self, job: Job, defect: str) -> None:
         self.mended += 1
-        log.error("%s: %s: mended", job.spec.id, what)
+        log.error(LogEvent("job_defect_repaired", job_id=job.spec.id, defect=defect))
+
+    # in memory --------------------------------------------------------------------------------------------
 
-    def _look(self, job: Job, now: float) -> None:
+    @staticmethod
+    def _is_quiet(job: Job, now: float) -> bool:
+        quiet_s = now - max(job.started_at, job.wait_since)
+        return quiet_s > QUIET_S and not job.possible_holders and job.waiting() > 0
+
+    def _check_job(self, job: Job, now: float) -> None:
         for allocation in list(job.allocations.values()):
-            m = self.inventory.at(allocation.machine)
-            if m is None:
-                self._defect(job, f"task {allocation.index} has a place on a machine that is gone")
-                self.registry.move_allocation(allocation, AllocationState.GONE, now)
-            elif allocation.name not in m.allocations:
-                self._defect(job, f"{m.name} does not know of task {allocation.index}")
-                self.inventory.add_allocation(m, allocation)  # its next report says whether it is there
-            elif m.state is MachineState.LEASE_EXPIRED:
-                self._defect(job, f"task {allocation.index} has a place on {m.name}, which holds nothing")
-                self.inventory.release(m, allocation, now)
-            elif (
-                allocation.state in (AllocationState.QUEUED, AllocationState.SENT)
-                and now - allocation.made_at > PLACE_LEASES * self.inventory.lease_s
-            ):
-                self.inventory.to_query.add(m.index)  # the machine itself has to say why
-        if job.hold_until > now + MOST_HELD_S:
-            self._defect(job, "it is held back for too long")
+            self._check_allocation(job, allocation, now)
+        if job.hold_until > now + MAX_DELAY_S:
+            self._log_defect(job, "it is delayed for too long")
             job.hold_until = now
-        for index in [i for i in job.possible_holders if not self._may_prove(i)]:
-            self._defect(job, "it waits for the proof of a machine that is proved")
+        for index in [index for index in job.possible_holders if not self._is_unreconciled(index)]:
+            self._log_defect(job, "it waits for a machine that is reconciled")
             self.registry.clear_possible_holder(index)
             job.possible_holders.discard(index)
 
-    def _may_prove(self, index: int) -> bool:
-        m = self.inventory.at(index)
-        return m is not None and m.state is MachineState.UNRECONCILED
-
-    def _count(self, job: Job) -> None:
-        """Every waiting task stands in the list of those that came back, or beyond the cursor."""
+    def _check_allocation(self, job: Job, allocation: Allocation, now: float) -> None:
+        machine = self.inventory.at(allocation.machine)
+        if machine is None:
+            self._log_defect(job, f"task {allocation.index} is allocated to a machine that is gone")
+            self.registry.move_allocation(allocation, AllocationState.GONE, now)
+        elif allocation.name not in machine.allocations:
+            self._log_defect(job, f"{machine.name} lacks the allocation of task {allocation.index}")
+            self.inventory.add_allocation(machine, allocation)  # the next heartbeat says whether the task is there
+        elif machine.state is MachineState.LEASE_EXPIRED:
+            self._log_defect(job, f"task {allocation.index} is allocated to {machine.name}, whose lease has expired")
+            self.inventory.release(machine, allocation, now)
+        elif (
+            allocation.state in (AllocationState.QUEUED, AllocationState.SENT)
+            and now - allocation.made_at > START_LEASES * self.inventory.lease_s
+        ):
+            self.inventory.to_query.add(machine.index)  # only the machine itself can explain it
+
+    def _is_unreconciled(self, index: int) -> bool:
+        machine = self.inventory.at(index)
+        return machine is not None and machine.state is MachineState.UNRECONCILED
+
+    def _check_waiting_tasks(self, job: Job) -> None:
+        """Check that every waiting task is either listed as returned or beyond the cursor of fresh tasks."""
         if job.gang:
-            return  # placed whole, by its number of tasks
-        back = {i for i in job.returned if i < job.fresh and not job.is_done(i) and i not in job.allocations}
-        ahead = sum(1 for i in range(job.fresh, job.spec.tasks) if not job.is_done(i) and i not in job.allocations)
-        if len(back) + ahead < job.waiting():
-            self._defect(job, "some of its tasks are nowhere")
-            job.returned = [i for i in range(job.fresh) if not job.is_done(i) and i not in job.allocations][::-1]
+            return  # allocated as a whole, by its number of tasks
+        returned = {
+            index
+            for index in job.returned
+            if index < job.fresh and not job.is_done(index) and index not in job.allocations
+        }
+        fresh = sum(
+            1 for index in range(job.fresh, job.spec.tasks) if not job.is_done(index) and index not in job.allocations
+        )
+        if len(returned) + fresh < job.waiting():
+            self._log_defect(job, "some of its waiting tasks are not listed")
+            seen = range(job.fresh)
+            # the last one is taken first, so that the order of tasks is kept
+            job.returned = [
+                index for index in reversed(seen) if not job.is_done(index) and index not in job.allocations
+            ]
             self.registry.changed = True
 
-    # the record -------------------------------------------------------------------------------------------
+    # against the records ----------------------------------------------------------------------------------
 
     def _read_page(self) -> None:
-        """Holds one page of the live records against the books."""
+        """Compare one page of the live records with the registry."""
         watched = self.job_watch.watched
-        page = self.writer.store.page("live/", self.since, Urgency.PROGRESS)
-        first, last = self.since, page.items[-1].key if page.more and page.items else "live0"
-        self.since = last if page.more and page.items else ""
-        found = {pair.key for pair in page.items}
-        # what was changed since the watch last told is still to come that way
-        over = self.job_watch.job_completion.completed_jobs
-        listed = [p.key[5:] for p in page.items if p.version <= watched]
-        strange = [i for i in listed if i not in self.registry.jobs and over.get(i) is None]
-        missing = [
-            ident
-            for ident, job in self.registry.jobs.items()
-            if job.live and job.version <= min(watched, page.revision) and first < live_key(ident) <= last
-            and live_key(ident) not in found
-        ]  # fmt: skip
+        after = self._last_key
+        page = self.writer.store.page(LIVE_PREFIX, after, Urgency.PROGRESS)
+        more = page.more and bool(page.items)
+        self._last_key = page.items[-1].key if more else ""
+        up_to = self._last_key if more else END_OF_LIVE_KEYS
+        unknown = self._unknown_jobs(page, watched)
+        missing = self._missing_jobs(page, watched, after, up_to)
         if missing:
-            # most likely cancelled between the watch's last word and this page
+            # most likely cancelled between the last answer of the watch and this page
             self.job_watch.catch_up()
-            missing = [i for i in missing if i in self.registry.jobs and self.registry.jobs[i].live]
-        for ident in (strange + missing)[:MOST_READ]:
-            self._read_again(ident)
-
-    def _read_again(self, ident: str) -> None:
-        """A fresh read settles it. One of a job that is over by now is read once more, so that nothing of it runs."""
-        found = self.writer.store.get(live_key(ident), Urgency.PROGRESS)
+            missing = [job_id for job_id in missing if job_id in self.registry.jobs and self.registry.jobs[job_id].live]
+        for job_id in (unknown + missing)[:MAX_RECORDS_REREAD]:
+            self._read_again(job_id)
+
+    def _unknown_jobs(self, page: KeyValuePage, watched: int) -> list[str]:
+        """Return the jobs of a page that the registry lacks, without those that the watch has still to bring."""
+        completed = self.job_watch.job_completion.completed_jobs
+        listed = [pair.key.removeprefix(LIVE_PREFIX) for pair in page.items if pair.version <= watched]
+        return [job_id for job_id in listed if job_id not in self.registry.jobs and completed.get(job_id) is None]
+
+    def _missing_jobs(self, page: KeyValuePage, watched: int, after: str, up_to: str) -> list[str]:
+        """Return the live jobs of the registry that a page should list, given the range of its keys, and does not."""
+        listed = {pair.key for pair in page.items}
+        known_to_both = min(watched, page.revision)
+        return [
+            job_id
+            for job_id, job in self.registry.jobs.items()
+            if job.live
+            and job.version <= known_to_both
+            and after < live_key(job_id) <= up_to
+            and live_key(job_id) not in listed
+        ]
+
+    def _read_again(self, job_id: str) -> None:
+        """Decide by a fresh read of one record whether the job is live."""
+        found = self.writer.store.get(live_key(job_id), Urgency.PROGRESS)
         now = self.clock()
-        job = self.registry.jobs.get(ident)
+        job = self.registry.jobs.get(job_id)
         if found is None:
             if job is not None and job.live:
-                self._defect(job, "it has no record any more")
-                self.job_watch.removed(ident, now)
+                self._log_defect(job, "it has no record any more")
+                self.job_watch.removed(job_id, now)
             return
-        if job is not None or self.job_watch.job_completion.completed_jobs.get(ident) is not None:
+        if job is not None or self.job_watch.job_completion.completed_jobs.get(job_id) is not None:
             return
         self.job_watch.take(found.value, found.version, now)
-        job = self.registry.jobs[ident]
-        self._defect(job, "it was on record and not in the books")
-        # it may run somewhere all the same. Within a lease each machine has reported, so that what it holds is in the
-        # books, or holds nothing any more; those of an earlier term have to be proved first
-        job.hold_until = now + HELD_LEASES * self.inventory.lease_s
-        unreconciled = {m.index for m in self.inventory.unreconciled()}
+        self._log_defect(self.registry.jobs[job_id], "it was on record and not in the registry")
+        self._delay_until_seen(self.registry.jobs[job_id], now)
+        # read once more: a job that is cancelled by now must not run
+        if self.writer.store.get(live_key(job_id), Urgency.PROGRESS) is None:
+            self.job_watch.removed(job_id, self.clock())
+
+    def _delay_until_seen(self, job: Job, now: float) -> None:
+        """Delay a job that may already run somewhere.
+
+        Within a lease each machine has sent what it runs or has expired; those of an earlier term that are unreconciled
+        have to be reconciled first.
+        """
+        job.hold_until = now + DELAY_LEASES * self.inventory.lease_s
+        unreconciled = {machine.index for machine in self.inventory.unreconciled()}
         if unreconciled:
             self.registry.add_possible_holders(job, unreconciled, job.spec.tasks)
-        if self.writer.store.get(live_key(ident), Urgency.PROGRESS) is None:
-            self.job_watch.removed(ident, self.clock())
--- a/src/grebestand/leader/job_completion.py
+++ b/src/grebestand/leader/job_completion.py
@@ -1,4 +1,4 @@
-"""Moves finished jobs from live to over, each in one transaction, and lets go of what only live jobs need."""
+"""Completes jobs: moves the record of a finished one from live to completed, and drops what only live jobs need."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from ..cluster_state.jobs import Job
 from ..features.hooks import Features
 from ..flow_control.rate_limiter import Urgency
+from ..log_events import LogEvent
 from ..state_machines import JobState
 from ..storage.completed_jobs import CompletedJobs
 from ..storage.job_records import CompletedJobRecord, completed_key, completion_transaction
@@ -20,14 +21,17 @@
 
 log = logging.getLogger(__name__)
 
-#: a final record that waited for so long, in seconds, shows that the budget of writes is short
+#: A completion that takes this long has waited for the rate limit of writes, in seconds.
 SHORT_S = 1.0
 
 
 class JobCompletion(TermComponent):
+    """Commits the final records of jobs whose tasks are all done."""
+
     def __init__(
         self,
         context: TermContext,
+        *,
         grants: DurableGrants,
         progress: TaskProgress,
         completed_jobs: CompletedJobs,
@@ -40,14 +44,37 @@
         self.features = features
 
     def close_jobs(self) -> None:
-        """Moves finished jobs from live to over, each in one transaction."""
+        """Complete all finished jobs, each in one transaction.
+
+        Raises:
+            FencedError: this term may not write any more.
+            StoreError: the store could not be reached; the remaining jobs are completed by the next call.
+        """
         for job in list(self.registry.finishing.values()):
-            self._close(job)
+            self._complete(job)
+
+    def _complete(self, job: Job) -> None:
+        record = self._commit(job)
+        now = self.clock()
+        if job.state is JobState.CLOSING:
+            done = record.state is JobStatus.DONE
+            self.registry.move_job(job, JobState.DONE if done else JobState.CANCELLED, now)
+        self.completed_jobs.remember(job.spec.id, record)
+        self.registry.finishing.pop(job.spec.id, None)
+        self.drop_records(job)
+        self.registry.drop_if_settled(job)
+        self._log_completion(job, record, now - job.accepted_at)
 
-    def _close(self, job: Job) -> None:
-        ident = job.spec.id
+    def _commit(self, job: Job) -> CompletedJobRecord:
+        """Commit the final record of a job, and return the record that is durable.
+
+        Raises:
+            FencedError: this term may not write any more.
+            StoreError: the store could not be reached, or has neither a live nor a final record.
+        """
+        job_id = job.spec.id
         record = CompletedJobRecord(JobStatus.DONE, job.spec.tasks)
-        conditions, changes = completion_transaction(ident, job.version, record)
+        conditions, changes = completion_transaction(job_id, job.version, record)
         for hook in self.features.close:
             changes += hook(job, record)
         began = self.clock()
@@ -55,26 +82,27 @@
             _, failed = self.writer.commit(conditions, changes, Urgency.DONE)
         finally:
             if self.clock() - began >= SHORT_S:
-                self.grants.save_writes()
-        if failed:
-            # either an earlier try of this commit was carried out after all, or a user's cancellation won
-            found = self.writer.store.get(completed_key(ident), Urgency.DONE)
-            if found is None:
-                raise StoreError(f"{ident} is neither live nor over", maybe=True)
-            record = msgspec.convert(found.value, CompletedJobRecord)
-        now = self.clock()
-        if job.state is JobState.CLOSING:
-            self.registry.move_job(job, JobState.DONE if record.state is JobStatus.DONE else JobState.CANCELLED, now)
-        self.completed_jobs.remember(ident, record)
-        self.registry.finishing.pop(ident, None)
-        self.drop_records(job)
-        self.registry.drop_if_settled(job)
-        age = now - job.accepted_at
-        log.info("%s is %s, %.1f s after it was accepted", ident, record.state.value, age)
-        if job.spec.deadline_s is not None and age > job.spec.deadline_s:
-            log.info("%s of %s was due after %.1f s", ident, job.spec.klass, job.spec.deadline_s)
+                self.grants.conserve_writes()
+        if not failed:
+            return record
+        # either an earlier try of this commit was carried out after all, or a user's cancellation came first
+        found = self.writer.store.get(completed_key(job_id), Urgency.DONE)
+        if found is None:
+            raise StoreError(f"{job_id} is neither live nor over", maybe=True)
+        return msgspec.convert(found.value, CompletedJobRecord)
+
+    @staticmethod
+    def _log_completion(job: Job, record: CompletedJobRecord, age_s: float) -> None:
+        spec = job.spec
+        log.info(LogEvent("job_finished", job_id=spec.id, state=record.state.value, age_s=age_s))
+        if spec.deadline_s is not None and age_s > spec.deadline_s:
+            log.info(
+                LogEvent(
+                    "job_deadline_missed", job_id=spec.id, class_=spec.klass, age_s=age_s, deadline_s=spec.deadline_s
+                )
+            )
 
     def drop_records(self, job: Job) -> None:
-        """What is kept of a job only while it is live; a reader passes over it once the job is over."""
+        """Drop what is stored of a job only while it is live; until then readers ignore it, as the job is over."""
         self.grants.pages.drop(job.spec.id, soon=False)
         self.progress.drop(job)
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -1,4 +1,4 @@
-"""Follows the live records: new jobs, and removals by whichever controller was asked to cancel."""
+"""Follows the live records: jobs that any controller accepted, and removals by whichever controller cancelled them."""
 
 from __future__ import annotations
 
@@ -8,6 +8,8 @@
 import msgspec
 
 from ..clients.kv_store import RevisionCompactedError, StoreError
+from ..cluster_state.jobs import Job
+from ..log_events import LogEvent
 from ..storage.job_records import LiveJobRecord
 from ..wire.store import ChangeEvent
 from .job_completion import JobCompletion
@@ -15,104 +17,141 @@
 
 log = logging.getLogger(__name__)
 
+LIVE_PREFIX = "live/"
+#: The oldest age of a job that is believed, in seconds: its record has another machine's time of day.
+MAX_JOB_AGE_S = 86400.0
+
 
 class JobWatch(TermComponent):
-    def __init__(self, context: TermContext, closing: JobCompletion) -> None:
+    """Keeps the job registry up to date with the live records."""
+
+    def __init__(self, context: TermContext, job_completion: JobCompletion) -> None:
         super().__init__(context)
-        self.job_completion = closing
-        #: the revision up to which changes are known
+        self.job_completion = job_completion
+        #: the revision up to which changes have been applied
         self.watched = 0
-        #: when the last reading of all records was begun
-        self._read_at = -math.inf
+        #: when the last read of all records was sent
+        self._read_sent_at = -math.inf
 
     def take(self, value: object, version: int, now: float) -> None:
+        """Apply a live record: add a job, or note that it is no longer assigned to another cluster.
+
+        Args:
+            value: the value of the record's key.
+            version: the revision that wrote it.
+            now: the time of the steady clock.
+        """
         record = msgspec.convert(value, LiveJobRecord)
         known = self.registry.jobs.get(record.spec.id)
         if known is not None:
-            if known.abroad is not None and record.abroad is None and version > known.version:
-                # its leader's own change, or its operators' word that the other cluster is lost for good
-                known.version, known.abroad, known.away = version, None, False
-                self.registry.changed = True
+            self._update(known, record, version)
             return
         if self.job_completion.completed_jobs.get(record.spec.id) is not None:
-            # what is over stays so: this was written before, and its removal is still to come this way. Taken for
-            # live, it was started after its user had been told that it is cancelled
+            # written before the job was over, and its removal is still to come: added now, the job could be started
+            # after its user was told that it is cancelled
             return
-        age = min(max(0.0, self.context.wall() - record.at), 86400.0)
-        job = self.registry.add(record.spec, version, now - age, now)
+        age_s = min(max(0.0, self.context.wall() - record.at), MAX_JOB_AGE_S)
+        job = self.registry.add(record.spec, version, now - age_s, now)
         job.wait_since = now
         job.guest = record.guest
         if record.abroad is not None:
             job.abroad, job.away = record.abroad, True
 
+    def _update(self, job: Job, record: LiveJobRecord, version: int) -> None:
+        """Bring a job back from another cluster, by this leader's own change or as operators gave that cluster up."""
+        if job.abroad is not None and record.abroad is None and version > job.version:
+            job.version, job.abroad, job.away = version, None, False
+            self.registry.changed = True
+
     def watch(self) -> None:
-        """Follows the live records: new jobs, and removals by whichever controller was asked to cancel."""
+        """Apply changes of the live records, waiting for some as long as the cancellation horizon permits.
+
+        Raises:
+            StoreError: the store could not be reached, or its answer is contradictory.
+        """
         self._follow(self.election.cancellation_horizon.watch_ms)
 
     def catch_up(self) -> None:
-        """A current read, before a leader that had lost its authority answers anybody again.
+        """Apply changes by a current read, which a term does before it answers again after a pause.
+
+        The open watch may answer only later, and until then what was cancelled during the pause could be started.
 
-        The watch may speak only later: one that came back after an outage started what had been cancelled a minute ago.
+        Raises:
+            StoreError: the store could not be reached, or its answer is contradictory.
         """
         self._follow(0)
 
     def _follow(self, wait_ms: int) -> None:
-        asked, since = self.clock(), self.watched
+        sent_at, since = self.clock(), self.watched
         try:
-            events = self.writer.store.changes("live/", since, wait_ms)
+            changes = self.writer.store.changes(LIVE_PREFIX, since, wait_ms)
         except RevisionCompactedError:
             self._reread()
             return
-        if events.revision < since or any(e.version > events.revision for e in events.events):
-            raise StoreError(f"revision {events.revision} after {since}: that cannot be", maybe=False)
+        if changes.revision < since or any(event.version > changes.revision for event in changes.events):
+            raise StoreError(f"revision {changes.revision} after {since}: that cannot be", maybe=False)
         now = self.clock()
-        for event in events.events:
-            # two reads may be under way; what the later one has told is not to be undone by the earlier one
+        for event in changes.events:
+            # two reads may be under way: the older one must not undo what the newer one has applied
             if event.version > self.watched:
-                self._take_event(event, now)
-        self.watched = max(self.watched, events.revision)
-        self.election.record_current_read(self.token, asked)
+                self._apply_event(event, now)
+        self.watched = max(self.watched, changes.revision)
+        self.election.record_current_read(self.token, sent_at)
 
-    def _take_event(self, event: ChangeEvent, now: float) -> None:
+    def _apply_event(self, event: ChangeEvent, now: float) -> None:
         if event.put is not None:
             self.take(event.value, event.version, now)
         elif event.delete is not None:
-            self.removed(event.delete[5:], now)
+            self.removed(event.delete.removeprefix(LIVE_PREFIX), now)
 
-    def removed(self, ident: str, now: float) -> None:
-        job = self.registry.jobs.get(ident)
+    def removed(self, job_id: str, now: float) -> None:
+        """Apply the removal of a live record: whoever removed it has cancelled the job."""
+        job = self.registry.jobs.get(job_id)
         if job is None or not job.live:
-            return  # known already, or CLOSING: this leader's own commit, or one that settles it by failing
-        log.info("%s was cancelled", ident)
-        # it was live when all was last known, so nobody was told of this before
+            return  # known already, or CLOSING: this leader's own commit, or one whose failure tells what happened
+        log.info(LogEvent("job_cancelled", job_id=job_id))
+        # it was live at the horizon, so no user was told before then that it is cancelled
         job.may_answer_until = self.election.cancellation_horizon.may_answer_until()
         self.dispatch.cancel(job, now)
         self.job_completion.drop_records(job)
 
     def read_all(self, now: float) -> set[str]:
-        """Takes all live records; the watch goes on from the revision of the first page."""
-        asked = self.clock()
-        seen: set[str] = set()
-        first = 0
-        for page in self.writer.store.scan("live/"):
-            first = first or page.revision
+        """Read all live records; the watch continues from the revision of the first page.
+
+        Returns:
+            The ids of the jobs that are live.
+
+        Raises:
+            StoreError: the store could not be reached.
+        """
+        sent_at = self.clock()
+        live: set[str] = set()
+        first_revision = 0
+        for page in self.writer.store.scan(LIVE_PREFIX):
+            first_revision = first_revision or page.revision
             for pair in page.items:
-                seen.add(pair.key[5:])
+                live.add(pair.key.removeprefix(LIVE_PREFIX))
                 self.take(pair.value, pair.version, now)
-        self.watched = first
-        self._read_at = asked
-        return seen
+        self.watched = first_revision
+        self._read_sent_at = sent_at
+        return live
 
     def begin(self) -> None:
-        """All that was read is in the books, and so is what was heard of meanwhile."""
-        for ident in [i for i in self.registry.jobs if self.job_completion.completed_jobs.get(i) is not None]:
-            self.removed(ident, self.clock())
-        self.election.record_current_read(self.token, self._read_at)
+        """Count the last read of all records as current, once jobs that ended meanwhile have been removed."""
+        completed = self.job_completion.completed_jobs
+        for job_id in [job_id for job_id in self.registry.jobs if completed.get(job_id) is not None]:
+            self.removed(job_id, self.clock())
+        self.election.record_current_read(self.token, self._read_sent_at)
 
     def _reread(self) -> None:
+        """Read everything again, as the store no longer keeps the changes since the last read."""
         now = self.clock()
-        seen = self.read_all(now)
-        gone = [i for i, j in self.registry.jobs.items() if j.live and i not in seen and j.version <= self.watched]
-        for ident in gone:
-            self.removed(ident, now)
+        live = self.read_all(now)
+        removed = [
+            job_id
+            for job_id, job in self.registry.jobs.items()
+            if job.live and job_id not in live and job.version <= self.watched
+        ]
+        for job_id in removed:
+            self.removed(job_id, now)
         self.begin()
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -1,132 +1,171 @@
-"""What machines of an earlier term may still run, and how each of them is proved or told directly."""
+"""Reconciles the machines of an earlier term: asks each what it runs, and releases what is known to run nowhere."""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from typing import Protocol
 
 import msgspec
 
 from ..clients.http import UnreachableError
 from ..cluster_state.jobs import Job
 from ..cluster_state.machine import Machine
+from ..log_events import LogEvent
 from ..state_machines import MachineState, Reception
 from ..wire.workers import Command, DirectCommands, Heartbeat
 from .term_context import TermComponent, TermContext
 
 log = logging.getLogger(__name__)
 
-#: sends a direct order to a worker's address: (addr, path, body) -> (status, body)
-Direct = Callable[[str, str, bytes], tuple[int, bytes]]
-#: machines that are asked at a time, and the least time between two questions to one, in seconds
+#: Where workers accept direct commands.
+DIRECT_PATH = "/do"
+#: Machines queried at a time: with hundreds at once, heartbeats would have to wait.
 MOST_ASKED = 60
-ASK_S = 1.4
+#: The least time between two queries to one machine, in seconds.
+QUERY_INTERVAL_S = 1.4
+#: Requests of one query: the first may be answered under an older epoch, the next stops what is unwanted.
+MAX_REQUESTS_PER_QUERY = 3
+HTTP_OK = 200
+
+
+class DirectRequest(Protocol):
+    """Sends a request to a worker's own address."""
+
+    def __call__(self, address: str, path: str, body: bytes, /) -> tuple[int, bytes]:
+        """Return the status and the body of the answer.
+
+        Raises:
+            UnreachableError: no answer came.
+        """
 
 
 class MachineReconciliation(TermComponent):
-    def __init__(self, context: TermContext, direct: Direct) -> None:
+    """Finds out what machines on record run, by their heartbeats and by direct queries."""
+
+    def __init__(self, context: TermContext, direct: DirectRequest) -> None:
         super().__init__(context)
         self.direct = direct
-        #: every machine on record at the takeover has been proved
+        #: every machine that was on record when the term began has been reconciled
         self.proved = False
-        #: machines that are being asked
+        #: indices of machines with a query under way
         self.asking: set[int] = set()
 
     def check(self, now: float) -> None:
-        """Once every machine that may hold a job's tasks is proved, its unseen tasks are nowhere and may run."""
+        """Release the unseen tasks of jobs whose possible holders have all been reconciled."""
         if self.proved:
             return
-        news, self.inventory.proved = self.inventory.proved, []
-        for index in news:
+        reconciled, self.inventory.proved = self.inventory.proved, []
+        for index in reconciled:
             for job in self.registry.clear_possible_holder(index):
-                self._check_gang(job, now)
+                self._stop_incomplete_gang(job, now)
         if self.inventory.unreconciled_count:
             return
         self.proved = True
-        log.info("term %d: all machines proved after %.1f s", self.token, now - self.context.started_at)
+        log.info(LogEvent("machines_reconciled", token=self.token, after_s=now - self.context.started_at))
         self.registry.changed = True
 
-    def _check_gang(self, job: Job, now: float) -> None:
+    def _stop_incomplete_gang(self, job: Job, now: float) -> None:
+        """Stop a gang of which some tasks run nowhere: the others would wait for them in vain."""
         if job.gang and job.live and job.allocations and len(job.allocations) < job.spec.tasks:
-            # part of the gang is nowhere: what is left of the attempt can only wait in vain
             self.dispatch.stop_job(job, "gang incomplete after takeover", 0.0, now)
 
     def to_query(self, now: float) -> list[Machine]:
-        """Machines to be asked directly now: those that are to be shown the token, and those that are not understood.
-
-        At hundreds at once, their reports would have to wait.
-        """
+        """Return the machines to query now: unreconciled ones, and those whose heartbeats are contradictory."""
         inventory = self.inventory
         wanted, inventory.to_query = inventory.to_query, set()
         due = inventory.unreconciled()
         due += [m for m in inventory.machines if m.reception is not Reception.REACHABLE or m.index in wanted]
-        free = max(0, MOST_ASKED - len(self.asking))
-        found = [m for m in dict.fromkeys(due) if m.index not in self.asking and now - m.asked_at >= ASK_S]
-        inventory.to_query = wanted - {m.index for m in found[:free]}
-        return found[:free]
-
-    def ask(self, m: Machine) -> None:
-        """Shows a machine this term's token directly; its answer proves what it holds, and that it hears."""
-        if m.index in self.asking:
+        free_queries = max(0, MOST_ASKED - len(self.asking))
+        ready = [m for m in dict.fromkeys(due) if m.index not in self.asking and now - m.asked_at >= QUERY_INTERVAL_S]
+        chosen = ready[:free_queries]
+        inventory.to_query = wanted - {m.index for m in chosen}
+        return chosen
+
+    def ask(self, machine: Machine) -> None:
+        """Show a machine this term's token; its answer says what it runs, and that requests arrive there.
+
+        Unwanted tasks are stopped at once: until its next heartbeat they would keep it from being reconciled.
+        """
+        if machine.index in self.asking:
             return
-        self.asking.add(m.index)
-        m.asked_at = self.clock()
+        self.asking.add(machine.index)
+        machine.asked_at = self.clock()
         try:
-            known = m.epoch, m.sequence
-            epoch = max(m.epoch, 1)
-            commands: list[Command] = []
-            for _ in range(3):
-                body = msgspec.json.encode(DirectCommands(self.token, epoch, commands))
-                try:
-                    status, answer = self.direct(m.addr, "/do", body)
-                    report = msgspec.json.decode(answer, type=Heartbeat)
-                except (UnreachableError, msgspec.DecodeError):
-                    if m.reception is Reception.SUSPECTED and m.state is not MachineState.GONE:
-                        self.inventory.receive(m, Reception.UNREACHABLE, "nor does it answer a question", self.clock())
-                    return
-                if not self.writer.is_leader():
-                    return
-                if report.token > self.token:
-                    self.election.challenge(report.token, f"{m.name} has seen token {report.token}")
-                    return
-                epoch = report.epoch
-                if status == 200 or report.token == self.token:
-                    self.take_direct(m, report, known)
-                    # what is over must not stay until its next report; it keeps the machine from being proved, too
-                    commands, told = self.context.command_builder.unwanted(report), commands
-                    if told or not commands or m.state is MachineState.GONE:
-                        return
-                    known = m.epoch, m.sequence
+            self._query(machine)
         finally:
-            self.asking.discard(m.index)
+            self.asking.discard(machine.index)
+
+    def _query(self, machine: Machine) -> None:
+        known = machine.epoch, machine.sequence
+        epoch = max(machine.epoch, 1)
+        commands: list[Command] = []
+        for _ in range(MAX_REQUESTS_PER_QUERY):
+            try:
+                status, heartbeat = self._send(machine, epoch, commands)
+            except (UnreachableError, msgspec.DecodeError):
+                self._record_missing_answer(machine)
+                return
+            if not self.writer.is_leader():
+                return
+            if heartbeat.token > self.token:
+                self.election.challenge(heartbeat.token, f"{machine.name} has seen token {heartbeat.token}")
+                return
+            epoch = heartbeat.epoch
+            if status == HTTP_OK or heartbeat.token == self.token:
+                self.apply_direct_answer(machine, heartbeat, known)
+                commands, sent = self.context.command_builder.unwanted(heartbeat), commands
+                if sent or not commands or machine.state is MachineState.GONE:
+                    return
+                known = machine.epoch, machine.sequence
+
+    def _send(self, machine: Machine, epoch: int, commands: list[Command]) -> tuple[int, Heartbeat]:
+        """Send direct commands and return the status and the heartbeat of the answer.
 
-    def take_direct(self, m: Machine, report: Heartbeat, known: tuple[int, int]) -> None:
-        """An answer to a question; `known` is what had been heard when it was asked."""
+        Raises:
+            UnreachableError: no answer came.
+            msgspec.DecodeError: the answer holds no heartbeat.
+        """
+        body = msgspec.json.encode(DirectCommands(self.token, epoch, commands))
+        status, answer = self.direct(machine.addr, DIRECT_PATH, body)
+        return status, msgspec.json.decode(answer, type=Heartbeat)
+
+    def _record_missing_answer(self, machine: Machine) -> None:
+        if machine.reception is Reception.SUSPECTED and machine.state is not MachineState.GONE:
+            reason = "does not answer direct queries"
+            self.inventory.receive(machine, Reception.UNREACHABLE, reason, self.clock())
+
+    def apply_direct_answer(self, machine: Machine, heartbeat: Heartbeat, known: tuple[int, int]) -> None:
+        """Apply the heartbeat with which a machine answered a direct request.
+
+        Args:
+            machine: the machine that was asked.
+            heartbeat: its answer.
+            known: the machine's last known epoch and sequence when the request was sent.
+        """
         now = self.clock()
-        if report.machine != m.name or m.state is MachineState.GONE:
+        if heartbeat.machine != machine.name or machine.state is MachineState.GONE:
             return
-        if (report.epoch, report.sequence) <= known:
-            # it was made just now, so it is no late copy: the worker has begun to count anew
-            self.context.reconciler.restarted(m, report.epoch, now)
-        self.context.reconciler.read(report, now, direct=True)
+        if (heartbeat.epoch, heartbeat.sequence) <= known:
+            # it was made after the request, so it is no late copy: the worker has restarted its counters
+            self.context.reconciler.restarted(machine, heartbeat.epoch, now)
+        self.context.reconciler.read(heartbeat, now, direct=True)
         self.check(now)
 
-    def order_stops(self, m: Machine) -> None:
-        """Stops that should not wait for the next report go straight to the worker."""
-        commands: list[Command] = self.context.command_builder.direct_stops(m)
-        if not commands or m.epoch == 0:
+    def order_stops(self, machine: Machine) -> None:
+        """Send those stops to a worker that should not wait for its next heartbeat."""
+        commands: list[Command] = self.context.command_builder.direct_stops(machine)
+        if not commands or machine.epoch == 0:
             return
         now = self.clock()
-        for allocation in m.allocations.values():
+        for allocation in machine.allocations.values():
             if allocation.stop is not None:
                 allocation.stop_sent_at = now
-        known = m.epoch, m.sequence
-        body = msgspec.json.encode(DirectCommands(self.token, m.epoch, commands))
+        known = machine.epoch, machine.sequence
         try:
-            _, answer = self.direct(m.addr, "/do", body)
-            report = msgspec.json.decode(answer, type=Heartbeat)
-        except (UnreachableError, msgspec.DecodeError) as e:
-            log.debug("%s cannot be told to stop: %s", m.name, e)
+            _, heartbeat = self._send(machine, machine.epoch, commands)
+        except (UnreachableError, msgspec.DecodeError) as error:
+            # the answer to its next heartbeat carries the same stops
+            log.debug(LogEvent("direct_stop_failed", machine=machine.name, error=error))
             return
         if self.writer.is_leader():
-            self.take_direct(m, report, known)
+            self.apply_direct_answer(machine, heartbeat, known)
--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -1,4 +1,7 @@
-"""When targets are set and passes made, in slices, and for how long the leader answers workers and users instead."""
+"""Decides when targets are computed and scheduling passes are made, and divides them into slices.
+
+Between slices, and for a while after each computation, the leader answers workers and users instead.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +10,7 @@
 from collections.abc import Callable
 
 from ..flow_control.overload import OverloadMonitor
+from ..log_events import LogEvent
 from ..scheduling.scheduling_context import Steps
 from ..state_machines import LeaderState
 from .machine_reconciliation import MachineReconciliation
@@ -14,67 +18,74 @@
 
 log = logging.getLogger(__name__)
 
-#: arrivals bring the next targets forward, but not closer than this to the last ones
+#: New jobs bring the next computation of targets forward, but not closer than this to the last one, in seconds.
 ARRIVAL_GAP_S = 1.0
-#: after targets and after a pass the leader answers workers and users for so many times as long as it took, at most so
-#: long, in seconds. With six times, what waited in a crowded fleet took a seventh of a core however cheap a pass
-#: became: the cheaper, the more of them. Starts ride on reports, so that a later pass delays them little
-TARGETS_REST, PASS_REST, MOST_REST_S = 6.0, 15.0, 2.0
-#: between the beginnings of two passes that had something to look at, short and longer ones; arrays fill what a report
-#: frees without a pass
+#: After a computation of targets, and after a pass, the loop rests this many times as long as it took. A pass rests
+#: longer, as starts ride on heartbeats and a later pass delays them little: with a small factor, cheaper passes only
+#: mean more of them, and take the same share of a core.
+TARGETS_REST, PASS_REST = 6.0, 15.0
+#: The longest rest after a pass, in seconds.
+MOST_REST_S = 2.0
+#: A pass shorter than the first had nothing to do and needs no rest; one shorter than the second is light.
 TRIFLE_S, LIGHT_S = 0.001, 0.01
+#: The least time between the beginnings of two passes, after a light and after a longer one, in seconds; arrays fill
+#: what a heartbeat frees without a pass.
 LIGHT_GAP_S, PASS_GAP_S = 0.25, 0.5
-#: a computation lets others run after so long
+#: A computation lets other greenlets run after this long, in seconds.
 SLICE_S = 0.04
 
 
 class SchedulingLoop(TermComponent):
+    """Runs at most one computation at a time: of targets, or a pass."""
+
     def __init__(
-        self, context: TermContext, machine_reconciliation: MachineReconciliation, load: OverloadMonitor
+        self, context: TermContext, machine_reconciliation: MachineReconciliation, overload: OverloadMonitor
     ) -> None:
         super().__init__(context)
         self.machine_reconciliation = machine_reconciliation
-        self.load = load
+        self.overload = overload
         self.scheduler = context.scheduler
+        #: the earliest times of the next pass and of the next targets
         self.place_after = self.retarget_after = -math.inf
-        #: what is being computed, what is to be done when it is complete, and how long it has taken so far
+        #: the computation under way, and what to call when it is complete
         self._work: Steps | None = None
-        self._complete: Callable[[], None] = lambda: None
-        self._began = self._spent = 0.0
-        self._told_at = self.clock()
+        self._on_complete: Callable[[], None] = lambda: None
+        #: when the computation began, and how long its slices have taken so far
+        self._began_at = self._spent_s = 0.0
+        self._durations_logged_at = self.clock()
 
     @property
     def busy(self) -> bool:
-        """Whether a computation has begun and is to be gone on with."""
+        """Whether a computation is under way and has to be continued."""
         return self._work is not None
 
     def step(self, now: float) -> None:
-        """Begins what is due, and takes its first slice."""
+        """Begin the computation that is due, if any, with its first slice; called at each heartbeat."""
         if self.busy or self.election.state is not LeaderState.LEADING:
             return
         registry = self.registry
         since = now - self.scheduler.retargeted_at
-        # the paper updates at every arrival; here an arrival brings the next computation forward
+        # the greedy algorithm updates at every arrival; here an arrival brings the next update forward
         due = since >= self.scheduler.view.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
         if due and now >= self.retarget_after:
             registry.arrived = False
-            self._begin(self._retarget(now), self._retargeted)
+            self._begin(self._compute_targets(now), self._finish_targets)
         if not self.busy and registry.changed and now >= self.place_after:
             registry.changed = False
-            self._begin(self.scheduler.passing(now), self._placed)
+            self._begin(self.scheduler.passing(now), self._finish_pass)
 
-    def _retarget(self, now: float) -> Steps:
+    def _compute_targets(self, now: float) -> Steps:
         self.inventory.detect_silent_machines(now)
         self.machine_reconciliation.check(now)
-        yield from self.scheduler.retargeting(now, self.load.spare)
+        yield from self.scheduler.retargeting(now, self.overload.spare)
 
-    def _begin(self, work: Steps, complete: Callable[[], None]) -> None:
-        self._work, self._complete = work, complete
-        self._began, self._spent = self.clock(), 0.0
+    def _begin(self, work: Steps, on_complete: Callable[[], None]) -> None:
+        self._work, self._on_complete = work, on_complete
+        self._began_at, self._spent_s = self.clock(), 0.0
         self.go_on()
 
     def go_on(self) -> None:
-        """One more slice of what has begun."""
+        """Run one more slice of the computation under way, if any."""
         work = self._work
         if work is None:
             return
@@ -82,36 +93,36 @@
             self._work = None
             return
         self.scheduler.view.turn += 1
-        # what a computation changes itself is no reason for the next one; what others change meanwhile is
+        # what the computation itself changes is no reason for another one; what others change between slices is
         changed = self.registry.changed
-        begin = self.clock()
-        more = False
+        slice_began_at = self.clock()
+        unfinished = False
         try:
             for _ in work:
-                if self.clock() - begin >= SLICE_S:
-                    more = True
+                if self.clock() - slice_began_at >= SLICE_S:
+                    unfinished = True
                     break
         finally:
-            if not more:
+            if not unfinished:
                 self._work = None
             self.registry.changed = changed
-            took = self.clock() - begin
-            self._spent += took
-            self.context.sketches.add("stretch", took)
-        if not more:
-            self._complete()
-
-    def _retargeted(self) -> None:
-        self.retarget_after = self.clock() + TARGETS_REST * self._spent
-        if self.clock() - self._told_at >= self.scheduler.view.policy_values.period_s:
-            self._told_at = self.clock()
+            took_s = self.clock() - slice_began_at
+            self._spent_s += took_s
+            self.context.sketches.add("stretch", took_s)
+        if not unfinished:
+            self._on_complete()
+
+    def _finish_targets(self) -> None:
+        self.retarget_after = self.clock() + TARGETS_REST * self._spent_s
+        if self.clock() - self._durations_logged_at >= self.scheduler.view.policy_values.period_s:
+            self._durations_logged_at = self.clock()
             self.context.stragglers.forget()
-            log.info("durations: %s", self.context.sketches.tell())
+            log.info(LogEvent("durations_measured", durations=self.context.sketches.tell()))
         self.registry.changed = True
 
-    def _placed(self) -> None:
-        self.context.sketches.add("pass", self._spent)
-        if self._spent < TRIFLE_S:
+    def _finish_pass(self) -> None:
+        self.context.sketches.add("pass", self._spent_s)
+        if self._spent_s < TRIFLE_S:
             return
-        gap = LIGHT_GAP_S if self._spent < LIGHT_S else PASS_GAP_S
-        self.place_after = max(self._began + gap, self.clock() + min(PASS_REST * self._spent, MOST_REST_S))
+        gap_s = LIGHT_GAP_S if self._spent_s < LIGHT_S else PASS_GAP_S
+        self.place_after = max(self._began_at + gap_s, self.clock() + min(PASS_REST * self._spent_s, MOST_REST_S))
--- a/src/grebestand/leader/task_progress.py
+++ b/src/grebestand/leader/task_progress.py
@@ -1,58 +1,97 @@
-"""Which tasks of arrays are done, in chunks of bits; only once that is durable may their results be forgotten."""
+"""Stores which tasks of arrays are done; only once that is durable may workers forget their results."""
 
 from __future__ import annotations
 
 import base64
+from typing import NamedTuple
 
 from ..cluster_state.jobs import Job
 from ..flow_control.rate_limiter import Urgency
 from .term_context import TermComponent, TermContext
 
+#: Progress is collected for this long before it is written, so that one write serves many tasks, in seconds.
 PROGRESS_AGE_S = 1.5
 
 
+class _DirtyChunk(NamedTuple):
+    """A part of a job's progress that is to be written."""
+
+    since: float
+    job: Job
+    number: int
+    #: the bits of done tasks at the time of the write
+    bits: bytes
+
+
 class TaskProgress(TermComponent):
+    """Keeps the bits of done tasks durable, in chunks that fit a stored value."""
+
     def __init__(self, context: TermContext) -> None:
         super().__init__(context)
         self.pages = self.writer.pages("progress/")
 
     def load(self) -> None:
-        strangers: set[str] = set()
+        """Restore the progress that an earlier leader stored, and drop that of jobs that are over.
+
+        Raises:
+            StoreError: the store could not be reached.
+        """
+        orphans: set[str] = set()
         for name, value in self.pages.load(self.writer.store.pairs(self.pages.prefix)):
-            ident, _, chunk = name.partition("/")
-            job = self.registry.jobs.get(ident)
+            job_id, _, chunk = name.partition("/")
+            job = self.registry.jobs.get(job_id)
             if job is None:
-                strangers.add(name)
+                orphans.add(name)
             else:
-                self.registry.load_done(job, int(chunk) * self.registry.chunk_bits // 8, base64.b64decode(value))
-        for name in strangers:
+                self.registry.load_done(job, int(chunk) * self._chunk_bytes(), base64.b64decode(value))
+        for name in orphans:
             self.pages.drop(name, soon=False)
 
     def drop(self, job: Job) -> None:
-        for chunk in range(-(-job.spec.tasks // self.registry.chunk_bits)):
+        """Drop all chunks of a job."""
+        chunk_count = -(-job.spec.tasks // self.registry.chunk_bits)
+        for chunk in range(chunk_count):
             self.pages.drop(f"{job.spec.id}/{chunk}", soon=False)
 
     def save(self) -> None:
-        """Writes which tasks of arrays are done, in chunks of bits; only then may they be forgotten."""
+        """Write the chunks that have been changed for a while, and note which tasks are durable by that.
+
+        Raises:
+            FencedError: this term may not write any more.
+            StoreError: the store could not be reached; the chunks are kept for the next call.
+        """
         now = self.clock()
-        bits = self.registry.chunk_bits
-        batch: list[tuple[float, Job, int, bytes]] = []
+        chunks = self._collect(now)
+        if not chunks:
+            return
+        self.pages.save(Urgency.PROGRESS)
+        for chunk in chunks:
+            self._record_durable(chunk, now)
+
+    def _collect(self, now: float) -> list[_DirtyChunk]:
+        """Put the chunks that are due on their pages."""
+        chunk_bytes = self._chunk_bytes()
+        chunks: list[_DirtyChunk] = []
         for job in self.registry.jobs.values():
             if not job.dirty or not job.live:
                 continue
-            for chunk, since in job.dirty.items():
+            for number, since in job.dirty.items():
                 if now - since >= PROGRESS_AGE_S:
-                    part = bytes(job.done[chunk * bits // 8 : (chunk + 1) * bits // 8])
-                    self.pages.put(f"{job.spec.id}/{chunk}", base64.b64encode(part).decode("ascii"))
-                    batch.append((since, job, chunk, part))
-        if not batch:
-            return
-        self.pages.save(Urgency.PROGRESS)
-        for since, job, chunk, part in batch:
-            offset = chunk * bits // 8
-            for i, byte in enumerate(part):
-                job.durable[offset + i] |= byte
-            if job.done[offset : offset + len(part)] == part and job.dirty.get(chunk) == since:
-                job.dirty.pop(chunk, None)
-            else:
-                job.dirty[chunk] = now
+                    bits = bytes(job.done[number * chunk_bytes : (number + 1) * chunk_bytes])
+                    self.pages.put(f"{job.spec.id}/{number}", base64.b64encode(bits).decode("ascii"))
+                    chunks.append(_DirtyChunk(since, job, number, bits))
+        return chunks
+
+    def _record_durable(self, chunk: _DirtyChunk, now: float) -> None:
+        job = chunk.job
+        offset = chunk.number * self._chunk_bytes()
+        for i, byte in enumerate(chunk.bits):
+            job.durable[offset + i] |= byte
+        unchanged = job.done[offset : offset + len(chunk.bits)] == chunk.bits
+        if unchanged and job.dirty.get(chunk.number) == chunk.since:
+            job.dirty.pop(chunk.number, None)
+        else:
+            job.dirty[chunk.number] = now
+
+    def _chunk_bytes(self) -> int:
+        return self.registry.chunk_bits // 8
--- a/src/grebestand/leader/term_context.py
+++ b/src/grebestand/leader/term_context.py
@@ -1,4 +1,4 @@
-"""What all parts of a term share: its books, its pen, its clock."""
+"""What the parts of a leader's term share: the cluster state, the fenced writer, the clocks and the scheduler."""
 
 from __future__ import annotations
 
@@ -21,8 +21,17 @@
 from ..settings.platform import Settings
 from .fenced_writes import FencedWriter
 
+#: Bounds of a chunk of task progress, in bytes before its encoding.
+MIN_CHUNK_BYTES, MAX_CHUNK_BYTES = 16, 8192
+#: What the key, quotes and braces of a stored chunk may take of its value, in bytes.
+CHUNK_OVERHEAD_BYTES = 128
+#: Base64 writes three bytes as four characters.
+BASE64_EFFICIENCY = 3 / 4
+
 
 class TermContext:
+    """The shared objects of one term, all of them empty at first."""
+
     def __init__(
         self,
         settings: Settings,
@@ -33,29 +42,36 @@
         started_at: float,
         features: Features,
     ) -> None:
-        """Empty books: loading starts from these, also when it has to start again."""
-        p = settings.params
+        """Build an empty cluster state and the scheduler over it.
+
+        Args:
+            settings: the settings of the platform.
+            policy: the policy's expressions.
+            writer: the fenced writer of this term.
+            clock: a steady clock, in seconds.
+            wall: the time of day, in seconds since the epoch.
+            started_at: when the term began, by `clock`.
+            features: the hooks of the features that are on.
+        """
+        params = settings.params
         self.settings = settings
         self.writer = writer
         self.election = writer.election
         self.token = writer.token
         self.clock = clock
-        #: time of day
         self.wall = wall
-        #: when the term began
         self.started_at = started_at
-        self.registry = JobRegistry(p.teams, p.zones)
-        self.inventory = MachineInventory(self.registry, p.workers.lease_s, p.workers.report_s)
+        self.registry = JobRegistry(params.teams, params.zones)
+        self.inventory = MachineInventory(self.registry, params.workers.lease_s, params.workers.report_s)
         self.dispatch = Dispatch(self.registry, self.inventory, self.token)
-        self.policy_evaluator = PolicyEvaluator(policy, p, self.registry, self.inventory)
+        self.policy_evaluator = PolicyEvaluator(policy, params, self.registry, self.inventory)
         self.registry.type_bound = int(self.policy_evaluator.value("type_bound"))
-        # a chunk of progress has to fit a value with its quotes and braces, in base64
-        self.registry.chunk_bits = 8 * max(16, min(8192, int((writer.value_bytes - 128) * 3 / 4)))
+        self.registry.chunk_bits = 8 * _chunk_bytes(writer.value_bytes)
         run_times = RunTimeEstimates()
-        view = SchedulingContext(
+        scheduling_context = SchedulingContext(
             self.registry, self.inventory, self.dispatch, run_times, self.policy_evaluator.policy_values, features
         )
-        self.scheduler = Scheduler(view, p.objectives, p.workers.gang_wait_s)
+        self.scheduler = Scheduler(scheduling_context, params.objectives, params.workers.gang_wait_s)
         health = MachineHealth(
             self.inventory, self.dispatch, run_times, int(self.policy_evaluator.value("sick_errors"))
         )
@@ -72,10 +88,17 @@
         self.command_builder = CommandBuilder(self.registry, self.sketches)
 
 
+def _chunk_bytes(value_bytes: int) -> int:
+    """Return how many bytes of task progress fit into a stored value, in base64 and with what surrounds it."""
+    fitting = int((value_bytes - CHUNK_OVERHEAD_BYTES) * BASE64_EFFICIENCY)
+    return max(MIN_CHUNK_BYTES, min(MAX_CHUNK_BYTES, fitting))
+
+
 class TermComponent:
-    """Base of a term's parts: one trade each, over the same basis."""
+    """Base of the parts of a term, each of which has one job over the same context."""
 
     def __init__(self, context: TermContext) -> None:
+        """Keep the context, and direct references to what most parts need."""
         self.context = context
         self.writer = context.writer
         self.election = context.election
--- a/tests/leader/test_leader_scenarios.py
+++ b/tests/leader/test_leader_scenarios.py
@@ -305,7 +305,7 @@
     allocation = node.term.registry.jobs[ident].allocations[0]
     assert allocation.state is AllocationState.SENT
     assert ident in world.records("grants/")  # known to any later leader before it was sent
-    node.term.machine_reconciliation.take_direct(node.term.inventory.by_name[w.name], w.report(), (1, 0))
+    node.term.machine_reconciliation.apply_direct_answer(node.term.inventory.by_name[w.name], w.report(), (1, 0))
     assert allocation.sent_sequence > 0
     world.handle_heartbeat(node.term, w)
     assert w.started == [(f"{ident}/0", allocation.attempt)]
@@ -669,7 +669,7 @@
     world.clock.now += 2.0  # told to stop, but still saving
     for task in low:
         w.tasks[task].state = TaskPhase.SAVING
-    term.machine_reconciliation.take_direct(term.inventory.by_name[w.name], w.report(), (1, 0))
+    term.machine_reconciliation.apply_direct_answer(term.inventory.by_name[w.name], w.report(), (1, 0))
     term.registry.changed = True
     term.scheduling_loop.step(world.clock.now)
     assert not term.registry.jobs[gang].allocations
--- a/tests/scenarios/test_paused_leader.py
+++ b/tests/scenarios/test_paused_leader.py
@@ -28,11 +28,11 @@
 
 #: a method, and the place in it at which the leader stops: as it begins, or when it has done its work
 STEPS: list[tuple[type, str]] = [
-    (HeartbeatHandler, "take"), (CommandBuilder, "commands"), (DurableGrants, "write"), (FencedWriter, "commit"),
+    (HeartbeatHandler, "handle"), (CommandBuilder, "commands"), (DurableGrants, "write"), (FencedWriter, "commit"),
     (KeyValueStoreClient, "commit"),
-    (LeaderElection, "renew"), (JobWatch, "_follow"), (JobCompletion, "_close"), (TaskProgress, "save"),
+    (LeaderElection, "renew"), (JobWatch, "_follow"), (JobCompletion, "_complete"), (TaskProgress, "save"),
     (MachineRecords, "record"),
-    (Provisioning, "_rent_under"), (MachineReconciliation, "take_direct"), (LeadershipTransfer, "_give_way"),
+    (Provisioning, "_rent_under"), (MachineReconciliation, "apply_direct_answer"), (LeadershipTransfer, "_give_way"),
     (JobApi, "_lookup"),
     (JobApi, "_accept"), (JobApi, "cancel"),
 ]  # fmt: skip
