--- a/src/grebestand/clocks.py
+++ b/src/grebestand/clocks.py
@@ -1,8 +1,8 @@
-"""What may be assumed of clocks, for every bound that two machines have to agree on."""
+"""What is assumed of clocks, for each bound in time on which two machines have to agree."""
 
 from __future__ import annotations
 
-#: steady clocks may drift apart by this much (the protocol's bound)
+#: The largest drift between two steady clocks, as a share of the time that passes; the protocol states it.
 DRIFT = 0.0005
-#: what is added to such a bound besides, in seconds
+#: What is added to such a bound besides drift, in seconds.
 MARGIN_S = 1.0
--- a/src/grebestand/leader/deprovisioning.py
+++ b/src/grebestand/leader/deprovisioning.py
@@ -1,4 +1,4 @@
-"""Reads the cloud's list, and returns machines that are dead, faulty or idle."""
+"""Compares the cloud's list of machines with the inventory, and returns machines that are dead, faulty or idle."""
 
 from __future__ import annotations
 
@@ -6,22 +6,43 @@
 import math
 
 from ..clients.cloud import CloudClient
+from ..cluster_state.machine import Machine
+from ..log_events import LogEvent
 from ..state_machines import MachineState
 from ..wire.cloud import ListedMachine
 from .machine_reconciliation import MachineReconciliation
 from .machine_records import MachineRecords
-from .provisioning import GIVEN_UP, PendingMachine, Provisioning
+from .provisioning import PendingMachine, Provisioning
 from .term_context import TermComponent, TermContext
 
 log = logging.getLogger(__name__)
 
-LIST_S = 5.0
+#: The interval between two reads of the cloud's list, in seconds.
+LIST_INTERVAL_S = 5.0
+#: A rented machine that no list has shown for this many list lags and seconds is not expected any more.
+UNLISTED_LAGS, UNLISTED_MARGIN_S = 4, 10
+#: A silent machine has vanished if this many lists in a row lack it, and it has been silent for this many list lags: a
+#: recorded machine has been up for a while, so that a list no older than twice its lag names it unless it is gone.
+VANISHED_LISTS, VANISHED_LAGS = 2, 2.5
+#: Machines that are deleted by one request.
+MAX_DELETED_PER_REQUEST = 100
+#: Deleted machines are remembered up to this number; lists stop naming them after their lag.
+MAX_DELETED_REMEMBERED = 2000
+#: What the cloud calls a machine that will not boot.
+FAILED = "failed"
+#: Marks a machine that is to be deleted once it is empty.
+RETURN = "return"
+#: Reasons of a drain after which an empty machine is deleted.
+RETURNED_DRAINS = ("faulty", "slow", RETURN)
 
 
 class Deprovisioning(TermComponent):
+    """Deletes machines in the cloud, and removes them from the inventory and the records."""
+
     def __init__(
         self,
         context: TermContext,
+        *,
         cloud: CloudClient,
         provisioning: Provisioning,
         machine_records: MachineRecords,
@@ -32,93 +53,122 @@
         self.provisioning = provisioning
         self.machine_records = machine_records
         self.machine_reconciliation = machine_reconciliation
+        #: when the cloud's list was last read
         self.listed_at = -math.inf
-        #: in how many lists in a row a silent machine was missing
-        self.unlisted: dict[str, int] = {}
-        self.deprovisioning: set[str] = set()
+        #: how many lists in a row lacked a silent machine
+        self._missing_lists: dict[str, int] = {}
+        #: machines that the cloud has deleted and may still list
+        self._deleted: set[str] = set()
 
     def read_list(self) -> None:
-        """Reads the list again if the last one is old."""
-        if self.clock() - self.listed_at >= LIST_S:
-            self._read_list(self.cloud.machines())
+        """Read the cloud's list if the last one is old, and delete the machines that it shows to be dead.
+
+        Raises:
+            CloudError: the cloud could not be reached.
+            FencedError: this term may not give commands any more.
+        """
+        if self.clock() - self.listed_at >= LIST_INTERVAL_S:
+            self._apply_list(self.cloud.machines())
             self.listed_at = self.clock()
 
-    def _read_list(self, listed: list[ListedMachine]) -> None:
+    def _apply_list(self, listed: list[ListedMachine]) -> None:
         now = self.clock()
-        seen = set()
-        self.provisioning.listed_pending = {}
+        dead = self._update_pending(listed, now)
+        self._forget_unlisted_rentals(now)
+        dead += self._dead_machines({entry.id for entry in listed}, now)
+        if dead:
+            self._remove(dead)
+
+    def _update_pending(self, listed: list[ListedMachine], now: float) -> list[str]:
+        """Note the listed machines without a heartbeat; return those that failed or take too long to boot."""
+        provisioning = self.provisioning
+        provisioning.listed_pending = {}
         dead: list[str] = []
-        lag = self.context.settings.params.cloud.list_lag_s
         for entry in listed:
-            seen.add(entry.id)
-            m = self.inventory.by_name.get(entry.id)
-            if entry.state == "failed":
+            if entry.state == FAILED:
                 dead.append(entry.id)
-            elif m is None and entry.id not in self.deprovisioning:
-                # its age is that of the time which the list describes
-                e = PendingMachine(entry.type, entry.zone, entry.spot, now - entry.age_s)
-                if entry.age_s > GIVEN_UP * self.provisioning.boots.usual_s(entry.type):
-                    log.info("machine %s never came up", entry.id)
+            elif entry.id not in self.inventory.by_name and entry.id not in self._deleted:
+                if provisioning.boots.is_given_up(entry.type, entry.age_s):
+                    log.info(LogEvent("machine_never_started", machine=entry.id))
                     dead.append(entry.id)
                 else:
-                    self.provisioning.listed_pending[entry.id] = self.provisioning.expected.get(entry.id, e)
-            self.provisioning.expected.pop(entry.id, None)
-        for name in [n for n, e in self.provisioning.expected.items() if now - e.since > 4 * lag + 10]:
-            del self.provisioning.expected[name]
-        limit = self.context.policy_evaluator.value("dead_after_s")
-        for m in list(self.inventory.machines):
-            if m.state in (MachineState.READY, MachineState.NEW):
-                self.unlisted.pop(m.name, None)
-                continue
-            missing = self.unlisted.get(m.name, 0) + 1 if m.name not in seen else 0
-            self.unlisted[m.name] = missing
-            silent = now - max(m.last_heard_at, self.context.started_at)
-            # what is recorded has been up for a while, so a list that is not older than twice its lag names it
-            # unless it is gone; deleting it proves that, long before its lease would
-            vanished = missing >= 2 and silent > 2.5 * lag
-            if vanished or (silent > limit and m.state is MachineState.LEASE_EXPIRED):
-                log.info("machine %s is given up, silent for %.0f s", m.name, silent)
-                dead.append(m.name)
-        if dead:
-            self._remove(dead)
+                    # the age is that at the time which the list describes, so a promised machine keeps its own
+                    pending = PendingMachine(entry.type, entry.zone, entry.spot, now - entry.age_s)
+                    provisioning.listed_pending[entry.id] = provisioning.expected.get(entry.id, pending)
+            provisioning.expected.pop(entry.id, None)
+        return dead
 
-    def _remove(self, names: list[str]) -> None:
-        """Deletes machines. Once the cloud has answered, they and all that was on them are gone."""
-        for start in range(0, len(names), 100):
-            batch = names[start : start + 100]
-            for name in batch:
-                m = self.inventory.by_name.get(name)
-                if m is not None and m.drain is None:
-                    m.drain = "return"
-            self.election.guard()
-            self.cloud.remove(batch)
-            now = self.clock()
-            # not before: one whose deletion was not answered has to be found again
-            self.deprovisioning.update(batch)
-            for name in batch:
-                m = self.inventory.by_name.get(name)
-                if m is not None:
-                    self.machine_records.pages.drop(name, soon=True)
-                    self.inventory.move(m, MachineState.GONE, now)
-                self.unlisted.pop(name, None)
-            self.machine_reconciliation.check(now)
-            log.info("returned %s", ", ".join(batch))
-        if len(self.deprovisioning) > 2000:
-            self.deprovisioning.clear()
+    def _forget_unlisted_rentals(self, now: float) -> None:
+        expected = self.provisioning.expected
+        limit_s = UNLISTED_LAGS * self.context.settings.params.cloud.list_lag_s + UNLISTED_MARGIN_S
+        for name in [name for name, pending in expected.items() if now - pending.since > limit_s]:
+            del expected[name]
+
+    def _dead_machines(self, listed: set[str], now: float) -> list[str]:
+        """Return the silent machines that are gone from the list, or silent for too long.
+
+        The deletion of a machine that is gone from the list proves that it runs nothing, long before its lease would.
+        """
+        dead: list[str] = []
+        silent_limit_s = self.context.policy_evaluator.value("dead_after_s")
+        vanished_after_s = VANISHED_LAGS * self.context.settings.params.cloud.list_lag_s
+        for machine in list(self.inventory.machines):
+            if machine.state in (MachineState.READY, MachineState.NEW):
+                self._missing_lists.pop(machine.name, None)
+                continue
+            missing = self._missing_lists.get(machine.name, 0) + 1 if machine.name not in listed else 0
+            self._missing_lists[machine.name] = missing
+            silent_s = now - max(machine.last_heard_at, self.context.started_at)
+            vanished = missing >= VANISHED_LISTS and silent_s > vanished_after_s
+            if vanished or (silent_s > silent_limit_s and machine.state is MachineState.LEASE_EXPIRED):
+                log.info(LogEvent("machine_given_up", machine=machine.name, silent_s=silent_s))
+                dead.append(machine.name)
+        return dead
 
     def return_idle(self) -> None:
-        """Returns faulty machines once they are empty, and what has been idle beyond the plan and the cushion."""
-        policy_evaluator = self.context.policy_evaluator
-        settled = (MachineState.READY, MachineState.LEASE_EXPIRED, MachineState.SUSPECT)
-        going = [
-            m
-            for m in self.inventory.machines
-            if not m.allocations and m.state in settled and m.drain in ("faulty", "slow", "return")
-        ]
-        for m in self.context.scheduler.renting.surplus(
-            policy_evaluator.value("keep_empty"), policy_evaluator.value("idle_return_s"), self.clock()
+        """Delete faulty machines once they are empty, and those idle beyond the plan and the policy's reserve.
+
+        Raises:
+            CloudError: the cloud could not be reached.
+            FencedError: this term may not give commands any more.
+        """
+        evaluator = self.context.policy_evaluator
+        returned = [machine for machine in self.inventory.machines if self._may_return(machine)]
+        for machine in self.context.scheduler.renting.surplus(
+            evaluator.value("keep_empty"), evaluator.value("idle_return_s"), self.clock()
         ):
-            m.drain = "return"
-            going.append(m)
-        if going:
-            self._remove([m.name for m in going[:100]])
+            machine.drain = RETURN
+            returned.append(machine)
+        if returned:
+            self._remove([machine.name for machine in returned[:MAX_DELETED_PER_REQUEST]])
+
+    @staticmethod
+    def _may_return(machine: Machine) -> bool:
+        known = (MachineState.READY, MachineState.LEASE_EXPIRED, MachineState.SUSPECT)
+        return not machine.allocations and machine.state in known and machine.drain in RETURNED_DRAINS
+
+    def _remove(self, names: list[str]) -> None:
+        """Delete machines; once the cloud has answered, they and all that ran on them are gone."""
+        for start in range(0, len(names), MAX_DELETED_PER_REQUEST):
+            self._delete(names[start : start + MAX_DELETED_PER_REQUEST])
+        if len(self._deleted) > MAX_DELETED_REMEMBERED:
+            self._deleted.clear()
+
+    def _delete(self, names: list[str]) -> None:
+        for name in names:
+            machine = self.inventory.by_name.get(name)
+            if machine is not None and machine.drain is None:
+                machine.drain = RETURN
+        self.election.guard()
+        self.cloud.remove(names)
+        now = self.clock()
+        # not before: a machine whose deletion was not answered has to be found in the list again
+        self._deleted.update(names)
+        for name in names:
+            machine = self.inventory.by_name.get(name)
+            if machine is not None:
+                self.machine_records.pages.drop(name, soon=True)
+                self.inventory.move(machine, MachineState.GONE, now)
+            self._missing_lists.pop(name, None)
+        self.machine_reconciliation.check(now)
+        log.info(LogEvent("machines_returned", machines=names))
--- a/src/grebestand/leader/machine_records.py
+++ b/src/grebestand/leader/machine_records.py
@@ -1,4 +1,4 @@
-"""Which machines are on record: only those may be given tasks, as a later leader is sure to know of them."""
+"""Stores which machines there are: only recorded ones get tasks, so that a later leader knows where to look."""
 
 from __future__ import annotations
 
@@ -12,38 +12,58 @@
 
 
 class MachineRecords(TermComponent):
+    """Restores the machines that an earlier leader recorded, and records new ones."""
+
     def __init__(self, context: TermContext) -> None:
         super().__init__(context)
         self.pages = self.writer.pages("machines/")
 
     def load(self, now: float) -> None:
+        """Restore all recorded machines; each is unreconciled until its state is known.
+
+        Raises:
+            StoreError: the store could not be reached.
+        """
         for name, value in self.pages.load(self.writer.store.pairs(self.pages.prefix)):
             if name not in self.inventory.by_name:
                 record = msgspec.convert(value, MachineRecord)
-                where = record.addr, record.type, record.zone, record.spot
-                self.inventory.add(name, *where, now, recorded=True)
-        self.registry.anywhere = {m.index for m in self.inventory.machines}
+                self.inventory.add(name, record.addr, record.type, record.zone, record.spot, now, recorded=True)
+        self.registry.anywhere = {machine.index for machine in self.inventory.machines}
 
     def record(self) -> None:
-        """A machine gets tasks only once a later leader is sure to know of it."""
-        # one that echoes this term's token is there, and one that has heard of no term at all is new; a late copy of
-        # one that is gone would put it on record again
-        new = [
-            m
-            for m in self.inventory.machines
-            if not m.recorded and m.state is MachineState.NEW and (m.has_seen_no_term or m.token == self.token)
-        ]
-        for m in new:
-            self.pages.put(m.name, self._record_of(m))
+        """Record new machines, after which they may get tasks.
+
+        Raises:
+            FencedError: this term may not write any more.
+            StoreError: the store could not be reached; the machines are recorded by the next call.
+        """
+        unrecorded = [machine for machine in self.inventory.machines if self._should_record(machine)]
+        for machine in unrecorded:
+            self.pages.put(machine.name, self._record_of(machine))
         self.pages.save(Urgency.TAKEOVER)
         now = self.clock()
-        for m in new:
-            if m.state is MachineState.GONE:
-                continue  # and its record was dropped
-            m.recorded = True
-            if m.state is MachineState.NEW and m.token == self.token:
-                self.inventory.move(m, MachineState.READY, now)
-
-    def _record_of(self, m: Machine) -> MachineRecord:
-        names = self.registry
-        return MachineRecord(names.machine_types.name(m.kind), names.zones.name(m.zone), m.spot, m.addr)
+        for machine in unrecorded:
+            if machine.state is MachineState.GONE:
+                continue  # deleted during the write, and its record was dropped
+            machine.recorded = True
+            if machine.state is MachineState.NEW and machine.token == self.token:
+                self.inventory.move(machine, MachineState.READY, now)
+
+    def _should_record(self, machine: Machine) -> bool:
+        """Return whether a machine is new and certain to exist.
+
+        It exists if its worker has seen this term's token, or none at all. Any other heartbeat may be the late copy of
+        a machine that has been deleted, which must not be recorded again.
+        """
+        if machine.recorded or machine.state is not MachineState.NEW:
+            return False
+        return machine.has_seen_no_term or machine.token == self.token
+
+    def _record_of(self, machine: Machine) -> MachineRecord:
+        registry = self.registry
+        return MachineRecord(
+            type=registry.machine_types.name(machine.kind),
+            zone=registry.zones.name(machine.zone),
+            spot=machine.spot,
+            addr=machine.addr,
+        )
--- a/src/grebestand/leader/status_broadcast.py
+++ b/src/grebestand/leader/status_broadcast.py
@@ -1,4 +1,4 @@
-"""What a leader tells the other controllers for display and for its successor: counts of jobs, images of machines."""
+"""What a leader sends the other controllers for display and for its successor: task counts and cached images."""
 
 from __future__ import annotations
 
@@ -10,53 +10,65 @@
 from ..wire.peers import CachedImages
 from .term_context import TermComponent, TermContext
 
-#: workers that the others are told of, to look whether they reach them
-SAMPLES = 4
+#: Addresses of workers that are sent, for other controllers to see whether they reach them.
+MAX_SAMPLES = 4
+#: Of one zone, no more than half of them, so that a fault of one zone is not taken for one of all.
+MAX_SAMPLES_PER_ZONE = MAX_SAMPLES // 2
+#: Random machines that are looked at for one sample.
+DRAWS_PER_SAMPLE = 4
+#: How old the counts of tasks may be, in seconds: all controllers ask for them each second.
+MAX_COUNTS_AGE_S = 1.0
 
 
 class StatusBroadcast(TermComponent):
+    """Prepares what the other controllers are sent; nothing of it decides anything."""
+
     def __init__(self, context: TermContext) -> None:
         super().__init__(context)
-        self._counted: dict[str, tuple[int, int]] = {}
+        self._counts: dict[str, tuple[int, int]] = {}
         self._counted_at = -math.inf
 
     def counts(self) -> dict[str, tuple[int, int]]:
-        """Done and running tasks of each job, for all controllers' users; a second old at the most."""
+        """Return the numbers of done and of running tasks, by the ids of jobs that have any."""
         now = self.clock()
-        if now - self._counted_at >= 1.0:
+        if now - self._counted_at >= MAX_COUNTS_AGE_S:
             self._counted_at = now
-            jobs = self.registry.jobs.items()
-            self._counted = {
-                ident: (job.done_count, job.running())
-                for ident, job in jobs
+            self._counts = {
+                job_id: (job.done_count, job.running())
+                for job_id, job in self.registry.jobs.items()
                 if job.allocations or job.done_count or job.abroad_running
             }
-        return self._counted
+        return self._counts
 
     def samples(self, rng: random.Random) -> list[str]:
-        """Addresses of a few workers that reported lately, of several zones."""
+        """Return the addresses of a few ready workers, drawn at random and mixed from several zones."""
         machines = self.inventory.machines
-        found: dict[int, list[str]] = {}
-        for _ in range(min(len(machines), 4 * SAMPLES)):
-            m = rng.choice(machines)
-            if m.state is MachineState.READY and len(found.setdefault(m.zone, [])) < SAMPLES // 2:
-                found[m.zone].append(m.addr)
-        mixed = [a for some in itertools.zip_longest(*found.values()) for a in some if a]
-        return list(dict.fromkeys(mixed))[:SAMPLES]
+        by_zone: dict[int, list[str]] = {}
+        for _ in range(min(len(machines), DRAWS_PER_SAMPLE * MAX_SAMPLES)):
+            machine = rng.choice(machines)
+            if machine.state is not MachineState.READY:
+                continue
+            addresses = by_zone.setdefault(machine.zone, [])
+            if len(addresses) < MAX_SAMPLES_PER_ZONE:
+                addresses.append(machine.addr)
+        one_of_each_zone = itertools.zip_longest(*by_zone.values())
+        mixed = [address for addresses in one_of_each_zone for address in addresses if address]
+        return list(dict.fromkeys(mixed))[:MAX_SAMPLES]
 
     def cached_images(self) -> CachedImages:
-        names = self.registry.images
+        """Return which images are thought to be on which machines."""
+        images = self.registry.images
         return CachedImages(
-            [names.name(i) for i in range(len(names))],
-            list(self.registry.image_gb),
-            {m.name: list(m.images) for m in self.inventory.machines if m.images},
+            names=[images.name(index) for index in range(len(images))],
+            gigabytes=list(self.registry.image_gb),
+            machines={machine.name: list(machine.images) for machine in self.inventory.machines if machine.images},
         )
 
-    def learn_images(self, known: CachedImages) -> None:
-        """Takes over what an earlier leader knew of the machines' images; reports do not tell."""
-        indices = [self.registry.image(name, gb) for name, gb in zip(known.names, known.gigabytes, strict=True)]
-        for name, held in known.machines.items():
-            m = self.inventory.by_name.get(name)
-            if m is not None:
-                for i in held:
-                    self.inventory.note_image(m, indices[i], known.gigabytes[i])
+    def learn_images(self, cached: CachedImages) -> None:
+        """Adopt what an earlier leader knew of cached images, as heartbeats do not list them."""
+        indices = [self.registry.image(name, gb) for name, gb in zip(cached.names, cached.gigabytes, strict=True)]
+        for name, image_positions in cached.machines.items():
+            machine = self.inventory.by_name.get(name)
+            if machine is not None:
+                for position in image_positions:
+                    self.inventory.note_image(machine, indices[position], cached.gigabytes[position])
--- a/src/grebestand/state_machines.py
+++ b/src/grebestand/state_machines.py
@@ -1,32 +1,61 @@
-"""Explicit state machines: named states, allowed steps, and the error for any other step."""
+"""Explicit state machines: named states, the allowed transitions, and the error for any other transition.
+
+Each state machine has one function that changes the state. It calls `check_transition`, so that a transition which the
+tables below do not list is an error of the program and is never made.
+"""
 
 from __future__ import annotations
 
 from enum import Enum, auto
 from typing import TypeVar
 
-E = TypeVar("E", bound=Enum)
+from .errors import GrebestandError
+
+State = TypeVar("State", bound=Enum)
+
+
+class IllegalTransitionError(GrebestandError, RuntimeError):
+    """The program tried a transition that its own table does not allow.
+
+    Attributes:
+        subject: whose state was to be changed.
+        old: the present state.
+        new: the state that was asked for.
+    """
 
+    def __init__(self, subject: str, old: Enum, new: Enum) -> None:
+        self.subject = subject
+        self.old = old
+        self.new = new
+        super().__init__(f"{subject}: {old.name} -> {new.name}")
 
-class IllegalTransitionError(RuntimeError):
-    """The program tried a change of state that its own table does not allow."""
 
+def check_transition(allowed: dict[State, frozenset[State]], old: State, new: State, subject: str) -> None:
+    """Check that a transition is allowed.
 
-def check_transition(allowed: dict[E, frozenset[E]], old: E, new: E, what: str) -> None:
+    Args:
+        allowed: the states that may follow each state.
+        old: the present state.
+        new: the state that is to follow.
+        subject: whose state it is, for the error's text.
+
+    Raises:
+        IllegalTransitionError: the table does not allow the transition.
+    """
     if new not in allowed[old]:
-        raise IllegalTransitionError(f"{what}: {old.name} -> {new.name}")
+        raise IllegalTransitionError(subject, old, new)
 
 
 class AllocationState(Enum):
-    """One attempt of one task on one machine, as far as the leader can prove."""
+    """One attempt of one task on one machine, as far as the leader knows."""
 
-    QUEUED = auto()  # decided, not yet sent: nobody else knows
-    SENT = auto()  # rode on a check-in response; the next newer report proves it
-    FETCHING = auto()
-    WAITING = auto()
+    QUEUED = auto()  # decided and not sent yet: nobody else knows of it
+    SENT = auto()  # sent with a heartbeat response; the next newer heartbeat confirms it
+    FETCHING = auto()  # the machine fetches the image
+    WAITING = auto()  # the task waits for the others of its gang
     RUNNING = auto()
-    SAVING = auto()
-    GONE = auto()  # exited, lapsed or proved never started
+    SAVING = auto()  # the task was told to stop and saves its checkpoint
+    GONE = auto()  # it exited, its lease expired, or it certainly never started
 
 
 _ON_MACHINE = frozenset(
@@ -46,11 +75,13 @@
 
 
 class JobState(Enum):
-    WAITING = auto()  # no task has a place
-    ACTIVE = auto()  # some task has, or may have, a place
-    CLOSING = auto()  # all tasks done; the final record is not yet committed
-    DONE = auto()  # committed
-    CANCELLED = auto()  # committed by whichever controller was asked
+    """A job, from its acceptance until its final record is committed."""
+
+    WAITING = auto()  # no task is allocated
+    ACTIVE = auto()  # some task is allocated
+    CLOSING = auto()  # all tasks are done; the final record is not committed yet
+    DONE = auto()  # the final record is committed
+    CANCELLED = auto()  # the final record was committed by whichever controller was asked to cancel
 
 
 JOB_TRANSITIONS: dict[JobState, frozenset[JobState]] = {
@@ -63,12 +94,14 @@
 
 
 class MachineState(Enum):
-    NEW = auto()  # reports, but has no durable record: gets no tasks
-    UNRECONCILED = auto()  # recorded; may hold tasks that this leader does not know of
+    """What a leader knows of a machine."""
+
+    NEW = auto()  # sends heartbeats and has no durable record yet: gets no tasks
+    UNRECONCILED = auto()  # recorded; may run tasks that this leader does not know of
     READY = auto()
-    SUSPECT = auto()  # silent for longer than a report should take
-    LEASE_EXPIRED = auto()  # silent for longer than its lease: whatever it held is gone
-    GONE = auto()
+    SUSPECT = auto()  # silent for longer than a heartbeat should take
+    LEASE_EXPIRED = auto()  # silent for longer than its lease: whatever it ran is gone
+    GONE = auto()  # deleted by the cloud
 
 
 MACHINE_TRANSITIONS: dict[MachineState, frozenset[MachineState]] = {
@@ -85,8 +118,8 @@
     """Whether what is sent to a machine arrives there, as far as the leader knows."""
 
     REACHABLE = auto()
-    SUSPECTED = auto()  # something that answers would have changed has not changed: it is to be asked directly
-    UNREACHABLE = auto()  # nor did it answer that: its lease is let run out, and it gets nothing until it answers
+    SUSPECTED = auto()  # its heartbeats ignore the answers: it is to be queried directly
+    UNREACHABLE = auto()  # it does not answer queries either: its lease runs out, and it gets no tasks until it answers
 
 
 RECEPTION_TRANSITIONS: dict[Reception, frozenset[Reception]] = {
@@ -97,11 +130,13 @@
 
 
 class LeaderState(Enum):
+    """What a controller is in the election of the leader."""
+
     FOLLOWING = auto()
-    LOADING = auto()  # holds the key; reads the records; answers workers, starts nothing
+    LOADING = auto()  # won the key; reads the records, then answers workers; starts nothing yet
     LEADING = auto()
-    PAUSED = auto()  # the hold's local time is over; may come back if a renewal proves it alive
-    RESIGNED = auto()  # gave way on purpose; waits before it may try again
+    PAUSED = auto()  # may not act, as its lease or its knowledge is too old; resumes if the key is still its own
+    RESIGNED = auto()  # gave up the key on purpose; waits before it campaigns again
 
 
 LEADER_TRANSITIONS: dict[LeaderState, frozenset[LeaderState]] = {
@@ -118,10 +153,10 @@
 
 
 class AssignmentMode(Enum):
-    """Who answers workers' reports."""
+    """Who answers workers' heartbeats."""
 
-    LEADER_ONLY = auto()  # the others send workers to the leader
-    EVERY_CONTROLLER = auto()  # the others keep workers too, and pass their reports on
+    LEADER_ONLY = auto()  # the others redirect workers to the leader
+    EVERY_CONTROLLER = auto()  # the others keep workers too, and forward their heartbeats
 
 
 ASSIGNMENT_MODE_TRANSITIONS: dict[AssignmentMode, frozenset[AssignmentMode]] = {
@@ -131,10 +166,10 @@
 
 
 class ForwarderState(Enum):
-    """Whether a controller passes reports on to the leader."""
+    """Whether a controller forwards heartbeats to the leader."""
 
     OPEN = auto()
-    RESTING = auto()  # the leader has not answered for a while: workers are sent there themselves
+    RESTING = auto()  # the leader has not answered for a while: workers are redirected to it
 
 
 FORWARDER_TRANSITIONS: dict[ForwarderState, frozenset[ForwarderState]] = {
@@ -144,11 +179,11 @@
 
 
 class LoadState(Enum):
-    """How far a controller is behind, the higher the worse."""
+    """How far a controller is behind; a higher value is worse."""
 
     NORMAL = 0
-    STRAINED = 1  # its loops are late: it does without what only makes things better
-    OVERLOADED = 2  # users would notice: most polls are sent away as well
+    STRAINED = 1  # its loops are late: it omits work that only improves results
+    OVERLOADED = 2  # users would notice: most polls are rejected as well
 
 
 LOAD_TRANSITIONS: dict[LoadState, frozenset[LoadState]] = {
@@ -159,10 +194,10 @@
 
 
 class LinkState(Enum):
-    """What a controller knows of one of its own links."""
+    """What a controller knows of one of its own network links."""
 
     UP = auto()
-    SUSPECT = auto()  # nothing was heard for a while, or the first requests have failed
+    SUSPECT = auto()  # nothing was received for a while, or the first requests have failed
     DOWN = auto()  # everything has failed for long enough to act on it
 
 
--- a/tests/leader/test_leader_scenarios.py
+++ b/tests/leader/test_leader_scenarios.py
@@ -19,6 +19,7 @@
 from grebestand.flow_control.rate_limiter import Urgency
 from grebestand.heartbeats import reconciliation
 from grebestand.leader.election import FencedError
+from grebestand.leader.provisioning import PoolKey
 from grebestand.scheduling.gang_scheduling import GangCandidates, GangPlacement
 from grebestand.scheduling.scheduling_context import Steps
 from grebestand.simulation.single_controller_cluster import SETTINGS, TYPES, InMemoryCluster, InMemoryController
@@ -699,7 +700,7 @@
     assert len([k for k in world.store.data if k.startswith("rent/")]) == 1
     (name,) = world.cloud.requests
     again = successor(world, "node-1")
-    assert again.term is not None and name in again.term.provisioning.old_rents
+    assert again.term is not None and name in again.term.provisioning.unsettled
     again.term.step_fleet()
     assert set(again.term.provisioning.expected) >= set(world.cloud.requests[name])
     again.term.provisioning.clear_orphans()
@@ -940,8 +941,8 @@
     term.step_fleet()
     # zone a gave less than was asked for; zone b and the other kind of machine were asked in the same step
     assert len(term.provisioning.expected) == 12
-    assert term.provisioning.rents == 4 and set(term.provisioning.refused_until) == {
-        (0, zone, spot) for zone in (0, 1) for spot in (False, True)
+    assert term.provisioning.request_count == 4 and set(term.provisioning.refused_until) == {
+        PoolKey(0, zone, spot) for zone in (0, 1) for spot in (False, True)
     }
 
 
