--- /dev/null
+++ b/tests/heartbeats/test_heartbeat_handling.py
@@ -0,0 +1,152 @@
+"""Single heartbeats: what they change, and what they are answered."""
+
+from __future__ import annotations
+
+import json
+
+import msgspec
+import pytest
+
+from grebestand.api.heartbeat_api import HeartbeatApi
+from grebestand.cluster_state.jobs import Allocation
+from grebestand.cluster_state.machine import Machine
+from grebestand.heartbeats import reconciliation
+from grebestand.simulation.single_controller_cluster import InMemoryController
+from grebestand.state_machines import AllocationState, LeaderState, MachineState
+from grebestand.wire.jobs import split_task
+from grebestand.wire.workers import Command, Heartbeat, HeartbeatResponse, TaskPhase, TaskStatus
+from support.single_leader import fail_over, start_cluster, start_partly_unreachable_job
+
+
+def test_stale_heartbeat_changes_nothing() -> None:
+    cluster, controller, term, (worker,) = start_cluster(1)
+    old = worker.report()
+    job_id = cluster.accept(controller)
+    cluster.settle(term)
+    allocation = term.registry.jobs[job_id].allocations[0]
+    assert allocation.state is AllocationState.RUNNING
+    response = term.handle_heartbeat(old)
+    assert isinstance(response, HeartbeatResponse) and not response.commands
+    assert term.registry.jobs[job_id].allocations[0] is allocation
+
+
+def test_lost_start_is_resent_with_same_attempt() -> None:
+    """Only a newer check-in proves that a start was lost; a direct report may overtake the response."""
+    cluster, controller, term, (worker,) = start_cluster(1)
+    job_id = cluster.accept(controller)
+    cluster.handle_heartbeat(term, worker, lose=True)
+    allocation = term.registry.jobs[job_id].allocations[0]
+    assert allocation.state is AllocationState.SENT
+    assert job_id in cluster.records("grants/")  # known to any later leader before it was sent
+    term.machine_reconciliation.apply_direct_answer(term.inventory.by_name[worker.name], worker.report(), (1, 0))
+    assert allocation.sent_sequence > 0
+    cluster.handle_heartbeat(term, worker)
+    assert worker.started == [(f"{job_id}/0", allocation.attempt)]
+
+
+def test_cancellation_stops_start_in_flight() -> None:
+    cluster, controller, term, (worker,) = start_cluster(1)
+    job_id = cluster.accept(controller)
+    in_flight = term.handle_heartbeat(worker.report())
+    assert isinstance(in_flight, HeartbeatResponse) and in_flight.commands
+    InMemoryController(cluster, "node-1").users.cancel(job_id)
+    term.job_watch.watch()
+    assert term.registry.teams[1].used[0] > 0  # it may be there: it still counts
+    worker.obey(in_flight)
+    assert worker.running()
+    cluster.settle(term, 3)
+    assert not worker.running()
+    assert job_id not in term.registry.jobs
+    assert term.registry.teams[1].used == [0, 0]
+
+
+def test_silent_machine_keeps_tasks_until_lease_expiry() -> None:
+    cluster, _controller, term, connected, cut_off, job_id, cut_off_tasks = start_partly_unreachable_job()
+    cluster.settle(term, 19)
+    assert not cut_off_tasks & set(connected.running())
+    assert term.inventory.by_name[cut_off.name].state is MachineState.SUSPECT
+    for task in connected.running():
+        connected.finish(task)
+    cluster.settle(term, 10)
+    assert cut_off_tasks & set(connected.running())
+    assert job_id in term.registry.jobs
+
+
+def test_new_epoch_releases_earlier_tasks() -> None:
+    cluster, controller, term, (worker,) = start_cluster(1)
+    job_id = cluster.accept(controller)
+    cluster.settle(term)
+    first = worker.started[-1][1]
+    worker.lapse()
+    cluster.settle(term, 8)
+    assert worker.running() == [f"{job_id}/0"] and worker.started[-1][1] > first
+
+
+def test_task_of_unknown_job_is_stopped_and_forgotten() -> None:
+    cluster, _controller, term, (worker,) = start_cluster(1)
+    worker.tasks["j-999999/0"] = TaskStatus("j-999999/0", 7, TaskPhase.RUNNING)
+    cluster.settle(term, 3)
+    assert not worker.tasks
+
+
+def test_heartbeat_with_null_fields_is_answered() -> None:
+    _cluster, _controller, term, _ = start_cluster(1)
+    body = json.dumps({
+        "vessel": "n-000077", "addr": "x:1", "hull": "m4", "quay": "b", "driftwood": False, "watch": 1, "tally": 1,
+        "helm": 0, "recallS": None, "shards": [], "unknown": {"x": 1},
+    })  # fmt: skip
+    response = term.handle_heartbeat(msgspec.json.decode(body, type=Heartbeat))
+    assert isinstance(response, HeartbeatResponse) and response.token == term.token
+
+
+def test_unchanged_heartbeat_splits_no_names_and_moves_no_allocation(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Hundreds of reports a second name the same tasks again and again; each task once cost two splits and a name."""
+    cluster, controller, term, (worker,) = start_cluster(1)
+    cluster.accept(controller, shards=16)
+    cluster.settle(term, 4)
+    assert len(worker.running()) == 16
+    splits: list[str] = []
+    moves: list[object] = []
+    move = term.registry.move_allocation
+
+    def counted_split(name: str) -> tuple[str, int]:
+        splits.append(name)
+        return split_task(name)
+
+    def counted_move(allocation: Allocation, new: AllocationState, now: float) -> None:
+        moves.append(new)
+        move(allocation, new, now)
+
+    monkeypatch.setattr(reconciliation, "split_task", counted_split)
+    monkeypatch.setattr(term.registry, "move_allocation", counted_move)
+    cluster.clock.now += 3.0
+    response = cluster.handle_heartbeat(term, worker)
+    assert response is not None and not response.commands
+    assert not splits and not moves
+    worker.finish(worker.running()[0])
+    cluster.clock.now += 3.0
+    assert cluster.handle_heartbeat(term, worker) is not None
+    assert len(splits) <= 2 and len(moves) == 1
+
+
+def test_response_is_dropped_if_authority_ends_while_it_is_built(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The clock is looked at once more just before an answer leaves; its starts are sent again with a later one."""
+    cluster, controller, term, (worker,) = start_cluster(1)
+    api = HeartbeatApi("node-0", controller.election, lambda: term)
+    job_id = cluster.accept(controller)
+    commands = term.command_builder.commands
+
+    def slow(machine: Machine, heartbeat: Heartbeat, now: float, starts: bool = True) -> list[Command]:
+        built = commands(machine, heartbeat, now, starts)
+        cluster.clock.now += 30.0
+        return built
+
+    monkeypatch.setattr(term.command_builder, "commands", slow)
+    assert api.handle_heartbeat(msgspec.json.encode(worker.report())).status == 503
+    assert controller.election.state is LeaderState.PAUSED
+    monkeypatch.undo()
+    assert term.registry.jobs[job_id].allocations[0].state is AllocationState.SENT and not worker.started
+    # the leader lease has expired by now: another term begins, and the task runs once
+    _successor, new_term = fail_over(cluster, "node-1")
+    cluster.settle(new_term, 6)
+    assert [task for task, _ in worker.started] == [f"{job_id}/0"]
--- /dev/null
+++ b/tests/leader/test_machine_records.py
@@ -0,0 +1,21 @@
+"""Durable records of machines."""
+
+from __future__ import annotations
+
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
+
+
+def test_unrecorded_machine_gets_no_task() -> None:
+    cluster = InMemoryCluster()
+    worker = cluster.worker("n-000000")
+    controller = InMemoryController(cluster, "node-0")
+    term = controller.lead()
+    cluster.accept(controller)
+    for _ in range(3):
+        cluster.clock.now += 1
+        cluster.handle_heartbeat(term, worker)
+    assert not worker.started
+    term.machine_records.record()
+    assert "n-000000" in cluster.records("machines/")
+    cluster.settle(term, 2)
+    assert worker.started
--- /dev/null
+++ b/tests/leader/test_provisioning.py
@@ -0,0 +1,79 @@
+"""Rental requests."""
+
+from __future__ import annotations
+
+import pytest
+
+from grebestand.flow_control.rate_limiter import Urgency
+from grebestand.leader.provisioning import PoolKey
+from grebestand.simulation.single_controller_cluster import SETTINGS, TYPES, InMemoryCluster, InMemoryController
+from grebestand.wire.store import Change, Condition
+from support.single_leader import fail_over
+
+
+def test_rental_is_recorded_before_request_and_settled_by_successor() -> None:
+    cluster = InMemoryCluster(rules="rent = true\n")
+    controller = InMemoryController(cluster, "node-0")
+    term = controller.lead()
+    cluster.accept(controller, shards=20)
+    term.scheduling_loop.step(cluster.clock.now)
+    cluster.cloud.lose_answers = 1
+    with pytest.raises(Exception, match="lost"):
+        term.step_fleet()
+    assert len([k for k in cluster.store.data if k.startswith("rent/")]) == 1
+    (name,) = cluster.cloud.requests
+    _successor, new_term = fail_over(cluster, "node-1")
+    assert name in new_term.provisioning.unsettled
+    new_term.step_fleet()
+    assert set(new_term.provisioning.expected) >= set(cluster.cloud.requests[name])
+    new_term.provisioning.clear_orphans()
+    assert f"rent/{name}" not in cluster.store.data
+
+
+def test_whole_shortage_is_requested_in_one_step() -> None:
+    """At one request a step, a day that began with half its machines took 20 s to ask for the rest."""
+    cluster = InMemoryCluster(SETTINGS.replace("cpus_max = 64.0", "cpus_max = 6400.0"), rules="rent = true\n")
+    cluster.worker("n-000000")
+    controller = InMemoryController(cluster, "node-0")
+    term = controller.lead()
+    term.inventory.learn_types(TYPES)
+    cluster.settle(term, 2)
+    cluster.accept(controller, shards=240, cpus=4.0, ramGb=1.0)
+    cluster.cloud.capacity = 12
+    cluster.clock.now += 6.0
+    term.scheduling_loop.step(cluster.clock.now)
+    lack = max(s.count for s in term.scheduler.renting.shortages)
+    assert lack > 40
+    term.step_fleet()
+    # zone a gave less than was asked for; zone b and the other kind of machine were asked in the same step
+    assert len(term.provisioning.expected) == 12
+    assert term.provisioning.request_count == 4 and set(term.provisioning.refused_until) == {
+        PoolKey(0, zone, spot) for zone in (0, 1) for spot in (False, True)
+    }
+
+
+def test_rental_records_are_more_urgent_than_grants(monkeypatch: pytest.MonkeyPatch) -> None:
+    """In a burst the writes of grants left none for the records of rentals, and the machines came 40 s late."""
+    cluster = InMemoryCluster(rules="rent = true\n")
+    controller = InMemoryController(cluster, "node-0")
+    term = controller.lead()
+    urgencies: dict[str, Urgency] = {}
+    commit = term.writer.store.commit
+
+    def watched(
+        conditions: list[Condition], changes: list[Change], urgency: Urgency, timeout: float = 1.5
+    ) -> tuple[int, list[str]]:
+        for change in changes:
+            urgencies.setdefault(str(change.put or change.delete).split("/")[0], urgency)
+        return commit(conditions, changes, urgency, timeout)
+
+    monkeypatch.setattr(term.writer.store, "commit", watched)
+    term.inventory.learn_types(TYPES)
+    cluster.accept(controller, shards=200)
+    cluster.clock.now += 10.0
+    term.scheduling_loop.step(cluster.clock.now)
+    term.step_fleet()
+    assert cluster.cloud.requests
+    cluster.worker("n-000100")
+    cluster.settle(term, 4)
+    assert urgencies["rent"] < urgencies["grants"]
--- /dev/null
+++ b/tests/leader/test_scheduling_loop.py
@@ -0,0 +1,68 @@
+"""When targets are computed and passes are made."""
+
+from __future__ import annotations
+
+import itertools
+
+import pytest
+
+from grebestand.scheduling.scheduling_context import Steps
+from grebestand.state_machines import AllocationState
+from support.single_leader import start_cluster
+
+
+def test_heartbeat_fills_freed_capacity_between_passes() -> None:
+    """On hundreds of machines a full pass at each report took the leader's whole core."""
+    cluster, controller, term, (worker,) = start_cluster(1)
+    job_id = cluster.accept(controller, shards=40, cpus=1.0, ramGb=1.0)
+    cluster.settle(term, 3)
+    assert len(worker.running()) == 16
+    term.scheduling_loop.place_after = term.scheduling_loop.retarget_after = cluster.clock.now + 100.0
+    for task in worker.running()[:4]:
+        worker.finish(task)
+    cluster.clock.now += 1.0
+    cluster.handle_heartbeat(term, worker)
+    assert len(worker.running()) == 16 and len(worker.started) == 20
+    # what a user cancels meanwhile is not started from the old queue
+    assert controller.users.cancel(job_id).status == 200
+    term.job_watch.watch()
+    worker.finish(worker.running()[0])
+    cluster.clock.now += 1.0
+    before = len(worker.started)
+    cluster.handle_heartbeat(term, worker)
+    assert len(worker.started) == before
+
+
+def test_pass_is_followed_by_proportional_rest() -> None:
+    cluster, _controller, term, (_worker,) = start_cluster(1)
+    passes: list[float] = []
+    passing = term.scheduler.passing
+
+    def slow(now: float) -> Steps:
+        passes.append(now)
+        yield from passing(now)
+        cluster.clock.now += 0.1
+
+    term.scheduler.passing = slow  # type: ignore[method-assign]
+    for _ in range(300):
+        cluster.clock.now += 0.01
+        term.registry.changed = True
+        term.scheduling_loop.step(cluster.clock.now)
+    # 300 steps of 10 ms and the passes themselves: at most one pass in 1.6 s
+    assert 2 <= len(passes) <= 3
+    assert all(b - a >= 1.6 for a, b in itertools.pairwise(passes))
+
+
+def test_pass_that_outlasts_authority_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A controller that is stopped or slowed down while it computes finds out only when it looks at its clock."""
+    cluster, controller, term, (worker,) = start_cluster(1)
+    job_id = cluster.accept(controller)
+    passing = term.scheduler.passing
+
+    def late(now: float) -> Steps:
+        yield from passing(now)
+        cluster.clock.now += 30.0
+
+    monkeypatch.setattr(term.scheduler, "passing", late)
+    assert cluster.handle_heartbeat(term, worker) is None
+    assert term.registry.jobs[job_id].allocations[0].state is AllocationState.QUEUED and not worker.started
--- /dev/null
+++ b/tests/leader/test_status_broadcast.py
@@ -0,0 +1,27 @@
+"""What a leader sends the other controllers."""
+
+from __future__ import annotations
+
+import msgspec
+
+from grebestand.wire.peers import CachedImages
+from support.single_leader import fail_over, start_cluster
+
+
+def test_successor_knows_cached_images() -> None:
+    """Reports do not tell; without this a successor sent gangs to machines that had to fetch for half a minute."""
+    cluster, controller, term, (connected, cut_off) = start_cluster()
+    first = cluster.accept(controller, cargo="big", pullGb=40.0)
+    cluster.settle(term, 3)
+    with_image, without_image = (connected, cut_off) if connected.running() else (cut_off, connected)
+    with_image.finish(f"{first}/0")
+    cluster.settle(term, 4)
+    sent_images = msgspec.msgpack.decode(
+        msgspec.msgpack.encode(term.status_broadcast.cached_images()), type=CachedImages
+    )
+    successor, new_term = fail_over(cluster, "node-1")
+    new_term.status_broadcast.learn_images(sent_images)
+    cluster.settle(new_term, 3)
+    second = cluster.accept(successor, cargo="big", pullGb=40.0)
+    cluster.settle(new_term, 3)
+    assert with_image.running() == [f"{second}/0"] and not without_image.running()
