--- a/src/grebestand/cluster_state/job_registry.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -120,8 +120,7 @@
             return
         job.done[index >> 3] |= 1 << (index & 7)
         job.done_count += 1
-        job.earned = True
-        job.doubtful = False
+        job.record_progress()
         self.changed = True
 
     def load_done(self, job: Job, offset: int, bits: bytes) -> None:
--- a/src/grebestand/cluster_state/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -191,6 +191,11 @@
         #: it has been told that it began
         self.begun = False
 
+    def record_progress(self) -> None:
+        """Record that work of the job was kept, which shows that it can run."""
+        self.earned = True
+        self.doubtful = False
+
     def is_done(self, index: int) -> bool:
         return bool(self.done[index >> 3] >> (index & 7) & 1)
 
--- a/src/grebestand/cluster_state/machine.py
+++ b/src/grebestand/cluster_state/machine.py
@@ -7,10 +7,14 @@
 
 from ..state_machines import MachineState, Reception
 from ..wire.jobs import PRIORITIES
+from ..wire.workers import Heartbeat
 from .jobs import Allocation
 from .resources import Resources
 from .slots import SlotTemplate
 
+#: How many heartbeats a machine may have sent in one life beyond the last that was heard.
+UNHEARD_HEARTBEATS = 40
+
 
 class Machine:
     __slots__ = (
@@ -127,5 +131,46 @@
         #: its room or its images have changed since a report last tried to fill it
         self.news = True
 
+    def record_heartbeat(self, heartbeat: Heartbeat, acknowledged_token: int, now: float) -> None:
+        """Record the newest heartbeat.
+
+        Args:
+            heartbeat: The heartbeat.
+            acknowledged_token: The highest token that a heartbeat of the worker has shown it to know.
+            now: The present time, in seconds.
+        """
+        self.addr = heartbeat.addr
+        self.epoch, self.sequence, self.token = heartbeat.epoch, heartbeat.sequence, acknowledged_token
+        self.last_heard_at = now
+
+    def close_previous_epoch(self) -> None:
+        """Record that what was heard so far is of a previous life of the machine, which may have counted on unheard."""
+        self.previous_epoch_end = max(self.previous_epoch_end, (self.epoch, self.sequence + UNHEARD_HEARTBEATS))
+
+    def record_restart(self, epoch: int) -> None:
+        """Record that the worker counts anew from `epoch` on, so that its next heartbeat is newer than any before."""
+        self.close_previous_epoch()
+        for allocation in self.allocations.values():
+            allocation.epoch = epoch
+            allocation.sent_epoch = allocation.sent_sequence = 0
+        self.epoch = self.sequence = self.token = 0
+
+    def record_epoch_while_unreachable(self, epoch: int, now: float) -> None:
+        """Record that an unreachable machine has begun another epoch: a lease of it ended before `now`."""
+        self.unreachable_epoch, self.unreachable_since = epoch, now
+
+    def record_success(self) -> None:
+        """Record that a task was completed here, which clears the machine of suspected faults."""
+        self.errors = 0
+        self.error_jobs.clear()
+
+    def block_until(self, until: float) -> None:
+        """Give the machine no tasks until then, or longer if it is blocked for longer already."""
+        self.blocked_until = max(self.blocked_until, until)
+
+    def reserve(self, job_id: str, until: float) -> None:
+        """Reserve the machine for a job."""
+        self.reserved_for, self.reserved_until = job_id, until
+
     def slots_used(self, kind: int) -> int:
         return self.slots.get(kind, 0)
--- a/src/grebestand/cluster_state/machine_inventory.py
+++ b/src/grebestand/cluster_state/machine_inventory.py
@@ -151,6 +151,15 @@
         if m.reception is not Reception.REACHABLE:
             self.to_query.add(m.index)
 
+    def confirm_reception(self, machine: Machine, now: float) -> None:
+        """Record that a machine does what the responses to its heartbeats said.
+
+        For an unreachable machine this is no evidence of the present: only a direct answer or an outlived lease is.
+        """
+        if machine.reception is not Reception.UNREACHABLE:
+            machine.missed_responses = 0
+            self.receive(machine, Reception.REACHABLE, "it does as it is told", now)
+
     def add_allocation(self, m: Machine, allocation: Allocation) -> None:
         job = allocation.job
         m.used = add(m.used, job.size)
--- a/src/grebestand/leader/heartbeat_handler.py
+++ b/src/grebestand/leader/heartbeat_handler.py
@@ -98,7 +98,7 @@
             return None
         self.check(report)
         now = self.clock()
-        m = self.context.reconciler.read(report, now, direct=False)
+        m = self.context.reconciler.read(report, now, solicited=False)
         known = m or self.inventory.by_name.get(report.machine)
         if (
             known is not None
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -108,7 +108,7 @@
         if (report.epoch, report.sequence) <= known:
             # it was made just now, so it is no late copy: the worker has begun to count anew
             self.context.reconciler.restarted(m, report.epoch, now)
-        self.context.reconciler.read(report, now, direct=True)
+        self.context.reconciler.read(report, now, solicited=True)
         self.check(now)
 
     def order_stops(self, m: Machine) -> None:
--- a/tests/heartbeats/test_machine_faults.py
+++ b/tests/heartbeats/test_machine_faults.py
@@ -59,8 +59,9 @@
         for task in w.running():
             w.finish(task)
     world.settle(term, 2)
-    told = [r.getMessage() for r in caplog.records if "began after" in r.getMessage()]
-    assert len(told) == 1 and told[0].startswith(gang)
+    starts = [r.getMessage() for r in caplog.records if "job_started" in r.getMessage()]
+    assert len(starts) == 1 and starts[0].startswith(f"job_started job_id={gang} wait_s=")
+    assert starts[0].endswith(" kind=gang tasks=2")
     assert any(f"accepted {gang}: gang of 2 tasks of train for blue" in r.getMessage() for r in caplog.records)
 
 
--- a/tests/scenarios/test_fault_pairs.py
+++ b/tests/scenarios/test_fault_pairs.py
@@ -370,7 +370,7 @@
 
 
 def test_taken_for_proved_they_would_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(HeartbeatReconciler, "_strangers", staticmethod(lambda m, r: False))
+    monkeypatch.setattr(HeartbeatReconciler, "_runs_unknown_tasks", staticmethod(lambda machine, heartbeat: False))
     _, term = cancelled_while_nobody_led()
     assert [len(j.allocations) for j in term.registry.jobs.values()] == [4]
 
--- a/tests/scheduling/test_incremental_passes.py
+++ b/tests/scheduling/test_incremental_passes.py
@@ -259,9 +259,9 @@
         for status in w.tasks.values():
             status.state = TaskPhase.RUNNING
     world.settle(term, 3)
-    told = [r.getMessage() for r in caplog.records if "runs whole" in r.getMessage()]
-    assert len(told) == 1 and told[0].startswith(f"gang {gang} runs whole: 2 tasks, placed 1.0 s after there was room")
-    assert "1.0 s to the last image" in told[0]
+    events = [r.getMessage() for r in caplog.records if "gang_started" in r.getMessage()]
+    assert len(events) == 1 and events[0].startswith(f"gang_started job_id={gang} tasks=2 placement_s=1 ")
+    assert events[0].endswith(" image_s=1")
 
 
 def test_a_slow_machine_is_told_from_a_job_that_is_slow_everywhere(
--- a/tests/support/cluster_actions.py
+++ b/tests/support/cluster_actions.py
@@ -62,10 +62,10 @@
     """Broken on purpose: every report is taken as if it echoed this term's token, and as the newest."""
     read = HeartbeatReconciler.read
 
-    def believing(self: HeartbeatReconciler, r: Heartbeat, now: float, direct: bool) -> Machine | None:
+    def believing(self: HeartbeatReconciler, r: Heartbeat, now: float, solicited: bool) -> Machine | None:
         m = self.inventory.by_name.get(r.machine)
         newest = (m.epoch, m.sequence + 1) if m is not None else (r.epoch, r.sequence)
         epoch, sequence = max((r.epoch, r.sequence), newest)
-        return read(self, msgspec.structs.replace(r, token=self.token, epoch=epoch, sequence=sequence), now, direct)
+        return read(self, msgspec.structs.replace(r, token=self.token, epoch=epoch, sequence=sequence), now, solicited)
 
     monkeypatch.setattr(HeartbeatReconciler, "read", believing)
