--- a/src/grebestand/cluster_state/job_registry.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -156,8 +156,6 @@
             return
         check_transition(ALLOCATION_TRANSITIONS, old, new, f"{allocation.job.spec.id}/{allocation.index}")
         allocation.state = new
-        if new not in (AllocationState.QUEUED, AllocationState.SENT, AllocationState.GONE) and allocation.on_at is None:
-            allocation.on_at = now
         if new is AllocationState.RUNNING and allocation.run_at is None:
             allocation.run_at = now
         if new is not AllocationState.GONE:
--- a/src/grebestand/cluster_state/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -1,4 +1,4 @@
-"""A live job and the places where its tasks may be."""
+"""A live job, and its allocations: the machines where its tasks may be."""
 
 from __future__ import annotations
 
@@ -9,9 +9,17 @@
 from ..wire.remote_assignment import RemoteAssignment
 from .resources import task_resources
 
+#: Value of `Allocation.sent_sequence` while the start command has to be sent again; no heartbeat has this sequence.
+START_LOST = -1
+#: Value of `Allocation.reported_sequence` before any heartbeat has named the task.
+NOT_REPORTED = -1
+
 
 class Allocation:
-    """One attempt of a task on one machine. It counts against every limit until it is proved gone."""
+    """One attempt of a task on one machine.
+
+    It counts against every limit until it is known to be gone. All times are in seconds of the leader's clock.
+    """
 
     __slots__ = (
         "attempt",
@@ -21,64 +29,90 @@
         "held",
         "index",
         "job",
+        "keeps_fetching",
         "machine",
         "made_at",
         "name",
-        "on_at",
+        "reported_sequence",
         "run_at",
-        "seen_sequence",
         "sent_epoch",
         "sent_sequence",
+        "start_sent_at",
         "state",
         "stop",
         "stop_sent_at",
-        "told_at",
-        "warms",
     )  # fmt: skip
 
     def __init__(self, job: Job, index: int, machine: int, attempt: int, now: float) -> None:
         self.job = job
+        #: The task's index in its job.
         self.index = index
-        #: as reports and commands name the task
+        #: The task's name in heartbeats and commands.
         self.name = task_name(job.spec.id, index)
+        #: The machine's index in the inventory.
         self.machine = machine
         self.attempt = attempt
         self.state = AllocationState.QUEUED
+        #: The worker's epoch that the allocation belongs to: it ends with that epoch.
         self.epoch = 0
+        #: Epoch and sequence of the heartbeat whose response carried the start command.
         self.sent_epoch = 0
         self.sent_sequence = 0
-        #: the newest report of the session that named it
-        self.seen_sequence = -1
+        #: Sequence of the newest heartbeat of the epoch that named the task.
+        self.reported_sequence = NOT_REPORTED
+        #: When it was decided.
         self.made_at = now
-        #: the task had no place before, so it began at its beginning
+        #: The task had no allocation before, so it runs from its beginning.
         self.first = False
-        #: not to be sent before the others of its gang have their image
+        #: Not to be sent before the other tasks of its gang have their image.
         self.held = False
-        #: its gang is broken; it stays until its machine has the image, for the next attempt
-        self.warms = False
-        self.on_at: float | None = None
+        #: Its gang is broken; it stays until its machine has fetched the image, for the gang's next attempt.
+        self.keeps_fetching = False
+        #: When the task was first seen to run.
         self.run_at: float | None = None
+        #: Why it has been asked to stop, and with how many seconds for a checkpoint.
         self.stop: str | None = None
         self.grace = 0.0
         self.stop_sent_at = -math.inf
-        #: when an answer last told to start it
-        self.told_at = math.inf
+        #: When a response last carried the start command.
+        self.start_sent_at = math.inf
+
+    def record_start_command(self, epoch: int, sequence: int, now: float) -> None:
+        """Record that the response to this heartbeat of the machine carries the start command."""
+        self.epoch = self.sent_epoch = epoch
+        self.sent_sequence = sequence
+        self.start_sent_at = now
+
+    def record_lost_start(self) -> None:
+        """Record that the start command did not arrive, so that the next response carries it again."""
+        self.sent_sequence = START_LOST
 
 
 class GangStartTimeline:
-    """When the last task of a gang's attempt came so far; the clock's seconds."""
+    """When the last task of a gang's attempt reached each stage of its start, in seconds of the leader's clock."""
 
     __slots__ = ("attempt", "covered", "placed", "reported", "room", "sent")
 
     def __init__(self, attempt: int, room: float, placed: float) -> None:
+        """Begin with a placement.
+
+        Args:
+            attempt: The attempt of all the gang's allocations.
+            room: Since when the capacity for the whole gang may have been free.
+            placed: When the gang was placed.
+        """
         self.attempt = attempt
-        #: since when the whole gang might have had its room
         self.room = room
+        #: Placed; covered by a durable grant; start command sent; first named in a heartbeat.
         self.placed = self.covered = self.sent = self.reported = placed
 
 
 class Job:
-    """A live job. Only tasks that have a place cost an object; the rest are bits and a cursor."""
+    """A live job.
+
+    Only tasks with an allocation cost an object; the others are bits (`done`, `durable`), a cursor (`fresh`) and a list
+    (`returned`). All times are in seconds of the leader's clock.
+    """
 
     __slots__ = (
         "abroad",
@@ -129,66 +163,87 @@
     )  # fmt: skip
 
     def __init__(self, spec: JobSpec, version: int, accepted_at: float, team: int) -> None:
+        """Begin without allocations and results.
+
+        Args:
+            spec: What was submitted.
+            version: The store's revision of the job's live record.
+            accepted_at: When the job was accepted.
+            team: The team's index in the registry.
+        """
         self.spec = spec
         self.version = version
         self.accepted_at = accepted_at
-        #: of a cancelled one: a machine that still has a task of it is answered until then, so its lease ends in time
+        #: Once it is cancelled: machines that still have a task of it are answered until then, so that their lease ends
+        #: in time.
         self.may_answer_until = math.inf
         self.team = team
+        #: What one task takes.
         self.size = task_resources(spec)
-        #: of its priority, the highest being 0
+        #: The rank of its priority, the highest being 0.
         self.rank = PRIORITIES.index(spec.priority)
+        #: Indices in the registry: its task type, its zone (-1: any) and its image.
         self.type = -1
         self.zone = -1
         self.image = -1
         self.state = JobState.WAITING
-        #: whether it is WAITING or ACTIVE; kept beside the state, since every pass asks it of every job many times
+        #: Whether it is WAITING or ACTIVE; kept beside the state, since every pass asks it of every job many times.
         self.live = True
+        #: One bit for each task: whether it is done, and whether its result is durable.
         self.done = bytearray((spec.tasks + 7) // 8)
         self.durable = bytearray((spec.tasks + 7) // 8)
         self.done_count = 0
+        #: By chunk of `done`, since when it has results that are not durable.
         self.dirty: dict[int, float] = {}
+        #: By task index.
         self.allocations: dict[int, Allocation] = {}
+        #: Tasks from this index on have never had an allocation.
         self.fresh = 0
+        #: Tasks below `fresh` that have lost their allocation; an index may be listed twice, or be stale.
         self.returned: list[int] = []
-        #: what finished tasks took, by machine, the latest
+        #: Machine index and run time in seconds of the tasks that finished last.
         self.runs: list[tuple[int, float]] = []
-        #: of a gang that was placed
+        #: Of a gang that was placed and does not run as a whole yet.
         self.stages: GangStartTimeline | None = None
-        #: the cluster named in its live record, and how many of its tasks run there
+        #: The cluster named in its live record, and how many of its tasks run there.
         self.abroad: RemoteAssignment | None = None
         self.abroad_running = 0
-        #: another cluster runs it or may come to run it: nothing of it may start here
+        #: Another cluster runs it or may come to run it: nothing of it may start here.
         self.away = False
-        #: it is another cluster's, and that has not asked about it lately: nothing more of it starts meanwhile
+        #: It is another cluster's, and that has not asked about it lately: nothing more of it starts meanwhile.
         self.guest = False
         self.unasked = False
-        #: in how many rounds tasks of it have failed, when last, and after how long at the most, in seconds
+        #: In how many rounds tasks of it have failed, when last, and after how long at the most, in seconds.
         self.errors = 0
         self.failed_at = -math.inf
         self.fails_after_s = 0.0
-        #: it fails wherever it is started: one task, or one gang, of it is tried at a time
+        #: It fails wherever it is started: one task, or one gang, of it is tried at a time.
         self.doubtful = False
+        #: A task of it was completed, or has saved a checkpoint.
         self.earned = False
-        #: how often the whole gang was stopped to make room
+        #: How often the whole gang was preempted.
         self.displaced = 0
+        #: Machines where it failed, by index, and when.
         self.avoid: dict[int, float] = {}
+        #: None of it is placed before then.
         self.hold_until = 0.0
-        #: durable coarse grant: machines (None: any) that tasks below granted_hi may have been started on
+        #: Its durable grant: machines (None: any) that tasks below `granted_hi` may have been started on.
         self.granted: set[int] | None = set()
         self.granted_hi = 0
-        #: machines that may hold tasks of an earlier leader's, not yet proved; such tasks are below unseen_below
+        #: Unreconciled machines that may hold tasks started by an earlier leader; such tasks are below `unseen_below`.
         self.possible_holders: set[int] = set()
         self.unseen_below = 0
+        #: Whether its team's guarantee covers it.
         self.guaranteed = False
         self.wait_since = accepted_at
-        #: when it has to be done for its aims, once that has been looked up
+        #: When it has to be done to meet its objectives, once that has been looked up.
         self.ends: list[float] | None = None
-        #: when a task of it last got a place
+        #: When a task of it last got an allocation.
         self.started_at = accepted_at
         self.preempt_at = -math.inf
+        #: For users: why its tasks wait.
         self.why_waiting = ""
-        #: it has been told that it began
+        #: Its start has been logged.
         self.begun = False
 
     def record_progress(self) -> None:
@@ -197,33 +252,38 @@
         self.doubtful = False
 
     def is_done(self, index: int) -> bool:
+        """Return whether a task is done."""
         return bool(self.done[index >> 3] >> (index & 7) & 1)
 
     def is_durable(self, index: int) -> bool:
+        """Return whether a task is done and its result is durable."""
         return bool(self.durable[index >> 3] >> (index & 7) & 1)
 
     @property
     def gang(self) -> bool:
+        """Whether all its tasks have to run at once."""
         return self.spec.kind is Kind.GANG
 
     def unfinished(self) -> int:
+        """Return how many tasks are not done."""
         return self.spec.tasks - self.done_count
 
     def waiting(self) -> int:
-        """Tasks that are neither done nor anywhere."""
+        """Return how many tasks are not done and have no allocation."""
         if not self.live or self.away or self.unasked:
             return 0
         return max(0, self.spec.tasks - self.done_count - len(self.allocations))
 
     def wanted(self) -> int:
-        """Waiting tasks that room should be found for."""
+        """Return for how many waiting tasks capacity should be found."""
         return min(self.waiting(), 1) if self.doubtful and not self.gang else self.waiting()
 
     def startable(self) -> int:
-        """Waiting tasks that are provably nowhere. After a takeover only those an earlier leader may have
-        started wait for proof: the ones that were seen since, or that no grant covers, do not.
+        """Return how many waiting tasks are known to run nowhere.
 
-        Where the zones of a job's other tasks matter, all of them wait: what has not been seen may be in any zone.
+        After a failover, only tasks that an earlier leader may have started wait for reconciliation; those that were
+        seen since, or that no grant covers, do not. Where the zones of a job's other tasks matter, all of them wait:
+        an unseen task may be in any zone.
         """
         if self.doubtful and not self.gang and self.allocations:
             return 0
@@ -231,19 +291,20 @@
             return self.wanted()
         if self.gang or self.spec.one_zone or self.spec.spread:
             return 0
-        back = sum(1 for i in set(self.returned) if not self.is_done(i) and i not in self.allocations)
-        free = back + self.spec.tasks - self.fresh
-        return min(free, 1) if self.doubtful else free
+        returned = sum(1 for i in set(self.returned) if not self.is_done(i) and i not in self.allocations)
+        startable = returned + self.spec.tasks - self.fresh
+        return min(startable, 1) if self.doubtful else startable
 
     def covers(self, allocation: Allocation) -> bool:
-        """Whether the durable grant tells a later leader that this task may be on that machine."""
+        """Return whether the durable grant tells a later leader that this task may be on that machine."""
         return allocation.index < self.granted_hi and (self.granted is None or allocation.machine in self.granted)
 
     def running(self) -> int:
-        return self.abroad_running + sum(1 for p in self.allocations.values() if p.state is AllocationState.RUNNING)
+        """Return how many tasks run, here and in another cluster."""
+        return self.abroad_running + sum(1 for a in self.allocations.values() if a.state is AllocationState.RUNNING)
 
     def take(self) -> int | None:
-        """The next waiting task; the caller gives it a place at once."""
+        """Remove and return the next waiting task; the caller opens an allocation for it at once."""
         while self.returned:
             index = self.returned.pop()
             if not self.is_done(index) and index not in self.allocations:
--- a/src/grebestand/cluster_state/machine_inventory.py
+++ b/src/grebestand/cluster_state/machine_inventory.py
@@ -143,7 +143,7 @@
         if Reception.UNREACHABLE in (old, new):
             log.info("machine %s: %s -> %s: %s", m.name, old.name, new.name, why)
 
-    def doubt(self, m: Machine, why: str, now: float, weight: int = 1) -> None:
+    def record_missed_response(self, m: Machine, why: str, now: float, weight: int = 1) -> None:
         """A report that goes on as if the answer to the one before had not come."""
         m.missed_responses += weight
         if m.missed_responses >= MISSED_RESPONSES_BEFORE_SUSPICION and m.reception is Reception.REACHABLE:
--- a/src/grebestand/heartbeats/reconciliation.py
+++ b/src/grebestand/heartbeats/reconciliation.py
@@ -34,8 +34,6 @@
 #: Nothing but responses renews a lease, so an epoch that lasts for this many leases shows that responses arrive. More
 #: than one lease, since the first heartbeat of an epoch may be seen late.
 RESPONSES_ARRIVE_AFTER_LEASES = 1.4
-#: Value of `Allocation.sent_sequence` that makes the next response send the start command again.
-SEND_AGAIN = -1
 #: Value of `Machine.drain` once the provider has announced that it reclaims the machine.
 RECLAIMED = "recall"
 
@@ -110,13 +108,13 @@
             if allocation is None or allocation.attempt != status.attempt or status.state is TaskPhase.EXITED:
                 self.tasks.apply_exited_or_unknown(machine, status, now)
                 continue
-            allocation.seen_sequence = sequence
+            allocation.reported_sequence = sequence
             if allocation.state is not REPORTED_STATES[status.state]:
                 self.tasks.apply_state(machine, allocation, REPORTED_STATES[status.state], now)
         absent = [
             allocation
             for allocation in allocations.values()
-            if allocation.seen_sequence != sequence and allocation.state is not AllocationState.QUEUED
+            if allocation.reported_sequence != sequence and allocation.state is not AllocationState.QUEUED
         ]
         if absent:
             # a machine that is rarely heard may be trying other controllers, as no response reaches it
@@ -175,7 +173,7 @@
         tries one controller after the other; in between its lease expires here, and each heartbeat would have it used
         again, so this counts as enough missed responses for suspicion.
         """
-        self.inventory.doubt(machine, "its lease has ended", now, MISSED_RESPONSES_BEFORE_SUSPICION)
+        self.inventory.record_missed_response(machine, "its lease has ended", now, MISSED_RESPONSES_BEFORE_SUSPICION)
         # Answered within a lease, either the response was lost, or this is a copy of an earlier life whose epochs are
         # not known here. Accepted, the copy would end running tasks and start them a second time.
         answered_within_lease = machine.state is not MachineState.LEASE_EXPIRED and not self.inventory.lease_expired(
@@ -208,7 +206,7 @@
             if machine.token != self.token:
                 # it does not know of this term yet: the response tells it, and its next heartbeat is evidence
                 if machine.epoch:
-                    self.inventory.doubt(machine, "it goes on reporting an older token", now)
+                    self.inventory.record_missed_response(machine, "it goes on reporting an older token", now)
                 machine.record_heartbeat(heartbeat, machine.token, now)
                 return machine
             # within one life counts only rise, and so does the token: this is another life
@@ -268,7 +266,7 @@
                 start_lost = True
                 if allocation.stop is None and allocation.job.live:
                     self.registry.move_allocation(allocation, AllocationState.SENT, now)
-                    allocation.sent_sequence = SEND_AGAIN
+                    allocation.record_lost_start()
                     continue
             if proven:
                 reason = "never started" if allocation.state is AllocationState.SENT else "vanished"
@@ -278,7 +276,7 @@
                 self.inventory.to_query.add(machine.index)
         if start_lost:
             missed = MISSED_RESPONSES_BEFORE_SUSPICION if rarely_heard else 1
-            self.inventory.doubt(machine, "it was told to start tasks and has not", now, missed)
+            self.inventory.record_missed_response(machine, "it was told to start tasks and has not", now, missed)
 
     @staticmethod
     def _start_was_lost(allocation: Allocation, heartbeat: Heartbeat, solicited: bool, now: float) -> bool:
@@ -288,7 +286,7 @@
         response can no longer arrive.
         """
         if solicited:
-            return now - allocation.told_at > START_COMMAND_LOST_AFTER_S
+            return now - allocation.start_sent_at > START_COMMAND_LOST_AFTER_S
         return (heartbeat.epoch, heartbeat.sequence) > (allocation.sent_epoch, allocation.sent_sequence)
 
     def _reconcile_machine(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
--- a/src/grebestand/heartbeats/task_reconciliation.py
+++ b/src/grebestand/heartbeats/task_reconciliation.py
@@ -78,7 +78,7 @@
                 self._apply_failure(machine, job, allocation, status, now)
         elif index not in job.allocations and job.live and not job.is_done(index):
             allocation = self._adopt(machine, job, index, status.attempt, now)
-            allocation.seen_sequence = machine.sequence
+            allocation.reported_sequence = machine.sequence
             self.apply_state(machine, allocation, REPORTED_STATES[status.state], now)
 
     def apply_state(self, machine: Machine, allocation: Allocation, state: AllocationState, now: float) -> None:
@@ -94,7 +94,7 @@
             self._log_job_start(job, now)
         if state is not AllocationState.FETCHING:
             self.inventory.note_image(machine, job.image, job.spec.image_gb)
-            if allocation.warms:
+            if allocation.keeps_fetching:
                 self.dispatch.stop(allocation, "gang broken", 0.0, now)
 
     def end_allocation(self, machine: Machine, allocation: Allocation, reason: str, now: float) -> None:
@@ -224,7 +224,7 @@
         """
         if reason != ExitReason.ALONE.value or allocation.state is not AllocationState.FETCHING:
             return False
-        allocation.warms = True
+        allocation.keeps_fetching = True
         for needed in (machine, self.inventory.at(allocation.machine)):
             if needed is not None and needed.reserved_for is None:
                 needed.reserve(allocation.job.spec.id, now + RESERVED_WHILE_FETCHING_S)
