--- a/src/grebestand/cluster_state/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -83,6 +83,10 @@
         self.sent_sequence = sequence
         self.start_sent_at = now
 
+    def request_stop(self, reason: str, grace_s: float) -> None:
+        """Record that the task is to stop, and how many seconds it has for a checkpoint."""
+        self.stop, self.grace = reason, grace_s
+
     def record_lost_start(self) -> None:
         """Record that the start command did not arrive, so that the next response carries it again."""
         self.sent_sequence = START_LOST
