--- a/src/grebestand/cluster_state/job_registry.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -120,8 +120,7 @@
             return
         job.done[index >> 3] |= 1 << (index & 7)
         job.done_count += 1
-        job.earned = True
-        job.doubtful = False
+        job.record_progress()
         self.changed = True
 
     def load_done(self, job: Job, offset: int, bits: bytes) -> None:
@@ -157,8 +156,6 @@
             return
         check_transition(ALLOCATION_TRANSITIONS, old, new, f"{allocation.job.spec.id}/{allocation.index}")
         allocation.state = new
-        if new not in (AllocationState.QUEUED, AllocationState.SENT, AllocationState.GONE) and allocation.on_at is None:
-            allocation.on_at = now
         if new is AllocationState.RUNNING and allocation.run_at is None:
             allocation.run_at = now
         if new is not AllocationState.GONE:
--- a/src/grebestand/leader/heartbeat_handler.py
+++ b/src/grebestand/leader/heartbeat_handler.py
@@ -107,7 +107,7 @@
             return None
         self.validate(heartbeat)
         now = self.clock()
-        machine = self.context.reconciler.read(heartbeat, now, direct=False)
+        machine = self.context.reconciler.read(heartbeat, now, solicited=False)
         if self._must_not_renew(machine or self.inventory.by_name.get(heartbeat.machine), now):
             return None
         if machine is None:
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -148,7 +148,7 @@
         if (heartbeat.epoch, heartbeat.sequence) <= known:
             # it was made after the request, so it is no late copy: the worker has restarted its counters
             self.context.reconciler.restarted(machine, heartbeat.epoch, now)
-        self.context.reconciler.read(heartbeat, now, direct=True)
+        self.context.reconciler.read(heartbeat, now, solicited=True)
         self.check(now)
 
     def order_stops(self, machine: Machine) -> None:
--- a/tests/heartbeats/test_heartbeat_handling.py
+++ b/tests/heartbeats/test_heartbeat_handling.py
@@ -10,7 +10,7 @@
 from grebestand.api.heartbeat_api import HeartbeatApi
 from grebestand.cluster_state.jobs import Allocation
 from grebestand.cluster_state.machine import Machine
-from grebestand.heartbeats import reconciliation
+from grebestand.heartbeats import task_reconciliation
 from grebestand.simulation.single_controller_cluster import InMemoryController
 from grebestand.state_machines import AllocationState, LeaderState, MachineState
 from grebestand.wire.jobs import split_task
@@ -117,7 +117,7 @@
         moves.append(new)
         move(allocation, new, now)
 
-    monkeypatch.setattr(reconciliation, "split_task", counted_split)
+    monkeypatch.setattr(task_reconciliation, "split_task", counted_split)
     monkeypatch.setattr(term.registry, "move_allocation", counted_move)
     cluster.clock.now += 3.0
     response = cluster.handle_heartbeat(term, worker)
--- a/tests/scheduling/test_gang_scheduling.py
+++ b/tests/scheduling/test_gang_scheduling.py
@@ -93,7 +93,6 @@
             for status in worker.tasks.values():
                 status.state = phase
         cluster.world.settle(cluster.term, rounds)
-    lines = [r.getMessage() for r in caplog.records if "runs whole" in r.getMessage()]
-    assert len(lines) == 1
-    assert lines[0].startswith(f"gang {job_id} runs whole: 2 tasks, placed 1.0 s after there was room")
-    assert "1.0 s to the last image" in lines[0]
+    events = [r.getMessage() for r in caplog.records if "gang_started" in r.getMessage()]
+    assert len(events) == 1 and events[0].startswith(f"gang_started job_id={job_id} tasks=2 placement_s=1 ")
+    assert events[0].endswith(" image_s=1")
