--- a/tests/api/test_confirmed_results.py
+++ b/tests/api/test_confirmed_results.py
@@ -189,7 +189,7 @@
 
 def unknown_counts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Machines that are not proved count nothing."""
-    monkeypatch.setattr(MachineInventory, "_share_unknown", lambda self: None)
+    monkeypatch.setattr(MachineInventory, "_set_unknown_usage", lambda self: None)
 
 
 @pytest.mark.parametrize("break_it", [cancelled_room_is_free_at_once, unknown_counts_nothing])
--- a/tests/scenarios/test_absent_machines.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -394,7 +394,7 @@
 
 def unknown_counts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """What may be on machines that are not proved counts against no team."""
-    monkeypatch.setattr(MachineInventory, "_share_unknown", lambda self: None)
+    monkeypatch.setattr(MachineInventory, "_set_unknown_usage", lambda self: None)
 
 
 def unseen_runs_again(monkeypatch: pytest.MonkeyPatch) -> None:
