--- a/src/grebestand/leader/deprovisioning.py
+++ b/src/grebestand/leader/deprovisioning.py
@@ -12,7 +12,7 @@
 from ..wire.cloud import ListedMachine
 from .machine_reconciliation import MachineReconciliation
 from .machine_records import MachineRecords
-from .provisioning import PendingMachine, Provisioning
+from .provisioning import Provisioning
 from .term_context import TermComponent, TermContext
 
 log = logging.getLogger(__name__)
@@ -73,37 +73,29 @@
 
     def _apply_list(self, listed: list[ListedMachine]) -> None:
         now = self.clock()
-        dead = self._update_pending(listed, now)
-        self._forget_unlisted_rentals(now)
+        dead = self._record_list(listed, now)
+        list_lag_s = self.context.settings.params.cloud.list_lag_s
+        self.provisioning.forget_unlisted(now, UNLISTED_LAGS * list_lag_s + UNLISTED_MARGIN_S)
         dead += self._dead_machines({entry.id for entry in listed}, now)
         if dead:
             self._remove(dead)
 
-    def _update_pending(self, listed: list[ListedMachine], now: float) -> list[str]:
-        """Note the listed machines without a heartbeat; return those that failed or take too long to boot."""
-        provisioning = self.provisioning
-        provisioning.listed_pending = {}
+    def _record_list(self, listed: list[ListedMachine], now: float) -> list[str]:
+        """Record which machines are on their way; return those that failed or take too long to boot."""
         dead: list[str] = []
+        self.provisioning.begin_list()
         for entry in listed:
+            pending = False
             if entry.state == FAILED:
                 dead.append(entry.id)
             elif entry.id not in self.inventory.by_name and entry.id not in self._deleted:
-                if provisioning.boots.is_given_up(entry.type, entry.age_s):
+                pending = not self.provisioning.boots.is_given_up(entry.type, entry.age_s)
+                if not pending:
                     log.info(LogEvent("machine_never_started", machine=entry.id))
                     dead.append(entry.id)
-                else:
-                    # the age is that at the time which the list describes, so a promised machine keeps its own
-                    pending = PendingMachine(entry.type, entry.zone, entry.spot, now - entry.age_s)
-                    provisioning.listed_pending[entry.id] = provisioning.expected.get(entry.id, pending)
-            provisioning.expected.pop(entry.id, None)
+            self.provisioning.record_listed(entry, now, pending=pending)
         return dead
 
-    def _forget_unlisted_rentals(self, now: float) -> None:
-        expected = self.provisioning.expected
-        limit_s = UNLISTED_LAGS * self.context.settings.params.cloud.list_lag_s + UNLISTED_MARGIN_S
-        for name in [name for name, pending in expected.items() if now - pending.since > limit_s]:
-            del expected[name]
-
     def _dead_machines(self, listed: set[str], now: float) -> list[str]:
         """Return the silent machines that are gone from the list, or silent for too long.
 
--- a/src/grebestand/leader/heartbeat_handler.py
+++ b/src/grebestand/leader/heartbeat_handler.py
@@ -60,6 +60,10 @@
         #: since when nothing is started, as the knowledge of cancellations is too old for it
         self._starts_paused_since: float | None = None
 
+    def restart_silence(self, now: float) -> None:
+        """Count the silence of all workers from now on: none of them could be heard before."""
+        self.last_heard_at = now
+
     def may_answer(self, heartbeat: Heartbeat) -> bool:
         """Return whether this term may answer; a worker that has seen a higher token pauses the term."""
         if self.writer.is_leader() and heartbeat.token > self.token:
--- a/src/grebestand/leader/job_audit.py
+++ b/src/grebestand/leader/job_audit.py
@@ -14,6 +14,7 @@
 from ..flow_control.rate_limiter import Urgency
 from ..log_events import LogEvent
 from ..state_machines import AllocationState, MachineState
+from ..storage.completed_jobs import CompletedJobs
 from ..storage.job_records import live_key
 from ..wire.store import KeyValuePage
 from .job_watch import LIVE_PREFIX, JobWatch
@@ -40,9 +41,10 @@
 class JobAudit(TermComponent):
     """Finds and repairs jobs that wait for nothing."""
 
-    def __init__(self, context: TermContext, job_watch: JobWatch) -> None:
+    def __init__(self, context: TermContext, job_watch: JobWatch, completed_jobs: CompletedJobs) -> None:
         super().__init__(context)
         self.job_watch = job_watch
+        self.completed_jobs = completed_jobs
         self._page_read_at = -math.inf
         #: the last key of the page that was read last, or empty at the beginning
         self._last_key = ""
@@ -156,9 +158,10 @@
 
     def _unknown_jobs(self, page: KeyValuePage, watched: int) -> list[str]:
         """Return the jobs of a page that the registry lacks, without those that the watch has still to bring."""
-        completed = self.job_watch.job_completion.completed_jobs
         listed = [pair.key.removeprefix(LIVE_PREFIX) for pair in page.items if pair.version <= watched]
-        return [job_id for job_id in listed if job_id not in self.registry.jobs and completed.get(job_id) is None]
+        return [
+            job_id for job_id in listed if job_id not in self.registry.jobs and self.completed_jobs.get(job_id) is None
+        ]
 
     def _missing_jobs(self, page: KeyValuePage, watched: int, after: str, up_to: str) -> list[str]:
         """Return the live jobs of the registry that a page should list, given the range of its keys, and does not."""
@@ -183,7 +186,7 @@
                 self._log_defect(job, "it has no record any more")
                 self.job_watch.removed(job_id, now)
             return
-        if job is not None or self.job_watch.job_completion.completed_jobs.get(job_id) is not None:
+        if job is not None or self.completed_jobs.get(job_id) is not None:
             return
         self.job_watch.take(found.value, found.version, now)
         self._log_defect(self.registry.jobs[job_id], "it was on record and not in the registry")
--- a/src/grebestand/leader/provisioning.py
+++ b/src/grebestand/leader/provisioning.py
@@ -22,7 +22,7 @@
 from ..metrics.duration_sketches import DurationSketches
 from ..scheduling.scale_out import CapacityShortage
 from ..storage.leader_records import RentalRecord
-from ..wire.cloud import RentRequest
+from ..wire.cloud import ListedMachine, RentRequest
 from .term_context import TermComponent, TermContext
 
 log = logging.getLogger(__name__)
@@ -150,6 +150,29 @@
         if pending is not None:
             self.boots.learn(pending.type, self.clock() - pending.since)
 
+    def begin_list(self) -> None:
+        """Forget what the cloud's last list showed, as another one is about to be recorded."""
+        self.listed_pending = {}
+
+    def record_listed(self, entry: ListedMachine, now: float, *, pending: bool) -> None:
+        """Note a machine of the cloud's list, so that it does not count as promised any more.
+
+        Args:
+            entry: the machine as listed.
+            now: the time of the steady clock.
+            pending: whether it has sent no heartbeat and is still expected to.
+        """
+        promised = self.expected.pop(entry.id, None)
+        if pending:
+            # the listed age is that at the time which the list describes, so a promised machine keeps its own
+            listed = PendingMachine(entry.type, entry.zone, entry.spot, now - entry.age_s)
+            self.listed_pending[entry.id] = promised or listed
+
+    def forget_unlisted(self, now: float, limit_s: float) -> None:
+        """Do not expect machines any more that were promised longer ago than the limit, and never listed."""
+        for name in [name for name, promised in self.expected.items() if now - promised.since > limit_s]:
+            del self.expected[name]
+
     def coming(self, now: float) -> ExpectedMachines:
         """Return how many machines are on their way.
 
--- a/src/grebestand/leader/term.py
+++ b/src/grebestand/leader/term.py
@@ -32,7 +32,7 @@
 from .scheduling_loop import SchedulingLoop
 from .status_broadcast import StatusBroadcast
 from .task_progress import TaskProgress
-from .term_context import TermContext
+from .term_context import TermContext, TermEnvironment
 
 log = logging.getLogger(__name__)
 
@@ -70,7 +70,6 @@
             features: the hooks of the features that are on.
         """
         self.settings = settings
-        self.policy = policy
         self.writer = writer
         self.token = writer.token
         self.election = writer.election
@@ -82,14 +81,20 @@
         self.machine_types = machine_types
         self.overload = overload
         self.features = features
-        self.started_at = clock()
+        self._environment = TermEnvironment(
+            settings=settings,
+            policy=policy,
+            writer=writer,
+            clock=clock,
+            wall=wall,
+            started_at=clock(),
+            features=features,
+        )
         self._build_components()
 
     def _build_components(self) -> None:
         """Build all parts over an empty state, from which each attempt at loading starts."""
-        context = self.context = TermContext(
-            self.settings, self.policy, self.writer, self.clock, self.wall, self.started_at, self.features
-        )
+        context = self.context = TermContext(self._environment)
         self.registry, self.inventory, self.dispatch = context.registry, context.inventory, context.dispatch
         self.command_builder, self.scheduler = context.command_builder, context.scheduler
         self.machine_records = MachineRecords(context)
@@ -121,7 +126,7 @@
             scheduling_loop=self.scheduling_loop,
         )
         self.status_broadcast = StatusBroadcast(context)
-        self.job_audit = JobAudit(context, self.job_watch)
+        self.job_audit = JobAudit(context, self.job_watch, self.completed_jobs)
         self.feature_records = {r.prefix: self.writer.pages(r.prefix) for r in self.features.records}
         self.loaded = False
 
@@ -172,7 +177,7 @@
         """Assume that an earlier leader answered every machine just now: their leases end at the latest from here."""
         for machine in self.inventory.machines:
             machine.last_response_at = now
-        self.heartbeat_handler.last_heard_at = now
+        self.heartbeat_handler.restart_silence(now)
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
         """Return the answer to a heartbeat, or None while this controller may not answer."""
--- a/src/grebestand/leader/term_context.py
+++ b/src/grebestand/leader/term_context.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from ..cluster_state.dispatch import Dispatch
 from ..cluster_state.job_registry import JobRegistry
@@ -29,47 +30,50 @@
 BASE64_EFFICIENCY = 3 / 4
 
 
+@dataclass(frozen=True)
+class TermEnvironment:
+    """What a term is given by its controller and shares with its parts."""
+
+    settings: Settings
+    policy: Expressions
+    writer: FencedWriter
+    #: a steady clock, in seconds
+    clock: Callable[[], float]
+    #: the time of day, in seconds since the epoch
+    wall: Callable[[], float]
+    #: when the term began, by `clock`
+    started_at: float
+    features: Features
+
+
 class TermContext:
     """The shared objects of one term, all of them empty at first."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        policy: Expressions,
-        writer: FencedWriter,
-        clock: Callable[[], float],
-        wall: Callable[[], float],
-        started_at: float,
-        features: Features,
-    ) -> None:
-        """Build an empty cluster state and the scheduler over it.
-
-        Args:
-            settings: the settings of the platform.
-            policy: the policy's expressions.
-            writer: the fenced writer of this term.
-            clock: a steady clock, in seconds.
-            wall: the time of day, in seconds since the epoch.
-            started_at: when the term began, by `clock`.
-            features: the hooks of the features that are on.
-        """
-        params = settings.params
-        self.settings = settings
+    def __init__(self, environment: TermEnvironment) -> None:
+        """Build an empty cluster state and the scheduler over it."""
+        params = environment.settings.params
+        writer = environment.writer
+        self.settings = environment.settings
         self.writer = writer
         self.election = writer.election
         self.token = writer.token
-        self.clock = clock
-        self.wall = wall
-        self.started_at = started_at
+        self.clock = environment.clock
+        self.wall = environment.wall
+        self.started_at = environment.started_at
         self.registry = JobRegistry(params.teams, params.zones)
         self.inventory = MachineInventory(self.registry, params.workers.lease_s, params.workers.report_s)
         self.dispatch = Dispatch(self.registry, self.inventory, self.token)
-        self.policy_evaluator = PolicyEvaluator(policy, params, self.registry, self.inventory)
+        self.policy_evaluator = PolicyEvaluator(environment.policy, params, self.registry, self.inventory)
         self.registry.type_bound = int(self.policy_evaluator.value("type_bound"))
         self.registry.chunk_bits = 8 * _chunk_bytes(writer.value_bytes)
         run_times = RunTimeEstimates()
         scheduling_context = SchedulingContext(
-            self.registry, self.inventory, self.dispatch, run_times, self.policy_evaluator.policy_values, features
+            self.registry,
+            self.inventory,
+            self.dispatch,
+            run_times,
+            self.policy_evaluator.policy_values,
+            environment.features,
         )
         self.scheduler = Scheduler(scheduling_context, params.objectives, params.workers.gang_wait_s)
         health = MachineHealth(
