--- /dev/null
+++ b/tests/flow_control/test_admission.py
@@ -0,0 +1,58 @@
+"""Which requests a controller admits, by its quota and its load state."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from grebestand.api.heartbeat_api import HeartbeatApi
+from grebestand.controller.controller import Controller
+from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController
+
+
+def settings_with_quota(cpu: float, memory_mb: float, sockets: int) -> str:
+    return f"{SETTINGS}\n[params.quota]\ncpu = {cpu}\nmemory_mb = {memory_mb}\nsockets = {sockets}\n"
+
+
+@pytest.mark.parametrize(
+    ("cpu", "memory_mb", "sockets", "most"), [(0.05, 4096, 8000, 20), (1.0, 16, 8000, 16), (1.0, 4096, 160, 20)]
+)
+def test_limit_on_user_requests_follows_the_quota(cpu: float, memory_mb: float, sockets: int, most: int) -> None:
+    """Bodies of 64 KiB, connections and waiting requests: none of them may end a small process in a burst."""
+    cluster = InMemoryCluster(settings_with_quota(cpu, memory_mb, sockets))
+    controller = Controller(cluster.settings, cluster.policy)
+    assert controller.overload.most_users == most
+    submission = {"REQUEST_METHOD": "POST", "PATH_INFO": "/v2/runs"}
+    controller.users_busy = most
+    response = controller._answer(submission)
+    assert (response.status, response.retry_after) == (503, 1)
+    assert controller.users_busy == most
+
+
+def overloaded_controller(cluster: InMemoryCluster) -> Controller:
+    """A controller that is late, with half of its user requests in progress."""
+    controller = Controller(cluster.settings, cluster.policy)
+    controller.overload.felt(3.0)
+    controller.users_busy = controller.overload.most_users // 2
+    return controller
+
+
+def test_overloaded_controller_refuses_polls_and_admits_submissions() -> None:
+    controller = overloaded_controller(InMemoryCluster())
+    poll = {"REQUEST_METHOD": "GET", "PATH_INFO": "/v2/runs/j-000001"}
+    assert controller._answer(poll).status == 503
+    assert controller.overload.takes(controller.users_busy, poll=False)
+
+
+def test_overloaded_controller_handles_heartbeats() -> None:
+    cluster = InMemoryCluster()
+    node = InMemoryController(cluster, "node-0")
+    term = node.lead()
+    worker = cluster.worker("n-000000")
+    controller = overloaded_controller(cluster)
+    controller.workers = HeartbeatApi("node-0", node.election, lambda: term)
+    assert controller.workers.handle_heartbeat(json.dumps({
+        "vessel": worker.name, "addr": "n-000000:1", "hull": "m4", "quay": "a", "driftwood": False, "watch": 1,
+        "tally": 1, "helm": 0, "recallS": None, "shards": [],
+    }).encode()).status == 200  # fmt: skip
--- /dev/null
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -0,0 +1,166 @@
+"""Scenarios of a leader whose share of a processor does not suffice."""
+
+from __future__ import annotations
+
+import pytest
+
+from grebestand.clients.peer import PeerClient
+from grebestand.controller.leadership_transfer import SLOW_S, TAKING_OVER
+from grebestand.emulators.worker import WorkerEmulator
+from grebestand.flow_control.rate_limiter import Urgency
+from grebestand.leader.job_completion import SHORT_S
+from grebestand.leader.term import Term
+from grebestand.scheduling.scheduling_context import Steps
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
+from grebestand.state_machines import LoadState, MachineState
+from grebestand.wire.peers import PeerStatus
+from support.transports import UnreachableTransport
+
+
+def cluster_with_leader() -> tuple[InMemoryCluster, InMemoryController, Term, WorkerEmulator]:
+    """A leader and one machine that may be given tasks."""
+    cluster = InMemoryCluster()
+    node = InMemoryController(cluster, "node-0")
+    term = node.lead()
+    worker = cluster.worker("n-000000")
+    cluster.settle(term, 3)
+    return cluster, node, term, worker
+
+
+def test_late_leader_places_jobs_and_does_without_migration(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Longer rests for a late controller once made gangs, which start in full passes, wait three times as long."""
+    cluster, node, term, _ = cluster_with_leader()
+    migrations: list[float] = []
+    monkeypatch.setattr(term.scheduler.migration, "migrate", migrations.append)
+    term.scheduler.retargeted_at -= 100.0
+    term.scheduling_loop.step(cluster.clock.now)
+    assert len(migrations) == 1
+    term.overload.felt(0.5)
+    job_id = cluster.accept(node, shape="ensemble", shards=1, cpus=8.0)
+    cluster.settle(term, 2)
+    assert len(migrations) == 1
+    assert term.registry.jobs[job_id].running()
+
+
+def test_leader_paused_beyond_its_lease_starts_nothing() -> None:
+    """A controller stopped for a minute finds its authority gone before it does anything else."""
+    cluster, node, term, worker = cluster_with_leader()
+    job_id = cluster.accept(node, shards=2)
+    cluster.clock.now += 60.0
+    assert cluster.handle_heartbeat(term, worker) is None
+    term.scheduling_loop.step(cluster.clock.now)
+    node.election.check_clock()
+    term.scheduling_loop.step(cluster.clock.now)
+    assert not worker.started
+    assert not term.registry.jobs[job_id].running()
+
+
+def test_overloaded_leader_resigns_for_a_peer_that_is_not() -> None:
+    """Eight times slower for a minute, a leader that could still renew its hold let the leases of 3700 tasks end."""
+    cluster = InMemoryCluster()
+    node = InMemoryController(cluster, "node-0")
+    node.lead()
+    peer = PeerClient("node-1", UnreachableTransport())
+    leadership_transfer = node.leadership_transfer(peer)
+    node.load.felt(2.0)
+    for passed_s, peer_load, stays in (
+        (3.0, LoadState.NORMAL, True),
+        (4.0, LoadState.STRAINED, True),
+        (0.0, LoadState.NORMAL, False),
+    ):
+        cluster.clock.now += passed_s
+        node.election.renew()
+        node.load.felt(2.0)
+        peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1, load=peer_load.value)
+        leadership_transfer.check_pace()
+        assert node.election.is_leader() is stays
+
+
+def test_overloaded_leader_gets_more_time_during_failover_and_not_for_ever() -> None:
+    """With 2,600 machines it was late for seven seconds and gave way, and the next began with all of them again."""
+    cluster = InMemoryCluster()
+    node = InMemoryController(cluster, "node-0")
+    term = node.lead()
+    peer = PeerClient("node-1", UnreachableTransport())
+    leadership_transfer = node.leadership_transfer(peer)
+    term.machine_reconciliation.proved = False
+    node.load.felt(2.0)
+    overloaded_at = cluster.clock.now
+    while node.election.is_leader() and cluster.clock.now - overloaded_at < 60.0:
+        cluster.clock.now += 0.5
+        node.election.renew()
+        node.load.felt(2.0)
+        peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
+        leadership_transfer.check_pace()
+    assert cluster.clock.now - overloaded_at == pytest.approx(TAKING_OVER * SLOW_S, abs=0.6)
+
+
+def test_simultaneous_heartbeats_share_a_few_passes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a cut of a zone hundreds of reports come within a second; a pass for each would answer none in time."""
+    cluster = InMemoryCluster()
+    node = InMemoryController(cluster, "node-0")
+    term = node.lead()
+    workers = [cluster.worker(f"n-{i:06d}") for i in range(100)]
+    cluster.settle(term, 3)
+    cluster.accept(node, shards=3000, cpus=1.0, ramGb=0.1)
+    passes: list[float] = []
+    passing = term.scheduler.passing
+
+    def slow_pass(now: float) -> Steps:
+        passes.append(now)
+        yield from passing(now)
+        cluster.clock.now += 0.05
+
+    monkeypatch.setattr(term.scheduler, "passing", slow_pass)
+    cluster.clock.now += 6.0
+    node.election.renew()
+    reconnected_at = cluster.clock.now
+    for worker in workers:
+        cluster.clock.now += 0.004
+        assert cluster.handle_heartbeat(term, worker) is not None
+    assert len(passes) <= 2
+    assert cluster.clock.now - reconnected_at < 1.0
+    assert all(machine.last_heard_at >= reconnected_at for machine in term.inventory.machines)
+
+
+def test_direct_response_after_lease_expiry_reconciles_nothing() -> None:
+    """A leader that is stopped while a machine answers its token may have been replaced before it reads the answer."""
+    cluster, _node, _term, worker = cluster_with_leader()
+    restarted = InMemoryController(cluster, "node-0")
+    second_term = restarted.lead()
+    machine = second_term.inventory.by_name[worker.name]
+    assert machine in second_term.machine_reconciliation.to_query(cluster.clock.now)
+    direct = cluster.direct
+
+    def late_response(addr: str, path: str, body: bytes) -> tuple[int, bytes]:
+        response = direct(addr, path, body)
+        cluster.clock.now += 30.0
+        return response
+
+    second_term.machine_reconciliation.direct = late_response
+    second_term.machine_reconciliation.ask(machine)
+    assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.proved
+    assert not second_term.machine_reconciliation.asking
+
+
+def test_array_is_granted_once_while_completion_writes_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Widenings took nine tenths of the writes: 52 of some 400 finished jobs were recorded within two minutes."""
+    cluster, node, term, _ = cluster_with_leader()
+    first_job = cluster.accept(node, shards=10)
+    commit = type(term.writer).commit
+
+    def slow_completion(self: object, conditions: object, changes: object, urgency: Urgency) -> object:
+        if urgency is Urgency.DONE:
+            cluster.clock.now += SHORT_S
+        return commit(self, conditions, changes, urgency)  # type: ignore[arg-type]
+
+    cluster.settle(term, 3)
+    assert cluster.records("grants/")[first_job][1] is not None
+    monkeypatch.setattr(type(term.writer), "commit", slow_completion)
+    for worker in cluster.workers.values():
+        for task in worker.running():
+            worker.finish(task)
+    cluster.settle(term, 4)
+    second_job = cluster.accept(node, shards=100)
+    cluster.settle(term, 3)
+    assert cluster.records("grants/")[second_job] == [100, None]
--- /dev/null
+++ b/tests/support/transports.py
@@ -0,0 +1,12 @@
+"""Transports with a fixed behaviour, in place of connections."""
+
+from __future__ import annotations
+
+from grebestand.clients.http import UnreachableError
+
+
+class UnreachableTransport:
+    """Connections to a server that never responds."""
+
+    def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+        raise UnreachableError("gone")
