--- a/tests/support/tiny_feature.py
+++ b/tests/support/tiny_feature.py
@@ -1,4 +1,4 @@
-"""A feature as small as one can be that uses every hook: a curfew with a book of what it has seen done."""
+"""A feature as small as one can be that uses most hooks: a curfew, which limits and delays jobs and records them."""
 
 from __future__ import annotations
 
@@ -15,44 +15,64 @@
 from grebestand.wire.jobs import JobSpec
 from grebestand.wire.store import Change
 
+RETRY_AFTER_S = 7
+
 
 class Curfew:
+    """The feature's state, and one method for each hook.
+
+    Attributes:
+        max_tasks: Submissions with more tasks are refused.
+        active: Whether jobs other than gangs have to wait.
+        records: The pages that the hook `records` has got.
+        loaded: The values that it has got with them.
+    """
+
     def __init__(self, values: Expressions, settings: Settings) -> None:
         names = {"teams": float(len(settings.params.teams))}
-        self.most_tasks = values.value("most_tasks", names)
-        self.on = False
-        self.pages: PagedRecords | None = None
-        self.found: dict[str, Any] = {}
+        self.max_tasks = values.value("most_tasks", names)
+        self.active = False
+        self.records: PagedRecords | None = None
+        self.loaded: dict[str, Any] = {}
 
     def accept(self, spec: JobSpec) -> HookRefusal | None:
-        return HookRefusal(429, "too many tasks", 7) if spec.tasks > self.most_tasks else None
+        return HookRefusal(429, "too many tasks", RETRY_AFTER_S) if spec.tasks > self.max_tasks else None
 
     def place(self, job: Job, now: float) -> str | None:
-        return "curfew" if self.on and not job.gang else None
+        return "curfew" if self.active and not job.gang else None
 
     def close(self, job: Job, record: CompletedJobRecord) -> list[Change]:
         return [put(f"curfew-done/{job.spec.id}", record.tasks)]
 
-    def load(self, pages: PagedRecords, found: dict[str, Any]) -> None:
-        self.pages, self.found = pages, found
+    def load(self, records: PagedRecords, loaded: dict[str, Any]) -> None:
+        self.records, self.loaded = records, loaded
 
     def step(self) -> None:
-        assert self.pages is not None
-        self.pages.put("on", self.on)
+        assert self.records is not None
+        self.records.put("on", self.active)
 
 
 def reverse(body: bytes) -> bytes:
+    """The response to a message."""
     return body[::-1]
 
 
 def make(values: Expressions, settings: Settings, plain: Plain) -> Features:
-    c = Curfew(values, settings)
-    MADE.append(c)
+    """The feature's hooks."""
+    curfew = Curfew(values, settings)
+    MADE.append(curfew)
     return Features(
-        ["curfew"], [c.accept], [c.place], [c.close], [Records("curfew/", c.load)], {"/curfew": reverse},
-        [Listener("127.0.0.1:1", "curfew", lambda environ, start: [])], [(c.step, 1.0)],
-    )  # fmt: skip
-
-
+        names=["curfew"],
+        accept=[curfew.accept],
+        place=[curfew.place],
+        close=[curfew.close],
+        records=[Records("curfew/", curfew.load)],
+        messages={"/curfew": reverse},
+        listeners=[Listener("127.0.0.1:1", "curfew", lambda environ, start: [])],
+        steps=[(curfew.step, 1.0)],
+    )
+
+
+#: every feature that was made, for tests to look at
 MADE: list[Curfew] = []
 FEATURE = Feature(Vocabulary({"most_tasks": Rule(1, 1e5)}, {"teams": (0.0, 1e6)}), {"most_tasks": "100 * teams"}, make)
