--- a/src/grebestand/cluster_state/run_time_estimates.py
+++ b/src/grebestand/cluster_state/run_time_estimates.py
@@ -1,21 +1,30 @@
-"""What finished tasks have shown of how long they run."""
+"""Estimates of run times, learned from the tasks that have finished."""
 
 from __future__ import annotations
 
 from .jobs import Job
 
+#: Bounds of one task's ratio, so that a single one far off its estimate does not spoil that of its class.
+MIN_RATIO, MAX_RATIO = 0.1, 10.0
+#: Weight of the newest task in the moving average: the last twenty or so count.
+NEWEST_WEIGHT = 0.05
+#: The ratio of a class of which no task has finished yet.
+UNKNOWN_RATIO = 1.0
+
 
 class RunTimeEstimates:
+    """How long tasks of each class run, as a multiple of what their owners estimate."""
+
     def __init__(self) -> None:
-        #: by class: run time as a multiple of what owners estimate
+        #: Moving average of run time over estimate, by class.
         self.ratio: dict[str, float] = {}
 
     def learn(self, job: Job, seconds: float) -> None:
-        """A task of this job ran so long."""
-        ratio = min(10.0, max(0.1, seconds / job.spec.estimate_s))
-        old = self.ratio.get(job.spec.klass, 1.0)
-        self.ratio[job.spec.klass] = old + 0.05 * (ratio - old)
+        """Learn from a finished task of a job, which ran for so many seconds and has an estimate."""
+        ratio = min(MAX_RATIO, max(MIN_RATIO, seconds / job.spec.estimate_s))
+        average = self.ratio.get(job.spec.klass, UNKNOWN_RATIO)
+        self.ratio[job.spec.klass] = average + NEWEST_WEIGHT * (ratio - average)
 
     def run_s(self, job: Job) -> float:
-        """How long a task of it runs, by its owner's estimate and what its class has shown, in seconds."""
-        return job.spec.estimate_s * self.ratio.get(job.spec.klass, 1.0)
+        """Return for how many seconds a task of the job is expected to run."""
+        return job.spec.estimate_s * self.ratio.get(job.spec.klass, UNKNOWN_RATIO)
--- a/src/grebestand/cluster_state/teams.py
+++ b/src/grebestand/cluster_state/teams.py
@@ -1,4 +1,4 @@
-"""What a team is guaranteed, may use at the most, and uses."""
+"""Teams: what each is guaranteed, may use at most, and uses."""
 
 from __future__ import annotations
 
@@ -7,44 +7,49 @@
 from ..settings.platform import Team
 from .resources import Resources, to_micro_rounded_down
 
-#: a limit that is none, in millionths
+#: A limit that never binds, in millionths.
 UNLIMITED = 1 << 62
+#: How many tasks a limit that never binds allows.
+UNLIMITED_TASKS = 1 << 30
 
 
 def effective_limit(team: Team) -> tuple[int, int]:
-    """What a team may use at the most, in millionths of a CPU and of a card.
+    """Return what a team may use at most, in millionths of a CPU and of a GPU.
 
-    A `cpus_max` of 0 is no limit: read as "may use nothing" it would leave a guest team nothing that it could ever run,
-    and all its submissions were answered 422. Cards stay at none, as no team needs them to run at all.
+    A `cpus_max` of 0 is no limit: such a team has no guarantee and may use what is free. Read as "may use nothing" it
+    could never run anything. For GPUs 0 stays a limit, as no team needs them to run at all.
     """
-    return (to_micro_rounded_down(team.cpus_max) if team.cpus_max > 0 else UNLIMITED), to_micro_rounded_down(
-        team.gpus_max
-    )
+    cpu_limit = to_micro_rounded_down(team.cpus_max) if team.cpus_max > 0 else UNLIMITED
+    return cpu_limit, to_micro_rounded_down(team.gpus_max)
 
 
 @dataclass
 class TeamUsage:
+    """A team's quota and usage, all in millionths of a CPU and of a GPU."""
+
     name: str
     guaranteed: tuple[int, int]
     limit: tuple[int, int]
+    #: What all its allocations take.
     used: list[int] = field(default_factory=lambda: [0, 0])
-    #: what unknown tasks on machines not yet proved could use at the most
+    #: What unknown tasks of it on unreconciled machines may take at most.
     unknown: list[int] = field(default_factory=lambda: [0, 0])
-
-    #: an overdue gang that this team's limit keeps waiting: nothing else of the team starts meanwhile
+    #: Id of an overdue gang that the limit keeps waiting: nothing else of the team starts meanwhile.
     kept_for: str = ""
 
     def left_to(self, ident: str) -> bool:
-        """Whether this job may take what is left of the limit."""
+        """Return whether the job with this id may take what is left of the limit."""
         return not self.kept_for or self.kept_for == ident
 
     def borrows(self) -> bool:
+        """Return whether the team uses more than it is guaranteed."""
         return self.used[0] > self.guaranteed[0] or self.used[1] > self.guaranteed[1]
 
     def headroom(self, size: Resources) -> int:
-        """How many more tasks of this size the team's limit allows, counting what may still be somewhere."""
-        rooms = []
-        for need, used, unknown, limit in zip(size[:2], self.used, self.unknown, self.limit, strict=True):
-            if need > 0 and limit < UNLIMITED:
-                rooms.append((limit - used - unknown) // need)
-        return max(0, min(rooms)) if rooms else 1 << 30
+        """Return how many more tasks of this size the limit allows, with what may run on unreconciled machines."""
+        allowed = [
+            (limit - used - unknown) // need
+            for need, used, unknown, limit in zip(size[:2], self.used, self.unknown, self.limit, strict=True)
+            if need > 0 and limit < UNLIMITED
+        ]
+        return max(0, min(allowed)) if allowed else UNLIMITED_TASKS
--- a/tests/api/test_confirmed_results.py
+++ b/tests/api/test_confirmed_results.py
@@ -178,7 +178,7 @@
     def early(self: JobRegistry, job: Any) -> bool:
         if job.state.name == "CANCELLED":
             use = self.teams[job.team].used
-            n = sum(1 for p in job.allocations.values() if not getattr(p, "warms", False))
+            n = sum(1 for p in job.allocations.values() if not p.keeps_fetching)
             if n and not getattr(self, "freed", set()) & {job.spec.id}:
                 self.__dict__.setdefault("freed", set()).add(job.spec.id)
                 use[0] -= n * job.size[0]
@@ -189,7 +189,7 @@
 
 def unknown_counts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Machines that are not proved count nothing."""
-    monkeypatch.setattr(MachineInventory, "_share_unknown", lambda self: None)
+    monkeypatch.setattr(MachineInventory, "_set_unknown_usage", lambda self: None)
 
 
 @pytest.mark.parametrize("break_it", [cancelled_room_is_free_at_once, unknown_counts_nothing])
--- a/tests/scenarios/test_absent_machines.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -378,7 +378,7 @@
 
     def nowhere(self: JobRegistry, job: Any, machines: Any, hi: int) -> None:
         job.unseen_below = job.fresh = hi
-        self._clear(job)
+        self._release_unseen(job)
 
     monkeypatch.setattr(JobRegistry, "add_possible_holders", nowhere)
 
@@ -394,7 +394,7 @@
 
 def unknown_counts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """What may be on machines that are not proved counts against no team."""
-    monkeypatch.setattr(MachineInventory, "_share_unknown", lambda self: None)
+    monkeypatch.setattr(MachineInventory, "_set_unknown_usage", lambda self: None)
 
 
 def unseen_runs_again(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/scenarios/test_asymmetric_faults.py
+++ b/tests/scenarios/test_asymmetric_faults.py
@@ -71,7 +71,7 @@
 
 def test_without_doubt_that_leader_would_keep_the_lead(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: that its workers report is all that it asks for."""
-    monkeypatch.setattr(MachineInventory, "doubt", lambda *_: None)
+    monkeypatch.setattr(MachineInventory, "record_missed_response", lambda *_: None)
     world = busy(loop, until_s=60.0)
     (first,) = world.leading()
     for seat in world.machines.values():
