--- a/tests/leader/test_leader_scenarios.py
+++ b/tests/leader/test_leader_scenarios.py
@@ -17,7 +17,7 @@
 from grebestand.cluster_state.machine import Machine
 from grebestand.emulators.worker import WorkerEmulator
 from grebestand.flow_control.rate_limiter import Urgency
-from grebestand.heartbeats import reconciliation
+from grebestand.heartbeats import task_reconciliation
 from grebestand.leader.election import FencedError
 from grebestand.scheduling.gang_scheduling import GangCandidates, GangPlacement
 from grebestand.scheduling.scheduling_context import Steps
@@ -983,7 +983,7 @@
         moves.append(new)
         move(allocation, new, now)
 
-    monkeypatch.setattr(reconciliation, "split_task", counted_split)
+    monkeypatch.setattr(task_reconciliation, "split_task", counted_split)
     monkeypatch.setattr(term.registry, "move_allocation", counted_move)
     world.clock.now += 3.0
     orders = world.handle_heartbeat(term, w)
