--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -1,4 +1,4 @@
-"""The leader's side of reports that other controllers pass on: reads them in slices, waits once, answers each."""
+"""The leader's side of the relay: reads batches of forwarded heartbeats and answers each of them."""
 
 from __future__ import annotations
 
@@ -10,37 +10,69 @@
 import gevent
 import msgspec
 
+from ..errors import GrebestandError
 from ..flow_control.connection_limits import BATCHES
 from ..flow_control.overload import OverloadMonitor
 from ..leader.election import LeaderElection
+from ..leader.heartbeat_handler import PendingResponse
 from ..leader.term import Term
+from ..log_events import LogEvent
 from ..state_machines import LoadState
 from ..wire.jobs import MalformedError
 from ..wire.peers import HeartbeatBatch, HeartbeatBatchResponse
 from ..wire.workers import Heartbeat, HeartbeatResponse
-from .forwarder import MOST_BYTES, MOST_REPORTS, SEND_S
+from .forwarder import BATCH_TIMEOUT_S, MAX_BATCH_BYTES, MOST_REPORTS, REFUSED, Response
 
 log = logging.getLogger(__name__)
 
-#: reports are read for so long before others have their turn, in seconds
+#: Heartbeats are read for this long before other greenlets have their turn.
 SLICE_S = 0.01
-#: a batch that nobody may have sent is told of so often at the most, in seconds
-TELL_S = 10.0
-#: the body of one report, in bytes, at the most
-REPORT_BYTES = 1 << 16
+#: Refused batches are logged this often at most.
+REFUSAL_LOG_INTERVAL_S = 10.0
+#: The largest body of one heartbeat.
+MAX_HEARTBEAT_BYTES = 1 << 16
+#: How much of an unknown sender's name is repeated to it.
+MAX_SENDER_CHARS = 100
+#: The response while this controller does not lead.
+NOT_LEADER: Response = (421, b"")
 
 T = TypeVar("T")
 
 _json = msgspec.json.Encoder()
-_report_decoder = msgspec.json.Decoder(Heartbeat)
+_heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
 
-class BatchRefusedError(ValueError):
-    """A message that is no batch of another controller's."""
+class BatchRefusedError(GrebestandError):
+    """A message is not a batch that another controller may send."""
+
+
+class UnknownSenderError(BatchRefusedError):
+    """A batch names a sender that is not a controller of this cluster."""
+
+    def __init__(self, sender: str) -> None:
+        self.sender = sender
+        super().__init__(f"{sender[:MAX_SENDER_CHARS]!r} is no controller of this cluster")
+
+
+class BatchTooLargeError(BatchRefusedError):
+    """A batch has more heartbeats or bytes than a controller sends at once."""
+
+    def __init__(self, sender: str, heartbeats: int) -> None:
+        self.sender = sender
+        self.heartbeats = heartbeats
+        super().__init__(f"{sender} sent {heartbeats} reports at once")
+
+
+class MalformedBatchError(BatchRefusedError):
+    """A message could not be decoded as a batch."""
+
+    def __init__(self, error: msgspec.DecodeError) -> None:
+        self.error = error
+        super().__init__(str(error))
 
 
 class BatchReceiver:
-    """Answers batches under this controller's own term, or says of each report that it may not."""
+    """Answers batches of heartbeats under this controller's term, or says of each that it may not."""
 
     def __init__(
         self,
@@ -51,91 +83,128 @@
         clock: Callable[[], float],
         wait: Callable[[], object],
     ) -> None:
-        """`senders`: the other controllers by name; `wait` comes back once this controller's records may be read."""
+        """Begin with no batch read.
+
+        Args:
+            senders: Names of the other controllers.
+            election: Says whether this controller leads.
+            term: Its term, while it leads.
+            load: Its load.
+            clock: The present time, in seconds.
+            wait: Returns once its records have been read.
+        """
         self.senders = frozenset(senders)
         self.election = election
         self.term = term
         self.load = load
         self.clock = clock
         self.wait = wait
+        #: How many batches are being answered.
         self.busy = 0
-        self._told_at = -math.inf
-        #: reports that came over others
+        #: How many heartbeats other controllers have forwarded.
         self.reports = 0
+        self._refusal_logged_at = -math.inf
 
     def answer(self, body: bytes) -> bytes:
-        """The answers to a batch, in its order. Raises `Rejection` for what is none."""
-        return msgspec.msgpack.encode(self._answered(self._read(body)))
+        """Return the responses to a batch, in its order.
+
+        Raises:
+            BatchRefusedError: The body is no batch of another controller.
+        """
+        try:
+            batch = self._decode(body)
+        except BatchRefusedError as error:
+            self._log_refusal(error)
+            raise
+        return msgspec.msgpack.encode(self._respond(batch))
 
-    def _read(self, body: bytes) -> HeartbeatBatch:
+    def _decode(self, body: bytes) -> HeartbeatBatch:
         try:
             batch = msgspec.msgpack.decode(body, type=HeartbeatBatch)
-            if batch.sender not in self.senders:
-                raise BatchRefusedError(f"{batch.sender[:100]!r} is no controller of this cluster")
-            if len(batch.reports) > MOST_REPORTS or sum(map(len, batch.reports)) > MOST_BYTES + REPORT_BYTES:
-                raise BatchRefusedError(f"{batch.sender} sent {len(batch.reports)} reports at once")
-        except (msgspec.DecodeError, BatchRefusedError) as e:
-            now = self.clock()
-            if now - self._told_at >= TELL_S:
-                self._told_at = now
-                log.warning("a batch of reports was refused: %s", e)
-            raise BatchRefusedError(str(e)) from e
+        except msgspec.DecodeError as error:
+            raise MalformedBatchError(error) from error
+        if batch.sender not in self.senders:
+            raise UnknownSenderError(batch.sender)
+        # the last heartbeat of a batch may exceed the limit that the sender stops at
+        if len(batch.reports) > MOST_REPORTS or sum(map(len, batch.reports)) > MAX_BATCH_BYTES + MAX_HEARTBEAT_BYTES:
+            raise BatchTooLargeError(batch.sender, len(batch.reports))
         return batch
 
-    def _answered(self, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
-        late = self.load.state is LoadState.OVERLOADED
-        if (late and self.busy > len(self.senders)) or self.busy >= BATCHES * max(1, len(self.senders)):
-            return HeartbeatBatchResponse([(503, b"")] * len(batch.reports), late=True)
+    def _log_refusal(self, error: BatchRefusedError) -> None:
+        now = self.clock()
+        if now - self._refusal_logged_at >= REFUSAL_LOG_INTERVAL_S:
+            self._refusal_logged_at = now
+            log.warning(LogEvent("heartbeat_batch_refused", reason=error))
+
+    def _respond(self, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
+        """Return the responses to a batch; all are refused while too many batches are being answered."""
+        overloaded = self.load.state is LoadState.OVERLOADED
+        if (overloaded and self.busy > len(self.senders)) or self.busy >= BATCHES * max(1, len(self.senders)):
+            return HeartbeatBatchResponse([REFUSED] * len(batch.reports), late=True)
         self.busy += 1
         try:
             self.reports += len(batch.reports)
-            return HeartbeatBatchResponse(self._take(batch.reports), late=late)
+            return HeartbeatBatchResponse(self._handle(batch.reports), late=overloaded)
         finally:
             self.busy -= 1
 
-    def _take(self, bodies: list[bytes]) -> list[tuple[int, bytes]]:
-        """Reads all, waits once for what their starts need, then answers all that it still may."""
+    def _handle(self, bodies: list[bytes]) -> list[Response]:
+        """Read all heartbeats, wait once for the grants that their starts need, then answer as many as it still may."""
         came_at = self.clock()
         self.election.check_clock()
         self.wait()
         term = self.term()
         if term is None:
-            return [(421, b"")] * len(bodies)
-        answers: list[tuple[int, bytes]] = [(503, b"")] * len(bodies)
+            return [NOT_LEADER] * len(bodies)
+        responses = [REFUSED] * len(bodies)
+        begun = self._begin(term, bodies, came_at, responses)
+        if self.clock() - came_at > BATCH_TIMEOUT_S:
+            return responses
+        term.cover_heartbeats(begun.values())
+        self._finish(term, begun, came_at, responses)
+        # start commands in a response that does not leave are sent again, as if lost on the way
+        self.election.check_clock()
+        if not self.election.is_leader() or self.term() is not term:
+            return [REFUSED if status == 200 else (status, body) for status, body in responses]
+        return responses
+
+    def _begin(
+        self, term: Term, bodies: list[bytes], came_at: float, responses: list[Response]
+    ) -> dict[int, PendingResponse | HeartbeatResponse | None]:
+        """Reconcile the heartbeats, and return by index what is to become of each; malformed ones are answered here."""
         begun = {}
         for i, body in self._in_slices(enumerate(bodies), came_at):
             try:
-                if len(body) > REPORT_BYTES:
+                if len(body) > MAX_HEARTBEAT_BYTES:
                     raise MalformedError("the report is too large")
-                begun[i] = term.begin_heartbeat(_report_decoder.decode(body))
-            except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, MalformedError) as e:
-                answers[i] = 400, _json.encode({"error": str(e)})
+                begun[i] = term.begin_heartbeat(_heartbeat_decoder.decode(body))
+            except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, MalformedError) as error:
+                responses[i] = 400, _json.encode({"error": str(error)})
             except Exception:
-                # one report that cannot be dealt with leaves the others as they are
-                log.exception("a report that was passed on failed")
-        if self.clock() - came_at > SEND_S:
-            return answers
-        term.cover_heartbeats(begun.values())
-        for i, taken in self._in_slices(begun.items(), came_at):
-            orders = taken if taken is None or isinstance(taken, HeartbeatResponse) else term.finish_heartbeat(taken)
-            if orders is not None:
-                answers[i] = 200, _json.encode(orders)
-        # starts in an answer that does not leave are sent again, as if lost on the way
-        self.election.check_clock()
-        if not self.election.is_leader() or self.term() is not term:
-            return [(503, b"") if status == 200 else (status, said) for status, said in answers]
-        return answers
+                # one heartbeat that can't be dealt with leaves the others as they are
+                log.exception(LogEvent("forwarded_heartbeat_failed"))
+        return begun
 
-    def _in_slices(self, items: Iterable[T], came_at: float) -> Iterator[T]:
-        """One after the other, with others' turns in between, until whoever sent the batch has given it up.
+    def _finish(
+        self,
+        term: Term,
+        begun: dict[int, PendingResponse | HeartbeatResponse | None],
+        came_at: float,
+        responses: list[Response],
+    ) -> None:
+        """Write the responses to the heartbeats that were begun, as long as they may be answered."""
+        for i, pending in self._in_slices(begun.items(), came_at):
+            response = term.finish_heartbeat(pending) if isinstance(pending, PendingResponse) else pending
+            if response is not None:
+                responses[i] = 200, _json.encode(response)
 
-        A leader that is late does nothing in vain.
-        """
-        since = self.clock()
+    def _in_slices(self, items: Iterable[T], came_at: float) -> Iterator[T]:
+        """Yield the items, with turns for other greenlets in between, until the sender of the batch has given it up."""
+        slice_began_at = self.clock()
         for item in items:
-            if self.clock() - since > SLICE_S:
+            if self.clock() - slice_began_at > SLICE_S:
                 gevent.sleep(0)
-                since = self.clock()
-            if since - came_at > SEND_S:
+                slice_began_at = self.clock()
+            if slice_began_at - came_at > BATCH_TIMEOUT_S:
                 return
             yield item
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -1,8 +1,8 @@
-"""Passes workers' reports on to the leader, several in one message, and gives each the leader's own answer.
+"""The follower's side of the relay: forwards workers' heartbeats to the leader in batches, and returns its responses.
 
-Nothing is answered from here: no memory, no token, no order of this controller's. A report is sent once to one leader;
-what has no answer in time is none. Why an answer that took this way is as good as a direct one is argued in
-docs/design.md, "Reports over any controller".
+A follower answers nothing itself: it has no state, token or commands of its own to answer with. A heartbeat is sent
+once, to one leader; without a response in time the worker gets none. Why a relayed response is as good as a direct one
+is argued in docs/design.md, "Reports over any controller".
 """
 
 from __future__ import annotations
@@ -18,161 +18,201 @@
 
 from ..clients.peer import PeerClient
 from ..flow_control.connection_limits import BATCHES
+from ..log_events import LogEvent
 from ..state_machines import FORWARDER_TRANSITIONS, ForwarderState, check_transition
 from ..wire.peers import HeartbeatBatch, HeartbeatBatchResponse
 
 log = logging.getLogger(__name__)
 
+#: Where the leader takes batches.
 PATH = "/reports"
-#: reports are gathered for so long, in seconds; so many go in one message, of so many bytes
+#: Heartbeats are gathered into one batch for this long.
 GATHER_S = 0.04
-MOST_REPORTS, MOST_BYTES = 256, 1 << 20
-#: an answer is given up that comes so long after its report, in seconds: its worker drops it a second later
+#: How many heartbeats go into one batch; and how many bytes, which the last of them may exceed.
+MOST_REPORTS = 256
+MAX_BATCH_BYTES = 1 << 20
+#: A response is given up this long after its heartbeat came: its worker drops it a second later.
 ANSWER_S = 3.0
-#: a message to the leader waits for so long for its answer, in seconds
-SEND_S = 2.5
-#: a report that would wait for so long, in seconds, until it is sent is refused at once; less if the leader is late
-QUEUED_S, LATE_QUEUED_S = 1.2, 0.3
-#: how long what the leader said of being late counts, in seconds
-LATE_S = 1.0
-#: after so long without any answer to a batch, the leader is reached by the workers themselves, for so long, in seconds
-DOWN_S, REST_S = 2.0, 4.0
+#: How long a batch waits for the leader's responses; shorter than `ANSWER_S`, so that they reach the workers in time.
+BATCH_TIMEOUT_S = 2.5
+#: While the oldest heartbeat has waited for longer than this to be sent, others are refused at once.
+MAX_QUEUE_WAIT_S = 1.2
+#: The same while the leader is overloaded.
+MAX_QUEUE_WAIT_OVERLOADED_S = 0.3
+#: How long the leader counts as overloaded after it has said so.
+OVERLOAD_VALID_S = 1.0
+#: After so long without the responses to any batch, forwarding pauses and workers reach the leader themselves.
+UNRESPONSIVE_AFTER_S = 2.0
+#: How long such a pause lasts.
+PAUSE_S = 4.0
+
+#: Status and body of a response to a worker; status 0: there is none.
+Response = tuple[int, bytes]
+NO_RESPONSE: Response = (0, b"")
+REFUSED: Response = (503, b"")
 
 
 @dataclass
-class ForwardedResponse:
-    """A report that waits for the leader's answer: its status and body; status 0: none came."""
+class ForwardedHeartbeat:
+    """A heartbeat that waits for the leader's response."""
 
     body: bytes
+    #: When it came, in seconds of the controller's clock.
     came_at: float
-    answer: AsyncResult = field(default_factory=AsyncResult)
+    response: AsyncResult = field(default_factory=AsyncResult)
 
 
 def term_of(leader: PeerClient) -> tuple[str, int]:
-    """Who leads, and by which token, as it said last."""
+    """Return a leader's name and fencing token, as it told them last."""
     return leader.name, leader.last.token if leader.last is not None else 0
 
 
 class HeartbeatForwarder:
-    """One controller's way to the leader for its workers' reports."""
+    """One controller's way to the leader for its workers' heartbeats."""
 
     def __init__(self, name: str, clock: Callable[[], float], leader: Callable[[], PeerClient | None]) -> None:
-        """`leader`: the controller that leads, as far as it is heard and this one does not."""
+        """Begin with nothing to forward.
+
+        Args:
+            name: This controller's name.
+            clock: The present time, in seconds.
+            leader: The controller that leads, if it is another one and is known.
+        """
         self.name = name
         self.clock = clock
         self.leader = leader
         self.state = ForwarderState.OPEN
-        self._queue: deque[ForwardedResponse] = deque()
-        self._news = Event()
-        self._under_way = 0
-        #: since when no batch has been answered, while some were sent; until when the leader is left alone
+        self._queue: deque[ForwardedHeartbeat] = deque()
+        #: Set while a batch may be sent.
+        self._sendable = Event()
+        self._batches_in_flight = 0
+        #: Since when no batch has been answered, though some were sent.
         self._failing_since = math.inf
-        self._rests_until, self._rests_from = -math.inf, ("", 0)
-        self._late_until = -math.inf
-        #: reports that were passed on, and messages that took
+        #: The end of the pause, and the term that it applies to.
+        self._paused_until = -math.inf
+        self._paused_for_term = ("", 0)
+        self._overloaded_until = -math.inf
+        #: How many heartbeats were forwarded, in how many batches.
         self.passed = self.batches = 0
 
-    def move(self, new: ForwarderState, why: str) -> None:
-        """The one function that changes whether reports go this way."""
+    def move(self, new: ForwarderState, reason: str) -> None:
+        """Change whether heartbeats are forwarded; no other function does.
+
+        Raises:
+            IllegalTransitionError: The state machine does not allow this change.
+        """
         if new is self.state:
             return
         check_transition(FORWARDER_TRANSITIONS, self.state, new, "reports to the leader")
-        log.info("reports to the leader: %s -> %s: %s", self.state.name, new.name, why)
+        log.info(LogEvent("heartbeat_forwarding_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
     def open(self) -> bool:
-        """Whether a report that comes now would be passed on."""
+        """Return whether a heartbeat that comes now would be forwarded; ends a pause that is over."""
         leader = self.leader()
-        if self.state is ForwarderState.RESTING and leader is not None and term_of(leader) != self._rests_from:
+        if self.state is ForwarderState.RESTING and leader is not None and term_of(leader) != self._paused_for_term:
             self.move(ForwarderState.OPEN, f"another term, of {leader.name}")
-        if self.state is ForwarderState.RESTING and self.clock() >= self._rests_until:
-            self.move(ForwarderState.OPEN, f"left alone for {REST_S:.0f} s")
+        if self.state is ForwarderState.RESTING and self.clock() >= self._paused_until:
+            self.move(ForwarderState.OPEN, f"left alone for {PAUSE_S:.0f} s")
         return self.state is ForwarderState.OPEN and leader is not None
 
     def fits(self) -> bool:
-        """Whether it would be sent soon; a relay says no at once rather than hold what the leader cannot take."""
+        """Return whether a heartbeat would be sent soon; otherwise it is better refused at once."""
         if not self._queue:
             return True
         now = self.clock()
-        patience = LATE_QUEUED_S if now < self._late_until else QUEUED_S
-        return now - self._queue[0].came_at < patience
+        max_wait_s = MAX_QUEUE_WAIT_OVERLOADED_S if now < self._overloaded_until else MAX_QUEUE_WAIT_S
+        return now - self._queue[0].came_at < max_wait_s
 
-    def pass_on(self, body: bytes, came_at: float) -> tuple[int, bytes]:
-        """The leader's answer to a report that came then: status and body; status 0: there is none in time, 503: it is
-        not to be waited for."""
+    def pass_on(self, body: bytes, came_at: float) -> Response:
+        """Forward a heartbeat and wait for the leader's response to it.
+
+        Args:
+            body: The heartbeat as it came.
+            came_at: When it came.
+
+        Returns:
+            Status and body of the response; status 0 if there was none in time, and 503 if it can't be sent soon.
+        """
         if not self.fits():
-            return 503, b""
-        passed = ForwardedResponse(body, came_at)
-        self._queue.append(passed)
-        self._news.set()
-        found: tuple[int, bytes] | None = passed.answer.wait(timeout=max(0.0, came_at + ANSWER_S - self.clock()))
-        # the wait may have outlasted its time: this process stood still
-        if found is None or self.clock() - came_at > ANSWER_S:
-            return 0, b""
-        return found
+            return REFUSED
+        heartbeat = ForwardedHeartbeat(body, came_at)
+        self._queue.append(heartbeat)
+        self._sendable.set()
+        response: Response | None = heartbeat.response.wait(timeout=max(0.0, came_at + ANSWER_S - self.clock()))
+        # the wait may have lasted for longer: this process stood still
+        if response is None or self.clock() - came_at > ANSWER_S:
+            return NO_RESPONSE
+        return response
 
     def run(self) -> None:
-        """Sends what has gathered, as long as the process lives."""
+        """Send what has been gathered, for as long as the process lives."""
         while True:
-            self._news.wait()
+            self._sendable.wait()
             gevent.sleep(GATHER_S)
-            while self._queue and self._under_way < BATCHES:
-                batch = self._next()
+            while self._queue and self._batches_in_flight < BATCHES:
+                batch = self._next_batch()
                 if batch:
-                    self._under_way += 1
+                    self._batches_in_flight += 1
                     gevent.spawn(self._send, batch)
-            if not self._queue or self._under_way >= BATCHES:
-                self._news.clear()
+            if not self._queue or self._batches_in_flight >= BATCHES:
+                self._sendable.clear()
 
-    def _next(self) -> list[ForwardedResponse]:
-        """What goes into the next message; what is too old already is answered by nobody."""
-        batch: list[ForwardedResponse] = []
+    def _next_batch(self) -> list[ForwardedHeartbeat]:
+        """Take the next batch from the queue, without the heartbeats that are too old to be answered in time."""
+        batch: list[ForwardedHeartbeat] = []
         size, now = 0, self.clock()
-        while self._queue and len(batch) < MOST_REPORTS and size < MOST_BYTES:
-            passed = self._queue.popleft()
-            if now - passed.came_at < ANSWER_S:
-                size += len(passed.body)
-                batch.append(passed)
+        while self._queue and len(batch) < MOST_REPORTS and size < MAX_BATCH_BYTES:
+            heartbeat = self._queue.popleft()
+            if now - heartbeat.came_at < ANSWER_S:
+                size += len(heartbeat.body)
+                batch.append(heartbeat)
         return batch
 
-    def _send(self, batch: list[ForwardedResponse]) -> None:
+    def _send(self, batch: list[ForwardedHeartbeat]) -> None:
+        """Send a batch, and give each of its heartbeats the leader's response, or none."""
+        responses: list[Response] | None
         try:
-            answers = self._ask(batch)
+            responses = self._request(batch)
         except Exception:
-            log.exception("a batch of reports could not be passed on")
-            answers = None
+            # whatever it was, the heartbeats' workers must not wait for it
+            log.exception(LogEvent("heartbeat_batch_forward_failed", heartbeats=len(batch)))
+            responses = None
         finally:
-            self._under_way -= 1
+            self._batches_in_flight -= 1
             if self._queue:
-                self._news.set()
-        for i, passed in enumerate(batch):
-            passed.answer.set(answers[i] if answers is not None else (0, b""))
+                self._sendable.set()
+        for i, heartbeat in enumerate(batch):
+            heartbeat.response.set(responses[i] if responses is not None else NO_RESPONSE)
 
-    def _ask(self, batch: list[ForwardedResponse]) -> list[tuple[int, bytes]] | None:
-        leader, sent = self.leader(), self.clock()
+    def _request(self, batch: list[ForwardedHeartbeat]) -> list[Response] | None:
+        """Return the leader's responses to a batch, in its order, or None if it gave none."""
+        leader, sent_at = self.leader(), self.clock()
         if leader is None:
             return None
         self.batches += 1
         self.passed += len(batch)
-        told = leader.tell(PATH, HeartbeatBatch(self.name, [p.body for p in batch]), HeartbeatBatchResponse, SEND_S)
-        if told is None or len(told.answers) != len(batch):
-            self._failed(sent, leader)
+        message = HeartbeatBatch(self.name, [heartbeat.body for heartbeat in batch])
+        reply = leader.tell(PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
+        if reply is None or len(reply.answers) != len(batch):
+            self._record_failure(sent_at, leader)
             return None
         self._failing_since = math.inf
-        if told.late:
-            self._late_until = self.clock() + LATE_S
-        return told.answers
+        if reply.late:
+            self._overloaded_until = self.clock() + OVERLOAD_VALID_S
+        return reply.answers
 
-    def _failed(self, sent: float, leader: PeerClient) -> None:
-        """No answer. After a while workers are told to go to the leader themselves: they may reach it.
+    def _record_failure(self, sent_at: float, leader: PeerClient) -> None:
+        """Record that a batch was not answered; after a while, pause, as workers may reach the leader themselves.
 
-        One that goes on answering greetings is reached, and late: sent to it or to others, all workers of all relays
-        would come to it anew, and it would be later still.
+        A leader that goes on answering status messages can be reached and is overloaded. A pause would have all
+        workers of all followers connect to it anew, and overload it further.
         """
-        self._failing_since = min(self._failing_since, sent)
+        self._failing_since = min(self._failing_since, sent_at)
         if leader.last_heard_at >= self._failing_since:
             return
-        if self.state is ForwarderState.OPEN and self.clock() - self._failing_since >= DOWN_S:
-            self._rests_until, self._rests_from = self.clock() + REST_S, term_of(leader)
+        if self.state is ForwarderState.OPEN and self.clock() - self._failing_since >= UNRESPONSIVE_AFTER_S:
+            self._paused_until = self.clock() + PAUSE_S
+            self._paused_for_term = term_of(leader)
             self._failing_since = math.inf
-            self.move(ForwarderState.RESTING, f"{leader.name} has not answered for {DOWN_S:.0f} s")
+            self.move(ForwarderState.RESTING, f"{leader.name} has not answered for {UNRESPONSIVE_AFTER_S:.0f} s")
--- a/tests/heartbeat_relay/test_heartbeat_relay.py
+++ b/tests/heartbeat_relay/test_heartbeat_relay.py
@@ -24,12 +24,12 @@
 from grebestand.heartbeat_relay.batch_receiver import BatchReceiver, BatchRefusedError
 from grebestand.heartbeat_relay.forwarder import (
     ANSWER_S,
-    DOWN_S,
+    BATCH_TIMEOUT_S,
+    MAX_QUEUE_WAIT_S,
     MOST_REPORTS,
     PATH,
-    QUEUED_S,
-    REST_S,
-    SEND_S,
+    PAUSE_S,
+    UNRESPONSIVE_AFTER_S,
     HeartbeatForwarder,
 )
 from grebestand.heartbeat_relay.worker_assignment import BACK_S, PeerCapacity, WorkerAssignment, assignment_enabled
@@ -297,14 +297,14 @@
 
 def answers_without_authority(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leader goes on answering batches, whatever its own authority is."""
-    answered = BatchReceiver._answered
+    answered = BatchReceiver._respond
 
     def always(self: BatchReceiver, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(LeaderElection, "is_leader", lambda lead: lead is self.election or lead.authority_until > 0)
             return answered(self, batch)
 
-    monkeypatch.setattr(BatchReceiver, "_answered", always)
+    monkeypatch.setattr(BatchReceiver, "_respond", always)
     monkeypatch.setattr(LeaderElection, "check_clock", lambda self: None)
 
 
@@ -387,7 +387,7 @@
     gevent.spawn(sender.pass_on, b"waits", loop.time)
     gevent.sleep(0.1)
     assert len(leader.batches) == BATCHES  # and no more are under way
-    gevent.sleep(QUEUED_S)
+    gevent.sleep(MAX_QUEUE_WAIT_S)
     assert sender.pass_on(b"", loop.time) == (503, b"")  # at once
 
 
@@ -398,9 +398,9 @@
 
     sender, leader = passing(loop, silent)
     assert sender.open() and sender.pass_on(b"", loop.time) == (0, b"")
-    assert loop.time >= DOWN_S and sender.state is ForwarderState.RESTING and not sender.open()
+    assert loop.time >= UNRESPONSIVE_AFTER_S and sender.state is ForwarderState.RESTING and not sender.open()
     leader.answer = echo
-    gevent.sleep(REST_S)
+    gevent.sleep(PAUSE_S)
     assert sender.open() and sender.pass_on(b"x", loop.time) == (200, b"x")
 
 
@@ -439,7 +439,7 @@
     world, _, term, receiver, workers = led()
 
     def long(begun: object) -> None:
-        world.clock.now += SEND_S + 0.1
+        world.clock.now += BATCH_TIMEOUT_S + 0.1
         term.election.renew()
 
     monkeypatch.setattr(term, "cover_heartbeats", long)
@@ -525,11 +525,11 @@
     for wrong in (b"", b"\xc1", msgspec.msgpack.encode([1, 2]), many, whole, strange) * 3:
         with pytest.raises(BatchRefusedError):
             receiver.answer(wrong)
-    assert caplog.text.count("a batch of reports was refused") == 1 and receiver.reports == 0
+    assert caplog.text.count("heartbeat_batch_refused ") == 1 and receiver.reports == 0
     world.clock.now += 11.0
     with pytest.raises(BatchRefusedError):
         receiver.answer(strange)
-    assert caplog.text.count("a batch of reports was refused") == 2
+    assert caplog.text.count("heartbeat_batch_refused ") == 2
 
 
 def test_a_controller_that_may_not_answer_says_so_of_each_report() -> None:
