--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -1,11 +1,13 @@
-"""Which controller keeps which workers: up to its share of them, those of its own zone first, and stable.
+"""Assignment of workers to controllers, while every controller answers heartbeats.
 
-Shares are of workers and of reports, since busy machines report up to six times as often as idle ones.
+With few machines, workers send their heartbeats to the leader alone. With more, every controller that reaches the
+leader keeps some workers: up to an even share and a little more, those of its own zone first. A worker beyond that is
+redirected to a controller below its share. Shares are of workers and of heartbeats, since busy machines send up to six
+times as many as idle ones.
 
-With few machines the leader alone is reported to. Beyond that every controller that reaches the leader keeps workers,
-up to an even share and a little more; whoever comes on top is told of one that has room. Counts of others are as old as
-their last greeting, so what was sent there since is added. No worker is sent away twice within a while, so that two
-controllers which both think that the other has room do not play with it.
+What other controllers keep is known from their last status message, so what was redirected there since is added. No
+worker is redirected twice within `BACK_S`, so that two controllers that each believe the other to be below its share do
+not send it to and fro.
 """
 
 from __future__ import annotations
@@ -16,76 +18,88 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from ..log_events import LogEvent
 from ..state_machines import ASSIGNMENT_MODE_TRANSITIONS, AssignmentMode, check_transition
 
 log = logging.getLogger(__name__)
 
-#: a controller keeps up to so many times its even share; from so many times on it also sends some away that it kept
-SHARE_SLACK, SHED_SLACK = 1.05, 1.12
-#: and so many workers more, for where shares are small
-SHARE_FEW = 1
-#: the leader's share of the reports that come directly: it reads all the others too
+#: A controller takes workers up to this multiple of its even share.
+SHARE_SLACK = 1.05
+#: Beyond this multiple it also redirects workers that it kept; larger than `SHARE_SLACK`, so that none goes at once.
+SHED_SLACK = 1.12
+#: Workers that a controller may keep beyond its share in any case, for where shares are small.
+EXTRA_WORKERS = 1
+#: The leader's part of an even share of heartbeats that come directly, as it also reads all that are forwarded.
 LEADER_WEIGHT = 0.85
-#: of its share, or of what it keeps if that is more, so many a second are sent away by one that has too many
-SHED_PER_S = 0.06
-#: one that came back so soon after it was sent away is kept, in seconds
+#: The part of its share, or of what it keeps if that is more, that a controller redirects per second at most.
+SHED_FRACTION_PER_S = 0.06
+#: A worker that comes back this soon after it was redirected is kept, in seconds.
 BACK_S = 15.0
-#: one that has not reported for so many report intervals is no longer counted
-GONE_REPORTS = 3.0
-#: with fewer reports a second in all, who answers how many is left to chance; the latest second's weight in the count
-BUSY_PER_S, SMOOTHING = 30.0, 0.2
-#: so many workers may be sent to a leader between two of its greetings in any case
-FEW_SENT = 20
-#: what is on lasts until the machines are fewer by this part than what switched it on
-STAYS = 1.15
+#: A worker that has not been heard for this many heartbeat intervals is no longer counted.
+FORGOTTEN_AFTER_INTERVALS = 3.0
+#: Below this rate of heartbeats, it is left to chance who answers how many.
+MIN_BALANCED_RATE_PER_S = 30.0
+#: Weight of the latest interval in the moving average of the rate of heartbeats.
+RATE_SMOOTHING = 0.2
+#: How many workers may be redirected to the leader between two of its status messages in any case.
+MIN_REDIRECTS_TO_LEADER = 20
+#: Every controller goes on answering until there are fewer machines, by this factor, than what made them begin.
+HYSTERESIS = 1.15
 
 
 @dataclass(frozen=True)
 class PeerCapacity:
-    """Another controller that answers reports, as it said in its last greeting."""
+    """Another controller that answers heartbeats, as its last status message described it."""
 
     name: str
     zone: str
     leads: bool
-    #: workers that it keeps, and how many more its sockets bear
+    #: How many workers it keeps, and how many more connections it has for them.
     kept: int
     room: int
-    #: so late that it is to get no more
+    #: It is overloaded and is to get no more.
     late: bool = False
-    #: reports that it answers a second
+    #: Heartbeats that it answers per second.
     reports: float = 0.0
 
 
 class EvenShare:
-    """What everybody's even share is, among this controller and the others that answer."""
+    """The even share of workers and heartbeats of this controller and of each other that answers."""
 
     def __init__(self, machines: int, rate: float, leads: bool, others: list[PeerCapacity]) -> None:
+        """Divide the workers of `machines`; `rate` and `leads` are this controller's."""
         self.machines = machines
-        self._weights = sum(LEADER_WEIGHT if one else 1.0 for one in (leads, *(o.leads for o in others)))
-        #: reports a second of all of them
-        self.rate = rate + sum(o.reports for o in others)
-        #: there are enough reports to tell who answers too many
-        self.busy = self.rate >= BUSY_PER_S and machines > 0
-
-    def _part(self, leads: bool) -> float:
-        return (LEADER_WEIGHT if leads else 1.0) / self._weights
+        self._total_weight = sum(_weight(one) for one in (leads, *(other.leads for other in others)))
+        #: Heartbeats per second of all controllers.
+        self.rate = rate + sum(other.reports for other in others)
+        #: Whether there are enough heartbeats to tell who answers too many.
+        self.busy = self.rate >= MIN_BALANCED_RATE_PER_S and machines > 0
 
     def workers(self, leads: bool) -> float:
-        return self.machines * self._part(leads)
+        """Return a controller's even share of workers."""
+        return self.machines * self._fraction(leads)
 
     def reports(self, leads: bool) -> float:
-        return self.rate * self._part(leads)
+        """Return a controller's even share of heartbeats per second."""
+        return self.rate * self._fraction(leads)
 
     def left(self, leads: bool, kept: int, reports: float) -> float:
-        """By how many workers a controller is below its share, and a little more, of workers and of reports."""
+        """Return how many more workers a controller takes, by what it keeps and by the heartbeats that it answers."""
         left = self.workers(leads) * SHARE_SLACK - kept
         if self.busy:
             left = min(left, (self.reports(leads) * SHARE_SLACK - reports) * self.machines / self.rate)
         return left
 
+    def _fraction(self, leads: bool) -> float:
+        return _weight(leads) / self._total_weight
+
+
+def _weight(leads: bool) -> float:
+    return LEADER_WEIGHT if leads else 1.0
+
 
 class WorkerAssignment:
-    """One controller's side of it."""
+    """One controller's part in the assignment: which workers it keeps, and where it redirects others."""
 
     def __init__(
         self,
@@ -97,8 +111,17 @@
         others: Callable[[], list[PeerCapacity]],
         late: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`limit`: workers whose connections this controller bears; `others`: those that answer reports now; `late`:
-        whether this one is to get no more while others can."""
+        """Begin without workers.
+
+        Args:
+            name: This controller's name.
+            zone: Its zone.
+            limit: How many workers' connections it has room for.
+            report_s: The interval of heartbeats, in seconds.
+            clock: The present time, in seconds.
+            others: The other controllers that answer heartbeats now.
+            late: Whether this one is overloaded and is to get no more while others can.
+        """
         self.name = name
         self.zone = zone
         self.limit = limit
@@ -107,34 +130,43 @@
         self.others = others
         self.late = late
         self.state = AssignmentMode.LEADER_ONLY
-        #: machines in all, as the leader counts them, while reports are spread
+        #: How many machines there are, as the leader counts them; 0 while it answers all heartbeats itself.
         self.machines = 0
-        #: when each worker that is kept here last reported, and over which connection
+        #: When each worker that is kept here was last heard, and over which connection.
         self.kept: dict[str, tuple[float, object]] = {}
-        self._over: dict[int, str] = {}
-        #: controllers beside the leader, whether they are heard or not
+        #: The worker last heard over each connection, by the connection's `id`.
+        self._worker_by_connection: dict[int, str] = {}
+        #: How many controllers there are beside the leader, whether they are heard or not.
         self.followers = 1
-        #: workers that were sent away, and when
+        #: When workers were redirected, by name, the earliest first.
         self.sent: OrderedDict[str, float] = OrderedDict()
-        #: how many were sent to each other controller since it last said what it keeps
-        self._underway: Counter[str] = Counter()
-        self._shed_left, self._shed_at = 0.0, clock()
-        #: reports answered here a second, of late
+        #: How many were redirected to each other controller since its last status message.
+        self._redirected_since_status: Counter[str] = Counter()
+        #: How many kept workers may be redirected now, and when that was computed.
+        self._shed_allowance, self._shed_allowance_at = 0.0, clock()
+        #: Moving average of the heartbeats answered here per second.
         self.rate = 0.0
-        self._counted, self._tidied_at = 0, clock()
-        #: how many were sent away since this process began
+        #: Heartbeats answered since the average was last updated, and when that was.
+        self._heartbeats, self._rate_updated_at = 0, clock()
+        #: How many workers were redirected since this process began.
         self.redirected = 0
 
-    def move(self, new: AssignmentMode, why: str) -> None:
-        """The one function that changes who answers reports, as far as this controller knows."""
+    # modes ------------------------------------------------------------------------------------------------
+
+    def move(self, new: AssignmentMode, reason: str) -> None:
+        """Change who answers heartbeats, as far as this controller knows; no other function does.
+
+        Raises:
+            IllegalTransitionError: The state machine does not allow this change.
+        """
         if new is self.state:
             return
         check_transition(ASSIGNMENT_MODE_TRANSITIONS, self.state, new, "reports")
-        log.info("reports: %s -> %s: %s", self.state.name, new.name, why)
+        log.info(LogEvent("worker_assignment_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
     def told(self, machines: int) -> None:
-        """The leader says that reports of so many machines are spread; none: that it answers all itself."""
+        """Take the leader's word that every controller answers, with so many machines; 0: that it answers all."""
         self.machines = machines
         if machines:
             self.move(AssignmentMode.EVERY_CONTROLLER, f"{machines} machines")
@@ -142,121 +174,139 @@
             self.move(AssignmentMode.LEADER_ONLY, "the leader answers all")
 
     def heard(self, name: str) -> None:
-        """Another controller has said anew what it keeps."""
-        self._underway.pop(name, None)
+        """Record a status message of another controller, which counts the workers redirected to it so far."""
+        self._redirected_since_status.pop(name, None)
+
+    # workers that are kept --------------------------------------------------------------------------------
 
     @property
     def room(self) -> int:
-        """How many more workers this controller's sockets bear."""
+        """How many more workers this controller has connections for."""
         return max(0, self.limit - len(self.kept))
 
     def keep(self, machine: str, connection: object = None) -> None:
-        """This worker is answered here."""
-        self._counted += 1
+        """Record a worker's heartbeat that is answered here."""
+        self._heartbeats += 1
         self.kept[machine] = self.clock(), connection
         if connection is not None:
-            self._over[id(connection)] = machine
+            self._worker_by_connection[id(connection)] = machine
         self.sent.pop(machine, None)
 
-    def left(self, machine: str, connection: object) -> None:
-        """It no longer reports here over this connection."""
-        if machine in self.kept and self.kept[machine][1] is connection:
-            del self.kept[machine]
-
     def ended(self, connection: object) -> None:
-        """A connection is closed, whoever had it."""
-        machine = self._over.pop(id(connection), None)
-        if machine is not None:
-            self.left(machine, connection)
+        """Record that a connection is closed, whoever had it; its worker is kept only if it has come over another."""
+        machine = self._worker_by_connection.pop(id(connection), None)
+        if machine is not None and machine in self.kept and self.kept[machine][1] is connection:
+            del self.kept[machine]
 
     def tidy(self) -> None:
-        """Forgets workers that no longer report here, and those sent away long ago. Counts the reports of a while."""
+        """Update the rate of heartbeats; forget workers that are no longer heard, and those redirected long ago."""
         now = self.clock()
-        if now > self._tidied_at:
-            latest = self._counted / (now - self._tidied_at)
-            self.rate += SMOOTHING * (latest - self.rate)
-            self._counted, self._tidied_at = 0, now
-        gone = [m for m, (at, _) in self.kept.items() if now - at > GONE_REPORTS * self.report_s]
-        for machine in gone:
+        if now > self._rate_updated_at:
+            latest = self._heartbeats / (now - self._rate_updated_at)
+            self.rate += RATE_SMOOTHING * (latest - self.rate)
+            self._heartbeats, self._rate_updated_at = 0, now
+        silent_after_s = FORGOTTEN_AFTER_INTERVALS * self.report_s
+        silent = [machine for machine, (heard_at, _) in self.kept.items() if now - heard_at > silent_after_s]
+        for machine in silent:
             del self.kept[machine]
         while self.sent and now - next(iter(self.sent.values())) > BACK_S:
             self.sent.popitem(last=False)
 
+    # redirects --------------------------------------------------------------------------------------------
+
     def where(self, machine: str, zone: str, leads: bool, surplus: bool = False) -> str | None:
-        """The controller that a worker is to report to: this one's name to keep it; None if none is known to have room.
+        """Decide which controller a worker is to use; to be called only while every controller answers.
+
+        Args:
+            machine: The worker's machine.
+            zone: Its zone.
+            leads: Whether this controller leads.
+            surplus: Whether it came over a connection beyond the limit, so that it can't stay.
 
-        To be asked only while reports are spread. One that comes over a `surplus` connection cannot stay.
+        Returns:
+            This controller's name to keep the worker, another's to redirect it, or None if none is known to have a
+            connection for it.
         """
         others = self.others()
-        even = EvenShare(self.machines, self.rate, leads, others)
-        here = machine in self.kept and not surplus
+        share = EvenShare(self.machines, self.rate, leads, others)
+        kept = machine in self.kept and not surplus
         room = 0 if surplus else self.room
-        if here and not self._sheds(leads, even, others):
+        if kept and not self._sheds(leads, share, others):
+            return self.name
+        if not kept and machine in self.sent and room:
+            return self.name  # it comes back from where it was redirected
+        open_shares = [(self._open_share(other, share), other) for other in others]
+        with_share = [(left, other) for left, other in open_shares if left >= 1]
+        nearby = [(left, other) for left, other in with_share if other.zone == zone]
+        takes = not self.late() and share.left(leads, len(self.kept), self.rate) + EXTRA_WORKERS > 0
+        if not kept and room and takes and (zone == self.zone or not nearby):
             return self.name
-        if not here and machine in self.sent and room:
-            return self.name  # it comes back from where it was sent: nobody is sent to and fro
-        free = [(self._free(o, even), o) for o in others]
-        near = max((f for f in free if f[1].zone == zone and f[0] >= 1), key=lambda f: f[0], default=None)
-        takes = not self.late() and even.left(leads, len(self.kept), self.rate) + SHARE_FEW > 0
-        if not here and room and takes and (zone == self.zone or near is None):
+        candidates = nearby or with_share
+        if candidates:
+            return self._redirect(machine, max(candidates, key=lambda candidate: candidate[0])[1])
+        # nobody is below its share: whoever has a connection for it keeps it
+        if room or kept:
             return self.name
-        best = near or max((f for f in free if f[0] >= 1), key=lambda f: f[0], default=None)
-        if best is None:
-            # nobody is below its share: whoever has sockets keeps it
-            if room or here:
-                return self.name
-            spare = max((o for o in others if self._room(o) > 0), key=self._room, default=None)
-            return self._send(machine, spare) if spare is not None else None
-        return self._send(machine, best[1])
+        with_room = [other for other in others if self._room_of(other) > 0]
+        return self._redirect(machine, max(with_room, key=self._room_of)) if with_room else None
 
     def may_send(self, leader: str) -> bool:
-        """Whether one more worker may be sent to a leader that answers all itself; counts it.
+        """Return whether one more worker may be redirected to a leader that answers all itself, and count it.
 
-        All followers together send no more between two of its greetings than it has said that it bears: hundreds come
-        within a tenth of a second where everything begins at once.
+        All followers together redirect no more between two of its status messages than it has said that it has
+        connections for: when a cluster starts, hundreds of workers come within a tenth of a second.
         """
         others = self.others()
         for other in others:
             if other.name == leader:
-                if self._underway[leader] >= max(FEW_SENT, other.room // max(len(others), self.followers)):
+                limit = max(MIN_REDIRECTS_TO_LEADER, other.room // max(len(others), self.followers))
+                if self._redirected_since_status[leader] >= limit:
                     return False
-                self._underway[leader] += 1
+                self._redirected_since_status[leader] += 1
         return True
 
-    def _room(self, other: PeerCapacity) -> int:
-        return other.room - self._underway[other.name]
+    def _room_of(self, other: PeerCapacity) -> int:
+        """Return how many more workers another controller has connections for."""
+        return other.room - self._redirected_since_status[other.name]
 
-    def _free(self, other: PeerCapacity, even: EvenShare) -> float:
-        """How many workers another controller is below its share, and bears."""
+    def _open_share(self, other: PeerCapacity, share: EvenShare) -> float:
+        """Return how many workers another controller is below its share and has connections for."""
         if other.late:
             return 0.0
-        left = even.left(other.leads, other.kept, other.reports)
-        return min(left - self._underway[other.name], float(self._room(other)))
+        left = share.left(other.leads, other.kept, other.reports)
+        return min(left - self._redirected_since_status[other.name], float(self._room_of(other)))
 
-    def _send(self, machine: str, other: PeerCapacity) -> str:
-        self._underway[other.name] += 1
+    def _redirect(self, machine: str, other: PeerCapacity) -> str:
+        """Record that a worker is redirected to another controller, and return that one's name."""
+        self._redirected_since_status[other.name] += 1
         self.sent[machine] = self.clock()
         self.sent.move_to_end(machine)
         self.kept.pop(machine, None)
         self.redirected += 1
         return other.name
 
-    def _sheds(self, leads: bool, even: EvenShare, others: list[PeerCapacity]) -> bool:
-        """Whether one that is kept here goes elsewhere: at a bounded rate, while there is far too much here."""
-        now, share = self.clock(), even.workers(leads)
-        rate = SHED_PER_S * max(share, float(len(self.kept))) + 1.0
-        self._shed_left = min(rate, self._shed_left + rate * (now - self._shed_at))
-        self._shed_at = now
-        many = len(self.kept) > min(share * SHED_SLACK + SHARE_FEW, float(self.limit))
-        busy = even.busy and self.rate > even.reports(leads) * SHED_SLACK
-        if not (many or busy) or self._shed_left < 1.0:
+    def _sheds(self, leads: bool, share: EvenShare, others: list[PeerCapacity]) -> bool:
+        """Return whether a kept worker is to be redirected: at a bounded rate, while far too many are kept here."""
+        now, workers = self.clock(), share.workers(leads)
+        rate = SHED_FRACTION_PER_S * max(workers, float(len(self.kept))) + 1.0
+        self._shed_allowance = min(rate, self._shed_allowance + rate * (now - self._shed_allowance_at))
+        self._shed_allowance_at = now
+        too_many_workers = len(self.kept) > min(workers * SHED_SLACK + EXTRA_WORKERS, float(self.limit))
+        too_many_heartbeats = share.busy and self.rate > share.reports(leads) * SHED_SLACK
+        if not (too_many_workers or too_many_heartbeats) or self._shed_allowance < 1.0:
             return False
-        if all(self._free(o, even) < 1 for o in others):
+        if all(self._open_share(other, share) < 1 for other in others):
             return False
-        self._shed_left -= 1.0
+        self._shed_allowance -= 1.0
         return True
 
 
 def assignment_enabled(value: Callable[[float], bool], on: bool, machines: int) -> bool:
-    """Whether the policy's `value`, for a number of machines, wants reports spread; what is on goes off later."""
-    return machines > 0 and value(math.ceil(machines * STAYS) if on else float(machines))
+    """Return whether every controller is to answer heartbeats.
+
+    Args:
+        value: The policy's choice for a number of machines.
+        on: Whether they do so now; then they go on until there are considerably fewer machines.
+        machines: How many machines there are.
+    """
+    return machines > 0 and value(math.ceil(machines * HYSTERESIS) if on else float(machines))
