--- /dev/null
+++ b/tests/heartbeats/test_heartbeat_evidence.py
@@ -0,0 +1,145 @@
+"""What a heartbeat is evidence of: delayed copies, restarts, results, tokens, and what follows for jobs."""
+
+from __future__ import annotations
+
+import json
+
+import msgspec
+import pytest
+
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
+from grebestand.state_machines import LeaderState, MachineState
+from grebestand.wire.workers import ExitReason
+from support.heartbeat_clusters import make_unreachable, start_cluster
+
+
+def test_job_start_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level("INFO")
+    cluster = InMemoryCluster()
+    workers = [cluster.worker(f"n-{i:06d}") for i in range(2)]
+    controller = InMemoryController(cluster, "node-0")
+    term = controller.lead()
+    cluster.settle(term, 3)
+    gang = cluster.accept(controller, shape="ensemble", shards=2, cpus=4.0)
+    cluster.settle(term, 2)
+    for worker in workers:
+        for task in worker.running():
+            worker.finish(task)
+    cluster.settle(term, 2)
+    start_events = [record.getMessage() for record in caplog.records if "job_started" in record.getMessage()]
+    assert len(start_events) == 1 and start_events[0].startswith(f"job_started job_id={gang} wait_s=")
+    assert start_events[0].endswith(" kind=gang tasks=2")
+    messages = [record.getMessage() for record in caplog.records]
+    assert any(f"accepted {gang}: gang of 2 tasks of train for blue" in message for message in messages)
+
+
+def test_delayed_heartbeat_revives_neither_deleted_nor_expired_machine() -> None:
+    """A copy of a deleted machine's report had it on record again, with its tasks, and given new ones."""
+    cluster, controller, term = start_cluster()
+    deleted, expired = cluster.workers.values()
+    job_id = cluster.accept(controller, shards=20)
+    cluster.settle(term, 2)
+    held_tasks = set(deleted.running()) | set(expired.running())
+    delayed_heartbeats = [deleted.report(), expired.report()]  # sent, and not delivered yet
+    deleted.reachable = expired.reachable = False
+    del cluster.workers[deleted.name]
+    term.deprovisioning._remove([deleted.name])
+    cluster.settle(term, 25)
+    assert term.inventory.by_name[expired.name].state is MachineState.LEASE_EXPIRED
+    for delayed in delayed_heartbeats:
+        term.handle_heartbeat(delayed)
+    assert deleted.name not in term.inventory.by_name
+    assert term.inventory.by_name[expired.name].state is MachineState.LEASE_EXPIRED
+    job = term.registry.jobs[job_id]
+    assert held_tasks and not job.allocations and job.startable() == 20
+
+
+def test_delayed_heartbeat_of_earlier_term_reconciles_nothing() -> None:
+    """A copy from an earlier term put a task on a machine where it was no more; where it really ran it was stopped."""
+    cluster, controller, term = start_cluster()
+    first, second = cluster.workers.values()
+    job_id = cluster.accept(controller, shards=1)
+    cluster.settle(term, 2)
+    holder, other = (first, second) if first.running() else (second, first)
+    delayed = holder.report()
+    holder.finish(f"{job_id}/0", ExitReason.STOPPED)
+    cluster.settle(term, 3)
+    holder, other = (first, second) if first.running() else (second, first)
+    moved = delayed.machine != holder.name
+    cluster.clock.now += 13.0
+    next_controller = InMemoryController(cluster, "node-1")
+    next_term = next_controller.lead()
+    # of a machine that was deleted before this term began
+    from_unknown_machine = msgspec.structs.replace(delayed, machine="n-000777", addr="n-000777:1")
+    for report in (delayed, from_unknown_machine):
+        next_term.handle_heartbeat(report)
+    any_heard = next_term.heartbeat_handler.first_heard
+    cluster.settle(next_term, 3)
+    assert not any_heard and "n-000777" not in cluster.records("machines/")
+    assert holder.running() == [f"{job_id}/0"] and not other.running() and (moved or holder.started)
+
+
+def test_new_machine_gets_tasks_with_its_second_heartbeat() -> None:
+    """Recorded only after it had echoed the token, it got its first tasks with the third, a report interval later."""
+    cluster, controller, term = start_cluster(1)
+    cluster.accept(controller, shards=40)
+    worker = cluster.worker("n-000009")
+    cluster.settle(term, 2)
+    assert len(worker.running()) == 16
+
+
+def test_result_counts_from_a_delayed_heartbeat() -> None:
+    cluster, controller, term = start_cluster(1)
+    (worker,) = cluster.workers.values()
+    job_id = cluster.accept(controller)
+    cluster.settle(term, 2)
+    worker.finish(f"{job_id}/0")
+    delayed = worker.report()
+    worker.reachable = False
+    cluster.settle(term, 30)
+    term.handle_heartbeat(delayed)
+    cluster.settle(term, 1)
+    assert json.loads(controller.users.poll(job_id).body)["tide"] == "done"
+
+
+def test_token_that_no_leader_had_does_not_end_the_term() -> None:
+    """Any worker that reported a higher token ended the term at once, again and again if it went on."""
+    cluster, _controller, term = start_cluster(1)
+    (worker,) = cluster.workers.values()
+    worker.token = 1 << 50
+    assert term.handle_heartbeat(worker.report()) is None and not term.writer.is_leader()
+    assert term.election.renew() and term.election.state is LeaderState.PAUSED
+    term.election.move(LeaderState.LEADING, "test")
+    assert term.handle_heartbeat(worker.report()) is None and term.writer.is_leader()
+
+
+def test_unreachable_machine_does_not_block_jobs_after_failover() -> None:
+    """It reported an older token for ever, which proves nothing, and each report put off the end of its lease."""
+    cluster, controller, term = start_cluster()
+    unreachable, _other = cluster.workers.values()
+    job_id = cluster.accept(controller, shards=32)
+    cluster.settle(term, 3)
+    make_unreachable(unreachable)
+    cluster.clock.now += 13.0
+    next_controller = InMemoryController(cluster, "node-1")
+    next_term = next_controller.lead()
+    for second in range(40):
+        cluster.settle(next_term, 1)
+        if not second % 3:
+            next_term.handle_heartbeat(unreachable.report())
+    assert next_term.machine_reconciliation.proved and not next_term.registry.jobs[job_id].possible_holders
+
+
+@pytest.mark.parametrize("counts_anew", [True, False])
+def test_restarted_worker_is_reconciled_within_seconds(counts_anew: bool) -> None:
+    """One that counts anew sent what looked like old copies for ever; its tasks were started after a lease."""
+    cluster, controller, term = start_cluster(1)
+    (worker,) = cluster.workers.values()
+    job_id = cluster.accept(controller, shards=4)
+    cluster.settle(term, 3)
+    worker.tasks.clear()
+    if counts_anew:
+        worker.epoch, worker.sequence, worker.token = 1, 0, 0
+    cluster.settle(term, 5)
+    assert sorted(worker.running()) == [f"{job_id}/{i}" for i in range(4)]
+    assert len(worker.started) == 8  # each once again, neither never nor twice
--- /dev/null
+++ b/tests/scheduling/test_failing_jobs_and_machines.py
@@ -0,0 +1,58 @@
+"""Failures of tasks: those of faulty jobs are told from those of faulty machines."""
+
+from __future__ import annotations
+
+from grebestand.wire.workers import ExitReason
+from support.heartbeat_clusters import start_cluster
+
+
+def test_failing_jobs_drain_no_machine_and_are_retried_within_bounds() -> None:
+    """Three of them on one machine had it drained; each held back its own retry for two minutes."""
+    cluster, controller, term = start_cluster(4)
+    failing = {cluster.accept(controller, shards=12, cpus=0.5) for _ in range(3)}
+    tried: dict[str, list[float]] = {job_id: [] for job_id in failing}
+    for _ in range(150):
+        for worker in cluster.workers.values():
+            for task in worker.running():
+                if (job_id := task.rpartition("/")[0]) in failing:
+                    tried[job_id].append(cluster.clock.now)
+                    worker.finish(task, ExitReason.ERROR)
+        cluster.settle(term, 1)
+    assert len(term.inventory.machines) == 4
+    assert all(machine.drain is None and not machine.errors for machine in term.inventory.machines)
+    end = cluster.clock.now
+    for times in tried.values():
+        assert end - times[-1] < 40.0 and len([at for at in times if at > end - 60.0]) <= 4
+    good = cluster.accept(controller, shards=4)
+    cluster.settle(term, 3)
+    assert sum(task.startswith(good) for worker in cluster.workers.values() for task in worker.running()) == 4
+
+
+def test_failing_job_gets_all_tasks_back_soon_after_one_runs() -> None:
+    cluster, controller, term = start_cluster(4)
+    job_id = cluster.accept(controller, shards=12)
+    for _ in range(40):
+        for worker in cluster.workers.values():
+            for task in worker.running():
+                worker.finish(task, ExitReason.ERROR)
+        cluster.settle(term, 1)
+    assert term.registry.jobs[job_id].doubtful
+    cluster.settle(term, 45)
+    assert sum(len(worker.running()) for worker in cluster.workers.values()) == 12
+
+
+def test_faulty_machine_is_found_among_failing_jobs() -> None:
+    cluster, controller, term = start_cluster(4)
+    faulty = cluster.workers["n-000000"]
+    failing = [cluster.accept(controller, shards=2, cpus=4.0) for _ in range(2)]
+    for second in range(60):
+        if second % 4 == 0:
+            cluster.accept(controller, shards=20, cpus=4.0)
+        for worker in cluster.workers.values():
+            for task in worker.running():
+                if worker is faulty or task.rpartition("/")[0] in failing:
+                    worker.finish(task, ExitReason.ERROR)
+                elif second % 5 == 0:
+                    worker.finish(task)
+        cluster.settle(term, 1)
+    assert [machine.name for machine in term.inventory.machines if machine.drain == "faulty"] == [faulty.name]
--- /dev/null
+++ b/tests/scheduling/test_team_without_guarantee.py
@@ -0,0 +1,21 @@
+"""A team without a guarantee and a limit uses what is free."""
+
+from __future__ import annotations
+
+import json
+
+from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController
+
+
+def test_team_without_guarantee_gets_what_is_free() -> None:
+    """`cpus_max = 0` was read as "may use nothing", and every submission of a guest team answered 422."""
+    guest = '[[params.teams]]\nname = "guest"\ncpus = 0.0\ncpus_max = 0.0\n\n[[params.teams]]'
+    cluster = InMemoryCluster(SETTINGS.replace("[[params.teams]]", guest, 1))
+    worker = cluster.worker("n-000000")
+    controller = InMemoryController(cluster, "node-0")
+    term = controller.lead()
+    cluster.settle(term, 3)
+    cluster.accept(controller, crew="guest", shards=40, cpus=0.25, ramGb=0.1)
+    cluster.settle(term, 4)
+    assert len(worker.running()) == 40
+    assert json.loads(controller.users.submit(cluster.job(crew="nobody")).body) == {"error": "unknown team"}
