--- a/tests/scenarios/test_absent_machines.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -378,7 +378,7 @@
 
     def nowhere(self: JobRegistry, job: Any, machines: Any, hi: int) -> None:
         job.unseen_below = job.fresh = hi
-        self._clear(job)
+        self._release_unseen(job)
 
     monkeypatch.setattr(JobRegistry, "add_possible_holders", nowhere)
 
