--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -32,6 +32,8 @@
         term: Callable[[], Term | None],
         spread: WorkerAssignment | None = None,
         sender: HeartbeatForwarder | None = None,
+        hangs: Callable[[str], bool] = lambda name: False,
+        wait: Callable[[float], object] = lambda seconds: None,
     ) -> None:
         """Without `spread` and `sender` only the leader answers reports, whatever the policy says."""
         self.name = name
@@ -40,8 +42,8 @@
         self.spread = spread
         self.sender = sender
         #: whether another controller hangs, and waits for news of who leads for so many seconds at the most
-        self.hangs: Callable[[str], bool] = lambda name: False
-        self.wait: Callable[[float], object] = lambda seconds: None
+        self.hangs = hangs
+        self.wait = wait
 
     def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
         """The answer to a report. A worker that came over a `surplus` connection is sent elsewhere."""
--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -61,6 +61,10 @@
     return Response(status, _json.encode({"error": text}), retry_after)
 
 
+def _ignore_job(job_id: str) -> None:
+    return
+
+
 class JobLookup(NamedTuple):
     """What is known of a job: its state for its user, its counts, and of a live one its record's version."""
 
@@ -91,6 +95,8 @@
         completed_jobs: CompletedJobs,
         features: Features,
         current: BatchedReads | None = None,
+        on_cancelled: Callable[[str], None] = _ignore_job,
+        recall: Callable[[str], None] = _ignore_job,
     ) -> None:
         self.store = state
         #: shared reads, for polls; without them each reads for itself
@@ -104,9 +110,9 @@
         self.counts = counts
         self.completed_jobs = completed_jobs
         #: told of a job of which a user here is about to be told that it is cancelled
-        self.on_cancelled: Callable[[str], None] = lambda ident: None
+        self.on_cancelled = on_cancelled
         #: asks whoever runs a gang in another cluster to end it
-        self.recall: Callable[[str], None] = lambda ident: None
+        self.recall = recall
         self.features = features
 
     # shared -----------------------------------------------------------------------------------------------
--- /dev/null
+++ b/src/grebestand/controller/cancellations.py
@@ -0,0 +1,91 @@
+"""Cancellations that users were told of: recorded here, and broadcast to the other controllers.
+
+A leader may learn of a cancellation late by its own watch. The broadcast only makes it sooner: a job that is cancelled
+stays cancelled, so a late or repeated message changes nothing.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Callable
+
+import gevent
+
+from ..api.peer_api import CANCELLATION_KEPT_S, MAX_CANCELLATIONS_PER_STATUS, PeerApi
+from ..storage.completed_jobs import CompletedJobs
+from ..storage.job_records import CompletedJobRecord
+from ..wire.jobs import JobStatus
+from .current_term import CurrentTerm
+
+#: from the first cancellation to the broadcast, so that one status carries all of a burst
+BROADCAST_DELAY_S = 0.1
+
+
+class CancellationRecorder:
+    """Records cancellations and stops the cancelled jobs in this controller's own term."""
+
+    def __init__(self, current_term: CurrentTerm, completed_jobs: CompletedJobs, clock: Callable[[], float]) -> None:
+        self.current_term = current_term
+        self.completed_jobs = completed_jobs
+        self.clock = clock
+        #: ids of jobs that were cancelled through this controller, oldest first, and when
+        self._cancelled_at: OrderedDict[str, float] = OrderedDict()
+
+    def record_local(self, job_id: str) -> None:
+        """Record a cancellation that a user of this controller is about to be told of."""
+        self._cancelled_at[job_id] = self.clock()
+        self.stop_in_term(job_id)
+
+    def record_from_peer(self, job_ids: list[str]) -> None:
+        """Record cancellations that a peer has confirmed to its users."""
+        for job_id in job_ids:
+            if self.completed_jobs.get(job_id) is None:
+                self.completed_jobs.remember(job_id, CompletedJobRecord(JobStatus.CANCELLED, 0))
+                self.stop_in_term(job_id)
+
+    def stop_in_term(self, job_id: str) -> None:
+        """Stop a cancelled job if this controller leads and its records are loaded."""
+        term = self.current_term.loaded()
+        if term is not None:
+            term.job_watch.removed(job_id, self.clock())
+
+    def recent(self) -> list[str]:
+        """Return the ids to send with the next status, oldest first; older ones are forgotten."""
+        now = self.clock()
+        while self._cancelled_at and (
+            len(self._cancelled_at) > MAX_CANCELLATIONS_PER_STATUS
+            or now - next(iter(self._cancelled_at.values())) > CANCELLATION_KEPT_S
+        ):
+            self._cancelled_at.popitem(last=False)
+        return list(self._cancelled_at)
+
+    def version(self) -> tuple[int, str]:
+        """Return a value that changes when a cancellation is recorded: the count and the latest id."""
+        return len(self._cancelled_at), next(reversed(self._cancelled_at), "")
+
+
+class CancellationBroadcaster:
+    """Sends the status of this controller to all peers soon after a user cancelled a job here."""
+
+    def __init__(self, recorder: CancellationRecorder, peer_api: PeerApi) -> None:
+        self.recorder = recorder
+        self.peer_api = peer_api
+        self._scheduled = False
+
+    def on_cancelled(self, job_id: str) -> None:
+        """Record the cancellation and schedule a broadcast unless one is under way."""
+        self.recorder.record_local(job_id)
+        if not self._scheduled:
+            self._schedule()
+
+    def _schedule(self) -> None:
+        self._scheduled = True
+        gevent.spawn_later(BROADCAST_DELAY_S, self._broadcast)
+
+    def _broadcast(self) -> None:
+        """Send one status to each peer and wait for all: peers that hang would use up the connections otherwise."""
+        sent_version = self.recorder.version()
+        gevent.joinall([gevent.spawn(self.peer_api.greet, peer) for peer in self.peer_api.peers])
+        self._scheduled = False
+        if sent_version != self.recorder.version():
+            self._schedule()
--- a/src/grebestand/controller/machine_type_catalog.py
+++ b/src/grebestand/controller/machine_type_catalog.py
@@ -1,4 +1,4 @@
-"""Machine types: from the cloud, else as last recorded, so that a cloud outage stops no submission."""
+"""The machine types on offer: from the cloud, else as recorded last, so that a cloud outage stops no submission."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from ..clients.cloud import CloudClient, CloudError
 from ..clients.kv_store import KeyValueStoreClient, StoreError, absent, at, put
 from ..flow_control.rate_limiter import Urgency
+from ..log_events import LogEvent
 from ..wire.cloud import MachineType, MachineTypes
 
 log = logging.getLogger(__name__)
@@ -17,35 +18,50 @@
 
 
 class MachineTypeCatalog:
-    def __init__(self, state: KeyValueStoreClient, cloud: CloudClient, value_bytes: int) -> None:
-        self.store = state
+    """Keeps the machine types that the cloud offers."""
+
+    def __init__(self, store: KeyValueStoreClient, cloud: CloudClient, max_value_bytes: int) -> None:
+        """`max_value_bytes` bounds what is recorded: a longer list stays unrecorded."""
+        self.store = store
         self.cloud = cloud
-        self.value_bytes = value_bytes
+        self.max_value_bytes = max_value_bytes
         self.types: list[MachineType] | None = None
 
-    def _record(self, value: object) -> None:
-        """Conditional on what stands there, so that a write that is carried out late puts nothing older over it."""
-        found = self.store.get(TYPES_KEY, Urgency.PROGRESS)
-        if found is None or found.value != value:
-            condition = absent(TYPES_KEY) if found is None else at(TYPES_KEY, found.version)
-            self.store.commit([condition], [put(TYPES_KEY, value)], Urgency.PROGRESS)
+    def current(self) -> list[MachineType] | None:
+        """Return the types, or None as long as neither the cloud nor the store has been read."""
+        return self.types
+
+    def refresh(self, *, record: bool) -> bool:
+        """Read the types from the cloud, and record them if `record` says so, as the leader does.
 
-    def read(self, record: bool) -> bool:
-        """Asks the cloud, and has the answer recorded by who leads; False if that has to be tried again."""
+        Returns:
+            Whether that succeeded. If not, the recorded types are read in case none are known yet.
+        """
         try:
             self.types = self.cloud.machine_types()
             if record:
-                value = msgspec.to_builtins(MachineTypes(self.types))
-                if len(msgspec.json.encode(value)) < self.value_bytes:
-                    self._record(value)
+                self._record(self.types)
             return True
-        except (CloudError, StoreError) as e:
-            log.info("machine types: %s", e)
+        except (CloudError, StoreError) as error:
+            log.info(LogEvent("machine_types_not_refreshed", reason=error))
         if self.types is None:
-            try:
-                found = self.store.get(TYPES_KEY)
-                if found is not None:
-                    self.types = msgspec.convert(found.value, MachineTypes).types
-            except (StoreError, msgspec.ValidationError) as e:
-                log.info("machine types on record: %s", e)
+            self._read_record()
         return False
+
+    def _record(self, types: list[MachineType]) -> None:
+        """Record the types if they changed; conditional, so that a delayed write never replaces a newer record."""
+        value = msgspec.to_builtins(MachineTypes(types))
+        if len(msgspec.json.encode(value)) >= self.max_value_bytes:
+            return
+        found = self.store.get(TYPES_KEY, Urgency.PROGRESS)
+        if found is None or found.value != value:
+            condition = absent(TYPES_KEY) if found is None else at(TYPES_KEY, found.version)
+            self.store.commit([condition], [put(TYPES_KEY, value)], Urgency.PROGRESS)
+
+    def _read_record(self) -> None:
+        try:
+            found = self.store.get(TYPES_KEY)
+            if found is not None:
+                self.types = msgspec.convert(found.value, MachineTypes).types
+        except (StoreError, msgspec.ValidationError) as error:
+            log.info(LogEvent("machine_type_record_not_read", reason=error))
--- /dev/null
+++ b/src/grebestand/controller/peer_status.py
@@ -0,0 +1,70 @@
+"""The status that this controller exchanges with its peers about once a second."""
+
+from __future__ import annotations
+
+import math
+import random
+
+from ..connectivity.link_health import LinkHealth
+from ..flow_control.overload import OverloadMonitor
+from ..heartbeat_relay.forwarder import HeartbeatForwarder
+from ..heartbeat_relay.worker_assignment import WorkerAssignment
+from ..leader.election import LeaderElection
+from ..wire.peers import PeerStatus
+from .cancellations import CancellationRecorder
+from .current_term import CurrentTerm
+
+#: `PeerStatus.workers_age_s` while no worker has reached this controller
+NO_WORKER_SEEN_S = -1.0
+#: `PeerStatus.room` of a controller that answers no heartbeats
+NO_WORKERS_ACCEPTED = -1
+
+
+class PeerStatusComposer:
+    """Composes the status from the parts that know it; changes none of them."""
+
+    def __init__(
+        self,
+        *,
+        name: str,
+        election: LeaderElection,
+        current_term: CurrentTerm,
+        store_link: LinkHealth,
+        workers_link: LinkHealth,
+        overload: OverloadMonitor,
+        assignment: WorkerAssignment,
+        forwarder: HeartbeatForwarder,
+        cancellations: CancellationRecorder,
+        rng: random.Random,
+    ) -> None:
+        self.name = name
+        self.election = election
+        self.current_term = current_term
+        self.store_link = store_link
+        self.workers_link = workers_link
+        self.overload = overload
+        self.assignment = assignment
+        self.forwarder = forwarder
+        self.cancellations = cancellations
+        self.rng = rng
+        #: drawn once per process, so that peers recognise a restarted controller of the same name
+        self.incarnation = rng.getrandbits(62)
+
+    def compose(self) -> PeerStatus:
+        """Return the present status. Fields of the leader alone are empty unless this controller leads."""
+        term = self.current_term.loaded() if self.election.is_leader() else None
+        return PeerStatus(
+            name=self.name,
+            token=self.election.token if term is not None else 0,
+            state_age_s=self.store_link.age_s,
+            counts=term.status_broadcast.counts() if term is not None else {},
+            load=self.overload.state.value,
+            workers_age_s=self.workers_link.age_s if self.workers_link.ok_at > -math.inf else NO_WORKER_SEEN_S,
+            samples=term.status_broadcast.samples(self.rng) if term is not None else [],
+            incarnation=self.incarnation,
+            cancelled=self.cancellations.recent(),
+            kept=len(self.assignment.kept),
+            room=self.assignment.room if term is not None or self.forwarder.open() else NO_WORKERS_ACCEPTED,
+            reports=self.assignment.rate,
+            spread=self.assignment.machines if term is not None else 0,
+        )
--- /dev/null
+++ b/src/grebestand/controller/wiring.py
@@ -0,0 +1,413 @@
+"""Builds the parts of a controller and connects them; takes no decisions.
+
+Each part gets what it needs in its constructor. Where two parts need each other, both know a third: `CurrentTerm`,
+`PeerDirectory`, `LeadershipNews` and `CancellationRecorder` come first for that. What is left, the election and the
+peer API, call listeners that are subscribed once everything is built.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import gevent
+
+from ..api.heartbeat_api import KEPT_S, HeartbeatApi
+from ..api.job_api import JobApi
+from ..api.peer_api import PeerApi
+from ..api.read_batching import BatchedReads
+from ..clients.cloud import CloudClient
+from ..clients.kv_store import KeyValueStoreClient
+from ..clients.peer import PeerClient
+from ..clients.runtime import Runtime
+from ..connectivity.link_health import LinkHealth
+from ..connectivity.store_proxy import ProxiedStoreTransport, StoreProxyHandler
+from ..features.hooks import Features
+from ..flow_control.connection_limits import (
+    BATCHES,
+    CLOUD,
+    GREETINGS,
+    RELAYED,
+    STATE_REQUESTS,
+    STATE_WATCHES,
+    ConnectionPlan,
+    plan_connections,
+)
+from ..flow_control.overload import OverloadMonitor
+from ..flow_control.rate_limiter import RateLimiter
+from ..heartbeat_relay.batch_receiver import BatchReceiver
+from ..heartbeat_relay.forwarder import HeartbeatForwarder
+from ..heartbeat_relay.worker_assignment import WorkerAssignment
+from ..leader.cancellation_horizon import CancellationHorizon, allowance_s
+from ..leader.election import LeaderElection
+from ..settings.expressions import Expressions
+from ..settings.platform import PeerAddress, Settings
+from ..settings.policy import VARIABLES
+from ..state_machines import LeaderState, LoadState
+from ..storage.completed_jobs import CompletedJobs
+from .assignment_loop import AssignmentLoop
+from .cancellations import CancellationBroadcaster, CancellationRecorder
+from .current_term import CurrentTerm
+from .direct_commands import DirectCommandSender
+from .http_front import HttpFront
+from .job_counts import JobCounts
+from .lag_monitor import LagMonitor
+from .leader_loop import LeaderLoop
+from .leadership_news import LeadershipNews
+from .leadership_transfer import LeadershipTransfer
+from .link_probes import StoreLinkProbe, WorkerLinkProbe
+from .machine_type_catalog import MachineTypeCatalog
+from .machine_type_refresh import MachineTypeRefreshLoop
+from .peer_directory import PeerDirectory
+from .peer_events import PeerEvents
+from .peer_loops import CachedImagesLoop, StatusExchangeLoop
+from .peer_status import PeerStatusComposer
+from .store_write_budget import StoreWriteBudget, follower_share
+from .term_factory import TermFactory
+from .term_runner import TermRunner
+
+#: parts of the cluster's request rates that a controller uses: its even share of reads, somewhat less than the limit,
+#: and bursts of a part of a second; the cloud is asked by the leader alone
+STORE_READ_SHARE, STORE_BURST_S = 0.9, 0.3
+CLOUD_SHARE, CLOUD_BURST_S = 0.8, 1.0
+#: of a value in the store, left free for what surrounds it, in bytes
+VALUE_RESERVE_BYTES = 16
+#: the store allows so many times as many conditions as changes in a transaction; one is left to spare
+CONDITIONS_PER_CHANGE = 3
+#: a connection to a peer that takes longer is given up: a status is exchanged every second
+PEER_CONNECT_TIMEOUT_S = 0.8
+
+
+@dataclass(frozen=True)
+class Clients:
+    """Ways to the key-value store, the cloud and the other controllers."""
+
+    store_link: LinkHealth
+    store_transport: ProxiedStoreTransport
+    store: KeyValueStoreClient
+    cloud: CloudClient
+    directory: PeerDirectory
+
+
+@dataclass(frozen=True)
+class Foundation:
+    """What most parts of a controller share."""
+
+    settings: Settings
+    policy: Expressions
+    features: Features
+    runtime: Runtime
+    clock: Callable[[], float]
+    current_term: CurrentTerm
+    news: LeadershipNews
+    completed_jobs: CompletedJobs
+    clients: Clients
+    election: LeaderElection
+    workers_link: LinkHealth
+    overload: OverloadMonitor
+    connections: ConnectionPlan
+    machine_types: MachineTypeCatalog
+    cancellations: CancellationRecorder
+
+    @property
+    def max_value_bytes(self) -> int:
+        """The largest value that is written to the store."""
+        return max_value_bytes(self.settings)
+
+    def is_overloaded(self) -> bool:
+        """Return whether this controller is too late to take more workers."""
+        return self.overload.state is LoadState.OVERLOADED
+
+    def wait_while_loading(self) -> None:
+        """Let a heartbeat that comes while the records are loaded wait for that, for a moment."""
+        if self.election.state is LeaderState.LOADING:
+            self.news.wait(KEPT_S)
+
+    def recall(self, job_id: str) -> None:
+        """Ask the features to end a job that another cluster may run."""
+        for hook in self.features.recalls:
+            hook(job_id)
+
+
+@dataclass(frozen=True)
+class HeartbeatRelay:
+    """Forwarding of heartbeats between controllers, and the assignment of workers to them."""
+
+    assignment: WorkerAssignment
+    forwarder: HeartbeatForwarder
+    receiver: BatchReceiver
+    assignment_loop: AssignmentLoop
+
+
+@dataclass(frozen=True)
+class ControllerParts:
+    """The parts of a controller that are used from outside, and its loops in the order in which they begin."""
+
+    foundation: Foundation
+    relay: HeartbeatRelay
+    peer_api: PeerApi
+    job_api: JobApi
+    direct_commands: DirectCommandSender
+    leadership_transfer: LeadershipTransfer
+    http_front: HttpFront
+    loops: list[Callable[[], None]]
+
+
+def build_parts(settings: Settings, policy: Expressions, features: Features, runtime: Runtime) -> ControllerParts:
+    """Build all parts of a controller; none of them runs yet."""
+    foundation = _build_foundation(settings, policy, features, runtime)
+    relay = _build_relay(foundation)
+    peer_api = _build_peer_api(foundation, relay)
+    job_api = _build_job_api(foundation, peer_api)
+    heartbeat_api = HeartbeatApi(
+        settings.name, foundation.election, foundation.current_term.get, relay.assignment, relay.forwarder,
+        peer_api.hangs, foundation.news.wait,
+    )  # fmt: skip
+    direct_commands = DirectCommandSender(runtime, foundation.connections.direct)
+    transfer = _build_leadership_transfer(foundation, peer_api)
+    term_runner = _build_term_runner(foundation, relay, peer_api, direct_commands)
+    _subscribe_to_election(foundation, term_runner, transfer, peer_api)
+    peer_api.subscribe(
+        PeerEvents(
+            election=foundation.election,
+            news=foundation.news,
+            assignment_loop=relay.assignment_loop,
+            cancellations=foundation.cancellations,
+            transfer=transfer,
+        )
+    )
+    http_front = HttpFront(
+        users=job_api,
+        workers=heartbeat_api,
+        transfer=transfer,
+        overload=foundation.overload,
+        workers_link=foundation.workers_link,
+    )
+    return ControllerParts(
+        foundation=foundation,
+        relay=relay,
+        peer_api=peer_api,
+        job_api=job_api,
+        direct_commands=direct_commands,
+        leadership_transfer=transfer,
+        http_front=http_front,
+        loops=_build_loops(foundation, relay, peer_api, transfer),
+    )
+
+
+def max_value_bytes(settings: Settings) -> int:
+    """Return the largest value that is written to the store, in bytes."""
+    return int(settings.params.state.value_kb * 1024) - VALUE_RESERVE_BYTES
+
+
+def _build_foundation(settings: Settings, policy: Expressions, features: Features, runtime: Runtime) -> Foundation:
+    clock, params = runtime.clock, settings.params
+    current_term, completed_jobs = CurrentTerm(), CompletedJobs()
+    clients = _build_clients(settings, runtime, current_term)
+    return Foundation(
+        settings=settings,
+        policy=policy,
+        features=features,
+        runtime=runtime,
+        clock=clock,
+        current_term=current_term,
+        news=LeadershipNews(),
+        completed_jobs=completed_jobs,
+        clients=clients,
+        election=_build_election(settings, policy, clock, clients.store),
+        workers_link=LinkHealth("workers", clock),
+        overload=OverloadMonitor(params.quota, clock),
+        connections=plan_connections(params.quota, len(settings.peers)),
+        machine_types=MachineTypeCatalog(clients.store, clients.cloud, max_value_bytes(settings)),
+        cancellations=CancellationRecorder(current_term, completed_jobs, clock),
+    )
+
+
+def _build_clients(settings: Settings, runtime: Runtime, current_term: CurrentTerm) -> Clients:
+    clock, params = runtime.clock, settings.params
+
+    def limiter(rate: float, burst: float) -> RateLimiter:
+        return RateLimiter(rate, burst, clock, gevent.spawn_later)
+
+    directory = PeerDirectory(
+        [_connect_peer(peer, runtime) for peer in settings.peers],
+        {peer.name: peer.zone for peer in settings.peers},
+        clock,
+        current_term,
+    )
+    store_link = LinkHealth("the state service", clock)
+    store_transport, watch_transport = (
+        ProxiedStoreTransport(
+            runtime.connect(settings.outside.state, "outside.state", connections), store_link, directory.all
+        )
+        for connections in (STATE_REQUESTS, STATE_WATCHES)
+    )
+    read_rate = params.state.rps * STORE_READ_SHARE / max(1, params.nodes)
+    write_rate = params.state.write_rps * follower_share(params.nodes)
+    store = KeyValueStoreClient(
+        store_transport,
+        watch_transport,
+        limiter(read_rate, params.state.rps * STORE_BURST_S),
+        limiter(write_rate, params.state.write_rps * STORE_BURST_S),
+    )
+    cloud = CloudClient(
+        runtime.connect(settings.outside.cloud, "outside.cloud", CLOUD),
+        limiter(params.cloud.rps * CLOUD_SHARE, params.cloud.rps * CLOUD_BURST_S),
+    )
+    return Clients(store_link, store_transport, store, cloud, directory)
+
+
+def _connect_peer(peer: PeerAddress, runtime: Runtime) -> PeerClient:
+    connections = GREETINGS + RELAYED + BATCHES
+    return PeerClient(peer.name, runtime.connect(peer.address, "known.address", connections, PEER_CONNECT_TIMEOUT_S))
+
+
+def _build_election(
+    settings: Settings, policy: Expressions, clock: Callable[[], float], store: KeyValueStoreClient
+) -> LeaderElection:
+    workers = settings.params.workers
+    variables = {name: lowest for name, (lowest, _) in VARIABLES.items()}
+    variables["lease_s"] = workers.lease_s
+    variables["report_s"] = workers.report_s
+    cancellation_horizon = CancellationHorizon(clock, allowance_s(workers))
+    cancellation_horizon.tell(workers)
+    return LeaderElection(settings.name, store, clock, policy.value("hold_s", variables), cancellation_horizon)
+
+
+def _build_relay(foundation: Foundation) -> HeartbeatRelay:
+    settings, clock, directory = foundation.settings, foundation.clock, foundation.clients.directory
+    max_workers = foundation.connections.workers
+    assignment = WorkerAssignment(
+        settings.name, settings.zone, max_workers, settings.params.workers.report_s, clock,
+        directory.accepting_workers, foundation.is_overloaded,
+    )  # fmt: skip
+    assignment.followers = len(settings.peers)
+    forwarder = HeartbeatForwarder(settings.name, clock, directory.leading_peer)
+    receiver = BatchReceiver(
+        directory.zones, foundation.election, foundation.current_term.get, foundation.overload, clock,
+        foundation.wait_while_loading,
+    )  # fmt: skip
+    assignment_loop = AssignmentLoop(
+        assignment=assignment,
+        forwarder=forwarder,
+        receiver=receiver,
+        directory=directory,
+        election=foundation.election,
+        current_term=foundation.current_term,
+        max_workers=max_workers,
+        clock=clock,
+    )
+    return HeartbeatRelay(assignment, forwarder, receiver, assignment_loop)
+
+
+def _build_peer_api(foundation: Foundation, relay: HeartbeatRelay) -> PeerApi:
+    clients = foundation.clients
+    status_composer = PeerStatusComposer(
+        name=foundation.settings.name,
+        election=foundation.election,
+        current_term=foundation.current_term,
+        store_link=clients.store_link,
+        workers_link=foundation.workers_link,
+        overload=foundation.overload,
+        assignment=relay.assignment,
+        forwarder=relay.forwarder,
+        cancellations=foundation.cancellations,
+        rng=foundation.runtime.rng,
+    )
+    return PeerApi(
+        clients.directory.peers, foundation.clock, status_composer.compose, foundation.features,
+        StoreProxyHandler(clients.store_transport), relay.receiver.answer,
+    )  # fmt: skip
+
+
+def _build_job_api(foundation: Foundation, peer_api: PeerApi) -> JobApi:
+    params, store = foundation.settings.params, foundation.clients.store
+    return JobApi(
+        store, params.teams, params.zones, foundation.max_value_bytes, foundation.runtime.wall, foundation.clock,
+        foundation.machine_types.current, JobCounts(foundation.current_term, peer_api).of, foundation.completed_jobs,
+        foundation.features, BatchedReads(store, CONDITIONS_PER_CHANGE * params.state.txn_ops),
+        CancellationBroadcaster(foundation.cancellations, peer_api).on_cancelled, foundation.recall,
+    )  # fmt: skip
+
+
+def _build_leadership_transfer(foundation: Foundation, peer_api: PeerApi) -> LeadershipTransfer:
+    settings = foundation.settings
+    return LeadershipTransfer(
+        settings.name, settings.params.workers.report_s, foundation.election, peer_api, foundation.overload,
+        foundation.clock, foundation.current_term.get, foundation.clients.store_link, foundation.workers_link,
+    )  # fmt: skip
+
+
+def _build_term_runner(
+    foundation: Foundation, relay: HeartbeatRelay, peer_api: PeerApi, direct_commands: DirectCommandSender
+) -> TermRunner:
+    params, clients = foundation.settings.params, foundation.clients
+    factory = TermFactory(
+        settings=foundation.settings,
+        policy=foundation.policy,
+        features=foundation.features,
+        runtime=foundation.runtime,
+        clock=foundation.clock,
+        election=foundation.election,
+        store=clients.store,
+        cloud=clients.cloud,
+        completed_jobs=foundation.completed_jobs,
+        machine_types=foundation.machine_types,
+        overload=foundation.overload,
+        direct_commands=direct_commands,
+        max_value_bytes=foundation.max_value_bytes,
+    )
+    return TermRunner(
+        election=foundation.election,
+        current_term=foundation.current_term,
+        factory=factory,
+        assignment_loop=relay.assignment_loop,
+        peer_api=peer_api,
+        write_budget=StoreWriteBudget(clients.store.writes, params.state.write_rps, params.nodes),
+        features=foundation.features,
+        clock=foundation.clock,
+        rng=foundation.runtime.rng,
+    )
+
+
+def _subscribe_to_election(
+    foundation: Foundation, term_runner: TermRunner, transfer: LeadershipTransfer, peer_api: PeerApi
+) -> None:
+    election = foundation.election
+    election.on_move = term_runner.on_leadership_changed
+    election.on_news = foundation.news.announce
+    election.patience = transfer.patience
+    election.cancellation_horizon.cancellations_confirmed_up_to = peer_api.cancellations_confirmed_up_to
+
+
+def _build_loops(
+    foundation: Foundation, relay: HeartbeatRelay, peer_api: PeerApi, transfer: LeadershipTransfer
+) -> list[Callable[[], None]]:
+    runtime, election, current_term = foundation.runtime, foundation.election, foundation.current_term
+    clients, interval_s = foundation.clients, foundation.settings.params.workers.report_s
+    leader_loop = LeaderLoop(
+        election=election,
+        current_term=current_term,
+        transfer=transfer,
+        workers_link=foundation.workers_link,
+        heartbeat_interval_s=interval_s,
+        rng=runtime.rng,
+    )
+    worker_probe = WorkerLinkProbe(
+        link=foundation.workers_link,
+        current_term=current_term,
+        peer_api=peer_api,
+        runtime=runtime,
+        heartbeat_interval_s=interval_s,
+    )
+    return [
+        leader_loop.run,
+        LagMonitor(foundation.overload, foundation.clock).run,
+        StoreLinkProbe(clients.store_link, clients.store_transport, runtime.rng).run,
+        worker_probe.run,
+        MachineTypeRefreshLoop(foundation.machine_types, election, current_term, runtime.rng).run,
+        CachedImagesLoop(peer_api, election, current_term, foundation.overload).run,
+        relay.assignment_loop.run,
+        relay.forwarder.run,
+        *(StatusExchangeLoop(peer, peer_api, runtime.rng).run for peer in peer_api.peers),
+    ]
--- a/src/grebestand/simulation/simulated_controllers.py
+++ b/src/grebestand/simulation/simulated_controllers.py
@@ -53,7 +53,7 @@
 
     def _begin(self, name: str, host: SimulatedRuntime) -> None:
         own(host)
-        node = Controller(self.basis.settings[name], self.basis.policy, network=host)
+        node = Controller(self.basis.settings[name], self.basis.policy, runtime=host)
         self.nodes[name] = node
         node.begin()
 
@@ -95,7 +95,7 @@
         def handle_heartbeat(method: str, path: str, body: bytes) -> tuple[int, bytes]:
             assert node is not None
             host.awake()
-            answer = node.handle_heartbeat(body)
+            answer = node.http_front.handle_heartbeat(body)
             host.awake()
             if host.gone:
                 raise UnreachableError("its process ended before it answered")
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -104,7 +104,7 @@
     def leadership_transfer(self, *peers: PeerClient) -> LeadershipTransfer:
         """What decides whether this node gives way, with these other controllers."""
         clock = self.world.clock
-        door = PeerApi(list(peers), clock, lambda: PeerStatus(self.name, 0, 0.0), lambda gone: None, self.features)
+        door = PeerApi(list(peers), clock, lambda: PeerStatus(self.name, 0, 0.0), self.features)
         w = self.world.settings.params.workers
         self.state_link, self.workers_link = LinkHealth("the state service", clock), LinkHealth("workers", clock)
         return LeadershipTransfer(
--- a/tests/api/test_confirmed_results.py
+++ b/tests/api/test_confirmed_results.py
@@ -19,7 +19,7 @@
 from grebestand.clients.kv_store import KeyValueStoreClient
 from grebestand.cluster_state.job_registry import JobRegistry
 from grebestand.cluster_state.machine_inventory import MachineInventory
-from grebestand.controller.controller import Controller
+from grebestand.controller.job_counts import JobCounts
 from grebestand.leader.cancellation_horizon import STARTS_S, CancellationHorizon
 from grebestand.leader.durable_grants import DurableGrants
 from grebestand.leader.election import LEADER_KEY
@@ -360,7 +360,7 @@
 def test_repeats_that_cost_a_write_are_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose, as it was: the writes are short then."""
     monkeypatch.setattr(BatchedReads, "knows", lambda self, ident: False)
-    monkeypatch.setattr(Controller, "_counts", lambda self, ident: (0, 0))
+    monkeypatch.setattr(JobCounts, "of", lambda self, ident: (0, 0))
     with pytest.raises(AssertionError):
         test_one_task_jobs_four_a_second_for_two_minutes(loop)
 
@@ -376,7 +376,7 @@
     world.settle(term, 3)
     ref = world.accept(InMemoryController(world, "node-9"), shards=2)
     record = CompletedJobRecord(JobStatus.CANCELLED, 0)
-    term.completed_jobs.remember(ref, record)  # as `Controller._hear_cancelled` does, which finds no such job to stop
+    term.completed_jobs.remember(ref, record)  # as `CancellationRecorder` does, which finds no such job to stop
     term.job_watch.removed(ref, world.clock.now)
     term.job_watch.watch()
     for _ in range(3):
--- a/tests/features/test_hooks.py
+++ b/tests/features/test_hooks.py
@@ -60,7 +60,7 @@
     InMemoryController(world, "node-1", features).lead()
     assert curfew.found == {"on": False}
     # messages and listeners
-    door = PeerApi([], world.clock, lambda: PeerStatus("node-1", 1, 0.0), lambda gone: None, features)
+    door = PeerApi([], world.clock, lambda: PeerStatus("node-1", 1, 0.0), features)
     assert door.answer("/curfew", b"abc") == b"cba" and door.answer("/nothing", b"") is None
     assert [x.field for x in features.listeners] == ["curfew"]
 
--- a/tests/flow_control/test_overload.py
+++ b/tests/flow_control/test_overload.py
@@ -97,11 +97,11 @@
 ) -> None:
     """Bodies of 64 KiB, connections and waiting requests: none of them may end a small process in a burst."""
     world = InMemoryCluster(small_quota(cpu, memory_mb, sockets))
-    front = Controller(world.settings, world.policy)
+    front = Controller(world.settings, world.policy).http_front
     assert front.overload.most_users == most
     asked = {"REQUEST_METHOD": "POST", "PATH_INFO": "/v2/runs"}
     front.users_busy = most
-    answer = front._answer(asked)
+    answer = front.answer(asked)
     assert (answer.status, answer.retry_after) == (503, 1)
     assert front.users_busy == most
 
@@ -111,12 +111,12 @@
     node = InMemoryController(world, "node-0")
     term = node.lead()
     worker = world.worker("n-000000")
-    front = Controller(world.settings, world.policy)
+    front = Controller(world.settings, world.policy).http_front
     front.workers = HeartbeatApi("node-0", node.election, lambda: term)
     front.overload.felt(3.0)
     front.users_busy = front.overload.most_users // 2
     poll = {"REQUEST_METHOD": "GET", "PATH_INFO": "/v2/runs/j-000001"}
-    assert front._answer(poll).status == 503
+    assert front.answer(poll).status == 503
     assert front.overload.takes(front.users_busy, poll=False)
     assert front.workers.handle_heartbeat(json.dumps({
         "vessel": worker.name, "addr": "n-000000:1", "hull": "m4", "quay": "a", "driftwood": False, "watch": 1,
--- a/tests/heartbeat_relay/test_heartbeat_relay.py
+++ b/tests/heartbeat_relay/test_heartbeat_relay.py
@@ -706,12 +706,12 @@
         open_now -= 1
         raise UnreachableError("timeout")
 
-    monkeypatch.setattr(node.network, "once", hanging)
+    monkeypatch.setattr(node.runtime, "once", hanging)
     refused = Counter[str]()
 
     def order() -> None:
         try:
-            node._direct("n-000000:1", "/do", b"{}")
+            node.direct_commands.send("n-000000:1", "/do", b"{}")
         except UnreachableError as e:
             refused[str(e)] += 1
 
--- a/tests/leader/test_cancellation_horizon.py
+++ b/tests/leader/test_cancellation_horizon.py
@@ -12,7 +12,7 @@
 from grebestand.api.job_api import JobApi
 from grebestand.api.response import Response
 from grebestand.clients.kv_store import StoreError
-from grebestand.controller.controller import Controller
+from grebestand.controller.cancellations import CancellationRecorder
 from grebestand.leader.cancellation_horizon import TIGHTEST_S, CancellationHorizon, allowance_s
 from grebestand.leader.job_audit import JobAudit
 from grebestand.leader.job_watch import JobWatch
@@ -103,8 +103,8 @@
 
 def unheard(monkeypatch: pytest.MonkeyPatch) -> None:
     """Neither the other controllers nor its own users' questions tell a leader: a help, on which no rule rests."""
-    monkeypatch.setattr(Controller, "_hear_cancelled", lambda *_: None)
-    monkeypatch.setattr(Controller, "_stop_cancelled", lambda *_: None)
+    monkeypatch.setattr(CancellationRecorder, "record_from_peer", lambda *_: None)
+    monkeypatch.setattr(CancellationRecorder, "stop_in_term", lambda *_: None)
 
 
 def time_alone(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/scenarios/test_absent_machines.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -17,7 +17,7 @@
 from grebestand.cluster_state import machine_inventory
 from grebestand.cluster_state.job_registry import JobRegistry
 from grebestand.cluster_state.machine_inventory import MachineInventory
-from grebestand.controller.controller import Controller
+from grebestand.controller.cancellations import CancellationRecorder
 from grebestand.leader.cancellation_horizon import CancellationHorizon
 from grebestand.leader.election import LeaderElection
 from grebestand.scheduling.placement import Placement
@@ -413,7 +413,7 @@
 
 def knows_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is known is never too old, and nobody hints at what is new."""
-    monkeypatch.setattr(Controller, "_hear_cancelled", lambda self, idents: None)
+    monkeypatch.setattr(CancellationRecorder, "record_from_peer", lambda self, idents: None)
     monkeypatch.setattr(CancellationHorizon, "fresh", lambda self: True)
     extend = LeaderElection._extend
     monkeypatch.setattr(LeaderElection, "_extend", lambda self, sent: extend(self, sent + 60.0))
--- a/tools/account.py
+++ b/tools/account.py
@@ -34,7 +34,7 @@
 from grebestand.cli import main  # noqa: E402
 from grebestand.cluster_state.job_registry import JobRegistry  # noqa: E402
 from grebestand.cluster_state.machine_inventory import MachineInventory  # noqa: E402
-from grebestand.controller.controller import Controller  # noqa: E402
+from grebestand.controller.peer_status import PeerStatusComposer  # noqa: E402
 from grebestand.heartbeats.commands import CommandBuilder  # noqa: E402
 from grebestand.heartbeats.reconciliation import HeartbeatReconciler  # noqa: E402
 from grebestand.leader.machine_reconciliation import MachineReconciliation  # noqa: E402
@@ -52,7 +52,7 @@
 
 #: parts that never yield, so that a clock around them tells what they take
 PARTS: list[tuple[type, list[str]]] = [
-    (Controller, ["_hello"]),
+    (PeerStatusComposer, ["compose"]),
     (HeartbeatReconciler, ["read"]),
     (CommandBuilder, ["commands"]),
     (MachineInventory, ["detect_silent_machines"]),
@@ -74,7 +74,7 @@
 def label_of(g: Any) -> str:
     """What a greenlet is for: the name of what it runs, and of the step that it was given."""
     run = getattr(g, "_run", None)
-    name = getattr(run, "__name__", type(g).__name__)
+    name = getattr(run, "__qualname__", type(g).__name__)
     args = getattr(g, "args", ())
     steps = [a.__name__ for a in args if hasattr(a, "__name__")]
     return "/".join([name, *steps])
