--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Who leads: when a leader gives way, to whom, and who waits for whom where the key is free."""
+"""When a leader gives way and to whom, and how long each controller waits before it takes a free leader key."""
 
 from __future__ import annotations
 
@@ -13,188 +13,226 @@
 from ..flow_control.overload import OverloadMonitor
 from ..leader.election import LeaderElection
 from ..leader.term import Term
+from ..log_events import LogEvent
 from ..state_machines import LeaderState, LinkState, LoadState
 from ..wire.peers import PeerStatus, ResignationNotice
 
 log = logging.getLogger(__name__)
 
-#: a peer's word on when it last reached the state service is as old as this at most
-OUTAGE_MARGIN_S = 1.5
-#: a leader that is overloaded for so long gives way, where somebody is not; the next time it waits longer
-SLOW_S = 6.0
-#: and so many times as long while machines are not proved yet
-TAKING_OVER = 3.0
-#: a peer that answered so long ago, in seconds, is there
-HEARD_S = 3.0
-#: users of a controller that the state service has not answered for so long are better off at others
-UNSERVED_S = 4.0
-#: a leader without the state service is served over others within this time, or gives way
-CUT_S = 5.0
-#: with so many machines, a silence of so many report intervals shows that the leader is cut off from them; with fewer,
-#: or in a term that none has reported in yet, it takes longer
-MANY_MACHINES, SURE_REPORTS, UNSURE_REPORTS = 20, 1.6, 3.5
-#: a leader looks for its workers at least so often, in seconds, unless it stands still
-LOOKED_S = 2.5
-#: how long others wait for an heir, and how long one waits with the key free that workers have not reached lately, that
-#: has lost them, and, beyond that, while one is heard that is better placed
-HEIR_S, DOUBTFUL_S, WORSE_S, BETTER_S = 1.5, 0.9, 2.5, 2.5
+#: a peer that answered a status exchange within this time is present
+PEER_PRESENT_S = 3.0
+#: the same for a comparison of who reaches the key-value store, which needs a more recent status
+STORE_COMPARISON_VALID_S = 2.5
+#: a peer's age of its last answer from the store is up to this old itself, as statuses come about once a second
+STORE_AGE_MARGIN_S = 1.5
+#: users of a controller that the store has not answered for this long are better off at others
+STORE_UNHEALTHY_AFTER_S = 4.0
+#: a leader without the store is served through a peer within this time, or gives way
+STORE_RESIGN_AFTER_S = 5.0
+
+#: a leader that is overloaded for this long gives way to a controller that is not; each time in a row it waits longer
+OVERLOAD_RESIGN_AFTER_S = 6.0
+#: and so many times as long while machines are not reconciled: a successor is late with thousands of machines as well,
+#: and the next one would begin with all of them again
+RECONCILING_PATIENCE_FACTOR = 3.0
+#: how often in a row patience grows at most
+MAX_PATIENCE_STEPS = 6
+
+#: a leader with at least so many machines that has had heartbeats in its term concludes sooner that it is cut off
+MANY_MACHINES = 20
+#: silence of all workers after which a leader gives way, in heartbeat intervals: with many machines, and otherwise
+MANY_MACHINES_SILENCE_INTERVALS, SILENCE_INTERVALS = 1.6, 3.5
+#: a leader that has not checked its workers for longer than this stood still itself
+CHECK_GAP_S = 2.5
+#: workers reach a controller if one has done so within so many heartbeat intervals
+REACHED_INTERVALS = 2
+
+#: before a controller that resigned may lead again: for want of the store, and for silence or overload
+STORE_RESIGNATION_S, RESIGNATION_S = 10.0, 20.0
+
+#: how long the key has to be free before a controller takes it: while another was named as the successor, if workers
+#: have not reached this one lately, if it lost them, and, added to these two, while a better placed peer is present
+SUCCESSOR_HEAD_START_S = 1.5
+SUSPECT_LINK_WAIT_S, LOST_LINK_WAIT_S = 0.9, 2.5
+BETTER_PEER_WAIT_S = 2.5
 
 
 class LeadershipTransfer:
+    """Decides on giving way and on succession, from what this controller and its peers know of their links and load."""
+
     def __init__(
         self,
+        *,
         name: str,
-        report_s: float,
+        heartbeat_interval_s: float,
         election: LeaderElection,
-        peers: PeerApi,
-        load: OverloadMonitor,
+        peer_api: PeerApi,
+        overload: OverloadMonitor,
         clock: Callable[[], float],
         term: Callable[[], Term | None],
-        state: LinkHealth,
-        workers: LinkHealth,
+        store_link: LinkHealth,
+        workers_link: LinkHealth,
     ) -> None:
         self.name = name
-        self.report_s = report_s
+        self.heartbeat_interval_s = heartbeat_interval_s
         self.election = election
-        self.peers = peers
-        self.load = load
+        self.peer_api = peer_api
+        self.overload = overload
         self.clock = clock
         self.term = term
-        self.state = state
-        self.workers = workers
-        self.born_at = clock()
-        #: when this controller last looked for its workers, and since when it has looked without a break
-        self.looked_at = self.awake_since = clock()
-        #: until when the heir that a resigned leader named goes first
-        self.heir_until = -math.inf
-        #: how often it gave way because no worker reported, and because it was late
-        self.lost_workers = 0
-        self.slow_terms = 0
-
-    def _heard(self, seconds: float) -> Iterator[tuple[PeerClient, PeerStatus]]:
-        """Peers that answered lately, with what they said."""
+        self.store_link = store_link
+        self.workers_link = workers_link
+        self.started_at = clock()
+        #: when the workers were last checked, and since when that has been done without a gap
+        self.checked_workers_at = self.checking_since = clock()
+        #: until when a successor that a resigned leader named goes first
+        self._successor_first_until = -math.inf
+        #: how often in a row this controller gave way for silence of all workers, and for overload
+        self._silence_resignations = 0
+        self._overload_resignations = 0
+
+    def _present_peers(self, within_s: float) -> Iterator[tuple[PeerClient, PeerStatus]]:
+        """Yield peers that answered within the last `within_s` seconds, with their status."""
         now = self.clock()
-        for peer in self.peers.peers:
-            if peer.last is not None and now - peer.last_heard_at < seconds:
+        for peer in self.peer_api.peers:
+            if peer.last is not None and now - peer.last_heard_at < within_s:
                 yield peer, peer.last
 
-    def better_placed(self) -> PeerClient | None:
-        """A peer that reached the state service after this controller had failed to for a while.
+    # the link to the key-value store ----------------------------------------------------------------------
+
+    def better_placed_peer(self) -> PeerClient | None:
+        """Return a peer that reached the store after this controller had failed to for a while, if there is one.
 
-        That the peer's last success is recent is not enough: in an outage all are served until the same moment, and
-        a leader that gave way to a peer served a second later ended its term, and its workers' leases, for nothing.
+        A recent success of the peer is not enough: in an outage of the store all succeed until the same moment, and a
+        leader that gave way to a peer served a second later would end its term for nothing.
         """
-        failed = self.state.failed_at
-        if failed is None:
+        failed_at = self.store_link.failed_at
+        if failed_at is None:
             return None
-        for peer, last in self._heard(2.5):
-            if peer.last_heard_at - last.state_age_s > failed + OUTAGE_MARGIN_S:
+        for peer, status in self._present_peers(STORE_COMPARISON_VALID_S):
+            if peer.last_heard_at - status.state_age_s > failed_at + STORE_AGE_MARGIN_S:
                 return peer
         return None
 
     def healthy(self) -> bool:
-        """Unhealthy only if users are better served elsewhere: this one lost the state service, others did not.
+        """Return False only if users are better served elsewhere: this controller lost the store, and others did not.
 
-        One that hears no other controller either cannot tell an outage from a cut. It is the one that is cut off, most
-        likely, and kept its users for as long as that lasted; in an outage nobody could serve them anyway.
+        A controller that hears no peer either is most likely the one that is cut off, so it is unhealthy too; in an
+        outage of the store nobody could serve its users anyway.
         """
-        if self.state.age_s < UNSERVED_S:
+        if self.store_link.age_s < STORE_UNHEALTHY_AFTER_S:
             return True
-        alone = bool(self.peers.peers) and next(self._heard(HEARD_S), None) is None
-        return not alone and self.better_placed() is None
+        alone = bool(self.peer_api.peers) and next(self._present_peers(PEER_PRESENT_S), None) is None
+        return not alone and self.better_placed_peer() is None
 
     def consider_state(self) -> None:
-        """If the state service answers others but not this leader, not even over them, one of them should lead."""
-        if self.state.age_s < CUT_S:
+        """Resign as the leader if the store answers a peer but not this controller, not even through a peer."""
+        if self.store_link.age_s < STORE_RESIGN_AFTER_S:
             return
-        peer = self.better_placed()
+        peer = self.better_placed_peer()
         if peer is not None:
-            token = self.election.resign(f"{peer.name} reaches the state service and this one does not", 10.0)
+            reason = f"{peer.name} reaches the state service and this one does not"
+            token = self.election.resign(reason, STORE_RESIGNATION_S)
             peer.tell("/resigned", ResignationNotice(self.name, token, peer.name), PeerStatus)
 
+    # the link to workers ----------------------------------------------------------------------------------
+
     def check_workers(self) -> None:
-        """A leader that no worker can reach keeps everybody waiting: it gives way, whoever else can be heard.
+        """Resign as the leader if no worker reaches this controller, whether or not a peer is present.
 
-        It reaches the state service, or this would not be asked; so the others find the key free. With many machines
-        a silence of one and a half report intervals is no accident. One that stood still itself begins to count anew:
-        what came meanwhile is still to be read.
+        This is called only after the store has answered, so peers will find the key free.
         """
         now = self.clock()
-        if now - self.looked_at > LOOKED_S:
-            self.awake_since = now
-        self.looked_at = now
+        if now - self.checked_workers_at > CHECK_GAP_S:
+            # this process stood still: heartbeats that came meanwhile are still to be read
+            self.checking_since = now
+        self.checked_workers_at = now
         term = self.term()
-        if term is None or not term.loaded or not self.peers.peers or not term.inventory.machines:
+        if term is None or not term.loaded or not self.peer_api.peers or not term.inventory.machines:
             return
-        sure = term.heartbeat_handler.first_heard and len(term.inventory.machines) >= MANY_MACHINES
-        limit = (SURE_REPORTS if sure else UNSURE_REPORTS) * self.report_s * (1 + self.lost_workers)
-        silence = now - max(term.heartbeat_handler.last_heard_at, self.awake_since)
-        if silence < limit:
-            if term.heartbeat_handler.first_heard and now - term.heartbeat_handler.last_heard_at < self.report_s:
-                self.lost_workers = 0
-            return
-        self.lost_workers = min(self.lost_workers + 1, 6)
-        self.workers.silent(0.0, 0.0)
-        self._give_way(f"no worker has reported for {silence:.1f} s", self._heir())
-
-    def _heir(self) -> str:
-        """Who should lead next: one that workers reach and that is served, if any such has been heard."""
-        best, best_age = "", math.inf
-        for peer, last in self._heard(HEARD_S):
-            reached = 0.0 <= last.workers_age_s < 2 * self.report_s
-            age = last.state_age_s if last.state_age_s < HEARD_S else math.inf
-            if reached and age < best_age:
-                best, best_age = peer.name, age
-        return best
+        handler = term.heartbeat_handler
+        silence_s = now - max(handler.last_heard_at, self.checking_since)
+        if silence_s >= self._silence_limit_s(term):
+            self._silence_resignations = min(self._silence_resignations + 1, MAX_PATIENCE_STEPS)
+            self.workers_link.silent(0.0, 0.0)
+            self._give_way(f"no worker has reported for {silence_s:.1f} s", self._find_heir())
+        elif handler.first_heard and now - handler.last_heard_at < self.heartbeat_interval_s:
+            self._silence_resignations = 0
+
+    def _silence_limit_s(self, term: Term) -> float:
+        """Return the silence of all workers that shows that the leader is cut off from them."""
+        many = term.heartbeat_handler.first_heard and len(term.inventory.machines) >= MANY_MACHINES
+        intervals = MANY_MACHINES_SILENCE_INTERVALS if many else SILENCE_INTERVALS
+        return intervals * self.heartbeat_interval_s * (1 + self._silence_resignations)
+
+    def _find_heir(self) -> str:
+        """Return the name of the present peer that workers reach and that reached the store last; "" without one."""
+        heir, heir_store_age_s = "", math.inf
+        for peer, status in self._present_peers(PEER_PRESENT_S):
+            reached = 0.0 <= status.workers_age_s < REACHED_INTERVALS * self.heartbeat_interval_s
+            if reached and status.state_age_s < min(PEER_PRESENT_S, heir_store_age_s):
+                heir, heir_store_age_s = peer.name, status.state_age_s
+        return heir
+
+    # overload ---------------------------------------------------------------------------------------------
 
-    def patience(self) -> float:
-        """For how long the key has to be free before this controller takes it, in seconds.
+    def check_pace(self) -> None:
+        """Resign as the leader if this controller is overloaded for long and a peer is not.
 
-        One that workers have reached lately goes first. Followers hear of no worker while all is well, and all of them
-        do within seconds of a leader's end, so that silence alone is only doubtful; one that gave way for it is surely
-        worse. Nobody waits for ever: the better ones may be gone, or know less than was thought.
+        A leader that answers its workers too late lets their leases expire.
         """
-        if self.clock() < self.heir_until:
-            return HEIR_S
-        if self.workers.state is LinkState.UP or self.clock() - self.born_at < 2 * self.report_s:
-            return 0.0
-        wait = WORSE_S if self.workers.state is LinkState.DOWN else DOUBTFUL_S
-        return wait + (BETTER_S if self._heir() else 0.0)
+        overloaded_s = self.clock() - self.overload.since
+        if self.overload.state is not LoadState.OVERLOADED or overloaded_s < self._overload_patience_s():
+            return
+        for peer, status in self._present_peers(PEER_PRESENT_S):
+            if status.load == LoadState.NORMAL.value:
+                # if the load itself is too much, giving way again and again is no help: the next time takes longer
+                self._overload_resignations = min(self._overload_resignations + 1, MAX_PATIENCE_STEPS)
+                self._give_way(f"late for {overloaded_s:.0f} s, and {peer.name} is not", peer.name)
+                return
 
-    def check_pace(self) -> None:
-        """A leader too late to answer its workers before their leases end lets one lead that is not."""
-        load, now = self.load, self.clock()
+    def _overload_patience_s(self) -> float:
+        patience_s = OVERLOAD_RESIGN_AFTER_S * (1 + self._overload_resignations)
         term = self.term()
-        patience = SLOW_S * (1 + self.slow_terms)
         if term is not None and not term.machine_reconciliation.proved:
-            # whoever takes over is late with thousands of machines, and the next would begin with all of them again
-            patience *= TAKING_OVER
-        if load.state is not LoadState.OVERLOADED or now - load.since < patience:
-            return
-        for peer, last in self._heard(HEARD_S):
-            if last.load == LoadState.NORMAL.value:
-                # if the load is what is too much, and not this controller, handing it on again and again is no help
-                self.slow_terms = min(self.slow_terms + 1, 6)
-                self._give_way(f"late for {now - load.since:.0f} s, and {peer.name} is not", peer.name)
-                return
+            return patience_s * RECONCILING_PATIENCE_FACTOR
+        return patience_s
 
-    def _give_way(self, why: str, heir: str) -> None:
-        token = self.election.resign(why, 20.0)
+    # succession -------------------------------------------------------------------------------------------
+
+    def _give_way(self, reason: str, heir: str) -> None:
+        """Resign, remove the key and tell all peers, so that one of them leads without waiting for the lease."""
+        token = self.election.resign(reason, RESIGNATION_S)
         try:
             self.election.clear_key(token)
-        except StoreError as e:
-            log.info("the key is left to others to remove: %s", e)
-        self.peers.tell_resigned(self.name, token, heir)
-
-    def succeed(self, gone: ResignationNotice) -> None:
-        """A peer has resigned: its key may go, and this controller takes the lead or leaves it to the heir for now."""
-        mine = gone.heir in ("", self.name)
-        if not mine:
-            self.heir_until = self.clock() + HEIR_S
+        except StoreError as error:
+            log.info(LogEvent("leader_key_not_removed", token=token, reason=error))
+        self.peer_api.tell_resigned(self.name, token, heir)
+
+    def succeed(self, notice: ResignationNotice) -> None:
+        """Remove the key of a peer that resigned, and take the lead unless the notice names another controller."""
+        may_lead = notice.heir in ("", self.name)
+        if not may_lead:
+            self._successor_first_until = self.clock() + SUCCESSOR_HEAD_START_S
         try:
-            # the one that resigned may have reached nobody but this controller
-            self.election.clear_key(gone.token)
-            if mine and self.election.state is LeaderState.FOLLOWING:
+            # the peer may have reached nobody but this controller, so each that hears of it removes the key
+            self.election.clear_key(notice.token)
+            if may_lead and self.election.state is LeaderState.FOLLOWING:
                 self.election.look()
-        except StoreError as e:
-            log.info("the key of %s could not be cleared: %s", gone.name, e)
+        except StoreError as error:
+            log.info(LogEvent("leader_key_not_removed", controller=notice.name, token=notice.token, reason=error))
+
+    def patience(self) -> float:
+        """Return for how long the key has to be free before this controller takes it, in seconds.
+
+        A controller that workers have reached lately goes first. Followers hear of no worker while the leader is well,
+        and of all of them within seconds after it is lost, so silence alone is only a doubt; a controller that gave way
+        for silence is surely worse placed. The wait is bounded: better placed peers may be gone by now.
+        """
+        if self.clock() < self._successor_first_until:
+            return SUCCESSOR_HEAD_START_S
+        just_started = self.clock() - self.started_at < REACHED_INTERVALS * self.heartbeat_interval_s
+        if self.workers_link.state is LinkState.UP or just_started:
+            return 0.0
+        wait_s = LOST_LINK_WAIT_S if self.workers_link.state is LinkState.DOWN else SUSPECT_LINK_WAIT_S
+        return wait_s + (BETTER_PEER_WAIT_S if self._find_heir() else 0.0)
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -333,9 +333,16 @@
 def _build_leadership_transfer(foundation: Foundation, peer_api: PeerApi) -> LeadershipTransfer:
     settings = foundation.settings
     return LeadershipTransfer(
-        settings.name, settings.params.workers.report_s, foundation.election, peer_api, foundation.overload,
-        foundation.clock, foundation.current_term.get, foundation.clients.store_link, foundation.workers_link,
-    )  # fmt: skip
+        name=settings.name,
+        heartbeat_interval_s=settings.params.workers.report_s,
+        election=foundation.election,
+        peer_api=peer_api,
+        overload=foundation.overload,
+        clock=foundation.clock,
+        term=foundation.current_term.get,
+        store_link=foundation.clients.store_link,
+        workers_link=foundation.workers_link,
+    )
 
 
 def _build_term_runner(
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -108,8 +108,9 @@
         w = self.world.settings.params.workers
         self.state_link, self.workers_link = LinkHealth("the state service", clock), LinkHealth("workers", clock)
         return LeadershipTransfer(
-            self.name, w.report_s, self.election, door, self.load, clock, lambda: self.term,
-            self.state_link, self.workers_link,
+            name=self.name, heartbeat_interval_s=w.report_s, election=self.election, peer_api=door,
+            overload=self.load, clock=clock, term=lambda: self.term, store_link=self.state_link,
+            workers_link=self.workers_link,
         )  # fmt: skip
 
     def lead(self) -> Term:
--- a/tests/flow_control/test_overload.py
+++ b/tests/flow_control/test_overload.py
@@ -11,7 +11,7 @@
 from grebestand.clients.http import UnreachableError
 from grebestand.clients.peer import PeerClient
 from grebestand.controller.controller import Controller
-from grebestand.controller.leadership_transfer import SLOW_S, TAKING_OVER
+from grebestand.controller.leadership_transfer import OVERLOAD_RESIGN_AFTER_S, RECONCILING_PATIENCE_FACTOR
 from grebestand.emulators.worker import WorkerEmulator
 from grebestand.flow_control.garbage_collection import (
     EVERY_S,
@@ -174,7 +174,7 @@
         node.load.felt(2.0)
         peer.last_heard_at, peer.last = world.clock.now, PeerStatus("node-1", 0, 0.1)
         leadership_transfer.check_pace()
-    assert world.clock.now - begun == pytest.approx(TAKING_OVER * SLOW_S, abs=0.6)
+    assert world.clock.now - begun == pytest.approx(RECONCILING_PATIENCE_FACTOR * OVERLOAD_RESIGN_AFTER_S, abs=0.6)
 
 
 def test_all_machines_back_at_once_are_all_answered_and_share_a_few_passes(monkeypatch: pytest.MonkeyPatch) -> None:
