--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -1,4 +1,8 @@
-"""The workers' interface: reports."""
+"""The workers' interface: heartbeats.
+
+A heartbeat is answered by the term of this controller, or by the leader if it is forwarded. Otherwise the worker is
+redirected (status 421, with the name of a controller if one is known) or told to come back (503).
+"""
 
 from __future__ import annotations
 
@@ -16,134 +20,168 @@
 from .response import Response
 
 _json = msgspec.json.Encoder()
-_report_decoder = msgspec.json.Decoder(Heartbeat)
-
+_heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
-#: a report is kept so long, in seconds, while the leader hangs, or while this one reads the records; workers wait four
+#: a heartbeat waits this long while the leader hangs or this controller loads its records; workers wait four seconds
 #: for an answer
-KEPT_S = 1.8
+LEADERSHIP_WAIT_S = 1.8
+#: `Retry-After` of heartbeats that no controller can answer now, in seconds
+RETRY_AFTER_S = 1
+
+
+def _no_peer_hangs(name: str) -> bool:
+    return False
+
+
+def _do_not_wait(timeout_s: float) -> None:
+    return
 
 
 class HeartbeatApi:
+    """Answers, forwards or redirects heartbeats.
+
+    Every heartbeat of every worker passes here, so requests are decoded and answers encoded once, and steps that do not
+    apply return at once.
+    """
+
     def __init__(
         self,
         name: str,
         election: LeaderElection,
         term: Callable[[], Term | None],
-        spread: WorkerAssignment | None = None,
-        sender: HeartbeatForwarder | None = None,
-        hangs: Callable[[str], bool] = lambda name: False,
-        wait: Callable[[float], object] = lambda seconds: None,
+        assignment: WorkerAssignment | None = None,
+        forwarder: HeartbeatForwarder | None = None,
+        hangs: Callable[[str], bool] = _no_peer_hangs,
+        wait: Callable[[float], object] = _do_not_wait,
     ) -> None:
-        """Without `spread` and `sender` only the leader answers reports, whatever the policy says."""
+        """Create the interface. Without `assignment` and `forwarder` only the leader answers, whatever the policy says.
+
+        Args:
+            term: Returns the term of this controller, if it has one.
+            hangs: Whether a peer neither answers nor refuses requests.
+            wait: Waits for a change of leadership for at most so many seconds.
+        """
         self.name = name
         self.election = election
         self.term = term
-        self.spread = spread
-        self.sender = sender
-        #: whether another controller hangs, and waits for news of who leads for so many seconds at the most
+        self.assignment = assignment
+        self.forwarder = forwarder
         self.hangs = hangs
         self.wait = wait
 
     def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
-        """The answer to a report. A worker that came over a `surplus` connection is sent elsewhere."""
+        """Answer a heartbeat. A worker on a `surplus` connection, beyond those that are kept, is redirected."""
         try:
-            report = _report_decoder.decode(body)
-        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as e:
-            return Response(400, _json.encode({"error": str(e)}))
-        elsewhere = self._elsewhere(report, connection, surplus)
-        if elsewhere is not None:
-            return elsewhere
-        answer = self._ordered(report) or self._once_loaded(report)
-        if answer is not None:
-            return answer
-        if self.sender is not None and self._waits_here(report, self.sender):
-            return self._passed_on(self.sender, body, report)
+            heartbeat = _heartbeat_decoder.decode(body)
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+            return Response(400, _json.encode({"error": str(error)}))
+        redirect = self._assign(heartbeat, connection, surplus)
+        if redirect is not None:
+            return redirect
+        response = self._answer(heartbeat) or self._answer_once_loaded(heartbeat)
+        if response is not None:
+            return response
+        if self.forwarder is not None and self._is_forwarded(heartbeat, self.forwarder):
+            return self._forward(self.forwarder, body, heartbeat)
+        return self._redirect_to_leader(heartbeat)
+
+    # which controller serves the worker -------------------------------------------------------------------
+
+    def _assign(self, heartbeat: Heartbeat, connection: object, surplus: bool) -> Response | None:
+        """Record a worker that this controller serves; return a redirect for one that it is not to serve."""
+        assignment, forwarder = self.assignment, self.forwarder
+        if assignment is None or forwarder is None:
+            return None
+        leads = self.election.is_leader()
+        if assignment.state is AssignmentMode.LEADER_ONLY:
+            full = surplus or (leads and heartbeat.machine not in assignment.kept and not assignment.room)
+            if leads and not full:
+                assignment.keep(heartbeat.machine, connection)
+            return Response(421, _json.encode(Redirect()), close=True) if full else None
+        if not (leads or forwarder.open()):
+            if self.term() is not None or not assignment.others():
+                return None  # this controller is about to lead, or no other is known: its workers wait here
+            # at most as many as the leader has said that it can serve are redirected there at once
+            surplus = True
+        controller = assignment.where(heartbeat.machine, heartbeat.zone, leads, surplus)
+        if controller != self.name:
+            return Response(421, _json.encode(Redirect(controller)), close=True)
+        assignment.keep(heartbeat.machine, connection)
+        return None
+
+    def _redirect_to_leader(self, heartbeat: Heartbeat) -> Response:
+        """Redirect to the leader if it is known and answers; wait for another one for a moment if it hangs."""
         leader = self.election.known_leader()
         if leader is not None and leader != self.name and self.hangs(leader):
-            # sent there, or on to the next, its worker would wait four seconds at each controller that stands still,
-            # and come back after its lease; this one may lead in a moment
-            self.wait(KEPT_S)
-            answer = self._ordered(report) or self._once_loaded(report)
-            if answer is not None:
-                return answer
+            # sent there, or on to the next, the worker would wait four seconds at each controller that hangs and come
+            # back after its lease has expired; this controller may lead in a moment
+            self.wait(LEADERSHIP_WAIT_S)
+            response = self._answer(heartbeat) or self._answer_once_loaded(heartbeat)
+            if response is not None:
+                return response
             leader = self.election.known_leader()
             if leader is not None and self.hangs(leader):
                 return Response(421, _json.encode(Redirect()))
         if leader is not None and leader != self.name:
-            named = self.spread is None or self.spread.may_send(leader)
+            named = self.assignment is None or self.assignment.may_send(leader)
             return Response(421, _json.encode(Redirect(leader if named else None)))
-        return Response(503, b"{}", retry_after=1)
+        return Response(503, b"{}", retry_after=RETRY_AFTER_S)
 
-    def _elsewhere(self, report: Heartbeat, connection: object, surplus: bool) -> Response | None:
-        """Where a worker is sent that this controller is not to keep; None if it is, or if that is not known here."""
-        spread, sender, leads = self.spread, self.sender, self.election.is_leader()
-        if spread is None or sender is None:
-            return None
-        if spread.state is AssignmentMode.LEADER_ONLY:
-            full = surplus or (leads and report.machine not in spread.kept and not spread.room)
-            if leads and not full:
-                spread.keep(report.machine, connection)
-            return Response(421, _json.encode(Redirect()), close=True) if full else None
-        if not (leads or sender.open()):
-            if self.term() is not None or not spread.others():
-                return None  # this one is about to lead, or nobody is known to answer: what is kept here waits here
-            # nor is the leader sent all at once: at most as many as it has said that it has room for
-            surplus = True
-        to = spread.where(report.machine, report.zone, leads, surplus)
-        if to != self.name:
-            return Response(421, _json.encode(Redirect(to)), close=True)
-        spread.keep(report.machine, connection)
-        return None
+    # forwarding -------------------------------------------------------------------------------------------
 
-    def _waits_here(self, report: Heartbeat, sender: HeartbeatForwarder) -> bool:
-        """Whether the report is for a leader that it can be passed on to, or that is not there yet."""
-        spread = self.spread
-        if spread is None or spread.state is AssignmentMode.LEADER_ONLY or report.machine not in spread.kept:
+    def _is_forwarded(self, heartbeat: Heartbeat, forwarder: HeartbeatForwarder) -> bool:
+        """Return whether the worker is served here for a leader that answers, or that is still to come."""
+        assignment = self.assignment
+        if assignment is None or assignment.state is AssignmentMode.LEADER_ONLY:
+            return False
+        if heartbeat.machine not in assignment.kept:
             return False
-        return sender.open() or not spread.others()
+        return forwarder.open() or not assignment.others()
 
-    def _passed_on(self, sender: HeartbeatForwarder, body: bytes, report: Heartbeat) -> Response:
-        """The leader's answer. While it changes the report is kept: the next one, or this controller, may answer it."""
-        came_at = sender.clock()
-        until = came_at + ANSWER_S
+    def _forward(self, forwarder: HeartbeatForwarder, body: bytes, heartbeat: Heartbeat) -> Response:
+        """Return the leader's answer. While the leader changes the heartbeat waits for the next, maybe this one."""
+        received_at = forwarder.clock()
+        answer_until = received_at + ANSWER_S
         while True:
-            if sender.open():
-                status, said = sender.pass_on(body, came_at)
+            if forwarder.open():
+                status, answer = forwarder.pass_on(body, received_at)
                 if status in (200, 400):
-                    return Response(status, said)
+                    return Response(status, answer)
                 if status == 503:
                     break
-            left = until - sender.clock()
-            if left <= 0:
+            left_s = answer_until - forwarder.clock()
+            if left_s <= 0:
                 break
-            self.wait(min(KEPT_S, left))
-            answer = self._ordered(report)
-            if answer is not None:
-                return answer
-        return Response(503, b"{}", retry_after=1)
-
-    def _once_loaded(self, report: Heartbeat) -> Response | None:
-        """While this controller reads the records it can answer nobody, and will in a moment: the report is kept."""
+            self.wait(min(LEADERSHIP_WAIT_S, left_s))
+            response = self._answer(heartbeat)
+            if response is not None:
+                return response
+        return Response(503, b"{}", retry_after=RETRY_AFTER_S)
+
+    # answering --------------------------------------------------------------------------------------------
+
+    def _answer_once_loaded(self, heartbeat: Heartbeat) -> Response | None:
+        """Wait while this controller loads its records, after which it can answer."""
         if self.election.state is not LeaderState.LOADING:
             return None
-        self.wait(KEPT_S)
-        return self._ordered(report)
+        self.wait(LEADERSHIP_WAIT_S)
+        return self._answer(heartbeat)
 
-    def _ordered(self, report: Heartbeat) -> Response | None:
-        """The answer of this controller's own term, if it may give one."""
+    def _answer(self, heartbeat: Heartbeat) -> Response | None:
+        """Return the answer of this controller's own term, if it may give one."""
         self.election.check_clock()
         term = self.term()
         if term is None:
             return None
         try:
-            orders = term.handle_heartbeat(report)
-        except MalformedError as e:
-            return Response(400, _json.encode({"error": str(e)}))
-        if orders is not None:
-            answer = _json.encode(orders)
-            # starts that were written into an answer which does not leave are sent again, as if lost on the way
-            if self.election.is_leader():
-                return Response(200, answer)
-            self.election.check_clock()
+            commands = term.handle_heartbeat(heartbeat)
+        except MalformedError as error:
+            return Response(400, _json.encode({"error": str(error)}))
+        if commands is None:
+            return None
+        body = _json.encode(commands)
+        # the lease may have expired meanwhile; start commands in a body that is not sent are repeated, as if lost
+        if self.election.is_leader():
+            return Response(200, body)
+        self.election.check_clock()
         return None
--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: `gevent.pywsgi`, with a limit on how long a request may take to come in."""
+"""HTTP servers: `gevent.pywsgi` with limits on connections and on how long a request may take to come in."""
 
 from __future__ import annotations
 
@@ -12,26 +12,38 @@
 
 from ..features.hooks import Gate
 from ..flow_control.connection_limits import ConnectionPlan
+from ..log_events import LogEvent
 from ..settings.platform import parse_address
 from ..wire.jobs import MAX_BODY
 from .response import Response
 
 log = logging.getLogger(__name__)
 
+#: reason phrases of the statuses that are used
 REASONS = {
     200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
     421: "Misdirected Request", 422: "Unprocessable Entity", 429: "Too Many Requests", 503: "Service Unavailable",
 }  # fmt: skip
-#: a connection beyond what is held is to send its request within so long, in seconds
-SURPLUS_S = 2.0
-#: blocks of headers up to this size are remembered, and so many of them
+#: a connection may be idle for this long between two requests: workers send heartbeats every few seconds
+IDLE_TIMEOUT_S = 120.0
+#: a surplus connection has to send its request within this time
+SURPLUS_TIMEOUT_S = 2.0
+#: no pause between two parts of a request may be longer
+REQUEST_TIMEOUT_S = 10.0
+#: parsed blocks of headers are cached: up to this size in bytes, and so many of them
 BLOCK_BYTES, BLOCKS = 1024, 256
-#: what `http.client` reads of a line of headers
+#: the longest line of headers, as `http.client` limits it
 LINE_BYTES = 65537
+#: of a message of the WSGI server, in characters: it may contain what a client sent
+MAX_LOGGED_CHARACTERS = 300
+#: connections to an IPv6 address that the kernel keeps until they are accepted
+IPV6_BACKLOG = 128
+
+App = Callable[[dict[str, Any], Callable[..., Any]], list[bytes]]
 
 
 class _Replay:
-    """Lines that were read already, and then the rest of what comes."""
+    """A file that returns lines which were read already, then the rest of a connection."""
 
     def __init__(self, lines: list[bytes], rest: Any) -> None:
         self._lines = iter(lines)
@@ -43,15 +55,16 @@
 
 
 class _Handler(WSGIHandler):  # type: ignore[misc]
-    """A connection that sends no complete request for long is closed: it would hold a socket for ever."""
+    """Serves a connection, and closes it if no complete request comes in time: it would occupy a socket for ever."""
 
-    #: beyond what the server is to hold at a time: it gets one answer, and no other request is read
+    #: whether the connection is beyond those that the server keeps: its one request is answered, then it is closed
     surplus = False
 
-    #: workers and users send the same few blocks again and again; parsing one took half the time of a request
+    #: by block; clients send the same few blocks again and again, and parsing one takes half the time of a request
     _parsed: ClassVar[dict[bytes, Any]] = {}
 
     def MessageClass(self, rfile: Any, *_: Any) -> Any:
+        """Return the parsed headers that follow in `rfile`; the name is that of the base class."""
         lines = []
         size = 0
         while size <= BLOCK_BYTES:
@@ -71,133 +84,152 @@
         return found
 
     def read_requestline(self) -> Any:
-        self.socket.settimeout(SURPLUS_S if self.surplus else 120.0)
+        self.socket.settimeout(SURPLUS_TIMEOUT_S if self.surplus else IDLE_TIMEOUT_S)
         line = super().read_requestline()
-        self.socket.settimeout(10.0)
+        self.socket.settimeout(REQUEST_TIMEOUT_S)
         return line
 
     def handle_error(self, kind: Any, error: Any, trace: Any) -> None:
-        """A connection that broke while it was answered is nothing to be told of; TLS has its own names for it."""
+        """Close a connection that broke while it was answered without a log line; TLS errors are `OSError` too."""
         if isinstance(error, OSError):
             self.close_connection = True
         else:
             super().handle_error(kind, error, trace)
 
     def log_request(self) -> None:
-        return
+        """Log no requests: there are hundreds a second."""
 
     def get_environ(self) -> Any:
-        found = super().get_environ()
-        found["grebestand.connection"] = self
-        found["grebestand.surplus"] = self.surplus
-        return found
+        """Return the environment, with the connection and whether it is a surplus one."""
+        environ = super().get_environ()
+        environ["grebestand.connection"] = self
+        environ["grebestand.surplus"] = self.surplus
+        return environ
 
 
 class _GatedHandler(_Handler):
-    """Says who the gate has found at the other end."""
+    """Serves a connection that has passed a gate, which identified the other end."""
 
     def get_environ(self) -> Any:
-        found = super().get_environ()
-        found["grebestand.peer"] = getattr(self.socket, "peer", None)
-        return found
+        """Return the environment, with the identity of the other end."""
+        environ = super().get_environ()
+        environ["grebestand.peer"] = getattr(self.socket, "peer", None)
+        return environ
+
 
+class _DebugLog:
+    """A file for messages of the WSGI server, which are about misbehaving clients mostly."""
 
-class _Quiet:
     def write(self, text: str) -> None:
-        if text.strip():
-            log.debug("http: %s", text.strip()[:300])
+        if text.strip() and log.isEnabledFor(logging.DEBUG):
+            log.debug(LogEvent("http_server_message", text=text.strip()[:MAX_LOGGED_CHARACTERS]))
 
     def flush(self) -> None:
         return
 
 
-class _Bounded(WSGIServer):  # type: ignore[misc]
-    """Holds so many connections at a time, and takes some more in to be told so: none waits to be accepted."""
+class _BoundedServer(WSGIServer):  # type: ignore[misc]
+    """Keeps a limited number of connections, and accepts some more to answer each once: none waits to be accepted."""
 
-    most: int
-    held = 0
-    #: called with each connection that has ended
+    max_connections: int
+    open_connections = 0
+    #: called with the handler of each connection that has ended
     on_end: Callable[[object], None]
 
     def handle(self, client: Any, address: Any) -> None:
         handler = self.handler_class(client, address, self)
-        handler.surplus = self.held >= self.most
-        self.held += 1
+        handler.surplus = self.open_connections >= self.max_connections
+        self.open_connections += 1
         try:
             handler.handle()
         finally:
-            self.held -= 1
+            self.open_connections -= 1
             self.on_end(handler)
 
 
-App = Callable[[dict[str, Any], Callable[..., Any]], list[bytes]]
-
-
-class _Gated(WSGIServer):  # type: ignore[misc]
-    """Each connection passes a gate, in its own greenlet, before it is read."""
+class _GatedServer(WSGIServer):  # type: ignore[misc]
+    """Lets each connection pass a gate, in its own greenlet, before anything of it is read as HTTP."""
 
     gate: Gate
 
     def handle(self, client: Any, address: Any) -> None:
         host = str(address[0])
-        passed = self.gate.wrap(client, host) if self.gate.admit(host) else None
-        if passed is None:
+        admitted = self.gate.wrap(client, host) if self.gate.admit(host) else None
+        if admitted is None:
             client.close()
             return
-        super().handle(passed, address)
+        super().handle(admitted, address)
 
 
 def _listener_v6(host: str, port: int) -> Any:
-    """A listening socket on an IPv6 address; gevent's servers take names without brackets for IPv4."""
-    made = socket.socket(socket.AF_INET6, socket.SOCK_STREAM)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.bind((host, port))
-    made.listen(128)
-    return made
+    """Return a listening socket on an IPv6 address, as gevent's servers would resolve the name for IPv4."""
+    listener = socket.socket(socket.AF_INET6, socket.SOCK_STREAM)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener.bind((host, port))
+    listener.listen(IPV6_BACKLOG)
+    return listener
+
+
+def listen(address: str, field: str, app: App, max_connections: int, gate: Gate | None = None) -> WSGIServer:
+    """Return a server that serves so many connections at a time; more wait to be accepted.
 
+    Args:
+        field: The setting that the address is from, for errors.
+        gate: What each connection passes first.
 
-def listen(address: str, field: str, app: App, most: int, gate: Gate | None = None) -> WSGIServer:
-    """A server for so many connections at a time; `field` names the address in an error."""
-    kind, handler = (WSGIServer, _Handler) if gate is None else (_Gated, _GatedHandler)
+    Raises:
+        ValueError: the address is malformed.
+    """
+    server_class, handler_class = (WSGIServer, _Handler) if gate is None else (_GatedServer, _GatedHandler)
     host, port = parse_address(address, field)
-    where = _listener_v6(host[1:-1], port) if host.startswith("[") else (host, port)
-    server = kind(where, app, spawn=Pool(most), log=None, error_log=_Quiet(), handler_class=handler)
+    listener = _listener_v6(host[1:-1], port) if host.startswith("[") else (host, port)
+    server = server_class(
+        listener, app, spawn=Pool(max_connections), log=None, error_log=_DebugLog(), handler_class=handler_class
+    )
     if gate is not None:
         server.gate = gate
     return server
 
 
 def listen_bounded(
-    address: str, field: str, app: App, shares: ConnectionPlan, on_end: Callable[[object], None]
+    address: str, field: str, app: App, plan: ConnectionPlan, on_end: Callable[[object], None]
 ) -> WSGIServer:
-    """A server that holds as many connections as are its share, and answers once on some more.
+    """Return a server that keeps as many connections as planned, and answers once on each of some more.
+
+    The application finds in its environment the connection (`grebestand.connection`) and whether it is a surplus one
+    (`grebestand.surplus`).
+
+    Args:
+        field: The setting that the address is from, for errors.
+        on_end: Called with each connection that has ended.
 
-    `on_end` hears of each that has ended. The app finds its connection in the environment, and whether it is of those
-    beyond.
+    Raises:
+        ValueError: the address is malformed.
     """
-    server = _Bounded(
-        parse_address(address, field), app, spawn=Pool(shares.serving + shares.turned_away), backlog=shares.backlog,
-        log=None, error_log=_Quiet(), handler_class=_Handler,
+    server = _BoundedServer(
+        parse_address(address, field), app, spawn=Pool(plan.serving + plan.turned_away), backlog=plan.backlog,
+        log=None, error_log=_DebugLog(), handler_class=_Handler,
     )  # fmt: skip
-    server.most, server.on_end = shares.serving, on_end
+    server.max_connections, server.on_end = plan.serving, on_end
     return server
 
 
 def read_body(environ: dict[str, Any]) -> bytes:
-    """The body, or one byte more than is allowed if it is larger."""
+    """Read and return the body of a request; of one that is too large, one byte more than is allowed."""
     length = environ.get("CONTENT_LENGTH")
     if length and (not length.isdigit() or int(length) > MAX_BODY):
         return b"x" * (MAX_BODY + 1)
     return bytes(environ["wsgi.input"].read(MAX_BODY + 1))
 
 
-def respond(answer: Response, start: Callable[..., Any]) -> list[bytes]:
-    headers = [("Content-Type", "application/json"), ("Content-Length", str(len(answer.body)))]
-    if answer.retry_after is not None:
-        headers.append(("Retry-After", str(answer.retry_after)))
-    if answer.allow is not None:
-        headers.append(("Allow", answer.allow))
-    if answer.close:
+def respond(response: Response, start_response: Callable[..., Any]) -> list[bytes]:
+    """Send the status line and headers of a response, and return its body for the WSGI server to send."""
+    headers = [("Content-Type", "application/json"), ("Content-Length", str(len(response.body)))]
+    if response.retry_after is not None:
+        headers.append(("Retry-After", str(response.retry_after)))
+    if response.allow is not None:
+        headers.append(("Allow", response.allow))
+    if response.close:
         headers.append(("Connection", "close"))
-    start(f"{answer.status} {REASONS[answer.status]}", headers)
-    return [answer.body]
+    start_response(f"{response.status} {REASONS[response.status]}", headers)
+    return [response.body]
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -12,7 +12,7 @@
 
 import gevent
 
-from ..api.heartbeat_api import KEPT_S, HeartbeatApi
+from ..api.heartbeat_api import HeartbeatApi
 from ..api.job_api import JobApi
 from ..api.peer_api import PeerApi
 from ..api.read_batching import BatchedReads
@@ -43,7 +43,7 @@
 from ..settings.expressions import Expressions
 from ..settings.platform import PeerAddress, Settings
 from ..settings.policy import VARIABLES
-from ..state_machines import LeaderState, LoadState
+from ..state_machines import LoadState
 from ..storage.completed_jobs import CompletedJobs
 from .assignment_loop import AssignmentLoop
 from .cancellations import CancellationBroadcaster, CancellationRecorder
@@ -53,7 +53,7 @@
 from .job_counts import JobCounts
 from .lag_monitor import LagMonitor
 from .leader_loop import LeaderLoop
-from .leadership_news import LeadershipNews
+from .leadership_news import LeadershipNews, LoadingGate
 from .leadership_transfer import LeadershipTransfer
 from .link_probes import StoreLinkProbe, WorkerLinkProbe
 from .machine_type_catalog import MachineTypeCatalog
@@ -118,11 +118,6 @@
         """Return whether this controller is too late to take more workers."""
         return self.overload.state is LoadState.OVERLOADED
 
-    def wait_while_loading(self) -> None:
-        """Let a heartbeat that comes while the records are loaded wait for that, for a moment."""
-        if self.election.state is LeaderState.LOADING:
-            self.news.wait(KEPT_S)
-
     def recall(self, job_id: str) -> None:
         """Ask the features to end a job that another cluster may run."""
         for hook in self.features.recalls:
@@ -285,7 +280,7 @@
     forwarder = HeartbeatForwarder(settings.name, clock, directory.leading_peer)
     receiver = BatchReceiver(
         directory.zones, foundation.election, foundation.current_term.get, foundation.overload, clock,
-        foundation.wait_while_loading,
+        LoadingGate(foundation.election, foundation.news).wait,
     )  # fmt: skip
     assignment_loop = AssignmentLoop(
         assignment=assignment,
@@ -323,7 +318,7 @@
 def _build_job_api(foundation: Foundation, peer_api: PeerApi) -> JobApi:
     params, store = foundation.settings.params, foundation.clients.store
     return JobApi(
-        store, params.teams, params.zones, foundation.max_value_bytes, foundation.runtime.wall, foundation.clock,
+        store, params.teams, foundation.max_value_bytes, foundation.runtime.wall, foundation.clock,
         foundation.machine_types.current, JobCounts(foundation.current_term, peer_api).of, foundation.completed_jobs,
         foundation.features, BatchedReads(store, CONDITIONS_PER_CHANGE * params.state.txn_ops),
         CancellationBroadcaster(foundation.cancellations, peer_api).on_cancelled, foundation.recall,
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -93,7 +93,7 @@
         self.completed_jobs = CompletedJobs()
         self.features = features if features is not None else Features()
         self.users = JobApi(
-            self.store, p.teams, p.zones, int(p.state.value_kb * 1024) - 16, world.clock, world.clock,
+            self.store, p.teams, int(p.state.value_kb * 1024) - 16, world.clock, world.clock,
             lambda: TYPES, lambda ident: (0, 0), self.completed_jobs, self.features,
             BatchedReads(self.store, p.state.txn_ops),
         )  # fmt: skip
--- a/tests/heartbeats/test_machine_faults.py
+++ b/tests/heartbeats/test_machine_faults.py
@@ -61,7 +61,8 @@
     world.settle(term, 2)
     told = [r.getMessage() for r in caplog.records if "began after" in r.getMessage()]
     assert len(told) == 1 and told[0].startswith(gang)
-    assert any(f"accepted {gang}: gang of 2 tasks of train for blue" in r.getMessage() for r in caplog.records)
+    accepted = f"job_accepted job_id={gang} kind=gang tasks=2 class=train team=blue"
+    assert any(r.getMessage() == accepted for r in caplog.records)
 
 
 # what a report proves ---------------------------------------------------------------------------------------
@@ -399,8 +400,8 @@
     ident = world.accept(node)
     read = node.users._live
 
-    def slow(ident: str, urgency: Urgency, until: float) -> tuple[int, bool]:
-        found = read(ident, urgency, until)
+    def slow(job_id: str, urgency: Urgency, until: float) -> tuple[int, bool]:
+        found = read(job_id, urgency, until)
         world.clock.now += 10.0
         return found
 
--- /dev/null
+++ b/tests/scenarios/test_cancellation_during_failover.py
@@ -0,0 +1,137 @@
+"""Jobs that are cancelled while the leader changes, or while a leader is cut off, do not go on."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+import gevent
+import pytest
+
+from grebestand.leader.cancellation_horizon import STARTS_S, CancellationHorizon
+from grebestand.leader.durable_grants import DurableGrants
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.storage.leader_records import GrantRecord
+from support.cluster_actions import CHANGES, back, change, heal
+
+#: commands to a worker may be under way for this long
+COMMAND_DELAY_S = 4.0
+
+
+@pytest.fixture
+def loop() -> Iterator[VirtualLoop]:
+    with simulated() as virtual:
+        yield virtual
+
+
+@pytest.mark.parametrize("twice", [False, True])
+@pytest.mark.parametrize("how", CHANGES)
+def test_jobs_cancelled_during_failover_end(loop: VirtualLoop, how: str, twice: bool) -> None:
+    """Before, in and after it, fifty milliseconds apart; also those accepted and cancelled within that time."""
+    world = SimulatedCluster(loop, seed=34, machines=10)
+    world.close_looks = True
+    world.task_s = (30.0, 60.0)
+    for _ in range(60):
+        world.submit(world.rng.choice(["red", "blue"]), 2, 1.0)
+    gevent.sleep(12)
+    for number, job_id in enumerate(list(world.jobs)):
+        world.jobs[job_id].cancel_at = world.loop.time + 0.05 * number
+        gevent.spawn_later(0.05 * number + 0.001, world._ask, "cancel", job_id, world.rng.choice(world.controllers))
+    gevent.sleep(1.0)
+    change(world, how)
+    for number in range(30):
+        gevent.sleep(0.1)
+        job_id = world.submit("blue", 2, 1.0)
+        world.jobs[job_id].cancel_at = world.loop.time + 0.1 * (number % 10)
+        if twice and number == 12:
+            change(world, how)
+    gevent.sleep(20)
+    heal(world)
+    assert world.settled(300.0) == []
+    assert max((seconds for seconds, _ in world.after_cancel), default=0.0) < 1.0, world.after_cancel
+
+
+# a leader that does not hear of cancellations -------------------------------------------------------------
+
+
+def grant_whole_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let no start wait for a write, as it is with arrays that have come far."""
+    whole = GrantRecord(2000, None), set[int]()
+    monkeypatch.setattr(DurableGrants, "_widened", lambda self, job: (job, *whole))
+
+
+def cancel_while_leader_is_alone(
+    loop: VirtualLoop, mode: LinkMode, monkeypatch: pytest.MonkeyPatch
+) -> SimulatedCluster:
+    """Cut a leader off from the store and its peers, not from its workers, and cancel its job through its peers."""
+    grant_whole_jobs(monkeypatch)
+    world = SimulatedCluster(loop, seed=38, machines=10)
+    world.task_s = (2.0, 5.0)
+    world.submit("blue", 2000, 1.0)
+    gevent.sleep(12)
+    (leader,) = world.leading()
+    followers = [name for name in world.controllers if name != leader]
+    for other_end in (STATE, *followers):
+        world.links.set(leader, other_end, mode)
+    gevent.sleep(1.0)
+    for job_id in world.jobs:
+        world.jobs[job_id].cancel_at = world.loop.time
+        gevent.spawn(world._ask, "cancel", job_id, world.rng.choice(followers))
+    gevent.sleep(25)
+    heal(world)
+    return world
+
+
+@pytest.mark.parametrize("mode", [LinkMode.REFUSED, LinkMode.HELD])
+def test_leader_alone_starts_nothing_on_old_knowledge(
+    loop: VirtualLoop, mode: LinkMode, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    world = cancel_while_leader_is_alone(loop, mode, monkeypatch)
+    assert max((seconds for seconds, _ in world.after_cancel), default=0.0) < STARTS_S + COMMAND_DELAY_S
+    assert world.settled(100.0) == []
+
+
+def test_starts_on_old_knowledge_are_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Broken on purpose."""
+    monkeypatch.setattr(CancellationHorizon, "allows_starts", lambda self: True)
+    world = cancel_while_leader_is_alone(loop, LinkMode.HELD, monkeypatch)
+    assert max(seconds for seconds, _ in world.after_cancel) > STARTS_S + COMMAND_DELAY_S
+
+
+@pytest.mark.parametrize("absent_peers", [0, 1])
+def test_starts_go_on_in_a_store_outage_only_while_all_peers_answer(
+    loop: VirtualLoop, absent_peers: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Nobody is served, so nobody confirms a cancellation; an absent peer cannot say so."""
+    grant_whole_jobs(monkeypatch)
+    world = SimulatedCluster(loop, seed=39, machines=10)
+    world.task_s = (2.0, 5.0)
+    world.submit("blue", 2000, 1.0)
+    gevent.sleep(12)
+    (leader,) = world.leading()
+    for name in [name for name in world.controllers if name != leader][:absent_peers]:
+        world.crash(name)
+    world.store.down = True
+    gevent.sleep(11)
+    starts_go_on = world.longest_pause(world.loop.time - 6.0, world.loop.time) < 2.0
+    assert bool(starts_go_on) is not bool(absent_peers)
+
+
+def test_status_of_restarted_peer_does_not_confirm_its_earlier_cancellations(loop: VirtualLoop) -> None:
+    """It confirms and ends at once, while the leader reads nothing: its next process knows of no cancellation."""
+    world = SimulatedCluster(loop, seed=40, machines=4)
+    gevent.sleep(12)
+    (leader_name,) = world.leading()
+    leader, peer_name = world.nodes[leader_name], next(name for name in world.controllers if name != leader_name)
+    assert leader is not None
+    horizon = leader.election.cancellation_horizon
+    peer = next(peer for peer in leader.peers.peers if peer.name == peer_name)
+    assert leader.peers.cancellations_confirmed_up_to(horizon.known_at) > leader.clock() - 2.0
+    world.store.down = True
+    world.crash(peer_name)
+    back(world, peer_name)
+    gevent.sleep(5.0)
+    assert peer.told_at > leader.clock() - 2.0 and not horizon.allows_starts()
+    world.store.down = False
+    gevent.sleep(2.0)
+    assert horizon.allows_starts()
--- a/tests/scenarios/test_random_fault_schedules.py
+++ b/tests/scenarios/test_random_fault_schedules.py
@@ -14,7 +14,8 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, seed, settings
 
-from grebestand.api.job_api import JobApi, JobLookup
+from grebestand.api.job_api import JobApi
+from grebestand.api.job_lookup import JobLookup
 from grebestand.api.response import Response
 from grebestand.cluster_state.machine_inventory import MachineInventory
 from grebestand.leader.election import LeaderElection
