--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -95,7 +95,7 @@
         self.completed_jobs = CompletedJobs()
         self.features = features if features is not None else Features()
         self.users = JobApi(
-            self.store, p.teams, p.zones, int(p.state.value_kb * 1024) - 16, world.clock, world.clock,
+            self.store, p.teams, int(p.state.value_kb * 1024) - 16, world.clock, world.clock,
             lambda: TYPES, lambda ident: (0, 0), self.completed_jobs, self.features,
             BatchedReads(self.store, p.state.txn_ops),
         )  # fmt: skip
@@ -106,12 +106,13 @@
     def leadership_transfer(self, *peers: PeerClient) -> LeadershipTransfer:
         """What decides whether this node gives way, with these other controllers."""
         clock = self.world.clock
-        door = PeerApi(list(peers), clock, lambda: PeerStatus(self.name, 0, 0.0), lambda gone: None, self.features)
+        door = PeerApi(list(peers), clock, lambda: PeerStatus(self.name, 0, 0.0), self.features)
         w = self.world.settings.params.workers
         self.state_link, self.workers_link = LinkHealth("the state service", clock), LinkHealth("workers", clock)
         return LeadershipTransfer(
-            self.name, w.report_s, self.election, door, self.load, clock, lambda: self.term,
-            self.state_link, self.workers_link,
+            name=self.name, heartbeat_interval_s=w.report_s, election=self.election, peer_api=door,
+            overload=self.load, clock=clock, term=lambda: self.term, store_link=self.state_link,
+            workers_link=self.workers_link,
         )  # fmt: skip
 
     def lead(self) -> Term:
--- a/tests/api/test_consistent_reads.py
+++ b/tests/api/test_consistent_reads.py
@@ -40,8 +40,8 @@
     job_id = cluster.accept(controller)
     read = controller.users._live
 
-    def slow(ident: str, urgency: Urgency, until: float) -> tuple[int, bool]:
-        found = read(ident, urgency, until)
+    def slow(job_id: str, urgency: Urgency, until: float) -> tuple[int, bool]:
+        found = read(job_id, urgency, until)
         cluster.clock.now += 10.0
         return found
 
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -5,7 +5,7 @@
 import pytest
 
 from grebestand.clients.peer import PeerClient
-from grebestand.controller.leadership_transfer import SLOW_S, TAKING_OVER
+from grebestand.controller.leadership_transfer import OVERLOAD_RESIGN_AFTER_S, RECONCILING_PATIENCE_FACTOR
 from grebestand.emulators.worker import WorkerEmulator
 from grebestand.flow_control.rate_limiter import Urgency
 from grebestand.leader.job_completion import SHORT_S
@@ -92,7 +92,9 @@
         node.load.felt(2.0)
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
         leadership_transfer.check_pace()
-    assert cluster.clock.now - overloaded_at == pytest.approx(TAKING_OVER * SLOW_S, abs=0.6)
+    assert cluster.clock.now - overloaded_at == pytest.approx(
+        RECONCILING_PATIENCE_FACTOR * OVERLOAD_RESIGN_AFTER_S, abs=0.6
+    )
 
 
 def test_simultaneous_heartbeats_share_a_few_passes(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/heartbeats/test_heartbeat_evidence.py
+++ b/tests/heartbeats/test_heartbeat_evidence.py
@@ -30,7 +30,7 @@
     assert len(start_events) == 1 and start_events[0].startswith(f"job_started job_id={gang} wait_s=")
     assert start_events[0].endswith(" kind=gang tasks=2")
     messages = [record.getMessage() for record in caplog.records]
-    assert any(f"accepted {gang}: gang of 2 tasks of train for blue" in message for message in messages)
+    assert f"job_accepted job_id={gang} kind=gang tasks=2 class=train team=blue" in messages
 
 
 def test_delayed_heartbeat_revives_neither_deleted_nor_expired_machine() -> None:
--- a/tests/leader/test_cancellation_scenarios.py
+++ b/tests/leader/test_cancellation_scenarios.py
@@ -12,7 +12,7 @@
 from grebestand.api.job_api import JobApi
 from grebestand.api.response import Response
 from grebestand.clients.kv_store import StoreError
-from grebestand.controller.controller import Controller
+from grebestand.controller.cancellations import CancellationRecorder
 from grebestand.leader.cancellation_horizon import CancellationHorizon
 from grebestand.leader.job_audit import JobAudit
 from grebestand.leader.job_watch import JobWatch
@@ -100,8 +100,8 @@
 
 def ignore_cancellation_hints(monkeypatch: pytest.MonkeyPatch) -> None:
     """Leave out what other controllers and polls of users tell a leader: a help on which no rule rests."""
-    monkeypatch.setattr(Controller, "_hear_cancelled", lambda *_: None)
-    monkeypatch.setattr(Controller, "_stop_cancelled", lambda *_: None)
+    monkeypatch.setattr(CancellationRecorder, "record_from_peer", lambda *_: None)
+    monkeypatch.setattr(CancellationRecorder, "stop_in_term", lambda *_: None)
 
 
 def disable_cancellation_horizon(monkeypatch: pytest.MonkeyPatch) -> None:
