--- a/src/grebestand/clients/runtime.py
+++ b/src/grebestand/clients/runtime.py
@@ -70,7 +70,7 @@
         """Send one HTTP request, as `Runtime.once` describes."""
         try:
             host, port = parse_address(address, "addr")
-        except ValueError as error:  # `SettingsError`, or a port of digits that `int` does not accept
+        except ValueError as error:
             raise UnreachableError(str(error)) from error
         transport = HttpTransport(host, port, connections=1)
         try:
--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -206,7 +206,7 @@
         SettingsError: The address is malformed; `field` is the name of its field.
     """
     host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+    if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) <= MAX_PORT:
         raise SettingsError(f"not an address of the form host:port: {text!r}", field)
     return host, int(port)
 
