--- a/src/grebestand/wire/jobs.py
+++ b/src/grebestand/wire/jobs.py
@@ -242,6 +242,6 @@
         MalformedError: The name does not have this form.
     """
     job, _, index = name.rpartition("/")
-    if not job or not (index.isascii() and index.isdigit()):  # `int` refuses other digits, as superscripts
+    if not job or not (index.isascii() and index.isdigit()):  # `int` refuses other digits
         raise MalformedError("malformed task name")
     return job, int(index)
