--- a/tests/api/test_malformed_heartbeats.py
+++ b/tests/api/test_malformed_heartbeats.py
@@ -13,7 +13,8 @@
 
 @pytest.mark.parametrize(
     "malformed", [{"watch": 0}, {"tally": -3}, {"watch": "1"}, {"helm": -1}, {"shards": [{"shard": "j-1/100000"}]},
-              {"shards": [{"shard": "j-000001/4"}]}, {"shards": [{"shard": "no task"}]}, {"shards": [{"shard": "j-000001/\u00b2"}]}]
+              {"shards": [{"shard": "j-000001/4"}]}, {"shards": [{"shard": "no task"}]},
+              {"shards": [{"shard": "j-000001/\u00b2"}]}]
 )  # fmt: skip
 def test_malformed_heartbeat_is_answered_400_and_changes_nothing(malformed: dict[str, object]) -> None:
     cluster, controller, term = start_cluster(1)
