--- /dev/null
+++ b/tests/flow_control/test_connection_shares.py
@@ -0,0 +1,86 @@
+"""Shares of connections: within the quota, with some of their own for direct commands."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable, Iterator
+
+import gevent
+import pytest
+from gevent import socket
+
+from grebestand.api.http_server import listen_bounded, respond
+from grebestand.api.response import Response
+from grebestand.clients.http import UnreachableError
+from grebestand.controller.controller import Controller
+from grebestand.flow_control.connection_limits import ConnectionPlan, plan_connections
+from grebestand.settings.platform import Quota
+from grebestand.simulation.cluster import SimulatedCluster
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+
+
+@pytest.fixture
+def loop() -> Iterator[VirtualLoop]:
+    with simulated() as virtual:
+        yield virtual
+
+
+@pytest.mark.parametrize("quota", [800, 1000, 1752, 2470])
+@pytest.mark.parametrize("others", [0, 2, 5])
+def test_all_shares_together_stay_within_the_quota(quota: int, others: int) -> None:
+    shares = plan_connections(Quota(max_connections=quota), others)
+    beyond = shares.turned_away + shares.backlog
+    assert shares.serving + beyond + shares.peers + shares.from_peers + shares.direct < quota
+    assert 0 < shares.workers < shares.serving
+
+
+def test_surplus_connection_is_answered_once_and_closed() -> None:
+    ended: list[object] = []
+
+    def app(environ: dict[str, object], start: Callable[..., object]) -> list[bytes]:
+        surplus = bool(environ["grebestand.surplus"])
+        return respond(Response(503 if surplus else 200, b"{}", close=surplus), start)
+
+    server = listen_bounded("127.0.0.1:1", "here", app, ConnectionPlan(0, 0, 0, 1, 2, 8, 1), on_end=ended.append)
+    server.address = ("127.0.0.1", 0)
+    server.start()
+    try:
+        request = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+        held, beyond = (socket.create_connection(("127.0.0.1", server.server_port)) for _ in range(2))
+        held.sendall(request)
+        assert held.recv(4096).startswith(b"HTTP/1.1 200")
+        beyond.sendall(request)
+        answer = b"".join(iter(lambda: beyond.recv(4096), b""))
+        assert answer.startswith(b"HTTP/1.1 503") and len(ended) == 1
+        held.sendall(request)
+        assert held.recv(4096).startswith(b"HTTP/1.1 200")
+        held.close()
+    finally:
+        server.stop(1)
+
+
+def test_direct_commands_have_connections_of_their_own(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
+    cluster = SimulatedCluster(loop, machines=2)
+    controller: Controller | None = cluster.nodes["node-0"]
+    assert controller is not None
+    open_now, most = 0, 0
+
+    def hanging(method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+        nonlocal open_now, most
+        open_now += 1
+        most = max(most, open_now)
+        gevent.sleep(timeout)
+        open_now -= 1
+        raise UnreachableError("timeout")
+
+    monkeypatch.setattr(controller.network, "once", hanging)
+    refused = Counter[str]()
+
+    def send_command() -> None:
+        try:
+            controller._direct("n-000000:1", "/do", b"{}")
+        except UnreachableError as error:
+            refused[str(error)] += 1
+
+    gevent.joinall([gevent.spawn(send_command) for _ in range(300)])
+    assert most == controller.sockets.direct and refused["too many direct orders are under way"] == 300 - most
--- /dev/null
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -0,0 +1,299 @@
+"""Heartbeats over any controller on simulated time, under every way in which a follower or the leader fails."""
+
+from __future__ import annotations
+
+import itertools
+import json
+from collections import Counter
+from collections.abc import Callable, Iterator
+
+import gevent
+import pytest
+
+from grebestand.heartbeat_relay.batch_receiver import BatchReceiver
+from grebestand.heartbeat_relay.forwarder import HeartbeatForwarder
+from grebestand.leader.election import LeaderElection
+from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.simulated_worker import SimulatedWorker
+from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.wire.peers import HeartbeatBatch, HeartbeatBatchResponse
+from support.cluster_actions import SPREAD, back, crash_leader, heal
+
+
+@pytest.fixture
+def loop() -> Iterator[VirtualLoop]:
+    with simulated() as virtual:
+        yield virtual
+
+
+def start_busy_cluster(loop: VirtualLoop, seed: int = 1, machines: int = 18, controllers: int = 3) -> SimulatedCluster:
+    """Return a cluster at work whose controllers all answer heartbeats."""
+    cluster = SimulatedCluster(loop, seed=seed, machines=machines, controllers=controllers, rules=SPREAD)
+    cluster.task_s = (3.0, 20.0)
+    cluster.cancelling = 0.2
+    cluster.crowd(2.0, 75.0)
+    gevent.sleep(15)
+    return cluster
+
+
+def kept_workers(cluster: SimulatedCluster) -> dict[str, int]:
+    """Return how many workers each controller keeps."""
+    return {name: len(controller.spread.kept) for name, controller in cluster.nodes.items() if controller is not None}
+
+
+def followers(cluster: SimulatedCluster) -> list[str]:
+    """Return the names of the controllers that do not lead."""
+    (leader,) = cluster.leading()
+    return [name for name in cluster.controllers if name != leader]
+
+
+def test_workers_are_spread_evenly_and_answered_by_the_leader(loop: VirtualLoop) -> None:
+    cluster = start_busy_cluster(loop, machines=30)
+    even = 30 / 3
+    assert all(0.8 * even <= count <= 1.2 * even for count in kept_workers(cluster).values()), kept_workers(cluster)
+    statuses = Counter[str]()
+    report_to = SimulatedWorker.report_to
+
+    def counted(self: SimulatedWorker, name: str) -> tuple[int, bytes]:
+        status, body = report_to(self, name)
+        statuses[f"{status}"] += 1
+        return status, body
+
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(SimulatedWorker, "report_to", counted)
+        gevent.sleep(30)
+    # nobody is sent to and fro once all have found their place
+    assert statuses["200"] > 250 and set(statuses) == {"200"}
+    (leader,) = cluster.leading()
+    controller = cluster.nodes[leader]
+    assert controller is not None and controller.receiver.reports > 250 and len(cluster.leaders) == 1
+    assert cluster.settled(200.0) == []
+
+
+def crash_for(cluster: SimulatedCluster, names: list[str], seconds: float) -> None:
+    """Crash controllers, and start them again after some seconds."""
+    for name in names:
+        cluster.crash(name)
+        gevent.spawn_later(seconds, back, cluster, name)
+
+
+def follower_crashes(cluster: SimulatedCluster) -> None:
+    crash_for(cluster, followers(cluster)[:1], 6.0)
+
+
+def follower_restarts(cluster: SimulatedCluster) -> None:
+    crash_for(cluster, followers(cluster)[:1], 0.3)
+
+
+def all_followers_crash(cluster: SimulatedCluster) -> None:
+    crash_for(cluster, followers(cluster), 5.0)
+
+
+def follower_stalls(cluster: SimulatedCluster) -> None:
+    cluster.freeze(followers(cluster)[0], 12.0)
+
+
+def follower_loses_leader(cluster: SimulatedCluster, mode: LinkMode = LinkMode.HELD, seconds: float = 25.0) -> None:
+    (leader,) = cluster.leading()
+    follower = followers(cluster)[0]
+    cluster.links.set(follower, leader, mode)
+    gevent.spawn_later(seconds, cluster.links.set, follower, leader, LinkMode.OPEN)
+
+
+def follower_is_refused_by_leader(cluster: SimulatedCluster) -> None:
+    follower_loses_leader(cluster, LinkMode.REFUSED)
+
+
+def batches_are_lost(cluster: SimulatedCluster) -> None:
+    (leader,) = cluster.leading()
+    for follower in followers(cluster):
+        cluster.links.ways[follower, leader] = LinkMode.ASKS_LOST
+    gevent.spawn_later(25.0, cluster.links.heal)
+
+
+def batch_responses_are_lost(cluster: SimulatedCluster) -> None:
+    (leader,) = cluster.leading()
+    for follower in followers(cluster):
+        cluster.links.ways[leader, follower] = LinkMode.ANSWERS_LOST
+    gevent.spawn_later(25.0, cluster.links.heal)
+
+
+def follower_is_slow(cluster: SimulatedCluster) -> None:
+    follower_loses_leader(cluster, LinkMode.SLOW)
+
+
+def follower_loses_its_workers(cluster: SimulatedCluster) -> None:
+    follower = followers(cluster)[0]
+    for zone in "ab":
+        cluster.links.set(follower, zone, LinkMode.HELD)
+    gevent.spawn_later(25.0, cluster.links.heal)
+
+
+def follower_loses_store(cluster: SimulatedCluster) -> None:
+    follower = followers(cluster)[0]
+    cluster.links.set(follower, STATE, LinkMode.HELD)
+    gevent.spawn_later(25.0, cluster.links.heal)
+
+
+def leader_crashes(cluster: SimulatedCluster) -> None:
+    crash_leader(cluster, 6.0)
+
+
+def leader_restarts(cluster: SimulatedCluster) -> None:
+    crash_leader(cluster, 0.3)
+
+
+def leader_stalls(cluster: SimulatedCluster) -> None:
+    cluster.freeze(cluster.leading()[0], 20.0)
+
+
+def leader_is_deposed(cluster: SimulatedCluster) -> None:
+    """Cut from the state service and the others, and not from its workers; jobs are cancelled through the next."""
+    (leader,) = cluster.leading()
+    for peer in (STATE, *followers(cluster)):
+        cluster.links.set(leader, peer, LinkMode.HELD)
+    gevent.spawn_later(20.0, cluster.cancel_now, 4)
+    gevent.spawn_later(40.0, cluster.links.heal)
+
+
+def leader_transfers_leadership(cluster: SimulatedCluster) -> None:
+    controller = cluster.nodes[cluster.leading()[0]]
+    assert controller is not None
+    gevent.spawn(controller.leadership_transfer._give_way, "played", "")
+
+
+def leader_and_follower_crash(cluster: SimulatedCluster) -> None:
+    crash_for(cluster, [cluster.leading()[0], followers(cluster)[0]], 5.0)
+
+
+def several_failures_at_once(cluster: SimulatedCluster) -> None:
+    follower_loses_its_workers(cluster)
+    leader_crashes(cluster)
+    cluster.copies = 0.3
+    cluster.late_orders = 0.5
+
+
+def follower_loses_leader_for_long(cluster: SimulatedCluster) -> None:
+    follower_loses_leader(cluster, seconds=90.0)
+
+
+FAILURES: list[Callable[[SimulatedCluster], None]] = [
+    follower_crashes, follower_restarts, all_followers_crash, follower_stalls, follower_loses_leader,
+    follower_is_refused_by_leader, batches_are_lost, batch_responses_are_lost, follower_is_slow,
+    follower_loses_its_workers, follower_loses_store, leader_crashes, leader_restarts, leader_stalls, leader_is_deposed,
+    leader_transfers_leadership, leader_and_follower_crash, several_failures_at_once,
+]  # fmt: skip
+
+
+def broken_after(
+    cluster: SimulatedCluster, failure: Callable[[SimulatedCluster], None], seconds: float = 50.0
+) -> list[str]:
+    """Return what was broken or lost by the time that a failure is over."""
+    failure(cluster)
+    gevent.sleep(6)
+    if cluster.leading():
+        cluster.cancel_now(3)
+    gevent.sleep(seconds)
+    heal(cluster)
+    return cluster.settled(400.0)
+
+
+@pytest.mark.parametrize("failure", FAILURES)
+@pytest.mark.parametrize("seed", [1, 2])
+def test_failure_breaks_no_rule_and_loses_no_job(
+    loop: VirtualLoop, failure: Callable[[SimulatedCluster], None], seed: int
+) -> None:
+    cluster = start_busy_cluster(loop, seed, controllers=3 if seed == 1 else 5)
+    assert broken_after(cluster, failure) == []
+    assert not cluster.both
+
+
+@pytest.mark.parametrize("failure", [follower_crashes, follower_loses_leader, follower_stalls, follower_is_slow])
+def test_failure_of_a_follower_costs_no_lease_and_no_leader(
+    loop: VirtualLoop, failure: Callable[[SimulatedCluster], None]
+) -> None:
+    """Its workers go to the others, and what runs goes on."""
+    cluster = start_busy_cluster(loop)
+    failure(cluster)
+    gevent.sleep(35)
+    assert cluster.killed == 0 and len(cluster.leaders) == 1
+    assert cluster.longest_pause(15.0, 45.0) < 9.0
+
+
+def test_leader_that_no_worker_reaches_goes_on_over_followers(loop: VirtualLoop) -> None:
+    """Alone it would have had to give way: one change of leader less."""
+    cluster = start_busy_cluster(loop)
+    (leader,) = cluster.leading()
+    for zone in "ab":
+        cluster.links.set(leader, zone, LinkMode.HELD)
+    gevent.sleep(40)
+    assert cluster.leading() == [leader] and len(cluster.leaders) == 1 and cluster.killed == 0
+
+
+def test_followers_keep_their_workers_through_a_failover(loop: VirtualLoop) -> None:
+    cluster = start_busy_cluster(loop, machines=30)
+    before = kept_workers(cluster)
+    leader_transfers_leadership(cluster)
+    gevent.sleep(12)
+    assert len(cluster.leaders) == 2 and cluster.killed == 0
+    now = kept_workers(cluster)
+    assert all(abs(count - before[name]) <= 4 for name, count in now.items()), (before, now)
+
+
+def test_restarted_follower_gets_workers_gradually(loop: VirtualLoop) -> None:
+    """All at once they would take the one that is back for the answer to everything."""
+    cluster = start_busy_cluster(loop, machines=60)
+    name = followers(cluster)[0]
+    cluster.crash(name)
+    gevent.sleep(10)
+    back(cluster, name)
+    counts = []
+    for _ in range(30):
+        gevent.sleep(1)
+        counts.append(kept_workers(cluster)[name])
+    assert max(b - a for a, b in itertools.pairwise(counts)) <= 10
+    assert 0.7 * 20 <= counts[-1] <= 1.2 * 20
+
+
+def follower_answers_from_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A follower repeats a worker's last response where the leader gives none in time."""
+    last_responses: dict[str, tuple[int, bytes]] = {}
+    pass_on = HeartbeatForwarder.pass_on
+
+    def remembering(self: HeartbeatForwarder, body: bytes, came_at: float) -> tuple[int, bytes]:
+        machine = json.loads(body)["vessel"]
+        status, response = pass_on(self, body, came_at)
+        if status == 200:
+            last_responses[machine] = status, response
+            return status, response
+        return last_responses.get(machine, (status, response))
+
+    monkeypatch.setattr(HeartbeatForwarder, "pass_on", remembering)
+    monkeypatch.setattr(HeartbeatForwarder, "open", lambda self: True)
+
+
+def leader_answers_without_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A leader goes on answering batches after its leader lease has expired."""
+    answered = BatchReceiver._respond
+
+    def always(self: BatchReceiver, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(LeaderElection, "is_leader", lambda lead: lead is self.election or lead.authority_until > 0)
+            return answered(self, batch)
+
+    monkeypatch.setattr(BatchReceiver, "_respond", always)
+    monkeypatch.setattr(LeaderElection, "check_clock", lambda self: None)
+
+
+@pytest.mark.parametrize("break_it", [follower_answers_from_memory, leader_answers_without_lease])
+def test_deliberate_faults_are_found(
+    monkeypatch: pytest.MonkeyPatch, break_it: Callable[[pytest.MonkeyPatch], None]
+) -> None:
+    break_it(monkeypatch)
+    found: list[str] = []
+    for seed, failure in itertools.product(range(3), (follower_loses_leader_for_long, leader_is_deposed)):
+        with simulated() as loop:
+            cluster = start_busy_cluster(loop, seed)
+            cluster.task_s = (20.0, 90.0)
+            found += broken_after(cluster, failure, seconds=90.0)
+    assert found
--- /dev/null
+++ b/tests/support/heartbeat_batches.py
@@ -0,0 +1,33 @@
+"""A receiver of batches at a leader in memory, for tests of forwarded heartbeats."""
+
+from __future__ import annotations
+
+import msgspec
+
+from grebestand.emulators.worker import WorkerEmulator
+from grebestand.flow_control.overload import OverloadMonitor
+from grebestand.heartbeat_relay.batch_receiver import BatchReceiver
+from grebestand.leader.term import Term
+from grebestand.settings.platform import Quota
+from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
+from grebestand.wire.peers import HeartbeatBatch, HeartbeatBatchResponse
+
+
+def start_batch_receiver() -> tuple[InMemoryCluster, InMemoryController, Term, BatchReceiver, list[WorkerEmulator]]:
+    """Return a cluster with three workers, its leader and term, and the leader's receiver of batches of `node-1`."""
+    cluster = InMemoryCluster()
+    controller = InMemoryController(cluster, "node-0")
+    term = controller.lead()
+    workers = [cluster.worker(f"n-{i:06d}") for i in range(3)]
+    cluster.settle(term, 3)
+    load = OverloadMonitor(Quota(), cluster.clock)
+    receiver = BatchReceiver(
+        ["node-1"], controller.election, lambda: controller.term, load, cluster.clock, lambda: None
+    )
+    return cluster, controller, term, receiver, workers
+
+
+def responses_to(receiver: BatchReceiver, *reports: bytes, sender: str = "node-1") -> list[tuple[int, bytes]]:
+    """Return the status and body of each response to a batch of heartbeats."""
+    answer = receiver.answer(msgspec.msgpack.encode(HeartbeatBatch(sender, list(reports))))
+    return msgspec.msgpack.decode(answer, type=HeartbeatBatchResponse).answers
