--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -50,6 +50,7 @@
         self._rest = rest
 
     def readline(self, limit: int = LINE_BYTES) -> bytes:
+        """Return the next line; one that was read already is not limited again."""
         line = next(self._lines, None)
         return self._rest.readline(limit) if line is None else line
 
@@ -84,6 +85,7 @@
         return found
 
     def read_requestline(self) -> Any:
+        """Read the first line of the next request, for which a kept connection may be idle for longer."""
         self.socket.settimeout(SURPLUS_TIMEOUT_S if self.surplus else IDLE_TIMEOUT_S)
         line = super().read_requestline()
         self.socket.settimeout(REQUEST_TIMEOUT_S)
@@ -121,11 +123,12 @@
     """A file for messages of the WSGI server, which are about misbehaving clients mostly."""
 
     def write(self, text: str) -> None:
+        """Log a message at debug level."""
         if text.strip() and log.isEnabledFor(logging.DEBUG):
             log.debug(LogEvent("http_server_message", text=text.strip()[:MAX_LOGGED_CHARACTERS]))
 
     def flush(self) -> None:
-        return
+        """Do nothing: nothing is buffered."""
 
 
 class _BoundedServer(WSGIServer):  # type: ignore[misc]
@@ -137,6 +140,7 @@
     on_end: Callable[[object], None]
 
     def handle(self, client: Any, address: Any) -> None:
+        """Serve a connection until it ends."""
         handler = self.handler_class(client, address, self)
         handler.surplus = self.open_connections >= self.max_connections
         self.open_connections += 1
@@ -153,6 +157,7 @@
     gate: Gate
 
     def handle(self, client: Any, address: Any) -> None:
+        """Serve a connection that the gate admits, and close any other."""
         host = str(address[0])
         admitted = self.gate.wrap(client, host) if self.gate.admit(host) else None
         if admitted is None:
--- a/src/grebestand/controller/http_front.py
+++ b/src/grebestand/controller/http_front.py
@@ -4,6 +4,7 @@
 
 import logging
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from ..api.heartbeat_api import HeartbeatApi
@@ -80,6 +81,6 @@
             return Response(503, b'{"error":"overloaded"}', retry_after=1)
         self.users_busy += 1
         try:
-            return self.users.route(method, path, lambda: read_body(environ))
+            return self.users.route(method, path, partial(read_body, environ))
         finally:
             self.users_busy -= 1
--- a/tests/scenarios/test_asymmetric_faults.py
+++ b/tests/scenarios/test_asymmetric_faults.py
@@ -9,9 +9,10 @@
 
 from grebestand.api.peer_api import PeerApi
 from grebestand.cluster_state.machine_inventory import MachineInventory
-from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.cluster import LinkMode, SimulatedCluster
 from grebestand.simulation.virtual_time import VirtualLoop, simulated
 from grebestand.state_machines import LeaderState, Reception
+from support.network_faults import isolate
 
 
 @pytest.fixture
@@ -28,12 +29,6 @@
     return world
 
 
-def isolate(world: SimulatedCluster, controller: str, mode: LinkMode) -> None:
-    """Cut a controller off from the key-value store and its peers, but not from workers and users."""
-    for other_end in (STATE, *(name for name in world.controllers if name != controller)):
-        world.links.set(controller, other_end, mode)
-
-
 def assert_all_completed(world: SimulatedCluster, limit_s: float = 240.0) -> None:
     """Every accepted job is done, all stay known, and no invariant was broken."""
     world.calm_at = world.loop.time
--- a/tests/scenarios/test_fault_combinations.py
+++ b/tests/scenarios/test_fault_combinations.py
@@ -12,6 +12,7 @@
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
 from grebestand.simulation.virtual_time import VirtualLoop, simulated
 from support.cluster_actions import CHANGES, back, change
+from support.network_faults import isolate
 
 
 @pytest.fixture
@@ -39,12 +40,6 @@
             job.cancel_at = min(job.cancel_at, world.loop.time)
 
 
-def isolate(world: SimulatedCluster, controller: str, mode: LinkMode) -> None:
-    """Cut a controller off from the key-value store and its peers, but not from workers and users."""
-    for other_end in (STATE, *(name for name in world.controllers if name != controller)):
-        world.links.set(controller, other_end, mode)
-
-
 # tasks of one job that end far apart ----------------------------------------------------------------------
 
 
