--- a/src/grebestand/controller/foundation.py
+++ b/src/grebestand/controller/foundation.py
@@ -137,7 +137,7 @@
         clock,
         current_term,
     )
-    store_link = LinkHealth("the state service", clock)
+    store_link = LinkHealth("key-value store", clock)
     store_transport, watch_transport = (
         ProxiedStoreTransport(
             runtime.connect(settings.outside.state, "outside.state", connections), store_link, directory.all
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -109,7 +109,7 @@
         clock = self.world.clock
         door = PeerApi(list(peers), clock, lambda: PeerStatus(self.name, 0, 0.0), self.features)
         w = self.world.settings.params.workers
-        self.state_link, self.workers_link = LinkHealth("the state service", clock), LinkHealth("workers", clock)
+        self.state_link, self.workers_link = LinkHealth("key-value store", clock), LinkHealth("workers", clock)
         return LeadershipTransfer(
             name=self.name, heartbeat_interval_s=w.report_s, election=self.election, peer_api=door,
             overload=self.load, clock=clock, term=lambda: self.term, store_link=self.state_link,
