--- a/src/grebestand/cluster_state/machine_inventory.py
+++ b/src/grebestand/cluster_state/machine_inventory.py
@@ -228,7 +228,7 @@
         """
         if machine.reception is not Reception.UNREACHABLE:
             machine.missed_responses = 0
-            self.receive(machine, Reception.REACHABLE, "it does as it is told", now)
+            self.receive(machine, Reception.REACHABLE, "commands took effect", now)
 
     # allocations ------------------------------------------------------------------------------------------
 
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -63,7 +63,7 @@
 
 
 def term_of(leader: PeerClient) -> tuple[str, int]:
-    """Return a leader's name and fencing token, as it told them last."""
+    """Return a leader's name and fencing token, by its last status message."""
     return leader.name, leader.last.token if leader.last is not None else 0
 
 
@@ -113,7 +113,7 @@
         if self.state is ForwarderState.RESTING and leader is not None and term_of(leader) != self._paused_for_term:
             self.move(ForwarderState.OPEN, f"another term, of {leader.name}")
         if self.state is ForwarderState.RESTING and self.clock() >= self._paused_until:
-            self.move(ForwarderState.OPEN, f"left alone for {PAUSE_S:.0f} s")
+            self.move(ForwarderState.OPEN, f"paused for {PAUSE_S:.0f} s")
         return self.state is ForwarderState.OPEN and leader is not None
 
     def fits(self) -> bool:
--- a/src/grebestand/heartbeats/reconciliation.py
+++ b/src/grebestand/heartbeats/reconciliation.py
@@ -73,7 +73,8 @@
                 cannot be a delayed copy.
 
         Returns:
-            The machine, or None if the heartbeat shows nothing of how its machine is now.
+            The machine, or None if the heartbeat shows nothing of how its machine is now. A machine that does not know
+            of this term yet is returned as well, to be answered.
         """
         machine = self._find_or_add(heartbeat, now)
         if machine is None:
@@ -100,27 +101,11 @@
             self._record_sign_of_life(machine, now)
         if not solicited and silence_s < self.inventory.lease_s:
             self.sketches.add("late report", silence_s - self.inventory.report_s)
-
-        # Written out, since it runs for every task of every heartbeat: nearly all are known and in the state they were.
-        allocations = machine.allocations
-        for status in heartbeat.tasks:
-            allocation = allocations.get(status.task)
-            if allocation is None or allocation.attempt != status.attempt or status.state is TaskPhase.EXITED:
-                self.tasks.apply_exited_or_unknown(machine, status, now)
-                continue
-            allocation.reported_sequence = sequence
-            if allocation.state is not REPORTED_STATES[status.state]:
-                self.tasks.apply_state(machine, allocation, REPORTED_STATES[status.state], now)
-        absent = [
-            allocation
-            for allocation in allocations.values()
-            if allocation.reported_sequence != sequence and allocation.state is not AllocationState.QUEUED
-        ]
+        absent = self._apply_task_states(machine, heartbeat, now)
         if absent:
             # a machine that is rarely heard may be trying other controllers, as no response reaches it
             rarely_heard = silence_s > SILENT_AFTER_INTERVALS * self.inventory.report_s
             self._handle_absent(machine, heartbeat, absent, solicited, proven, rarely_heard, now)
-
         if machine.state is MachineState.UNRECONCILED:
             self._reconcile_machine(machine, heartbeat, now)
         if heartbeat.notice_s is not None and machine.drain != RECLAIMED:
@@ -155,7 +140,7 @@
     def _is_consistent(self, machine: Machine, heartbeat: Heartbeat, solicited: bool, now: float) -> bool:
         """Return whether a new heartbeat of this term fits what is known of its machine; if not, it is queried."""
         if solicited:
-            self.inventory.receive(machine, Reception.REACHABLE, "it answers", now)
+            self.inventory.receive(machine, Reception.REACHABLE, "it answered a direct question", now)
             return True
         if machine.reception is Reception.UNREACHABLE:
             # that its heartbeats arrive says nothing of whether responses do
@@ -173,7 +158,9 @@
         tries one controller after the other; in between its lease expires here, and each heartbeat would have it used
         again, so this counts as enough missed responses for suspicion.
         """
-        self.inventory.record_missed_response(machine, "its lease has ended", now, MISSED_RESPONSES_BEFORE_SUSPICION)
+        self.inventory.record_missed_response(
+            machine, "it began a new epoch: its lease expired", now, MISSED_RESPONSES_BEFORE_SUSPICION
+        )
         # Answered within a lease, either the response was lost, or this is a copy of an earlier life whose epochs are
         # not known here. Accepted, the copy would end running tasks and start them a second time.
         answered_within_lease = machine.state is not MachineState.LEASE_EXPIRED and not self.inventory.lease_expired(
@@ -193,9 +180,7 @@
             machine.record_epoch_while_unreachable(heartbeat.epoch, now)
         if now - machine.unreachable_since <= RESPONSES_ARRIVE_AFTER_LEASES * self.inventory.lease_s:
             return False
-        self.inventory.receive(
-            machine, Reception.REACHABLE, "its lease did not end though nothing but answers renews it", now
-        )
+        self.inventory.receive(machine, Reception.REACHABLE, "its epoch outlived its lease, which responses renew", now)
         return True
 
     def _handle_unusable(
@@ -206,7 +191,7 @@
             if machine.token != self.token:
                 # it does not know of this term yet: the response tells it, and its next heartbeat is evidence
                 if machine.epoch:
-                    self.inventory.record_missed_response(machine, "it goes on reporting an older token", now)
+                    self.inventory.record_missed_response(machine, "its heartbeats carry an older token", now)
                 machine.record_heartbeat(heartbeat, machine.token, now)
                 return machine
             # within one life counts only rise, and so does the token: this is another life
@@ -245,6 +230,24 @@
             else:
                 self.tasks.end_allocation(machine, allocation, "lease ended", now)
 
+    def _apply_task_states(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Allocation]:
+        """Apply the reported state of each task, and return the allocations that were sent and are not reported."""
+        allocations, sequence = machine.allocations, heartbeat.sequence
+        # Written out, since it runs for every task of every heartbeat: nearly all are known and in the state they were.
+        for status in heartbeat.tasks:
+            allocation = allocations.get(status.task)
+            if allocation is None or allocation.attempt != status.attempt or status.state is TaskPhase.EXITED:
+                self.tasks.apply_exited_or_unknown(machine, status, now)
+                continue
+            allocation.reported_sequence = sequence
+            if allocation.state is not REPORTED_STATES[status.state]:
+                self.tasks.apply_state(machine, allocation, REPORTED_STATES[status.state], now)
+        return [
+            allocation
+            for allocation in allocations.values()
+            if allocation.reported_sequence != sequence and allocation.state is not AllocationState.QUEUED
+        ]
+
     def _handle_absent(
         self,
         machine: Machine,
@@ -276,7 +279,7 @@
                 self.inventory.to_query.add(machine.index)
         if start_lost:
             missed = MISSED_RESPONSES_BEFORE_SUSPICION if rarely_heard else 1
-            self.inventory.record_missed_response(machine, "it was told to start tasks and has not", now, missed)
+            self.inventory.record_missed_response(machine, "start commands had no effect", now, missed)
 
     @staticmethod
     def _start_was_lost(allocation: Allocation, heartbeat: Heartbeat, solicited: bool, now: float) -> bool:
