--- a/src/grebestand/heartbeats/reconciliation.py
+++ b/src/grebestand/heartbeats/reconciliation.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import logging
+from dataclasses import dataclass
 
 from ..cluster_state.dispatch import Dispatch
 from ..cluster_state.job_registry import JobRegistry
@@ -38,6 +39,18 @@
 RECLAIMED = "recall"
 
 
+@dataclass(frozen=True, slots=True)
+class Evidence:
+    """What a heartbeat that says how its machine is now can show."""
+
+    #: It answers a direct question, so it is no delayed copy, but may overtake a response.
+    solicited: bool
+    #: It can't be of a previous life of the machine.
+    proven: bool
+    #: The machine had been silent before: it may be trying other controllers, as no response reaches it.
+    rarely_heard: bool
+
+
 class HeartbeatReconciler:
     """Applies heartbeats to the cluster state, each as far as it is evidence of the present."""
 
@@ -103,9 +116,8 @@
             self.sketches.add("late report", silence_s - self.inventory.report_s)
         absent = self._apply_task_states(machine, heartbeat, now)
         if absent:
-            # a machine that is rarely heard may be trying other controllers, as no response reaches it
             rarely_heard = silence_s > SILENT_AFTER_INTERVALS * self.inventory.report_s
-            self._handle_absent(machine, heartbeat, absent, solicited, proven, rarely_heard, now)
+            self._handle_absent(machine, heartbeat, absent, Evidence(solicited, proven, rarely_heard), now)
         if machine.state is MachineState.UNRECONCILED:
             self._reconcile_machine(machine, heartbeat, now)
         if heartbeat.notice_s is not None and machine.drain != RECLAIMED:
@@ -253,9 +265,7 @@
         machine: Machine,
         heartbeat: Heartbeat,
         absent: list[Allocation],
-        solicited: bool,
-        proven: bool,
-        rarely_heard: bool,
+        evidence: Evidence,
         now: float,
     ) -> None:
         """Handle allocations that were sent to a machine and are not in its heartbeat."""
@@ -264,21 +274,21 @@
             if allocation.state is AllocationState.GONE:
                 continue  # ended together with another task of its gang
             if allocation.state is AllocationState.SENT:
-                if not self._start_was_lost(allocation, heartbeat, solicited, now):
+                if not self._start_was_lost(allocation, heartbeat, evidence.solicited, now):
                     continue
                 start_lost = True
                 if allocation.stop is None and allocation.job.live:
                     self.registry.move_allocation(allocation, AllocationState.SENT, now)
                     allocation.record_lost_start()
                     continue
-            if proven:
+            if evidence.proven:
                 reason = "never started" if allocation.state is AllocationState.SENT else "vanished"
                 self.tasks.end_allocation(machine, allocation, reason, now)
             else:
                 # a delayed heartbeat of its previous life would not list it either
                 self.inventory.to_query.add(machine.index)
         if start_lost:
-            missed = MISSED_RESPONSES_BEFORE_SUSPICION if rarely_heard else 1
+            missed = MISSED_RESPONSES_BEFORE_SUSPICION if evidence.rarely_heard else 1
             self.inventory.record_missed_response(machine, "start commands had no effect", now, missed)
 
     @staticmethod
