--- a/src/grebestand/leader/durable_grants.py
+++ b/src/grebestand/leader/durable_grants.py
@@ -158,14 +158,16 @@
             return GrantUpdate(job, GrantRecord(job.spec.tasks, None), set())
         queued = [allocation for allocation in job.allocations.values() if not job.covers(allocation)]
         machines = {allocation.machine for allocation in queued} | (job.granted or set())
-        hi = max([job.granted_hi, *(allocation.index + 1 for allocation in queued)])
-        if hi > job.granted_hi:
-            hi = min(job.spec.tasks, hi + max(MIN_GRANTED_AHEAD, hi // GRANTED_AHEAD_SHARE))
+        granted_below = max([job.granted_hi, *(allocation.index + 1 for allocation in queued)])
+        if granted_below > job.granted_hi:
+            granted_below = min(
+                job.spec.tasks, granted_below + max(MIN_GRANTED_AHEAD, granted_below // GRANTED_AHEAD_SHARE)
+            )
         if job.granted and not job.gang and len(machines) > MAX_NAMED_MACHINES:
             # tasks of a wide array reach ever more machines, each of which would cost a write
-            return GrantUpdate(job, GrantRecord(hi, None), set())
+            return GrantUpdate(job, GrantRecord(granted_below, None), set())
         known = [machine for machine in (self.inventory.at(index) for index in machines) if machine is not None]
-        record = GrantRecord(hi, sorted(machine.name for machine in known))
+        record = GrantRecord(granted_below, sorted(machine.name for machine in known))
         if job.granted is None or len(msgspec.json.encode(record)) > self.writer.value_bytes // MAX_VALUE_SHARE:
             record.machines = None
         return GrantUpdate(job, record, {machine.index for machine in known})
