--- a/src/grebestand/federation/circuit_breaker.py
+++ b/src/grebestand/federation/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""How well another cluster answers, as a state with a name: one that does not is left alone for growing pauses."""
+"""A circuit breaker for another cluster: one that does not answer is not asked for growing pauses."""
 
 from __future__ import annotations
 
@@ -12,14 +12,18 @@
 
 log = logging.getLogger(__name__)
 
-#: failures in a row that open it, and the shortest and longest pause, in seconds
-FAILURES, SHORTEST_S, LONGEST_S = 3, 2.0, 30.0
-#: a question that was let through after a pause and about which nothing was heard for so long was never asked
-UNASKED_S = 5.0
+#: failures in a row that open the breaker
+FAILURES = 3
+#: the first pause; each further one is twice as long
+SHORTEST_S = 2.0
+#: bounds the pauses
+LONGEST_S = 30.0
+#: a trial request that has had no result for so long was never sent: another one is allowed
+TRIAL_TIMEOUT_S = 5.0
 
 
 class CircuitBreaker:
-    """Leaves a cluster that does not answer alone for growing pauses, and tries it once after each."""
+    """Pauses requests to a cluster that does not answer, and allows one trial request after each pause."""
 
     def __init__(
         self,
@@ -29,49 +33,63 @@
         failures: int = FAILURES,
         longest_s: float = LONGEST_S,
     ) -> None:
+        """Start closed, so that requests are allowed.
+
+        Args:
+            name: the cluster's name, for the log.
+            clock: a steady clock, in seconds.
+            rng: draws the lengths of pauses.
+            failures: failures in a row that open the breaker.
+            longest_s: the longest pause, in seconds.
+        """
         self.name = name
-        self.most_failures = failures
+        self.max_failures = failures
         self.longest_s = longest_s
         self.clock = clock
         self.rng = rng
         self.state = BreakerState.CLOSED
         self._failures = 0
         self._pause_s = SHORTEST_S
-        self._until = self._tried = 0.0
+        self._paused_until = 0.0
+        self._trial_at = 0.0
 
     def move(self, new: BreakerState, why: str) -> None:
-        """The one function that changes the state."""
+        """Change the state: the one function that does so.
+
+        Raises:
+            IllegalTransitionError: the table of transitions does not allow it.
+        """
         check_transition(BREAKER_TRANSITIONS, self.state, new, f"breaker of {self.name}")
         log.info(LogEvent("circuit_breaker_changed", cluster=self.name, from_=self.state, to=new, reason=why))
         self.state = new
 
-    def lets(self) -> bool:
-        """Whether the cluster may be asked now; after a pause, one question at a time."""
+    def allows_request(self) -> bool:
+        """Return whether a request may be sent now; after a pause, that counts as the one trial request."""
         now = self.clock()
-        if self.state is BreakerState.OPEN and now >= self._until:
-            self._tried = now
+        if self.state is BreakerState.OPEN and now >= self._paused_until:
+            self._trial_at = now
             self.move(BreakerState.TRYING, "the pause is over")
             return True
-        if self.state is BreakerState.TRYING and now - self._tried >= UNASKED_S:
-            self._tried = now
+        if self.state is BreakerState.TRYING and now - self._trial_at >= TRIAL_TIMEOUT_S:
+            self._trial_at = now
             return True
         return self.state is BreakerState.CLOSED
 
-    def answered(self) -> None:
-        """A request was answered."""
+    def record_success(self) -> None:
+        """Note that a request was answered; a trial request closes the breaker."""
         self._failures = 0
         if self.state is BreakerState.TRYING:
             self._pause_s = SHORTEST_S
             self.move(BreakerState.CLOSED, "it answers")
 
-    def failed(self, why: str) -> None:
-        """A request was not answered; opens the breaker after several in a row, or after a failed try."""
+    def record_failure(self, why: str) -> None:
+        """Note that a request failed; opens the breaker after several in a row, or after a failed trial."""
         self._failures += 1
-        if self.state is BreakerState.OPEN or (
-            self.state is BreakerState.CLOSED and self._failures < self.most_failures
-        ):
+        if self.state is BreakerState.OPEN:
+            return
+        if self.state is BreakerState.CLOSED and self._failures < self.max_failures:
             return
-        # drawn from half to one and a half times, so that those that lost the same link do not come back together
-        self._until = self.clock() + self._pause_s * (0.5 + self.rng.random())
+        # random, so that clusters which lost the same link do not return together
+        self._paused_until = self.clock() + self._pause_s * (0.5 + self.rng.random())
         self._pause_s = min(self.longest_s, 2 * self._pause_s)
         self.move(BreakerState.OPEN, why)
--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -23,8 +23,10 @@
 from ..wire.jobs import PRIORITIES
 from .circuit_breaker import CircuitBreaker
 from .guest import GuestCluster, GuestLimits
-from .home import Cluster, HomeCluster, Limits, Link
+from .home import HomeCluster
 from .messages import MOST_BYTES, MOST_NAME, FreeCapacity
+from .overflow_limits import OverflowLimits
+from .remote_cluster import Cluster, Link
 from .tls_link import TlsLink, over_tls
 
 log = logging.getLogger(__name__)
@@ -188,15 +190,15 @@
         """A new term of this controller: what is abroad and who is a guest is read from the records."""
         assert isinstance(term, Term) and self.host is not None
         v = {key: self.values.value(key, self.rest) for key in KEYS}
-        limits = Limits(
+        limits = OverflowLimits(
             overflow_after_s=self.overflow_after_s,
-            most_out=int(v["offers_in_flight"]),
+            max_offers_in_flight=int(v["offers_in_flight"]),
             offers_per_s=v["offers_per_s"],
-            at_once=int(v["ask_at_once"]),
-            most_offers=int(v["offers_per_gang"]),
+            max_clusters_at_once=int(v["ask_at_once"]),
+            max_offers_per_gang=int(v["offers_per_gang"]),
             retry_share=v["retry_share"],
             bytes_per_s=1024 * v["kilobytes_per_s"],
-            look_s=v["look_s"],
+            probe_interval_s=v["look_s"],
             prefer=self.prefer,
         )
         clusters = [Cluster(name, link, self.breakers[name]) for name, link in self.links.items()]
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -1,9 +1,9 @@
-"""Home's side: which gangs are offered, the one decision for each, and what follows from what the other cluster says.
+"""Home's side: the one decision for each offered gang, and what follows from the other cluster's replies.
 
 The decision is one conditional write of the leader: the gang's live record names the cluster and the reservation. A
-user's cancellation, a done and the decision all compete for that one key, so exactly one of them holds. From before
-the write is sent until it is proved that the cluster does not run the gang any more, the job is `away`: nothing of
-it starts at home.
+user's cancellation, the end of the job and the decision all compete for that one key, so exactly one of them succeeds.
+From before the write is sent until the other cluster has confirmed that it does not run the gang any more, the job is
+`away`: nothing of it starts at home.
 """
 
 from __future__ import annotations
@@ -12,32 +12,20 @@
 import math
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Protocol
 
-import msgspec
-
-from ..clients.kv_store import StoreError, delete, put, version_is
-from ..cluster_state.jobs import Job
-from ..flow_control.rate_limiter import Urgency
+from ..clients.kv_store import StoreError
 from ..leader.election import FencedError
 from ..leader.term import Term
 from ..log_events import LogEvent
 from ..metrics.duration_sketches import DurationSketches
 from ..state_machines import JobState, check_transition
-from ..storage.job_records import CompletedJobRecord, LiveJobRecord, completion_transaction, live_key
-from ..wire.jobs import JobStatus
 from ..wire.remote_assignment import RemoteAssignment
-from .circuit_breaker import CircuitBreaker
+from .assignment_records import AssignmentRecords
 from .messages import (
-    MOST_BYTES,
-    VERSION,
     Commit,
     Ended,
     Forget,
-    FreeCapacity,
     Message,
-    Probe,
     Recall,
     Rejection,
     Reply,
@@ -47,526 +35,358 @@
     StatusQuery,
     UncertainReply,
 )
-from .rate_limits import RetryBackoff, TokenBucket
-from .routing import Prefer, RemoteLoad, by_room, fits, value, without
-from .settlement import PREFIX as SETTLED
-from .settlement import Settled
+from .offering import OfferPlanner
+from .overflow_limits import OverflowLimits
+from .rate_limits import RetryBackoff
+from .remote_cluster import Cluster, RemoteClusters
+from .remote_gang import EndedReservation, RemoteGang
+from .settled_gangs import SettledGangs
 from .state_machines import HOME_TRANSITIONS, HomeState
 
 log = logging.getLogger(__name__)
 
-#: clusters that one gang is offered to at a time, and offers for each gang until it is left at home for good
-AT_ONCE, MOST_OFFERS = 2, 12
-#: between two offers of one gang, growing, and between two questions about one that is abroad, in seconds
-OFFER_AGAIN_S, ASK_S = 5.0, 2.0
-#: looks at other clusters' room, a second, however many there are
-LOOKS_PER_S = 2.0
-#: between two looks through all waiting gangs, in seconds
-MORE_S = 0.5
-#: refusals in a row after which a cluster is offered nothing for a while, growing to so many seconds
-REFUSALS, REFUSED_S = 4, 30.0
-
-
-class Link(Protocol):
-    """The way to another cluster: the answer, or None if there was none that can be relied on."""
-
-    def tell(self, message: Message) -> Reply | None:
-        """Send a message and return the reply, or None without one."""
-
-
-@dataclass
-class Cluster:
-    """Another cluster, as home sees it."""
-
-    name: str
-    link: Link
-    breaker: CircuitBreaker
-    told: RemoteLoad | None = None
-    #: it speaks another version: it is offered nothing
-    strange: bool = False
-    look_at: float = -math.inf
-    #: of offers only: one that refuses again and again is offered less, and asked about its guests as before
-    refusals: CircuitBreaker = field(init=False)
-
-    def __post_init__(self) -> None:
-        b = self.breaker
-        self.refusals = CircuitBreaker(f"{self.name} (offers)", b.clock, b.rng, REFUSALS, REFUSED_S)
-
-
-@dataclass
-class Limits:
-    """The operators' values of the moment."""
-
-    overflow_after_s: Callable[[Job, float], float]
-    #: gangs that may be out as offers at a time, and offers a second
-    most_out: int = 8
-    offers_per_s: float = 4.0
-    #: clusters that a gang is offered to at a time, and offers until it is left at home for good
-    at_once: int = AT_ONCE
-    most_offers: int = MOST_OFFERS
-    #: repetitions for each message sent for the first time, beside one a second
-    retry_share: float = 0.3
-    bytes_per_s: float = 64.0 * MOST_BYTES
-    #: between two looks at a cluster's room
-    look_s: float = 5.0
-    prefer: Prefer = by_room
-
-
-@dataclass
-class RemoteGang:
-    """What home knows of one gang that it has offered, or that is abroad."""
-
-    job: Job
-    state: HomeState = HomeState.WAITING
-    offers: int = 0
-    next_at: float = -math.inf
-    #: while offered: who has reserved, and under which id
-    reserved: dict[str, str] = field(default_factory=dict)
-    #: from the decision on
-    abroad: RemoteAssignment | None = None
-    #: its user wants it cancelled
-    recalled: bool = False
-    #: questions in a row that nobody answered
-    unanswered: int = 0
-    #: a greenlet is at work on it
-    busy: bool = False
-    #: when it was offered, for the one offer that is decided
-    offered_at: float = 0.0
-    #: how it ended there, once that is proved
-    done: bool = False
+#: the pause between two offers of one gang; it doubles with each offer
+OFFER_PAUSE_S = 5.0
+#: bounds the growth of that pause
+MAX_OFFER_PAUSE_DOUBLINGS = 5
+#: between two queries about one gang that is abroad; it doubles with each query that has no certain reply
+QUERY_INTERVAL_S = 2.0
+#: bounds the growth of that interval
+MAX_QUERY_INTERVAL_FACTOR = 8
+#: retries allowed a second, however few messages are sent for the first time
+LEAST_RETRIES_PER_S = 1.0
+#: between two summaries in the log
+SUMMARY_INTERVAL_S = 60.0
+#: after a step that the store did not answer
+STORE_RETRY_S = 1.0
+#: after a decision whose write had no answer; shorter, as the gang starts nowhere meanwhile
+DECISION_RETRY_S = 0.5
+#: after a step that met an unexpected exception
+CRASH_RETRY_S = 5.0
+#: states in which another cluster may run the gang, or may come to run it
+AWAY_STATES = frozenset({HomeState.DECIDING, HomeState.COMMITTED, HomeState.ABROAD, HomeState.RETURNING})
 
 
 class HomeCluster:
-    """The gangs of one leader's term. A new leader begins with what the live records name."""
+    """The offered gangs of one leader's term. A new leader begins with the assignments in the live records."""
 
     def __init__(
         self,
         name: str,
         term: Term,
         clusters: list[Cluster],
-        limits: Limits,
+        limits: OverflowLimits,
         rng: random.Random,
         spawn: Callable[[Callable[[], None]], None] = lambda work: work(),
     ) -> None:
-        """`spawn` runs what waits for another cluster, so that one that does not answer holds up nothing else."""
+        """Resume the gangs that are abroad.
+
+        Args:
+            name: the name of this cluster.
+            term: the leader's term.
+            clusters: the other clusters.
+            limits: the operators' limits.
+            rng: draws pauses and intervals.
+            spawn: runs a function that waits for another cluster, so that a silent one delays nothing else.
+
+        Raises:
+            StoreError: the store could not be reached.
+        """
         self.name = name
         self.term = term
-        self.clusters = {c.name: c for c in clusters}
         self.limits = limits
         self.rng = rng
-        self.trips: dict[str, RemoteGang] = {}
-        #: done elsewhere: the other cluster's record may go once home's is durable
-        self._settled: list[tuple[str, str, str]] = []
         self.spawn = spawn
         self.sketches = DurationSketches()
-        #: gangs offered, and how their offers ended
+        self.remotes = RemoteClusters(
+            name, clusters, limits=limits, clock=term.clock, rng=rng, spawn=spawn, sketches=self.sketches
+        )
+        self.offers = OfferPlanner(term, self.remotes.by_name, limits)
+        self.records = AssignmentRecords(term)
+        #: gangs that are offered or abroad, by job id
+        self.gangs: dict[str, RemoteGang] = {}
+        #: offers sent, and how they ended
         self.counts = {"offers": 0, "reserved": 0, "decided": 0, "in_vain": 0}
-        self._offers = TokenBucket(limits.offers_per_s, term.clock)
-        self._bytes = TokenBucket(limits.bytes_per_s, term.clock)
-        self._retries = RetryBackoff(limits.retry_share, 1.0, term.clock)
-        self._looking: set[str] = set()
-        self._looks = TokenBucket(LOOKS_PER_S, term.clock)
-        self._told_at = term.clock()
-        self._more_at = -math.inf
-        #: what operators have settled, and is still to be ended wherever it may run after all
-        self.lost: dict[str, Settled] = {}
-        self.read_settled()
-        for job in term.registry.jobs.values():
+        self._retries = RetryBackoff(limits.retry_share, LEAST_RETRIES_PER_S, term.clock)
+        self._summary_at = term.clock()
+        self._ended_reservations: list[EndedReservation] = []
+        self.settled = SettledGangs(term, self.remotes, spawn, self._ended_reservations.append)
+        self._resume()
+
+    def _resume(self) -> None:
+        for job in self.term.registry.jobs.values():
             if job.abroad is not None:
-                trip = self.trips[job.spec.id] = RemoteGang(job, abroad=job.abroad)
-                # whether the news was ever told is not on record, so it is told again: that changes nothing twice
-                self.move(trip, HomeState.COMMITTED, "on record")
+                gang = self.gangs[job.spec.id] = RemoteGang(job, assignment=job.abroad)
+                # whether the commit was ever sent is not on record: it is sent again, which is idempotent
+                self.move(gang, HomeState.COMMITTED, "on record")
 
-    def move(self, trip: RemoteGang, new: HomeState, why: str) -> None:
-        """The one function that changes where a gang's decision stands."""
-        if trip.state is new:
+    def move(self, gang: RemoteGang, new: HomeState, why: str) -> None:
+        """Change the state of a gang: the one function that does so.
+
+        Raises:
+            IllegalTransitionError: the table of transitions does not allow it.
+        """
+        if gang.state is new:
             return
-        ident = trip.job.spec.id
-        check_transition(HOME_TRANSITIONS, trip.state, new, ident)
-        log.info(LogEvent("remote_gang_state_changed", job_id=ident, from_=trip.state, to=new, reason=why))
-        trip.state = new
-        trip.job.away = new not in (HomeState.WAITING, HomeState.OFFERED, HomeState.OVER)
+        job = gang.job
+        job_id = job.spec.id
+        check_transition(HOME_TRANSITIONS, gang.state, new, job_id)
+        log.info(LogEvent("remote_gang_state_changed", job_id=job_id, from_=gang.state, to=new, reason=why))
+        gang.state = new
+        job.away = new in AWAY_STATES
         if new is HomeState.WAITING:
-            trip.abroad = trip.job.abroad = None
-            trip.job.abroad_running = 0
-            trip.next_at = self.term.clock() + OFFER_AGAIN_S * 2 ** min(5, trip.offers) * (0.5 + self.rng.random())
+            gang.assignment = job.abroad = None
+            job.abroad_running = 0
+            gang.next_step_at = self.term.clock() + self._offer_pause_s(gang)
             self.term.registry.changed = True
         elif new is HomeState.OVER:
-            self.trips.pop(ident, None)
+            self.gangs.pop(job_id, None)
+
+    def _offer_pause_s(self, gang: RemoteGang) -> float:
+        doublings = min(MAX_OFFER_PAUSE_DOUBLINGS, gang.offers)
+        return float(OFFER_PAUSE_S * 2**doublings * (0.5 + self.rng.random()))
 
     def recall(self, ref: str) -> None:
-        """A user has asked to cancel a gang that is abroad."""
-        trip = self.trips.get(ref)
-        if trip is not None:
-            trip.recalled = True
-            trip.next_at = -math.inf
+        """Note that a user has asked to cancel a gang that is abroad."""
+        gang = self.gangs.get(ref)
+        if gang is not None:
+            gang.recalled = True
+            gang.next_step_at = -math.inf
 
     # steps ------------------------------------------------------------------------------------------------
 
     def step(self) -> None:
-        """Moves every gang on as far as it goes now; a loop of the leader."""
+        """Advance every gang as far as possible now; called in a loop of the leader."""
         if not self.term.writer.is_leader():
             return
         now = self.term.clock()
-        for trip in list(self.trips.values()):
-            if trip.next_at <= now:
-                self._work(trip, self._go_on)
-        self._look(now)
-        self._end_settled(now)
-        self._forget()
-        self._offer_more(now)
-        if now - self._told_at >= 60.0:
-            self._told_at = now
-            text = ", ".join(f"{n} {k}" for k, n in self.counts.items())
-            log.info(LogEvent("federation_summary", gangs=text, durations=self.sketches.tell()))
-
-    def _work(self, trip: RemoteGang, what: Callable[[RemoteGang], None]) -> None:
-        """At most one greenlet at a time is at work on a gang."""
-        if trip.busy:
+        for gang in list(self.gangs.values()):
+            if gang.next_step_at <= now:
+                self._spawn_step(gang, self._advance)
+        self.remotes.probe_due(now)
+        self.settled.recall_due(now)
+        self._forget_ended_reservations()
+        self._offer_due(now)
+        self._log_summary(now)
+
+    def _spawn_step(self, gang: RemoteGang, step: Callable[[RemoteGang], None]) -> None:
+        """Run a step of a gang, unless another greenlet is at work on it."""
+        if gang.busy:
             return
-        trip.busy = True
+        gang.busy = True
 
-        def work() -> None:
+        def run() -> None:
             try:
-                what(trip)
+                step(gang)
             except Exception:
-                log.exception(LogEvent("remote_gang_step_failed", job_id=trip.job.spec.id, state=trip.state))
-                trip.next_at = self.term.clock() + 5.0
+                log.exception(LogEvent("remote_gang_step_failed", job_id=gang.job.spec.id, state=gang.state))
+                gang.next_step_at = self.term.clock() + CRASH_RETRY_S
             finally:
-                trip.busy = False
-
-        self.spawn(work)
-
-    def _look(self, now: float) -> None:
-        """Asks now and then what room there is, so that the likeliest cluster is asked first."""
-        for cluster in sorted(self.clusters.values(), key=lambda c: c.look_at):
-            if now < cluster.look_at or self._looks.room() < 1.0:
-                return
-            if cluster.name not in self._looking and cluster.breaker.lets():
-                self._looks.take(1.0)
-                cluster.look_at = now + self.limits.look_s * (0.75 + 0.5 * self.rng.random())
-                self._looking.add(cluster.name)
-                self.spawn(lambda cluster=cluster: self._look_at(cluster))  # type: ignore[misc]
-
-    def _look_at(self, cluster: Cluster) -> None:
-        try:
-            answer = self._ask(cluster, Probe(self.name, VERSION))
-        finally:
-            self._looking.discard(cluster.name)
-        if isinstance(answer, FreeCapacity):
-            if (answer.version != VERSION) is not cluster.strange:
-                cluster.strange = answer.version != VERSION
-                log.warning(
-                    LogEvent(
-                        "cluster_version_differs", cluster=cluster.name, version=answer.version, own_version=VERSION
-                    )
-                )
-            cluster.told = RemoteLoad(answer, self.term.clock())
-
-    # settled by operators ---------------------------------------------------------------------------------
-
-    def read_settled(self) -> None:
-        """What operators have declared lost with its cluster; the gangs are home again."""
-        for pair in self.term.writer.store.pairs(SETTLED):
-            found = msgspec.convert(pair.value, Settled)
-            self.lost[found.id] = found
-
-    def _end_settled(self, now: float) -> None:
-        """A cluster that comes back after all is told to end what home runs itself by now."""
-        for entry in list(self.lost.values()):
-            cluster = self.clusters.get(entry.cluster)
-            if cluster is None or now < entry.next_at or not cluster.breaker.lets():
-                continue
-            entry.next_at = now + 10.0
-            self.spawn(lambda entry=entry, cluster=cluster: self._end_one(entry, cluster))  # type: ignore[misc]
-
-    def _end_one(self, entry: Settled, cluster: Cluster) -> None:
-        answer = self._ask(cluster, Recall(self.name, entry.ref, entry.id))
-        if not isinstance(answer, Ended | Rejection):
-            return
-        try:
-            key = SETTLED + entry.id
-            found = self.term.writer.store.get(key, Urgency.PROGRESS)
-            if found is not None:
-                self.term.writer.commit([version_is(key, found.version)], [delete(key)], Urgency.PROGRESS)
-        except (StoreError, FencedError) as e:
-            log.info(LogEvent("settlement_removal_postponed", job_id=entry.ref, error=e))
-            return
-        self.lost.pop(entry.id, None)
-        log.info(LogEvent("settled_gang_gone", job_id=entry.ref, cluster=entry.cluster))
-        self._settled.append((entry.cluster, entry.ref, entry.id))
+                gang.busy = False
 
-    def _go_on(self, trip: RemoteGang) -> None:
-        try:
-            if trip.state in (HomeState.COMMITTED, HomeState.ABROAD) and trip.job.abroad is None and trip.job.live:
-                self.move(trip, HomeState.RETURNING, "settled by its operators")
-                self.move(trip, HomeState.WAITING, "settled by its operators")
-                self.read_settled()
-                return
-            if not trip.job.live and trip.state in (HomeState.WAITING, HomeState.OFFERED):
-                self._release(trip)
-                self.move(trip, HomeState.OVER, "it is over at home")
-            elif trip.state is HomeState.DECIDING:
-                self._settle(trip)
-            elif trip.state in (HomeState.COMMITTED, HomeState.ABROAD):
-                self._follow(trip)
-            elif trip.state is HomeState.RETURNING:
-                self._return(trip)
-        except (StoreError, FencedError) as e:
-            log.info(LogEvent("remote_gang_step_postponed", job_id=trip.job.spec.id, state=trip.state, error=e))
-            trip.next_at = self.term.clock() + 1.0
-
-    # offering ---------------------------------------------------------------------------------------------
+        self.spawn(run)
 
-    def eligible(self, job: Job, now: float) -> bool:
-        """Whole, provably nowhere, and waiting for longer than the operators' expression says."""
-        return (
-            job.gang
-            and job.live
-            and not job.away
-            and not job.guest
-            and job.spec.zone is None
-            and not job.allocations
-            and job.startable() == job.spec.tasks
-            and now - job.accepted_at >= self.limits.overflow_after_s(job, now)
-        )
-
-    def _offer_more(self, now: float) -> None:
-        """Offers the gangs that have waited longest, within the bounds; a flood of them makes no stampede."""
-        if not self.clusters or now < self._more_at:
+    def _advance(self, gang: RemoteGang) -> None:
+        try:
+            self._advance_by_state(gang)
+        except (StoreError, FencedError) as error:
+            log.info(LogEvent("remote_gang_step_postponed", job_id=gang.job.spec.id, state=gang.state, error=error))
+            gang.next_step_at = self.term.clock() + STORE_RETRY_S
+
+    def _advance_by_state(self, gang: RemoteGang) -> None:
+        job = gang.job
+        if gang.state in (HomeState.COMMITTED, HomeState.ABROAD) and job.abroad is None and job.live:
+            self.move(gang, HomeState.RETURNING, "settled by its operators")
+            self.move(gang, HomeState.WAITING, "settled by its operators")
+            self.settled.read()
+        elif not job.live and gang.state in (HomeState.WAITING, HomeState.OFFERED):
+            self._release(gang)
+            self.move(gang, HomeState.OVER, "it is over at home")
+        elif gang.state is HomeState.DECIDING:
+            self._resolve_unknown_decision(gang)
+        elif gang.state in (HomeState.COMMITTED, HomeState.ABROAD):
+            self._follow(gang)
+        elif gang.state is HomeState.RETURNING:
+            self._return(gang)
+
+    def _log_summary(self, now: float) -> None:
+        if now - self._summary_at < SUMMARY_INTERVAL_S:
             return
-        self._more_at = now + MORE_S
-        out = sum(1 for t in self.trips.values() if t.state is not HomeState.WAITING)
-        due = [j for j in self.term.registry.waiting_jobs() if self.eligible(j, now)]
-        due.sort(key=lambda j: (j.accepted_at, j.spec.id))
-        for job in due:
-            trip = self.trips.get(job.spec.id) or RemoteGang(job)
-            if trip.state is not HomeState.WAITING or trip.offers >= self.limits.most_offers:
-                continue
-            if trip.next_at > now and not self._news(trip, now):
-                continue
-            if out >= self.limits.most_out:
-                return
-            asked = self._likely(job, self._ranked(job), now)
-            if not asked or not self._offers.take(len(asked)):
-                return
-            for cluster in asked:
-                if cluster.told is not None:
-                    cluster.told = without(cluster.told, job)  # the next gang is not offered the same room
-            self.trips[job.spec.id] = trip
-            out += 1
-            self._work(trip, lambda trip, asked=asked: self._offer(trip, asked))  # type: ignore[misc]
-
-    def _ranked(self, job: Job) -> list[Cluster]:
-        """Who is asked first, by the operators' expression over what was told; of equals, by name."""
-        now = self.term.clock()
-        return sorted(
-            (c for c in self.clusters.values() if not c.strange),
-            key=lambda c: (-value(self.limits.prefer, job, c.told, now), c.name),
-        )
-
-    @staticmethod
-    def _has_room(cluster: Cluster, job: Job, since: float) -> bool:
-        """Whether it has told of room for the whole gang since then."""
-        return cluster.told is not None and cluster.told.at >= since and fits(job, cluster.told.room)
-
-    def _news(self, trip: RemoteGang, now: float) -> bool:
-        """Whether a cluster has told of room for it since it was last offered: its pause need not be waited for."""
-        return trip.offers > 0 and any(
-            not c.strange
-            and c.told is not None
-            and c.told.at > trip.offered_at
-            and self._has_room(c, trip.job, now - self.limits.look_s)
-            for c in self.clusters.values()
-        )
+        self._summary_at = now
+        counts = ", ".join(f"{name} {count}" for name, count in self.counts.items())
+        log.info(LogEvent("federation_summary", gangs=counts, durations=self.sketches.tell()))
 
-    def _likely(self, job: Job, ranked: list[Cluster], now: float) -> list[Cluster]:
-        """Whom of these to ask at once: one that has just told of enough room is enough, as a second one's
-        reservation would nearly always be in vain."""
-        asked: list[Cluster] = []
-        for cluster in ranked:
-            has_room = self._has_room(cluster, job, now - 2 * self.limits.look_s)
-            if not cluster.breaker.lets() or not (has_room or cluster.refusals.lets()):
-                continue
-            asked.append(cluster)
-            if len(asked) >= self.limits.at_once or (has_room and len(asked) == 1):
-                break
-        return asked
-
-    def _offer(self, trip: RemoteGang, asked: list[Cluster]) -> None:
-        trip.reserved = {}
-        trip.offers += len(asked)
-        trip.offered_at = self.term.clock()
-        self.counts["offers"] += len(asked)
-        self.move(trip, HomeState.OFFERED, f"offered to {', '.join(c.name for c in asked)}")
-        message = ReservationRequest(self.name, trip.job.spec, [self.name])
-        for cluster in asked:
-            answer = self._ask(cluster, message)
-            if isinstance(answer, Reserved):
-                trip.reserved[cluster.name] = answer.id
-                self.counts["reserved"] += 1
-                cluster.refusals.answered()
-            elif isinstance(answer, Rejection):
-                cluster.refusals.failed(answer.why)
-                log.info(
-                    LogEvent("reservation_rejected", job_id=trip.job.spec.id, cluster=cluster.name, reason=answer.why)
-                )
-        self._decide(trip)
-
-    def _ask(self, cluster: Cluster, message: Message) -> Reply | None:
-        if not self._bytes.take(len(msgspec.msgpack.encode(message))):
-            return None  # as if lost; it is sent again
-        begin = self.term.clock()
-        answer = cluster.link.tell(message)
-        self.sketches.add("answer", self.term.clock() - begin)
-        if answer is None:
-            cluster.breaker.failed("no answer")
-        else:
-            cluster.breaker.answered()
-        return answer
+    # offering ---------------------------------------------------------------------------------------------
 
-    def _release(self, trip: RemoteGang, but: str | None = None) -> None:
-        """Reservations that are not used end at once; if the word is lost, they end by themselves."""
-        for name, ident in trip.reserved.items():
-            if name != but:
+    def _offer_due(self, now: float) -> None:
+        for offer in self.offers.due(self.gangs, now):
+            self.gangs[offer.gang.job.spec.id] = offer.gang
+            clusters = offer.clusters
+            self._spawn_step(offer.gang, lambda gang, clusters=clusters: self._offer(gang, clusters))  # type: ignore[misc]
+
+    def _offer(self, gang: RemoteGang, clusters: list[Cluster]) -> None:
+        """Ask these clusters for reservations, then decide."""
+        gang.reservations = {}
+        gang.offers += len(clusters)
+        gang.offered_at = self.term.clock()
+        self.counts["offers"] += len(clusters)
+        self.move(gang, HomeState.OFFERED, f"offered to {', '.join(cluster.name for cluster in clusters)}")
+        request = ReservationRequest(self.name, gang.job.spec, [self.name])
+        for cluster in clusters:
+            self._record_offer_reply(gang, cluster, self.remotes.ask(cluster, request))
+        self._decide(gang)
+
+    def _record_offer_reply(self, gang: RemoteGang, cluster: Cluster, reply: Reply | None) -> None:
+        if isinstance(reply, Reserved):
+            gang.reservations[cluster.name] = reply.id
+            self.counts["reserved"] += 1
+            cluster.offer_breaker.record_success()
+        elif isinstance(reply, Rejection):
+            cluster.offer_breaker.record_failure(reply.why)
+            job_id = gang.job.spec.id
+            log.info(LogEvent("reservation_rejected", job_id=job_id, cluster=cluster.name, reason=reply.why))
+
+    def _release(self, gang: RemoteGang, but: str | None = None) -> None:
+        """End the reservations that are not used, except one; if the message is lost, they expire by themselves."""
+        for cluster_name, reservation_id in gang.reservations.items():
+            if cluster_name != but:
                 self.counts["in_vain"] += 1
-                self._ask(self.clusters[name], Recall(self.name, trip.job.spec.id, ident))
-        trip.reserved = {}
+                recall = Recall(self.name, gang.job.spec.id, reservation_id)
+                self.remotes.ask(self.remotes.by_name[cluster_name], recall)
+        gang.reservations = {}
 
     # the decision -----------------------------------------------------------------------------------------
 
-    def _decide(self, trip: RemoteGang) -> None:
-        """Names one cluster, unless the gang has found its room at home while the offer was out."""
-        job = trip.job
-        chosen = next(iter(trip.reserved), None)
+    def _decide(self, gang: RemoteGang) -> None:
+        """Assign the gang to one cluster, unless it can start at home by now."""
+        job = gang.job
+        chosen = next(iter(gang.reservations), None)
         if chosen is None or job.allocations or not job.live or job.startable() != job.spec.tasks:
-            self._release(trip)
-            self.move(trip, HomeState.WAITING, "no room elsewhere" if chosen is None else "it starts at home")
+            self._release(gang)
+            self.move(gang, HomeState.WAITING, "no room elsewhere" if chosen is None else "it starts at home")
             return
-        trip.abroad = RemoteAssignment(chosen, trip.reserved[chosen])
-        self.move(trip, HomeState.DECIDING, f"{chosen} has room")
+        gang.assignment = RemoteAssignment(chosen, gang.reservations[chosen])
+        self.move(gang, HomeState.DECIDING, f"{chosen} has room")
         try:
-            self._write(trip, trip.abroad)
-        except (StoreError, FencedError) as e:
-            log.info(LogEvent("remote_assignment_unknown", job_id=job.spec.id, cluster=chosen, error=e))
-            trip.next_at = self.term.clock() + 0.5
+            self._write(gang, gang.assignment)
+        except (StoreError, FencedError) as error:
+            log.info(LogEvent("remote_assignment_unknown", job_id=job.spec.id, cluster=chosen, error=error))
+            gang.next_step_at = self.term.clock() + DECISION_RETRY_S
             return
-        self._release(trip, but=chosen)
-        if trip.state is HomeState.COMMITTED:
+        self._release(gang, but=chosen)
+        if gang.state is HomeState.COMMITTED:
             self.counts["decided"] += 1
-            took = self.term.clock() - trip.offered_at
-            self.sketches.add("offer", took)
-            log.info(LogEvent("remote_gang_assigned", job_id=job.spec.id, cluster=chosen, after_s=took))
-            self._go_on(trip)
-
-    def _write(self, trip: RemoteGang, abroad: RemoteAssignment | None) -> None:
-        """Sets or clears the name in the live record, conditional on the record as this leader knows it."""
-        job = trip.job
-        ident = job.spec.id
-        accepted = self.term.wall() - (self.term.clock() - job.accepted_at)
-        record = LiveJobRecord(job.spec, accepted, abroad, job.guest)
-        change = put(live_key(ident), msgspec.to_builtins(record))
-        version, failed = self.term.writer.commit([version_is(live_key(ident), job.version)], [change], Urgency.ACCEPT)
-        if not failed:
-            job.version = version
-            job.abroad = abroad
-            self.move(trip, HomeState.COMMITTED if abroad else HomeState.WAITING, "on record")
+            duration_s = self.term.clock() - gang.offered_at
+            self.sketches.add("offer", duration_s)
+            log.info(LogEvent("remote_gang_assigned", job_id=job.spec.id, cluster=chosen, after_s=duration_s))
+            self._advance(gang)
+
+    def _write(self, gang: RemoteGang, assignment: RemoteAssignment | None) -> None:
+        """Set or clear the assignment in the live record, if that is still as this leader knows it."""
+        if self.records.write(gang.job, assignment):
+            self.move(gang, HomeState.COMMITTED if assignment else HomeState.WAITING, "on record")
         else:
-            self._reread(trip)
-
-    def _reread(self, trip: RemoteGang) -> None:
-        """The record is another than this leader knew: a user's cancellation won, or an earlier write was made."""
-        job = trip.job
-        found = self.term.writer.store.get(live_key(job.spec.id), Urgency.ACCEPT)
-        if found is None:
-            self.move(trip, HomeState.OVER, "it was cancelled first")
-            return
-        record = msgspec.convert(found.value, LiveJobRecord)
-        job.version, job.abroad = found.version, record.abroad
-        if record.abroad is not None:
-            trip.abroad = record.abroad
-            if trip.state is HomeState.DECIDING:
-                self.move(trip, HomeState.COMMITTED, "on record")
+            self._reread(gang)
+
+    def _reread(self, gang: RemoteGang) -> None:
+        """Adopt a live record that differs: a user's cancellation came first, or an earlier write was made."""
+        if not self.records.reread(gang.job):
+            self.move(gang, HomeState.OVER, "it was cancelled first")
+        elif gang.job.abroad is None:
+            self.move(gang, HomeState.WAITING, "on record")
         else:
-            self.move(trip, HomeState.WAITING, "on record")
+            gang.assignment = gang.job.abroad
+            if gang.state is HomeState.DECIDING:
+                self.move(gang, HomeState.COMMITTED, "on record")
+
+    def _resolve_unknown_decision(self, gang: RemoteGang) -> None:
+        """Find out whether a decision whose write had no answer was made.
 
-    def _settle(self, trip: RemoteGang) -> None:
-        """A decision whose write nobody answered may still be carried out: a write on the same version rules that out,
-        or fails because it has been."""
-        self._write(trip, None)
-        if trip.state is HomeState.WAITING:
-            self._release(trip)
+        The store may still carry out that write. Another write on the same version rules this out, or fails because
+        the first one was made.
+        """
+        self._write(gang, None)
+        if gang.state is HomeState.WAITING:
+            self._release(gang)
 
     # abroad -----------------------------------------------------------------------------------------------
 
-    def _follow(self, trip: RemoteGang) -> None:
-        """The news of the decision, again and again until it is answered, and then how it goes."""
-        assert trip.abroad is not None
-        cluster = self.clusters.get(trip.abroad.cluster)
-        kind = Recall if trip.recalled else Commit if trip.state is HomeState.COMMITTED else StatusQuery
-        self._take(trip, cluster, kind(self.name, trip.job.spec.id, trip.abroad.id))
-
-    def _take(self, trip: RemoteGang, cluster: Cluster | None, message: Message) -> None:
-        trip.next_at = self.term.clock() + ASK_S * (0.75 + 0.5 * self.rng.random())
-        if cluster is None or not cluster.breaker.lets():
-            return  # not listed any more, or left alone for a while: it may run it all the same
-        if trip.unanswered and not self._retries.again():
+    def _follow(self, gang: RemoteGang) -> None:
+        """Send the commit until it is answered, and ask for the status from then on."""
+        assert gang.assignment is not None
+        cluster = self.remotes.by_name.get(gang.assignment.cluster)
+        kind = Recall if gang.recalled else Commit if gang.state is HomeState.COMMITTED else StatusQuery
+        self._query(gang, cluster, kind(self.name, gang.job.spec.id, gang.assignment.id))
+
+    def _query(self, gang: RemoteGang, cluster: Cluster | None, message: Message) -> None:
+        """Send a message about a gang abroad, and act on the reply."""
+        gang.next_step_at = self.term.clock() + QUERY_INTERVAL_S * (0.75 + 0.5 * self.rng.random())
+        if cluster is None or not cluster.breaker.allows_request():
+            return  # not in the settings any more, or not to be asked for a while: it may run the gang all the same
+        if gang.unanswered_queries and not self._retries.take_retry():
             return
-        if not trip.unanswered:
-            self._retries.first()
-        answer = self._ask(cluster, message)
-        trip.unanswered = 0 if answer is not None and not isinstance(answer, UncertainReply) else trip.unanswered + 1
-        if trip.unanswered > 1:
-            trip.next_at = self.term.clock() + ASK_S * min(8, 2**trip.unanswered) * (0.5 + self.rng.random())
-        if isinstance(answer, Running):
-            trip.job.abroad_running = answer.running
-            if trip.state is HomeState.COMMITTED:
-                self.move(trip, HomeState.ABROAD, f"{cluster.name} runs it")
-        elif isinstance(answer, Ended | Rejection):
-            trip.done = isinstance(answer, Ended) and answer.done
-            why = "done there" if trip.done else "given back" if isinstance(answer, Ended) else answer.why
-            self.move(trip, HomeState.RETURNING, why)
-            self._go_on(trip)
-
-    def _return(self, trip: RemoteGang) -> None:
-        """The cluster has proved that nothing of it runs there: done, cancelled for its user, or at home again."""
-        job = trip.job
-        abroad = trip.abroad
-        assert abroad is not None
-        now = self.term.clock()
-        if trip.done:
-            for index in range(job.spec.tasks):
-                self.term.registry.mark_done(job, index, now)
-            if job.live:
-                self.term.registry.move_job(job, JobState.CLOSING, now)
-            self.move(trip, HomeState.OVER, "done")
-        elif trip.recalled:
-            self._cancel(trip)
+        if not gang.unanswered_queries:
+            self._retries.record_first_try()
+        reply = self.remotes.ask(cluster, message)
+        self._record_certainty(gang, reply)
+        if isinstance(reply, Running):
+            gang.job.abroad_running = reply.running
+            if gang.state is HomeState.COMMITTED:
+                self.move(gang, HomeState.ABROAD, f"{cluster.name} runs it")
+        elif isinstance(reply, Ended | Rejection):
+            gang.done = isinstance(reply, Ended) and reply.done
+            why = "done there" if gang.done else "given back" if isinstance(reply, Ended) else reply.why
+            self.move(gang, HomeState.RETURNING, why)
+            self._advance(gang)
+
+    def _record_certainty(self, gang: RemoteGang, reply: Reply | None) -> None:
+        """Count queries without a certain reply; from the second one in a row on, the interval doubles."""
+        if reply is not None and not isinstance(reply, UncertainReply):
+            gang.unanswered_queries = 0
+            return
+        gang.unanswered_queries += 1
+        if gang.unanswered_queries > 1:
+            factor = min(MAX_QUERY_INTERVAL_FACTOR, 2**gang.unanswered_queries)
+            gang.next_step_at = self.term.clock() + QUERY_INTERVAL_S * factor * (0.5 + self.rng.random())
+
+    def _return(self, gang: RemoteGang) -> None:
+        """Take a gang back that the other cluster does not run any more: it is done, cancelled, or waits at home."""
+        job = gang.job
+        assignment = gang.assignment
+        assert assignment is not None
+        if gang.done:
+            self._finish(gang)
+        elif gang.recalled:
+            self._cancel(gang)
         else:
-            self._write(trip, None)
-        if trip.state is not HomeState.RETURNING:
-            self._settled.append((abroad.cluster, job.spec.id, abroad.id))
-
-    def _forget(self) -> None:
-        """Tells the others what they need not keep any more: home's record no longer names their reservation."""
-        for entry in list(self._settled):
-            name, ref, ident = entry
-            job = self.term.registry.jobs.get(ref)
+            self._write(gang, None)
+        if gang.state is not HomeState.RETURNING:
+            self._ended_reservations.append(EndedReservation(assignment.cluster, job.spec.id, assignment.id))
+
+    def _finish(self, gang: RemoteGang) -> None:
+        job = gang.job
+        now = self.term.clock()
+        for index in range(job.spec.tasks):
+            self.term.registry.mark_done(job, index, now)
+        if job.live:
+            self.term.registry.move_job(job, JobState.CLOSING, now)
+        self.move(gang, HomeState.OVER, "done")
+
+    def _cancel(self, gang: RemoteGang) -> None:
+        """Record the cancellation; the user is told of it from here on, and not before."""
+        if not self.records.write_cancellation(gang.job):
+            self._reread(gang)
+            return
+        self.term.dispatch.cancel(gang.job, self.term.clock())
+        self.move(gang, HomeState.OVER, "cancelled for its user")
+
+    def _forget_ended_reservations(self) -> None:
+        """Let the others remove their records of reservations that home's live records no longer name."""
+        for ended in list(self._ended_reservations):
+            job = self.term.registry.jobs.get(ended.job_id)
             if job is not None and job.abroad is not None:
                 continue  # its end is not on record yet
-            self._settled.remove(entry)
-            if name in self.clusters:  # if the word is lost, the record there stays until its operators settle it
-                self._ask(self.clusters[name], Forget(self.name, ref, ident))
-
-    def _cancel(self, trip: RemoteGang) -> None:
-        """What the user was not told yet: from here on it is cancelled."""
-        job = trip.job
-        ident = job.spec.id
-        record = CompletedJobRecord(JobStatus.CANCELLED, 0)
-        _, failed = self.term.writer.commit(*completion_transaction(ident, job.version, record), Urgency.ACCEPT)
-        if failed:
-            self._reread(trip)
-            return
-        self.term.completed_jobs.remember(ident, record)
-        self.term.dispatch.cancel(job, self.term.clock())
-        self.move(trip, HomeState.OVER, "cancelled for its user")
+            self._ended_reservations.remove(ended)
+            cluster = self.remotes.by_name.get(ended.cluster)
+            if cluster is not None:  # if the message is lost, the record there stays until its operators settle it
+                self.remotes.ask(cluster, Forget(self.name, ended.job_id, ended.reservation_id))
--- a/src/grebestand/federation/link_server.py
+++ b/src/grebestand/federation/link_server.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 #: refusals told in the log, a second; a broken peer must not fill the disk either
-TOLD_PER_S = 2.0
+LOGGED_REFUSALS_PER_S = 2.0
 
 
 class LinkAdmission:
@@ -27,12 +27,12 @@
     def __init__(self, networks: AllowedNetworks, ring: Keyring, clock: Callable[[], float]) -> None:
         self.networks = networks
         self.ring = ring
-        self._told = TokenBucket(TOLD_PER_S, clock)
+        self._log_rate = TokenBucket(LOGGED_REFUSALS_PER_S, clock)
 
     def admit(self, host: str) -> bool:
         """Whether connections of this host are accepted."""
         inside = host in self.networks
-        if not inside and self._told.take(1.0):
+        if not inside and self._log_rate.take(1.0):
             log.warning(LogEvent("link_refused", host=host, reason="not in the networks of any cluster"))
         return inside
 
@@ -54,10 +54,10 @@
         self.ring = ring
         self.answer = answer
         self.leader = leader
-        self._told = TokenBucket(TOLD_PER_S, clock)
+        self._log_rate = TokenBucket(LOGGED_REFUSALS_PER_S, clock)
 
     def _refuse(self, start: Callable[..., Any], status: str, text: str, who: object) -> list[bytes]:
-        if self._told.take(1.0):
+        if self._log_rate.take(1.0):
             log.warning(LogEvent("link_message_refused", sender=who, reason=text))
         start(status, [("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", str(len(text.encode())))])
         return [text.encode()]
--- a/src/grebestand/federation/rate_limits.py
+++ b/src/grebestand/federation/rate_limits.py
@@ -1,51 +1,64 @@
-"""Bounds on what home sends: offers and bytes a second, and a budget for repetitions, so that a link in trouble is not
-flooded by those who try again."""
+"""Limits on what is sent or logged per second, and a budget of retries that does not flood a link in trouble."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
+#: bounds the burst of retries after a long time without any
+MAX_EARNED_RETRIES = 20.0
+
 
 class TokenBucket:
-    """So many units a second, with one second's worth at once."""
+    """A rate limit of `per_s` tokens a second, with one second's worth at once."""
 
     def __init__(self, per_s: float, clock: Callable[[], float]) -> None:
+        """Start with one second's worth of tokens; `clock` is a steady clock in seconds."""
         self.per_s = per_s
         self.clock = clock
-        self._level, self._at = per_s, clock()
+        self._level = per_s
+        self._filled_at = clock()
 
-    def room(self) -> float:
-        """Tokens that can be taken now."""
+    def available(self) -> float:
+        """Return the tokens that can be taken now."""
         now = self.clock()
-        self._level = min(self.per_s, self._level + (now - self._at) * self.per_s)
-        self._at = now
+        self._level = min(self.per_s, self._level + (now - self._filled_at) * self.per_s)
+        self._filled_at = now
         return self._level
 
-    def take(self, units: float) -> bool:
-        """Whether so many may be sent now. More than a second's worth goes when the bucket is full."""
-        room = self.room()
-        if room < min(units, self.per_s):
+    def take(self, tokens: float) -> bool:
+        """Take tokens if there are enough; more than a second's worth goes when the bucket is full."""
+        if self.available() < min(tokens, self.per_s):
             return False
-        self._level -= units
+        self._level -= tokens
         return True
 
 
 class RetryBackoff:
-    """A budget of repetitions: each message that is sent for the first time earns a share of one, and a few a second
-    are there in any case, so that what is left alone for long is still asked about."""
+    """A budget of retries.
+
+    Each message sent for the first time earns a share of a retry. A few retries a second are allowed in any case, so
+    that a gang is still asked about when nothing else is sent.
+    """
 
     def __init__(self, share: float, least_per_s: float, clock: Callable[[], float]) -> None:
+        """Start without earned retries.
+
+        Args:
+            share: retries earned by each first try.
+            least_per_s: retries allowed a second in any case.
+            clock: a steady clock, in seconds.
+        """
         self.share = share
         self._earned = 0.0
-        self._base = TokenBucket(least_per_s, clock)
+        self._least = TokenBucket(least_per_s, clock)
 
-    def first(self) -> None:
-        """A first try: it earns a share of a retry."""
-        self._earned = min(20.0, self._earned + self.share)
+    def record_first_try(self) -> None:
+        """Earn a share of a retry."""
+        self._earned = min(MAX_EARNED_RETRIES, self._earned + self.share)
 
-    def again(self) -> bool:
-        """Whether a retry may be made now; takes it if so."""
+    def take_retry(self) -> bool:
+        """Take a retry if one is left; return whether it may be made."""
         if self._earned >= 1.0:
             self._earned -= 1.0
             return True
-        return self._base.take(1.0)
+        return self._least.take(1.0)
--- a/src/grebestand/federation/routing.py
+++ b/src/grebestand/federation/routing.py
@@ -1,4 +1,4 @@
-"""Which cluster a gang is offered to first: the operators' expression over what the clusters last told."""
+"""Which cluster a gang is offered to first: the operators' expression over the clusters' free capacity."""
 
 from __future__ import annotations
 
@@ -11,41 +11,49 @@
 from ..cluster_state.jobs import Job
 from .messages import FreeCapacity
 
-#: what was told longer ago is as good as nothing told, in seconds
-OLD_S = 120.0
+#: the answer to a probe is ignored when it is older than this
+LOAD_VALID_S = 120.0
+#: a cluster with capacity for the whole gang goes before any without, however many machines that has free
+FITS_BONUS = 1e6
 
 
 @dataclass(frozen=True)
 class RemoteLoad:
-    """What a cluster last said of its room, and when that was by this cluster's steady clock."""
+    """A cluster's last answer to a probe.
 
-    room: FreeCapacity
-    at: float
+    Attributes:
+        capacity: what the cluster has free.
+        received_at: when the answer came, by this cluster's steady clock.
+    """
 
+    capacity: FreeCapacity
+    received_at: float
 
-#: the value of offering a gang to a cluster that told this, so many seconds ago; higher goes first
+
+#: how much a cluster is preferred for a gang, by its free capacity and the age of that answer in seconds
 Prefer = Callable[[Job, FreeCapacity, float], float]
 
 
-def by_room(job: Job, room: FreeCapacity, age_s: float) -> float:
-    """Without an expression: clusters with room for the whole gang first, by what they have free."""
-    return float(room.free) + (1e6 if fits(job, room) else 0.0)
+def by_free_capacity(job: Job, capacity: FreeCapacity, age_s: float) -> float:
+    """Prefer clusters with capacity for the whole gang, then those with more free machines."""
+    return float(capacity.free) + (FITS_BONUS if fits(job, capacity) else 0.0)
 
 
-def value(prefer: Prefer, job: Job, told: RemoteLoad | None, now: float) -> float:
-    """Clusters that have told nothing lately come after those that have, and are asked all the same."""
-    if told is None or now - told.at > OLD_S:
+def preference(prefer: Prefer, job: Job, load: RemoteLoad | None, now: float) -> float:
+    """Return how much a cluster is preferred; one without a recent load comes last, and is asked all the same."""
+    if load is None or now - load.received_at > LOAD_VALID_S:
         return -math.inf
-    return prefer(job, told.room, now - told.at)
+    return prefer(job, load.capacity, now - load.received_at)
 
 
-def without(told: RemoteLoad, job: Job) -> RemoteLoad:
-    """What is left of a cluster's word once a gang has been offered to it."""
-    each = max(1, int(told.room.cpus // job.spec.cpus))
-    used = -(-job.spec.tasks // each)
-    return RemoteLoad(msgspec.structs.replace(told.room, free=max(0, told.room.free - used)), told.at)
+def load_after_offer(load: RemoteLoad, job: Job) -> RemoteLoad:
+    """Return what a cluster has left once a gang has been offered to it."""
+    tasks_per_machine = max(1, int(load.capacity.cpus // job.spec.cpus))
+    machines = -(-job.spec.tasks // tasks_per_machine)
+    free = max(0, load.capacity.free - machines)
+    return RemoteLoad(msgspec.structs.replace(load.capacity, free=free), load.received_at)
 
 
-def fits(job: Job, room: FreeCapacity) -> bool:
-    """Whether the gang would have fitted into what was told; a hint, as much may have changed."""
-    return room.free * int(room.cpus // job.spec.cpus) >= job.spec.tasks
+def fits(job: Job, capacity: FreeCapacity) -> bool:
+    """Return whether the whole gang fits into this capacity; a hint, as much may have changed since."""
+    return capacity.free * int(capacity.cpus // job.spec.cpus) >= job.spec.tasks
--- a/tests/fault_test/test_history_checker.py
+++ b/tests/fault_test/test_history_checker.py
@@ -11,7 +11,8 @@
 from grebestand.emulators.task_execution import TaskEvent, TaskExecution, TaskRunner
 from grebestand.fault_test.history import History, HistoryFileError, read, write
 from grebestand.fault_test.history_checker import check
-from grebestand.federation.home import HomeCluster, RemoteGang
+from grebestand.federation.home import HomeCluster
+from grebestand.federation.remote_gang import RemoteGang
 from grebestand.simulation.single_controller_cluster import InMemoryCluster
 from grebestand.wire.jobs import JobSpec, decode_spec
 from grebestand.wire.workers import Command, HeartbeatResponse, TaskPhase
--- a/tests/federation/test_federation_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -16,7 +16,7 @@
 from grebestand.federation.feature import KEYS, NAMES, RECALL, Federation
 from grebestand.federation.guest import QUIET_S
 from grebestand.federation.messages import VERSION, FreeCapacity, Probe, Rejection
-from grebestand.federation.routing import OLD_S, RemoteLoad, fits, value
+from grebestand.federation.routing import LOAD_VALID_S, RemoteLoad, fits, preference
 from grebestand.federation.settlement import PREFIX, remote_gangs, settle
 from grebestand.leader.term import Term
 from grebestand.settings.expressions import ExpressionError
@@ -43,7 +43,7 @@
     features = load([write(tmp_path, HEAD)], parse(SETTINGS))
     assert features.names == ["federation"] and not features.listeners
     c = Clusters()
-    c.home.home.clusters = {}
+    c.home.home.remotes.by_name.clear()
     c.go(20)
     assert not c.home.home.counts["offers"] and c.home.term.registry.jobs[c.gang].startable() == 3
 
@@ -105,10 +105,12 @@
     room = FreeCapacity(VERSION, 6, 16.0, 0.1, [])
 
     def worth(told: FreeCapacity, age: float) -> float:
-        return value(f.prefer, job, RemoteLoad(told, 0.0), age)
+        return preference(f.prefer, job, RemoteLoad(told, 0.0), age)
 
     assert worth(room, 1.0) > worth(msgspec.structs.replace(room, free=1), 1.0)
-    assert worth(room, 1.0) > worth(room, 60.0) > worth(room, OLD_S + 1.0) == value(f.prefer, job, None, 0.0)
+    assert (
+        worth(room, 1.0) > worth(room, 60.0) > worth(room, LOAD_VALID_S + 1.0) == preference(f.prefer, job, None, 0.0)
+    )
     assert worth(msgspec.structs.replace(room, images=["img"]), 1.0) > worth(room, 1.0)
     assert worth(msgspec.structs.replace(room, price=0.5), 1.0) < worth(room, 1.0)
     assert fits(job, room) and not fits(job, msgspec.structs.replace(room, free=2))
@@ -126,7 +128,7 @@
 
 def test_the_cluster_with_room_is_asked_before_the_one_without() -> None:
     c = Clusters("east", "west")
-    c.home.home.limits.at_once = 1
+    c.home.home.limits.max_clusters_at_once = 1
     c.home.home.limits.overflow_after_s = lambda job, now: 15.0  # long enough for a look at who has room by then
     c.east.world.accept(c.east.node, shards=4, cpus=15.0, rank="critical")
     c.until(lambda: c.runs_in() is not None)
@@ -143,7 +145,7 @@
 
     c.east.guest._look = newer  # type: ignore[method-assign, assignment]
     c.go(30)
-    assert c.home.home.clusters["east"].strange and not c.home.home.counts["offers"]
+    assert c.home.home.remotes.by_name["east"].incompatible and not c.home.home.counts["offers"]
     c.east.guest._look = look  # type: ignore[method-assign]
     c.until(lambda: c.runs_in() == "east")
 
@@ -163,7 +165,7 @@
     )
     assert guest.answer(offer(c, quay="a")) == Rejection("it may run in one zone of its home only")
     bound = c.home.world.accept(c.home.node, shape="ensemble", shards=3, cpus=15.0, quay="a")
-    assert not c.home.home.eligible(c.home.term.registry.jobs[bound], c.clock.now + 1000.0)
+    assert not c.home.home.offers.eligible(c.home.term.registry.jobs[bound], c.clock.now + 1000.0)
     assert isinstance(guest.answer(Probe("stranger", VERSION)), Rejection)
     told = guest.answer(Probe("home", VERSION))
     assert isinstance(told, FreeCapacity) and told.free == 4 - sum(len(r.machines) for r in guest.reservations.values())
@@ -195,7 +197,7 @@
     assert gang.ref == c.gang and not remote_gangs(c.home.node.store, "west")
     assert settle(c.home.node.store, gang, "somebody") and not settle(c.home.node.store, gang, "somebody")
     c.go(15)
-    assert c.home.term.registry.jobs[c.gang].startable() == 3 and c.home.home.lost
+    assert c.home.term.registry.jobs[c.gang].startable() == 3 and c.home.home.settled.records
     c.home.home.limits.overflow_after_s = lambda job, now: 1e9
     c.finish(c.home)
     c.until(lambda: c.runs_in() == "home")
@@ -204,7 +206,7 @@
         w.reachable = True
     wire.drop = lambda m: ""
     assert c.east.guest.records
-    c.until(lambda: not c.home.home.lost, 200)
+    c.until(lambda: not c.home.home.settled.records, 200)
     c.go(30)
     assert c.runs_in() == "home" and not c.east.guest.records
     assert not [k for k in c.home.world.store.data if k.startswith(PREFIX)]
@@ -295,6 +297,6 @@
     f.begin(c.home.term)
     assert f.home is not None and f.answer() is not None
     f.take_recall(c.gang.encode())
-    assert f.home.trips[c.gang].recalled and not leader.asked
+    assert f.home.gangs[c.gang].recalled and not leader.asked
     leader.term = None  # the term is over: nothing of it answers any more
     assert f.answer() is None
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -10,7 +10,7 @@
 from grebestand.federation import messages
 from grebestand.federation.circuit_breaker import FAILURES, CircuitBreaker
 from grebestand.federation.guest import PREFIX
-from grebestand.federation.home import MOST_OFFERS, HomeCluster, RemoteGang
+from grebestand.federation.home import HomeCluster
 from grebestand.federation.messages import (
     Commit,
     InvalidMessageError,
@@ -23,6 +23,8 @@
     StatusQuery,
     UncertainReply,
 )
+from grebestand.federation.overflow_limits import OFFERS_PER_GANG
+from grebestand.federation.remote_gang import RemoteGang
 from grebestand.federation.state_machines import BreakerState, HomeState
 from grebestand.simulation.single_controller_cluster import InMemoryController, ManualClock
 from grebestand.wire.jobs import decode_spec
@@ -39,7 +41,7 @@
     c.until(lambda: c.view() == "done")
     c.go(6)
     assert not c.east.guest.records and not [k for k in c.east.world.store.data if k.startswith(PREFIX)]
-    assert not c.home.home.trips
+    assert not c.home.home.gangs
 
 
 @pytest.mark.parametrize("lost", [False, True])
@@ -76,16 +78,16 @@
         for task in w.running():
             w.finish(task)
     c.go(30)
-    assert c.runs_in() == "east" and c.home.home.trips[c.gang].state is HomeState.COMMITTED
+    assert c.runs_in() == "east" and c.home.home.gangs[c.gang].state is HomeState.COMMITTED
     wire.drop = lambda m: ""
-    c.until(lambda: c.home.home.trips[c.gang].state is HomeState.ABROAD)
+    c.until(lambda: c.home.home.gangs[c.gang].state is HomeState.ABROAD)
 
 
 def test_the_news_that_comes_after_the_reservation_s_end_starts_nothing_and_the_gang_comes_home() -> None:
     c = Clusters()
     wire = c.home.links["east"]
     wire.drop = lambda m: "request" if isinstance(m, Commit) else ""
-    c.until(lambda: c.gang in c.home.home.trips and c.home.home.trips[c.gang].state is HomeState.COMMITTED)
+    c.until(lambda: c.gang in c.home.home.gangs and c.home.home.gangs[c.gang].state is HomeState.COMMITTED)
     assert c.home.term.registry.jobs[c.gang].startable() == 0
     c.go(25)
     wire.drop = lambda m: ""
@@ -106,7 +108,7 @@
 
     wire.drop = starts_at_home
     c.until(lambda: bool(wire.sent))
-    trip = c.home.home.trips[c.gang]
+    trip = c.home.home.gangs[c.gang]
     assert trip.state is HomeState.WAITING and not job.away and len(job.allocations) == 3
     assert not c.east.guest.reservations
 
@@ -215,7 +217,7 @@
     for m in wire.sent:
         if isinstance(m, ReservationRequest):
             per_gang[m.spec.id] = per_gang.get(m.spec.id, 0) + 1
-    assert max(per_gang.values()) <= MOST_OFFERS
+    assert max(per_gang.values()) <= OFFERS_PER_GANG
 
 
 def test_a_cluster_that_does_not_answer_is_left_alone_for_growing_pauses() -> None:
@@ -223,17 +225,17 @@
     b = CircuitBreaker("east", clock, random.Random(3))
     pauses = []
     for _ in range(4):
-        while b.lets():
-            b.failed("no answer")
+        while b.allows_request():
+            b.record_failure("no answer")
         begin = clock.now
-        while not b.lets():
+        while not b.allows_request():
             clock.now += 0.1
         pauses.append(clock.now - begin)
-        b.failed("no answer")
+        b.record_failure("no answer")
     assert FAILURES > 1 and pauses[-1] > 2 * pauses[0] and b.state is BreakerState.OPEN
     clock.now += 500.0
-    assert b.lets()
-    b.answered()
+    assert b.allows_request()
+    b.record_success()
     assert b.state.name == "CLOSED"
 
 
@@ -303,7 +305,7 @@
     monkeypatch.setattr(HomeCluster, "_return", returns)
     c.home.world.store.lose_answers = 0
     c.go(10)
-    trip = c.home.home.trips.get(c.gang)
+    trip = c.home.home.gangs.get(c.gang)
     assert trip is None or trip.state in (HomeState.WAITING, HomeState.OFFERED), trip
     assert not c.east.guest.records  # and the other cluster need not keep it any more
     for w in c.east.workers:
@@ -315,14 +317,14 @@
     """One question goes after a pause; the asker may find no budget for it, and then nobody was ever asked again."""
     clock = ManualClock()
     b = CircuitBreaker("east", clock, random.Random(3))
-    while b.lets():
-        b.failed("no answer")
+    while b.allows_request():
+        b.record_failure("no answer")
     clock.now += 10.0
-    assert b.lets() and not b.lets()
+    assert b.allows_request() and not b.allows_request()
     clock.now += 10.0
-    assert b.lets() and not b.lets()
-    b.answered()
-    assert b.lets() and b.lets()
+    assert b.allows_request() and not b.allows_request()
+    b.record_success()
+    assert b.allows_request() and b.allows_request()
 
 
 def test_a_cluster_that_refuses_again_and_again_is_offered_less_and_asked_about_its_guests_as_before() -> None:
@@ -333,13 +335,13 @@
     wire = c.home.links["east"]
     wire.sent.clear()
     c.go(60)
-    cluster = c.home.home.clusters["east"]
-    assert cluster.refusals.state is not BreakerState.CLOSED and cluster.breaker.state is BreakerState.CLOSED
+    cluster = c.home.home.remotes.by_name["east"]
+    assert cluster.offer_breaker.state is not BreakerState.CLOSED and cluster.breaker.state is BreakerState.CLOSED
     offers = [m for m in wire.sent if isinstance(m, ReservationRequest)]
     asks = [m for m in wire.sent if isinstance(m, StatusQuery)]
     assert len(offers) <= 12 and len(asks) >= 20
     c.finish(c.east)  # there is room again: its own word of it is enough
-    c.home.home._look_at(cluster)
+    c.home.home.remotes.probe(cluster)
     c.until(lambda: any(r.ref != c.gang for r in c.east.guest.records.values()), 60)
 
 
--- a/tests/federation/test_tls_link.py
+++ b/tests/federation/test_tls_link.py
@@ -340,10 +340,10 @@
 def test_what_is_sent_again_is_bounded_by_what_is_sent_first() -> None:
     clock = ManualClock()
     retries = RetryBackoff(0.3, 1.0, clock)
-    assert spent(retries.again, clock, 60.0) <= 62
+    assert spent(retries.take_retry, clock, 60.0) <= 62
     for _ in range(30):
-        retries.first()
-    assert 9 <= sum(retries.again() for _ in range(100)) <= 11
+        retries.record_first_try()
+    assert 9 <= sum(retries.take_retry() for _ in range(100)) <= 11
     bucket = TokenBucket(4.0, clock)
     assert spent(lambda: bucket.take(1.0), clock, 30.0) <= 30 * 4 + 4
     clock.now += 10.0
--- a/tests/support/federated_clusters.py
+++ b/tests/support/federated_clusters.py
@@ -11,13 +11,15 @@
 from grebestand.federation import messages
 from grebestand.federation.circuit_breaker import CircuitBreaker
 from grebestand.federation.guest import GuestCluster, GuestLimits
-from grebestand.federation.home import Cluster, HomeCluster, Limits
+from grebestand.federation.home import HomeCluster
 from grebestand.federation.messages import (
     Message,
     Probe,
     Reply,
     ReservationRequest,
 )
+from grebestand.federation.overflow_limits import OverflowLimits
+from grebestand.federation.remote_cluster import Cluster
 from grebestand.leader.term import Term
 from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController, ManualClock
 from grebestand.wire.jobs import decode_spec
@@ -66,9 +68,9 @@
         clusters = [
             Cluster(name, link, CircuitBreaker(name, self.world.clock, self.rng)) for name, link in self.links.items()
         ]
-        self.home = HomeCluster(self.name, self.term, clusters, Limits(lambda job, now: 5.0), self.rng)
+        self.home = HomeCluster(self.name, self.term, clusters, OverflowLimits(lambda job, now: 5.0), self.rng)
         if not self.looks:
-            self.home._look = lambda now: None  # type: ignore[method-assign]
+            self.home.remotes.probe_due = lambda now: None  # type: ignore[method-assign]
         self.guest = GuestCluster(
             self.name, self.term, GuestLimits(frozenset({"home", "east", "west"}), "blue"),
             lambda ident: self.node.users.cancel(ident).status == 200,
