--- a/tests/federation/test_federation_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -137,16 +137,16 @@
 
 def test_a_cluster_of_another_version_is_offered_nothing() -> None:
     c = Clusters()
-    look = c.east.guest._look
+    look = c.east.guest._probe
 
     def newer(message: Probe) -> object:
         told = look(message)
         return msgspec.structs.replace(told, version=VERSION + 1) if isinstance(told, FreeCapacity) else told
 
-    c.east.guest._look = newer  # type: ignore[method-assign, assignment]
+    c.east.guest._probe = newer  # type: ignore[method-assign, assignment]
     c.go(30)
     assert c.home.home.remotes.by_name["east"].incompatible and not c.home.home.counts["offers"]
-    c.east.guest._look = look  # type: ignore[method-assign]
+    c.east.guest._probe = look  # type: ignore[method-assign]
     c.until(lambda: c.runs_in() == "east")
 
 
@@ -155,7 +155,7 @@
     guest = c.east.guest
     asked = offer(c, rank="critical")
     guest.answer(asked)
-    (kept,) = guest.reservations.values()
+    (kept,) = guest.reservations.by_id.values()
     assert kept.spec.priority is Priority.LOW and kept.spec.team == "blue"
     assert guest.answer(offer(c, hulls=["m4"])) != Rejection(
         "none of the machine types that it may run on is known here"
@@ -168,7 +168,9 @@
     assert not c.home.home.offers.eligible(c.home.term.registry.jobs[bound], c.clock.now + 1000.0)
     assert isinstance(guest.answer(Probe("stranger", VERSION)), Rejection)
     told = guest.answer(Probe("home", VERSION))
-    assert isinstance(told, FreeCapacity) and told.free == 4 - sum(len(r.machines) for r in guest.reservations.values())
+    assert isinstance(told, FreeCapacity) and told.free == 4 - sum(
+        len(r.machines) for r in guest.reservations.by_id.values()
+    )
 
 
 def test_references_that_are_equal_in_two_clusters_do_not_meet() -> None:
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -52,9 +52,9 @@
         c.home.links["west"].drop = lambda m: "request" if isinstance(m, Recall) else ""
     c.until(lambda: c.runs_in() is not None)
     assert c.runs_in() == "east"
-    assert bool(c.others[1].guest.reservations) is lost
+    assert bool(c.others[1].guest.reservations.by_id) is lost
     c.go(20)
-    assert not c.others[1].guest.reservations
+    assert not c.others[1].guest.reservations.by_id
     assert all(m.reserved_for is None for m in c.others[1].term.inventory.machines)
 
 
@@ -110,7 +110,7 @@
     c.until(lambda: bool(wire.sent))
     trip = c.home.home.gangs[c.gang]
     assert trip.state is HomeState.WAITING and not job.away and len(job.allocations) == 3
-    assert not c.east.guest.reservations
+    assert not c.east.guest.reservations.by_id
 
 
 @pytest.mark.parametrize("lost", [1, 2])
@@ -199,7 +199,7 @@
     for message in (*old, *reversed(old)):
         c.east.guest.answer(message)
     c.go(40)
-    assert not any(c.gangs().values()) and not c.east.guest.reservations and c.view() == "done"
+    assert not any(c.gangs().values()) and not c.east.guest.reservations.by_id and c.view() == "done"
 
 
 def test_a_flood_of_waiting_gangs_makes_no_stampede() -> None:
@@ -211,7 +211,7 @@
     c.go(30)
     offers = [m for m in wire.sent if isinstance(m, ReservationRequest)]
     assert len(offers) <= 4.0 * (c.clock.now - begin) + 4
-    assert len(c.east.guest.reservations) + len(c.east.guest.records) <= 8
+    assert len(c.east.guest.reservations.by_id) + len(c.east.guest.records) <= 8
     c.go(400)
     per_gang: dict[str, int] = {}
     for m in wire.sent:
@@ -275,7 +275,7 @@
 
     c.home.links["east"].drop = silent
     c.go(40)
-    east = next(iter(c.east.guest.records.values()), None) or next(iter(c.east.guest.reservations.values()))
+    east = next(iter(c.east.guest.records.values()), None) or next(iter(c.east.guest.reservations.by_id.values()))
     job = c.east.term.registry.jobs[east.job]
     assert job.guest and job.abroad is None and not c.others[1].guest.records
     for w in c.east.workers:
