--- a/src/grebestand/federation/__init__.py
+++ b/src/grebestand/federation/__init__.py
@@ -1,5 +1,6 @@
-"""Federation with overflow: a gang that cannot start whole at home is offered, whole, to another cluster.
+"""Federation: a gang that cannot start whole at home is offered, whole, to another cluster.
 
-`home` decides and follows its gangs abroad, `guest` reserves room and runs them; what one tells the other is in
-`messages`, the named states of both in `states`. The argument is in docs/federation.md.
+`home` decides about its gangs and follows them abroad, `guest` reserves machines and runs gangs of others; `messages`
+has what they send each other, and `state_machines` the states of both. docs/federation.md says why a gang never runs
+in two clusters.
 """
--- a/src/grebestand/federation/allowed_networks.py
+++ b/src/grebestand/federation/allowed_networks.py
@@ -1,40 +1,63 @@
-"""Networks that other clusters may connect from, IPv4 and IPv6 in CIDR notation, by the library `netaddr`."""
+"""The networks that other clusters may connect from, IPv4 and IPv6 in CIDR notation."""
 
 from __future__ import annotations
 
 from netaddr import AddrFormatError, IPAddress, IPNetwork, IPSet
 
+from ..errors import GrebestandError
 
-class NetworkListError(ValueError):
-    """Names the network that cannot be read."""
+IPV6 = 6
+
+
+class NetworkListError(GrebestandError, ValueError):
+    """A network in the settings cannot be read.
+
+    Attributes:
+        network: the text in the settings.
+        reason: what is wrong with it.
+    """
+
+    def __init__(self, network: str, reason: str) -> None:
+        self.network = network
+        self.reason = reason
+        super().__init__(f"{network!r}: {reason}")
 
 
 class AllowedNetworks:
-    """The networks from which other clusters may connect."""
+    """A set of networks; `host in networks` is true if the address lies in one of them."""
 
     def __init__(self, texts: list[str]) -> None:
-        """Each text an address with a prefix; overlapping ones are merged."""
+        """Read the networks, each an address with a prefix length; overlapping ones are merged.
+
+        Raises:
+            NetworkListError: one of them cannot be read.
+        """
         self._set = IPSet()
         for text in texts:
-            if "/" not in text:
-                raise NetworkListError(f"{text!r}: an address and a prefix length are needed, such as 10.2.0.0/16")
-            try:
-                network = IPNetwork(text)
-            except (AddrFormatError, ValueError) as e:
-                raise NetworkListError(f"{text!r}: {e}") from e
-            if network.ip != network.network:
-                raise NetworkListError(f"{text!r}: has bits beyond its prefix (meant {network.cidr}?)")
-            self._set.add(network)
+            self._set.add(_read_network(text))
 
     def __contains__(self, host: str) -> bool:
-        """Whether an address lies in one of them; IPv4 addresses written as IPv6 count as what they are."""
+        """Return whether an address lies in one of the networks; IPv4 addresses mapped to IPv6 count as IPv4."""
+        address_without_scope = host.partition("%")[0]
         try:
-            address = IPAddress(host.partition("%")[0])
+            address = IPAddress(address_without_scope)
         except (AddrFormatError, ValueError):
-            return False
-        if address.version == 6 and address.is_ipv4_mapped():
+            return False  # what is no address is not allowed
+        if address.version == IPV6 and address.is_ipv4_mapped():
             address = address.ipv4()
         return address in self._set
 
     def __str__(self) -> str:
-        return ", ".join(str(n) for n in self._set.iter_cidrs())
+        return ", ".join(str(network) for network in self._set.iter_cidrs())
+
+
+def _read_network(text: str) -> IPNetwork:
+    if "/" not in text:
+        raise NetworkListError(text, "an address and a prefix length are needed, such as 10.2.0.0/16")
+    try:
+        network = IPNetwork(text)
+    except (AddrFormatError, ValueError) as error:
+        raise NetworkListError(text, str(error)) from error
+    if network.ip != network.network:
+        raise NetworkListError(text, f"has bits beyond its prefix (meant {network.cidr}?)")
+    return network
--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -24,7 +24,7 @@
 from .circuit_breaker import CircuitBreaker
 from .guest import GuestCluster, GuestLimits
 from .home import HomeCluster
-from .messages import MOST_BYTES, MOST_NAME, FreeCapacity
+from .messages import MAX_MESSAGE_BYTES, MAX_NAME_LENGTH, FreeCapacity
 from .overflow_limits import OverflowLimits
 from .remote_cluster import Cluster, Link
 from .tls_link import TlsLink, over_tls
@@ -61,7 +61,7 @@
     "offers_per_s": Rule(0.01, 1000),
     "offers_per_gang": Rule(1, 1000),
     "ask_at_once": Rule(1, 8),
-    "kilobytes_per_s": Rule(MOST_BYTES / 1024, 1e6),
+    "kilobytes_per_s": Rule(MAX_MESSAGE_BYTES / 1024, 1e6),
     "retry_share": Rule(0, 10),
     "look_s": Rule(0.2, 600),
     "reserve_s": Rule(1, 600),
@@ -115,7 +115,7 @@
     except msgspec.ValidationError as e:
         where = str(e).rpartition("$.")[2].rstrip("`") if "$." in str(e) else "cluster"
         raise plain.fault(where, str(e)) from e
-    if not 0 < len(told.cluster) <= MOST_NAME or not told.cluster.isprintable():
+    if not 0 < len(told.cluster) <= MAX_NAME_LENGTH or not told.cluster.isprintable():
         raise plain.fault("cluster", "must be a name")
     names = [o.name for o in told.others]
     for at, other in enumerate(told.others):
--- a/src/grebestand/federation/free_capacity.py
+++ b/src/grebestand/federation/free_capacity.py
@@ -5,7 +5,7 @@
 from ..cluster_state.machine import Machine
 from ..cluster_state.resources import MICRO_UNITS
 from ..leader.term import Term
-from .messages import MOST_IMAGES, VERSION, FreeCapacity
+from .messages import MAX_IMAGES, VERSION, FreeCapacity
 
 
 def measure_free_capacity(term: Term, now: float) -> FreeCapacity:
@@ -32,7 +32,7 @@
         for image in machine.images:
             machines_by_image[image] = machines_by_image.get(image, 0) + 1
     commonest = sorted(machines_by_image, key=lambda image: -machines_by_image[image])
-    return [term.registry.images.name(image) for image in commonest[:MOST_IMAGES]]
+    return [term.registry.images.name(image) for image in commonest[:MAX_IMAGES]]
 
 
 def _price_per_cpu_hour(term: Term, machines: list[Machine]) -> float:
--- a/src/grebestand/federation/link_server.py
+++ b/src/grebestand/federation/link_server.py
@@ -11,7 +11,7 @@
 from ..log_events import LogEvent
 from .allowed_networks import AllowedNetworks
 from .keyring import Keyring
-from .messages import MOST_BYTES, NOT_LEADING, InvalidMessageError, Message, Reply, UncertainReply, decode
+from .messages import MAX_MESSAGE_BYTES, NOT_LEADING, InvalidMessageError, Message, Reply, UncertainReply, decode
 from .rate_limits import TokenBucket
 from .tls_link import PATH
 
@@ -71,8 +71,8 @@
         if environ.get("PATH_INFO") != PATH or environ.get("REQUEST_METHOD") != "POST":
             return self._refuse(start, "404 Not Found", "no such message here; versions may differ", who)
         length = environ.get("CONTENT_LENGTH") or ""
-        if not length.isdigit() or int(length) > MOST_BYTES:
-            return self._refuse(start, "413 Payload Too Large", f"at most {MOST_BYTES} bytes are read", who)
+        if not length.isdigit() or int(length) > MAX_MESSAGE_BYTES:
+            return self._refuse(start, "413 Payload Too Large", f"at most {MAX_MESSAGE_BYTES} bytes are read", who)
         try:
             message = decode(environ["wsgi.input"].read(int(length)))
         except InvalidMessageError as e:
--- a/src/grebestand/federation/overflow_limits.py
+++ b/src/grebestand/federation/overflow_limits.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ..cluster_state.jobs import Job
-from .messages import MOST_BYTES
+from .messages import MAX_MESSAGE_BYTES
 from .routing import Prefer, by_free_capacity
 
 #: clusters that one gang is offered to at a time
@@ -37,6 +37,6 @@
     max_clusters_at_once: int = CLUSTERS_AT_ONCE
     max_offers_per_gang: int = OFFERS_PER_GANG
     retry_share: float = 0.3
-    bytes_per_s: float = 64.0 * MOST_BYTES
+    bytes_per_s: float = 64.0 * MAX_MESSAGE_BYTES
     probe_interval_s: float = 5.0
     prefer: Prefer = by_free_capacity
--- a/src/grebestand/federation/settlement.py
+++ b/src/grebestand/federation/settlement.py
@@ -1,7 +1,7 @@
-"""What operators declare when a cluster is lost for good: a gang that it may still run is home again.
+"""What operators declare when a cluster is lost for good: a gang that it may still run returns home.
 
-Nothing can tell a cluster that is gone from one that cannot be reached, so this is a person's word, with a written
-confirmation. The record of it stays until that cluster, if it ever comes back, has ended what it may still run.
+Nothing can distinguish a cluster that is gone from one that cannot be reached, so an operator decides, with a written
+confirmation. The record of the decision stays until that cluster, if it ever returns, has ended what it may still run.
 """
 
 from __future__ import annotations
@@ -18,19 +18,35 @@
 
 
 class Settled(msgspec.Struct, omit_defaults=True):
-    """The gang, the cluster that was lost, the reservation there, and whose word it was."""
+    """The stored record of a settled gang.
+
+    Attributes:
+        cluster: the cluster that was lost.
+        ref: the gang's job id at home.
+        id: the reservation's id.
+        by: the operator.
+        next_at: when the cluster is asked next to end the gang, by the clock of this process; never stored.
+    """
 
     cluster: str
     ref: str
     id: str
     by: str
-    #: of this process: when the cluster is told next
     next_at: float = 0.0
 
 
 @dataclass(frozen=True)
 class RemoteGangRecord:
-    """A gang whose live record names a cluster."""
+    """A gang whose live record names another cluster.
+
+    Attributes:
+        ref: the gang's job id.
+        cluster: the other cluster.
+        id: the reservation's id.
+        tasks: its number of tasks.
+        version: the version of the live record.
+        record: the live record.
+    """
 
     ref: str
     cluster: str
@@ -41,27 +57,50 @@
 
 
 def remote_gangs(state: KeyValueStoreClient, cluster: str) -> list[RemoteGangRecord]:
-    """All gangs that a cluster runs or may come to run, by this cluster's records."""
+    """Return all gangs that a cluster runs or may come to run, by this cluster's records.
+
+    Raises:
+        StoreError: the store could not be reached.
+    """
     found = []
     for pair in state.pairs("live/"):
-        if isinstance(pair.value, dict) and pair.value.get("abroad") is not None:
-            record = msgspec.convert(pair.value, LiveJobRecord)
-            if record.abroad is not None and record.abroad.cluster == cluster:
-                found.append(
-                    RemoteGangRecord(record.spec.id, cluster, record.abroad.id, record.spec.tasks, pair.version, record)
-                )
+        if not isinstance(pair.value, dict) or pair.value.get("abroad") is None:
+            continue
+        record = msgspec.convert(pair.value, LiveJobRecord)
+        if record.abroad is not None and record.abroad.cluster == cluster:
+            gang = RemoteGangRecord(
+                ref=record.spec.id,
+                cluster=cluster,
+                id=record.abroad.id,
+                tasks=record.spec.tasks,
+                version=pair.version,
+                record=record,
+            )
+            found.append(gang)
     return found
 
 
 def settle(state: KeyValueStoreClient, gang: RemoteGangRecord, by: str) -> bool:
-    """One transaction: the gang is home's again, and who said so is on record. False if it has changed meanwhile."""
-    record = msgspec.structs.replace(gang.record, abroad=None)
-    word = Settled(gang.cluster, gang.ref, gang.id, by)
+    """Return a gang home and record who has decided so, in one transaction.
+
+    Args:
+        state: the key-value store.
+        gang: the gang, as `remote_gangs` has found it.
+        by: the operator.
+
+    Returns:
+        False if the gang's record has changed meanwhile; nothing is written then.
+
+    Raises:
+        StoreError: the store could not be reached.
+    """
+    live_record = msgspec.structs.replace(gang.record, abroad=None)
+    settled = Settled(gang.cluster, gang.ref, gang.id, by)
     _, failed = state.commit(
         [version_is(live_key(gang.ref), gang.version)],
         [
-            put(live_key(gang.ref), msgspec.to_builtins(record)),
-            put(PREFIX + gang.id, msgspec.to_builtins(word)),
+            put(live_key(gang.ref), msgspec.to_builtins(live_record)),
+            put(PREFIX + gang.id, msgspec.to_builtins(settled)),
         ],
         Urgency.DONE,
     )
--- a/src/grebestand/federation/state_machines.py
+++ b/src/grebestand/federation/state_machines.py
@@ -1,4 +1,4 @@
-"""The state machines of federation: a gang at home, a gang as a guest, and how well another cluster answers."""
+"""The state machines of federation: a gang at home, a reservation of a guest, and a circuit breaker."""
 
 from __future__ import annotations
 
@@ -8,13 +8,20 @@
 class HomeState(Enum):
     """Where home's decision about one gang stands."""
 
-    WAITING = auto()  # at home; nobody else may start it
-    OFFERED = auto()  # clusters may hold room for it; still home's to start
-    DECIDING = auto()  # the write that names one cluster is out: neither home nor anybody else may start it
-    COMMITTED = auto()  # the write is durable; the cluster named may have the news
-    ABROAD = auto()  # the cluster has said that it runs it
-    RETURNING = auto()  # the cluster has proved that it will not run it any more; the write that says so is out
-    OVER = auto()  # done, or cancelled for its user
+    #: at home; nobody else may start it
+    WAITING = auto()
+    #: clusters may have reserved machines for it; only home may start it
+    OFFERED = auto()
+    #: the write that names one cluster has been sent: neither home nor anybody else may start it
+    DECIDING = auto()
+    #: the write is durable; the commit may have reached that cluster
+    COMMITTED = auto()
+    #: the cluster has confirmed that it runs the gang
+    ABROAD = auto()
+    #: the cluster has confirmed that it will not run the gang any more; the write that records this has been sent
+    RETURNING = auto()
+    #: done, or cancelled for its user
+    OVER = auto()
 
 
 HOME_TRANSITIONS: dict[HomeState, frozenset[HomeState]] = {
@@ -31,10 +38,14 @@
 class GuestState(Enum):
     """Where a guest cluster stands with one reservation."""
 
-    RESERVED = auto()  # machines are kept until a time; nothing runs
-    STARTING = auto()  # home's proof is here, and the write that takes the gang in is out
-    STARTED = auto()  # durable: from here on it is a job of this cluster, with a job's states
-    RELEASED = auto()  # the reservation is no more: nothing can start under it
+    #: machines are reserved until a time; nothing runs
+    RESERVED = auto()
+    #: home's commit has arrived; the write that takes the gang in has been sent
+    STARTING = auto()
+    #: the write is durable: from here on the gang is a job of this cluster, with a job's states
+    STARTED = auto()
+    #: the reservation has ended: nothing can start under it
+    RELEASED = auto()
 
 
 GUEST_TRANSITIONS: dict[GuestState, frozenset[GuestState]] = {
@@ -48,9 +59,12 @@
 class BreakerState(Enum):
     """States of a circuit breaker."""
 
-    CLOSED = auto()  # asked as usual
-    OPEN = auto()  # left alone for a while
-    TRYING = auto()  # asked once to see
+    #: requests are sent
+    CLOSED = auto()
+    #: no requests are sent during a pause
+    OPEN = auto()
+    #: one trial request is sent after the pause
+    TRYING = auto()
 
 
 BREAKER_TRANSITIONS: dict[BreakerState, frozenset[BreakerState]] = {
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -358,7 +358,8 @@
     assert isinstance(guest.answer(Commit("west", good.spec.id, reserved.id)), Rejection)
     assert isinstance(guest.answer(good), Rejection)  # the same again keeps no second room
     bad = [
-        b"", b"\x81", b"x" * (messages.MOST_BYTES + 1), msgspec.msgpack.encode(StatusQuery("home", "no job", "0" * 32)),
+        b"", b"\x81", b"x" * (messages.MAX_MESSAGE_BYTES + 1),
+        msgspec.msgpack.encode(StatusQuery("home", "no job", "0" * 32)),
         msgspec.msgpack.encode(StatusQuery("home", "j-000001", "short")), msgspec.msgpack.encode(StatusQuery("",
             "j-000001", "0" * 32)),
         msgspec.msgpack.encode(msgspec.structs.replace(good, path=["a"] * 9)),
--- a/tests/federation/test_tls_link.py
+++ b/tests/federation/test_tls_link.py
@@ -23,7 +23,7 @@
 from grebestand.federation.keyring import LOOK_S, Keyring, KeyringError
 from grebestand.federation.link_server import LinkAdmission, LinkServer
 from grebestand.federation.messages import (
-    MOST_BYTES,
+    MAX_MESSAGE_BYTES,
     NOT_LEADING,
     Message,
     Rejection,
@@ -180,7 +180,7 @@
 
 def test_what_is_too_large_malformed_or_of_another_version_gets_a_clear_refusal(two: Two) -> None:
     wire = two.wire()
-    assert two.tell(wire, b"x" * (MOST_BYTES + 1))[0] == 413
+    assert two.tell(wire, b"x" * (MAX_MESSAGE_BYTES + 1))[0] == 413
     assert two.tell(two.wire(), b"\xc1")[0] == 400
     assert two.wire().request("POST", "/federation/9", b"", 10.0)[0] == 404
     assert not two.asked
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -110,7 +110,7 @@
 #: settings files, whose fields are fixtures of their own
 FILES: dict[str, type[msgspec.Struct]] = {"platform": platform.Settings, "federation": federation.LocalLoad}
 #: a common base, and what stays in a process
-NOT_SENT = {messages._About, provisioning.PendingMachine}
+NOT_SENT = {messages._ReservationMessage, provisioning.PendingMachine}
 #: packages whose structures are for simulations and rehearsals only
 SIMULATION = (simulation.__name__, load_test.__name__)
 ENUMERATIONS: dict[str, type[Enum]] = {
