--- a/src/grebestand/federation/keyring.py
+++ b/src/grebestand/federation/keyring.py
@@ -1,7 +1,7 @@
-"""What a controller believes and shows on the link, read from the directory of keys and read anew when it changes.
+"""The certificates that a controller trusts and presents on the link, read again when their files change.
 
-TLS by the standard library with gevent's sockets. Each certificate that is believed is its own root, so who is at the
-other end is told by which of them it is, not by a name that anybody may write into one.
+TLS is that of the standard library, with gevent's sockets. Each trusted certificate is its own root: a peer is
+identified by which of them it presents, not by a name, which anybody may write into a certificate.
 """
 
 from __future__ import annotations
@@ -10,28 +10,67 @@
 import logging
 import ssl
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import gevent
-from gevent import ssl as gssl
+from gevent import ssl as gevent_ssl
 
+from ..errors import GrebestandError
 from ..log_events import LogEvent
 
 log = logging.getLogger(__name__)
 
-#: how often the files are looked at, and how long a handshake may take, in seconds
-LOOK_S, HANDSHAKE_S = 2.0, 3.0
-#: what OpenSSL's verification says, as operators would: X509_V_ERR_CERT_HAS_EXPIRED, _NOT_YET_VALID, and strangers
-_WHY = {10: "expired", 9: "not yet valid", 18: "unknown", 19: "unknown", 20: "unknown", 21: "unknown"}
+#: how often the files are checked for changes, in seconds
+LOOK_S = 2.0
+#: how long a handshake may take
+HANDSHAKE_TIMEOUT_S = 3.0
+#: digits of a certificate's fingerprint that are logged
+LOGGED_FINGERPRINT_DIGITS = 16
+#: OpenSSL's codes of verification errors in words: X509_V_ERR_CERT_HAS_EXPIRED, _NOT_YET_VALID, and unknown issuers
+VERIFICATION_ERRORS = {10: "expired", 9: "not yet valid", 18: "unknown", 19: "unknown", 20: "unknown", 21: "unknown"}
 
 
-class KeyringError(ValueError):
-    """One line that names what is missing or cannot be read."""
+class KeyringError(GrebestandError, ValueError):
+    """The keys cannot be used.
+
+    Attributes:
+        path: the file or directory at fault.
+        reason: what is missing or cannot be read.
+    """
+
+    def __init__(self, path: Path, reason: str) -> None:
+        self.path = path
+        self.reason = reason
+        super().__init__(f"{path}: {reason}")
+
+
+class Peer(NamedTuple):
+    """The other end of an accepted connection: its cluster and its certificate's fingerprint."""
+
+    cluster: str
+    fingerprint: str
+
+
+class FileState(NamedTuple):
+    """What tells whether a file has changed: its path, its modification time in nanoseconds and its size in bytes."""
+
+    path: str
+    modified_ns: int
+    size: int
+
+
+@dataclass
+class _TrustedCertificates:
+    """The certificates that are or were trusted: owners by fingerprint, and PEM texts by cluster and fingerprint."""
+
+    owners: dict[str, str] = field(default_factory=dict)
+    by_cluster: dict[str, dict[str, str]] = field(default_factory=dict)
 
 
 def revoked(root: Path) -> set[str]:
-    """Fingerprints that are not believed any more."""
+    """Return the fingerprints of the certificates that are not trusted any more."""
     try:
         return set((root / "revoked").read_text().split())
     except FileNotFoundError:
@@ -39,128 +78,159 @@
 
 
 class Keyring:
-    """The keys and certificates in force, read anew when their files change."""
+    """The keys and certificates in force."""
 
     def __init__(self, root: Path, cluster: str, clock: Callable[[], float]) -> None:
-        """Raises `KeyringError` if there is nothing to begin with; later faults are logged, and the old keys stay."""
+        """Read the keys. Later faults are logged, and the keys that were read before stay in force.
+
+        Args:
+            root: the directory of keys; `keys` describes it.
+            cluster: the name of this cluster.
+            clock: a steady clock, in seconds.
+
+        Raises:
+            KeyringError: there are no usable keys.
+        """
         self.root = root
         self.cluster = cluster
         self.clock = clock
-        #: goes up whenever something has changed: connections made before then need not be believed any more
+        #: incremented with each change: connections made before are made anew
         self.edition = 0
-        self._seen: tuple[tuple[str, int, int], ...] = ()
-        self._looked = clock()
-        self._server: ssl.SSLContext
-        self._clients: dict[str, ssl.SSLContext] = {}
-        #: of each certificate that is or was believed
+        self._loaded_state: tuple[FileState, ...] = ()
+        self._checked_at = clock()
+        self._server_context: ssl.SSLContext
+        self._client_contexts: dict[str, ssl.SSLContext] = {}
+        #: the cluster of each certificate that is or was trusted, by fingerprint
         self._owners: dict[str, str] = {}
         self._revoked: set[str] = set()
-        self._load(self._state())
+        self._load(self._file_states())
 
-    def _state(self) -> tuple[tuple[str, int, int], ...]:
-        files = [p for p in self.root.rglob("*") if p.is_file() and not p.name.startswith(".")]
-        return tuple(sorted((str(p), (s := p.stat()).st_mtime_ns, s.st_size) for p in files))
+    def _file_states(self) -> tuple[FileState, ...]:
+        states = []
+        for path in self.root.rglob("*"):
+            if path.is_file() and not path.name.startswith("."):
+                status = path.stat()
+                states.append(FileState(str(path), status.st_mtime_ns, status.st_size))
+        return tuple(sorted(states))
 
     def refresh(self) -> None:
-        """Looks at the files now and then; what cannot be used leaves everything as it was."""
+        """Read the files again if they have changed, at most every `LOOK_S`; unusable ones change nothing."""
         now = self.clock()
-        if now - self._looked < LOOK_S:
+        if now - self._checked_at < LOOK_S:
             return
-        self._looked = now
+        self._checked_at = now
         try:
-            state = self._state()
-            if state != self._seen:
+            state = self._file_states()
+            if state != self._loaded_state:
                 self._load(state)
                 log.info(LogEvent("federation_keys_reloaded", edition=self.edition))
-        except (KeyringError, OSError) as e:
-            log.warning(LogEvent("federation_keys_reload_failed", kept="the earlier ones stay", error=e))
+        except (KeyringError, OSError) as error:
+            log.warning(LogEvent("federation_keys_reload_failed", kept="the earlier ones stay", error=error))
 
-    def _load(self, state: tuple[tuple[str, int, int], ...]) -> None:
-        self._seen = state
+    def _load(self, state: tuple[FileState, ...]) -> None:
+        self._loaded_state = state
         try:
             name = (self.root / "cluster").read_text().strip()
-            number = (self.root / "active").read_text().strip()
-            gone = revoked(self.root)
-        except OSError as e:
-            raise KeyringError(f"{self.root}: {e.strerror}: {Path(e.filename or '').name}") from e
+            generation = (self.root / "active").read_text().strip()
+            revoked_now = revoked(self.root)
+        except OSError as error:
+            raise KeyringError(self.root, f"{error.strerror}: {Path(error.filename or '').name}") from error
         if name != self.cluster:
-            raise KeyringError(f"{self.root}: keys of {name!r}, not of {self.cluster!r}")
-        pem, key = self.root / "own" / f"{number}.pem", self.root / "own" / f"{number}.key"
-        owners: dict[str, str] = {}
-        #: of each cluster: fingerprints and certificates
-        believed: dict[str, list[tuple[str, str]]] = {}
+            raise KeyringError(self.root, f"keys of {name!r}, not of {self.cluster!r}")
+        trusted = self._read_trusted()
+        # revoked certificates pass the handshake and are refused after it, so that the log can say so
+        every_text = [text for texts in trusted.by_cluster.values() for text in texts.values()]
+        server_context = self._context(ssl.PROTOCOL_TLS_SERVER, generation, every_text)
+        client_contexts = {}
+        for peer, texts in trusted.by_cluster.items():
+            valid = [text for fingerprint, text in texts.items() if fingerprint not in revoked_now]
+            client_contexts[peer] = self._context(ssl.PROTOCOL_TLS_CLIENT, generation, valid)
+        self._server_context, self._client_contexts = server_context, client_contexts
+        self._owners, self._revoked = trusted.owners, revoked_now
+        self.edition += 1
+
+    def _read_trusted(self) -> _TrustedCertificates:
+        trusted = _TrustedCertificates()
         for path in sorted((self.root / "trusted").glob("*/*.pem")):
             try:
                 text = path.read_text()
-                mark = hashlib.sha256(ssl.PEM_cert_to_DER_cert(text)).hexdigest()
-            except (OSError, ValueError) as e:
-                raise KeyringError(f"{path}: not a certificate: {e}") from e
-            owners[mark] = path.parent.name
-            believed.setdefault(path.parent.name, []).append((mark, text))
-
-        def context(side: int, texts: list[str]) -> ssl.SSLContext:
-            made: ssl.SSLContext = gssl.SSLContext(side)
-            made.minimum_version = ssl.TLSVersion.TLSv1_3
-            made.check_hostname = False
-            made.verify_mode = ssl.CERT_REQUIRED
-            try:
-                made.load_cert_chain(pem, key)
-                if texts:
-                    made.load_verify_locations(cadata="\n".join(texts))
-            except (OSError, ssl.SSLError, ValueError) as e:
-                raise KeyringError(f"{pem}: {e}") from e
-            return made
-
-        # what is revoked is let through the handshake and refused after it, so that the log can say so
-        server = context(ssl.PROTOCOL_TLS_SERVER, [text for pairs in believed.values() for _, text in pairs])
-        clients = {}
-        for peer, pairs in believed.items():
-            good = [text for mark, text in pairs if mark not in gone]
-            clients[peer] = context(ssl.PROTOCOL_TLS_CLIENT, good)
-        self._server, self._clients, self._owners, self._revoked = server, clients, owners, gone
-        self.edition += 1
+                fingerprint = hashlib.sha256(ssl.PEM_cert_to_DER_cert(text)).hexdigest()
+            except (OSError, ValueError) as error:
+                raise KeyringError(path, f"not a certificate: {error}") from error
+            cluster = path.parent.name
+            trusted.owners[fingerprint] = cluster
+            trusted.by_cluster.setdefault(cluster, {})[fingerprint] = text
+        return trusted
+
+    def _context(self, protocol: int, generation: str, trusted_texts: list[str]) -> ssl.SSLContext:
+        """Return a TLS context that presents a generation's certificate and trusts these."""
+        certificate = self.root / "own" / f"{generation}.pem"
+        context: ssl.SSLContext = gevent_ssl.SSLContext(protocol)
+        context.minimum_version = ssl.TLSVersion.TLSv1_3
+        context.check_hostname = False  # the certificate itself is the identity
+        context.verify_mode = ssl.CERT_REQUIRED
+        try:
+            context.load_cert_chain(certificate, self.root / "own" / f"{generation}.key")
+            if trusted_texts:
+                context.load_verify_locations(cadata="\n".join(trusted_texts))
+        except (OSError, ssl.SSLError, ValueError) as error:
+            raise KeyringError(certificate, str(error)) from error
+        return context
 
     def client(self, peer: str) -> ssl.SSLContext | None:
-        """For connections to that cluster, which only its own certificates pass; None if none are believed."""
+        """Return the context for connections to a cluster, which only its own certificates pass.
+
+        Returns:
+            None if no certificate of that cluster is known.
+        """
         self.refresh()
-        return self._clients.get(peer)
+        return self._client_contexts.get(peer)
 
-    def greet(self, sock: Any, host: str) -> Any:
-        """The server's side of a handshake: the connection with `peer` set, or None, and a line that says why."""
+    def accept_handshake(self, sock: Any, host: str) -> Any:
+        """Make the server's side of a handshake.
+
+        Returns:
+            The connection, with a `Peer` as its attribute `peer`, or None if it is refused; the log says why.
+        """
         self.refresh()
-        try:
-            with gevent.Timeout(HANDSHAKE_S, TimeoutError("no handshake")):
-                made = self._server.wrap_socket(sock, server_side=True)
-        except ssl.SSLCertVerificationError as e:
+        connection = self._handshake(sock, host)
+        if connection is None:
+            return None
+        fingerprint = hashlib.sha256(connection.getpeercert(binary_form=True) or b"").hexdigest()
+        owner = self._owners.get(fingerprint)
+        if owner is None or fingerprint in self._revoked:
+            why = "revoked" if fingerprint in self._revoked else "unknown"
             log.warning(
                 LogEvent(
                     "link_refused",
                     host=host,
-                    reason=f"its certificate is {_WHY.get(e.verify_code, e.verify_message)}",
+                    certificate=fingerprint[:LOGGED_FINGERPRINT_DIGITS],
+                    owner=owner,
+                    reason=f"its certificate is {why}",
                 )
             )
+            connection.close()
             return None
-        except (ssl.SSLEOFError, ConnectionError, TimeoutError) as e:
-            log.debug(LogEvent("link_handshake_broken_off", host=host, error=e))
-            return None
-        except (OSError, ValueError) as e:
-            log.warning(LogEvent("link_refused", host=host, reason=getattr(e, "reason", None) or e))
-            return None
-        mark = hashlib.sha256(made.getpeercert(binary_form=True) or b"").hexdigest()
-        owner = self._owners.get(mark)
-        if mark in self._revoked or owner is None:
-            why = "revoked" if mark in self._revoked else "unknown"
-            log.warning(
-                LogEvent(
-                    "link_refused", host=host, certificate=mark[:16], owner=owner, reason=f"its certificate is {why}"
-                )
-            )
-            made.close()
-            return None
-        made.peer = (owner, mark)  # type: ignore[attr-defined]
-        return made
+        connection.peer = Peer(owner, fingerprint)
+        return connection
 
-    def believes(self, peer: tuple[str, str] | None) -> bool:
-        """Whether a connection that was let in would be let in now: one may outlive the keys that opened it."""
+    def _handshake(self, sock: Any, host: str) -> Any:
+        try:
+            with gevent.Timeout(HANDSHAKE_TIMEOUT_S, TimeoutError("no handshake")):
+                return self._server_context.wrap_socket(sock, server_side=True)
+        except ssl.SSLCertVerificationError as error:
+            why = VERIFICATION_ERRORS.get(error.verify_code, error.verify_message)
+            log.warning(LogEvent("link_refused", host=host, reason=f"its certificate is {why}"))
+        except (ssl.SSLEOFError, ConnectionError, TimeoutError) as error:
+            log.debug(LogEvent("link_handshake_broken_off", host=host, error=error))
+        except (OSError, ValueError) as error:
+            log.warning(LogEvent("link_refused", host=host, reason=getattr(error, "reason", None) or error))
+        return None
+
+    def trusts(self, peer: tuple[str, str] | None) -> bool:
+        """Return whether an accepted connection would be accepted now: it may outlive the trust in its keys."""
         self.refresh()
-        return peer is not None and peer[1] not in self._revoked and self._owners.get(peer[1]) == peer[0]
+        if peer is None:
+            return False
+        cluster, fingerprint = peer
+        return fingerprint not in self._revoked and self._owners.get(fingerprint) == cluster
--- a/src/grebestand/federation/link_server.py
+++ b/src/grebestand/federation/link_server.py
@@ -1,4 +1,4 @@
-"""Where other clusters' messages come in: networks and certificates first, then bounds, then the guest's answer."""
+"""Receives other clusters' messages: checks network, certificate and limits, then lets the guest cluster reply."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from ..errors import GrebestandError
 from ..log_events import LogEvent
 from .allowed_networks import AllowedNetworks
 from .keyring import Keyring
@@ -17,32 +18,53 @@
 
 log = logging.getLogger(__name__)
 
-#: refusals told in the log, a second; a broken peer must not fill the disk either
+#: refusals that are logged a second: a broken peer must not fill the disk
 LOGGED_REFUSALS_PER_S = 2.0
 
 
 class LinkAdmission:
-    """The address is looked at before the handshake's cost is paid."""
+    """The gate of the link: the address is checked before the cost of a handshake is paid."""
 
     def __init__(self, networks: AllowedNetworks, ring: Keyring, clock: Callable[[], float]) -> None:
+        """Admit connections from these networks.
+
+        Args:
+            networks: where other clusters connect from.
+            ring: makes the handshake.
+            clock: a steady clock, in seconds.
+        """
         self.networks = networks
         self.ring = ring
         self._log_rate = TokenBucket(LOGGED_REFUSALS_PER_S, clock)
 
     def admit(self, host: str) -> bool:
-        """Whether connections of this host are accepted."""
-        inside = host in self.networks
-        if not inside and self._log_rate.take(1.0):
+        """Return whether connections from this address are accepted."""
+        allowed = host in self.networks
+        if not allowed and self._log_rate.take(1.0):
             log.warning(LogEvent("link_refused", host=host, reason="not in the networks of any cluster"))
-        return inside
+        return allowed
 
     def wrap(self, socket: Any, host: str) -> Any:
-        """The TLS handshake; returns the wrapped socket."""
-        return self.ring.greet(socket, host)
+        """Make the TLS handshake; return the connection, or None if it is refused."""
+        return self.ring.accept_handshake(socket, host)
+
+
+class RequestRefusedError(GrebestandError):
+    """A request is not a message that this peer may send.
+
+    Attributes:
+        status: the HTTP status line.
+        reason: why it is refused; the body of the response.
+    """
+
+    def __init__(self, status: str, reason: str) -> None:
+        self.status = status
+        self.reason = reason
+        super().__init__(reason)
 
 
 class LinkServer:
-    """`answer` is the guest of the present leader, or None where this controller does not lead."""
+    """The WSGI application of the link."""
 
     def __init__(
         self,
@@ -51,38 +73,55 @@
         leader: Callable[[], str | None],
         clock: Callable[[], float],
     ) -> None:
+        """Serve messages of other clusters.
+
+        Args:
+            ring: the certificates that are trusted.
+            answer: returns what replies to messages in the present term, or None if this controller does not lead.
+            leader: the name of the controller that leads, if it is known.
+            clock: a steady clock, in seconds.
+        """
         self.ring = ring
         self.answer = answer
         self.leader = leader
         self._log_rate = TokenBucket(LOGGED_REFUSALS_PER_S, clock)
 
-    def _refuse(self, start: Callable[..., Any], status: str, text: str, who: object) -> list[bytes]:
-        if self._log_rate.take(1.0):
-            log.warning(LogEvent("link_message_refused", sender=who, reason=text))
-        start(status, [("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", str(len(text.encode())))])
-        return [text.encode()]
-
     def app(self, environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
-        """WSGI application: one message of another cluster and its reply."""
+        """Serve one message of another cluster and its reply, by the WSGI protocol."""
         peer = environ.get("grebestand.peer")
-        who = peer[0] if peer else "nobody known"
-        if not self.ring.believes(peer):
-            return self._refuse(start, "403 Forbidden", "its certificate is not believed any more", who)
-        if environ.get("PATH_INFO") != PATH or environ.get("REQUEST_METHOD") != "POST":
-            return self._refuse(start, "404 Not Found", "no such message here; versions may differ", who)
-        length = environ.get("CONTENT_LENGTH") or ""
-        if not length.isdigit() or int(length) > MAX_MESSAGE_BYTES:
-            return self._refuse(start, "413 Payload Too Large", f"at most {MAX_MESSAGE_BYTES} bytes are read", who)
+        sender = peer[0] if peer else "nobody known"
         try:
-            message = decode(environ["wsgi.input"].read(int(length)))
-        except InvalidMessageError as e:
-            return self._refuse(start, "400 Bad Request", str(e), who)
-        except OSError:
-            return self._refuse(start, "400 Bad Request", "the message broke off", who)
-        if message.home != who:
-            return self._refuse(start, "403 Forbidden", f"it speaks for {message.home!r}", who)
+            message = self._read_message(environ, sender)
+        except RequestRefusedError as refusal:
+            return self._refuse(start, refusal, sender)
         answer = self.answer()
         reply = answer(message) if answer is not None else UncertainReply(NOT_LEADING, self.leader())
         body = msgspec.msgpack.encode(reply)
         start("200 OK", [("Content-Type", "application/msgpack"), ("Content-Length", str(len(body)))])
         return [body]
+
+    def _read_message(self, environ: dict[str, Any], sender: str) -> Message:
+        """Return the message of a request, or raise `RequestRefusedError`."""
+        if not self.ring.trusts(environ.get("grebestand.peer")):
+            raise RequestRefusedError("403 Forbidden", "its certificate is not believed any more")
+        if environ.get("PATH_INFO") != PATH or environ.get("REQUEST_METHOD") != "POST":
+            raise RequestRefusedError("404 Not Found", "no such message here; versions may differ")
+        length = environ.get("CONTENT_LENGTH") or ""
+        if not length.isdigit() or int(length) > MAX_MESSAGE_BYTES:
+            raise RequestRefusedError("413 Payload Too Large", f"at most {MAX_MESSAGE_BYTES} bytes are read")
+        try:
+            message = decode(environ["wsgi.input"].read(int(length)))
+        except InvalidMessageError as error:
+            raise RequestRefusedError("400 Bad Request", str(error)) from error
+        except OSError as error:
+            raise RequestRefusedError("400 Bad Request", "the message broke off") from error
+        if message.home != sender:
+            raise RequestRefusedError("403 Forbidden", f"it speaks for {message.home!r}")
+        return message
+
+    def _refuse(self, start: Callable[..., Any], refusal: RequestRefusedError, sender: str) -> list[bytes]:
+        if self._log_rate.take(1.0):
+            log.warning(LogEvent("link_message_refused", sender=sender, reason=refusal.reason))
+        body = refusal.reason.encode()
+        start(refusal.status, [("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", str(len(body)))])
+        return [body]
--- a/src/grebestand/federation/tls_link.py
+++ b/src/grebestand/federation/tls_link.py
@@ -1,10 +1,11 @@
-"""The way to another cluster: finds the controller that leads there, over mutual TLS, within one limit of time."""
+"""The link to another cluster: finds the controller that leads there, over mutual TLS, within a time limit."""
 
 from __future__ import annotations
 
 import logging
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import msgspec
 
@@ -16,24 +17,45 @@
 log = logging.getLogger(__name__)
 
 PATH = "/federation/1"
-#: for one question to one controller, and for finding the one that leads, in seconds
-ONE_S, ALL_S = 1.5, 3.0
-#: makes the connection to one controller's address, or None if none of its cluster's certificates is believed
+#: for one request to one controller
+ONE_S = 1.5
+#: for finding the controller that leads
+ALL_S = 3.0
+#: with less time left, no further controller is asked
+LEAST_TIMEOUT_S = 0.05
+#: for making a connection
+CONNECT_TIMEOUT_S = 1.0
+#: connections to one controller
+MAX_CONNECTIONS = 4
+HTTP_OK = 200
+#: bytes of a refusal's text that are logged
+LOGGED_BODY_BYTES = 120
+#: connects to a controller's host and port, or returns None if no certificate of its cluster is trusted
 Connect = Callable[[str, int], Transport | None]
 
 
 def over_tls(peer: str, ring: Keyring) -> Connect:
-    """Connections to a cluster; keys that have changed since are used from the next one on."""
+    """Return a function that connects to controllers of a cluster, with the keys that are in force at that time."""
 
     def connect(host: str, port: int) -> Transport | None:
         context = ring.client(peer)
-        return None if context is None else HttpTransport(host, port, 4, connect_s=1.0, tls=context)
+        if context is None:
+            return None
+        return HttpTransport(host, port, MAX_CONNECTIONS, connect_s=CONNECT_TIMEOUT_S, tls=context)
 
     return connect
 
 
+@dataclass(frozen=True)
+class _OpenTransport:
+    """A connection, and the edition of the keyring that it was made with."""
+
+    edition: int
+    transport: Transport
+
+
 class TlsLink:
-    """To one cluster. Who leads there is remembered; a controller that does not lead often knows who does."""
+    """The link to one cluster. It remembers who leads there; other controllers often know the leader."""
 
     def __init__(
         self,
@@ -43,82 +65,94 @@
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
+        """Start without connections.
+
+        Args:
+            controllers: host and port of each controller of the cluster, by name.
+            connect: connects to one of them.
+            edition: the edition of the keyring; connections of an earlier one are made anew.
+            clock: a steady clock, in seconds.
+            rng: draws the order in which controllers are asked.
+        """
         self.controllers = controllers
         self.connect = connect
         self.edition = edition
         self.clock = clock
         self.rng = rng
         self._leader: str | None = None
-        self._open: dict[str, tuple[int, Transport]] = {}
+        self._open: dict[str, _OpenTransport] = {}
 
     def tell(self, message: Message) -> Reply | None:
-        """The answer of the cluster's leader; None if there was none that can be relied on.
+        """Send a message and return the reply of the cluster's leader, or None if no controller replied.
 
-        Asking a second controller repeats nothing that could count twice: every message may be repeated.
+        Without a leader the reply of another controller is returned, which is uncertain. Several controllers may get
+        the message: every message is idempotent.
         """
         body = msgspec.msgpack.encode(message)
-        end = self.clock() + ALL_S
-        waiting = [n for n in self.controllers if n != self._leader]
-        self.rng.shuffle(waiting)
-        if self._leader in self.controllers:
-            waiting.insert(0, self._leader)
+        deadline = self.clock() + ALL_S
+        candidates = self._candidates()
         last: Reply | None = None
-        while waiting and (left := end - self.clock()) > 0.05:
-            name = waiting.pop(0)
-            answer = self._ask(name, body, min(ONE_S, left))
-            if answer is None:
+        while candidates and (left_s := deadline - self.clock()) > LEAST_TIMEOUT_S:
+            name = candidates.pop(0)
+            reply = self._request(name, body, min(ONE_S, left_s))
+            if reply is None:
                 continue
-            if not isinstance(answer, UncertainReply):
+            if not isinstance(reply, UncertainReply) or _is_of_leader(reply):
                 self._leader = name
-                return answer
-            last = answer
-            if answer.leader is None and answer.why != NOT_LEADING:
-                self._leader = name
-                return answer  # the leader itself is unsure: nobody knows better
-            if answer.leader in waiting:
-                waiting.remove(answer.leader)
-                waiting.insert(0, answer.leader)
+                return reply
+            last = reply
+            if reply.leader in candidates:
+                candidates.remove(reply.leader)
+                candidates.insert(0, reply.leader)
         self._leader = None
         return last
 
-    def _ask(self, name: str, body: bytes, timeout: float) -> Reply | None:
+    def _candidates(self) -> list[str]:
+        """Return the controllers in the order to ask: the last known leader, then the others in random order."""
+        names = [name for name in self.controllers if name != self._leader]
+        self.rng.shuffle(names)
+        if self._leader in self.controllers:
+            names.insert(0, self._leader)
+        return names
+
+    def _request(self, name: str, body: bytes, timeout_s: float) -> Reply | None:
         transport = self._transport(name)
         if transport is None:
             return None
         try:
-            status, answer = transport.request("POST", PATH, body, timeout)
-            if status != 200:
-                log.info(
-                    LogEvent(
-                        "link_request_refused",
-                        controller=name,
-                        status=status,
-                        body=answer[:120].decode("utf-8", "replace"),
-                    )
-                )
+            status, answer = transport.request("POST", PATH, body, timeout_s)
+            if status != HTTP_OK:
+                text = answer[:LOGGED_BODY_BYTES].decode("utf-8", "replace")
+                log.info(LogEvent("link_request_refused", controller=name, status=status, body=text))
                 return None
             return decode_reply(answer)
-        except UnreachableError as e:
-            log.debug(LogEvent("link_request_unanswered", controller=name, error=e))
+        except UnreachableError as error:
+            log.debug(LogEvent("link_request_unanswered", controller=name, error=error))
             return None
-        except InvalidMessageError as e:
-            log.warning(LogEvent("link_reply_invalid", controller=name, error=e))
+        except InvalidMessageError as error:
+            log.warning(LogEvent("link_reply_invalid", controller=name, error=error))
             return None
 
     def _transport(self, name: str) -> Transport | None:
+        """Return the connection to a controller, made anew if the keys have changed."""
         edition = self.edition()
         known = self._open.get(name)
-        if known is not None and known[0] == edition:
-            return known[1]
+        if known is not None and known.edition == edition:
+            return known.transport
         if known is not None:
-            self.close(known[1])
-        made = self.connect(*self.controllers[name])
-        if made is not None:
-            self._open[name] = (edition, made)
-        return made
+            self.close(known.transport)
+        transport = self.connect(*self.controllers[name])
+        if transport is not None:
+            self._open[name] = _OpenTransport(edition, transport)
+        return transport
 
     @staticmethod
     def close(transport: Transport) -> None:
         """Close a transport that this link opened."""
         if isinstance(transport, HttpTransport):
             transport.close()
+
+
+def _is_of_leader(reply: UncertainReply) -> bool:
+    """Return whether the leader itself is uncertain, in which case no other controller knows better."""
+    return reply.leader is None and reply.why != NOT_LEADING
--- a/tests/federation/test_tls_link.py
+++ b/tests/federation/test_tls_link.py
@@ -156,7 +156,7 @@
 
 def test_who_is_outside_the_networks_is_refused_before_the_handshake(tmp_path: Path) -> None:
     class Never:
-        def greet(self, sock: Any, host: str) -> Any:
+        def accept_handshake(self, sock: Any, host: str) -> Any:
             raise AssertionError("a handshake was begun")
 
     gate = LinkAdmission(AllowedNetworks(["10.2.0.0/16"]), Never(), ManualClock())  # type: ignore[arg-type]
