--- a/src/grebestand/federation/keys.py
+++ b/src/grebestand/federation/keys.py
@@ -1,17 +1,17 @@
-"""A cluster's own keys and certificates, made and rotated by its operators; needs the library `cryptography`.
+"""The keys and certificates of a cluster, made and rotated by its operators; needs the library `cryptography`.
 
 A directory of keys holds
 
     cluster           the cluster's name
     own/0001.key      a generation's private key, and
-    own/0001.pem      its certificate, signed by itself; this one the other clusters are given
-    active            the generation that is shown to others
-    trusted/NAME/*.pem  certificates of the cluster NAME that are believed
-    revoked           fingerprints that are not believed any more, one a line
-
-There is no authority: each cluster believes exactly the certificates that its operators were given by the others'.
-Several may be believed at a time, so that a new generation is handed out before it is used and the old one stays
-good meanwhile. Controllers see changes by themselves (`ring`).
+    own/0001.pem      its certificate, signed by itself; the other clusters are given this file
+    active            the generation that is presented to others
+    trusted/NAME/*.pem  trusted certificates of the cluster NAME
+    revoked           fingerprints that are not trusted any more, one a line
+
+There is no certificate authority: each cluster trusts exactly the certificates that its operators were given by the
+others'. Several may be trusted at a time, so that a new generation is handed out before it is used, and the old one
+stays valid meanwhile. Controllers notice changes by themselves (`keyring`).
 """
 
 from __future__ import annotations
@@ -27,75 +27,125 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 
+from ..errors import GrebestandError
 from .keyring import revoked
 
-#: a certificate is good from so long before it was made: clocks of other clusters may be behind
-BEFORE = dt.timedelta(hours=1)
+#: a certificate is valid from this long before it was made: clocks of other clusters may be behind
+VALID_BEFORE = dt.timedelta(hours=1)
+#: the longest name of a cluster, in characters
+MAX_CLUSTER_NAME_LENGTH = 60
+#: digits of a fingerprint that name a certificate's file
+FILE_NAME_DIGITS = 16
+#: fewer digits of a fingerprint than this do not name a certificate
+MIN_FINGERPRINT_DIGITS = 8
+#: the files of generations, 0001.pem and following
+GENERATION_FILES = "[0-9][0-9][0-9][0-9].pem"
+#: private keys are readable by their owner only
+PRIVATE_MODE = 0o600
+PUBLIC_MODE = 0o644
 
 
-class KeyFileError(ValueError):
-    """One line that names the file or name at fault."""
+class KeyFileError(GrebestandError, ValueError):
+    """An operation on the keys is not possible.
+
+    Attributes:
+        reason: one line that names the file or the name at fault.
+    """
+
+    def __init__(self, reason: str) -> None:
+        self.reason = reason
+        super().__init__(reason)
 
 
 @dataclass(frozen=True)
 class KeySummary:
-    """One certificate, as it is listed."""
+    """One certificate, as it is listed.
+
+    Attributes:
+        cluster: the cluster that it belongs to.
+        file: its path in the directory of keys.
+        fingerprint: its SHA-256, in hexadecimal digits.
+        until: when it expires.
+        state: "active", "ready", "trusted", "revoked" or "expired".
+    """
 
     cluster: str
     file: str
     fingerprint: str
     until: dt.datetime
-    #: "active", "ready", "trusted", "revoked" or "expired"
     state: str
 
 
 def check_name(name: str) -> str:
-    """Return a cluster's name; raise `KeyFileError` if it cannot be one."""
-    if not name or len(name) > 60 or not all(c.isalnum() or c in "-_." for c in name) or name.startswith("."):
+    """Return the name of a cluster.
+
+    Raises:
+        KeyFileError: the text cannot be a name.
+    """
+    allowed = all(character.isalnum() or character in "-_." for character in name)
+    if not name or len(name) > MAX_CLUSTER_NAME_LENGTH or not allowed or name.startswith("."):
         raise KeyFileError(f"not a cluster's name: {name!r} (letters, digits, '-', '_' and '.')")
     return name
 
 
 def fingerprint(cert: x509.Certificate) -> str:
-    """The SHA-256 of a certificate, in hexadecimal digits."""
+    """Return the SHA-256 of a certificate, in hexadecimal digits."""
     return cert.fingerprint(hashes.SHA256()).hex()
 
 
-def _write(path: Path, data: bytes, mode: int = 0o644) -> None:
-    """Whole or not at all: a controller may read at any moment."""
+def _write(path: Path, data: bytes, mode: int = PUBLIC_MODE) -> None:
+    """Write a file whole or not at all: a controller may read it at any moment."""
     path.parent.mkdir(parents=True, exist_ok=True)
-    handle, name = tempfile.mkstemp(dir=path.parent, prefix=".new-")
+    handle, temporary = tempfile.mkstemp(dir=path.parent, prefix=".new-")
     try:
-        with os.fdopen(handle, "wb") as f:
-            f.write(data)
-        os.chmod(name, mode)
-        os.replace(name, path)
-    except BaseException:
-        Path(name).unlink(missing_ok=True)
+        with os.fdopen(handle, "wb") as file:
+            file.write(data)
+        os.chmod(temporary, mode)
+        os.replace(temporary, path)
+    except BaseException:  # also when interrupted: no temporary file with a private key may be left
+        Path(temporary).unlink(missing_ok=True)
         raise
 
 
-def _read(path: Path) -> x509.Certificate:
+def _read_certificate(path: Path) -> x509.Certificate:
     try:
         return x509.load_pem_x509_certificate(path.read_bytes())
-    except (OSError, ValueError) as e:
-        raise KeyFileError(f"{path}: not a certificate: {e}") from e
+    except (OSError, ValueError) as error:
+        raise KeyFileError(f"{path}: not a certificate: {error}") from error
 
 
-def _generation(root: Path, name: str, days: float, now: dt.datetime) -> Path:
-    """Makes the next generation of a cluster's key and certificate; nothing uses it yet."""
-    present = sorted((root / "own").glob("[0-9][0-9][0-9][0-9].pem"))
-    number = int(present[-1].stem) + 1 if present else 1
+def _generations(root: Path) -> list[str]:
+    """Return the numbers of this cluster's generations, the oldest first."""
+    return sorted(path.stem for path in (root / "own").glob(GENERATION_FILES))
+
+
+def _make_generation(root: Path, name: str, days: float, now: dt.datetime) -> Path:
+    """Make the next generation of a cluster's key and certificate, which is not used yet."""
+    present = _generations(root)
+    number = int(present[-1]) + 1 if present else 1
     key = ec.generate_private_key(ec.SECP256R1())
+    certificate = _self_signed_certificate(key, name, now, now + dt.timedelta(days=days))
+    private = key.private_bytes(
+        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+    )
+    own = root / "own"
+    _write(own / f"{number:04d}.key", private, PRIVATE_MODE)
+    _write(own / f"{number:04d}.pem", certificate.public_bytes(serialization.Encoding.PEM))
+    return own / f"{number:04d}.pem"
+
+
+def _self_signed_certificate(
+    key: ec.EllipticCurvePrivateKey, name: str, now: dt.datetime, until: dt.datetime
+) -> x509.Certificate:
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-    cert = (
+    return (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(subject)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - BEFORE)
-        .not_valid_after(now + dt.timedelta(days=days))
+        .not_valid_before(now - VALID_BEFORE)
+        .not_valid_after(until)
         .add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), critical=False)
         # tells the generations apart, which have one name
         .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
@@ -103,42 +153,62 @@
         .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
         .sign(key, hashes.SHA256())
     )
-    private = key.private_bytes(
-        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
-    )
-    own = root / "own"
-    _write(own / f"{number:04d}.key", private, 0o600)
-    _write(own / f"{number:04d}.pem", cert.public_bytes(serialization.Encoding.PEM))
-    return own / f"{number:04d}.pem"
 
 
-def _name(root: Path) -> str:
+def _own_name(root: Path) -> str:
     try:
         return check_name((root / "cluster").read_text().strip())
-    except OSError as e:
-        raise KeyFileError(f"{root}: no keys here; make them with 'keys create' ({e.strerror})") from e
+    except OSError as error:
+        raise KeyFileError(f"{root}: no keys here; make them with 'keys create' ({error.strerror})") from error
 
 
 def create(root: Path, name: str, days: float, now: dt.datetime) -> Path:
-    """The first generation, in use at once; the path of the certificate that the others are given."""
+    """Make the first generation, which is in use at once.
+
+    Args:
+        root: the directory of keys.
+        name: the name of this cluster.
+        days: for how many days the certificate is valid.
+        now: the time of day.
+
+    Returns:
+        The path of the certificate that the other clusters are given.
+
+    Raises:
+        KeyFileError: the name is malformed, or there are keys already.
+    """
     check_name(name)
     if (root / "cluster").exists():
         raise KeyFileError(f"{root}: there are keys already; 'keys rotate' makes the next ones")
-    made = _generation(root, name, days, now)
+    certificate = _make_generation(root, name, days, now)
     _write(root / "cluster", name.encode() + b"\n")
-    _write(root / "active", made.stem.encode() + b"\n")
-    return made
+    _write(root / "active", certificate.stem.encode() + b"\n")
+    return certificate
 
 
 def rotate(root: Path, days: float, now: dt.datetime) -> Path:
-    """The next generation, to be handed out while the present one is still in use."""
-    return _generation(root, _name(root), days, now)
+    """Make the next generation, to be handed out while the present one is still in use.
+
+    Returns:
+        The path of the certificate that the other clusters are given.
+
+    Raises:
+        KeyFileError: there are no keys yet.
+    """
+    return _make_generation(root, _own_name(root), days, now)
 
 
 def activate(root: Path, number: str | None = None) -> str:
-    """Uses a generation, the newest by default, from now on; the others must believe it by now."""
-    _name(root)
-    present = sorted(p.stem for p in (root / "own").glob("[0-9][0-9][0-9][0-9].pem"))
+    """Use a generation from now on, the newest by default; the other clusters have to trust it by now.
+
+    Returns:
+        The generation's number.
+
+    Raises:
+        KeyFileError: there is no such generation.
+    """
+    _own_name(root)
+    present = _generations(root)
     chosen = number or (present[-1] if present else "")
     if chosen not in present or not (root / "own" / f"{chosen}.key").exists():
         raise KeyFileError(f"{root}: no generation {chosen!r} (there are: {', '.join(present) or 'none'})")
@@ -147,42 +217,71 @@
 
 
 def trust(root: Path, file: Path) -> Path:
-    """Believes another cluster's certificate, beside those that are believed already."""
-    own = _name(root)
-    cert = _read(file)
-    names = cert.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
+    """Trust another cluster's certificate, in addition to those that are trusted already.
+
+    Returns:
+        The path of the copy in the directory of keys.
+
+    Raises:
+        KeyFileError: the file is not a certificate of another cluster.
+    """
+    own_name = _own_name(root)
+    certificate = _read_certificate(file)
+    names = certificate.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
     name = check_name(str(names[0].value)) if names else ""
-    if not name or name == own:
-        raise KeyFileError(f"{file}: {'names no cluster' if not name else 'is of this cluster itself'}")
-    path = root / "trusted" / name / f"{fingerprint(cert)[:16]}.pem"
-    _write(path, cert.public_bytes(serialization.Encoding.PEM))
+    if not name:
+        raise KeyFileError(f"{file}: names no cluster")
+    if name == own_name:
+        raise KeyFileError(f"{file}: is of this cluster itself")
+    path = root / "trusted" / name / f"{fingerprint(certificate)[:FILE_NAME_DIGITS]}.pem"
+    _write(path, certificate.public_bytes(serialization.Encoding.PEM))
     return path
 
 
 def revoke(root: Path, prefix: str) -> KeySummary:
-    """Believes a certificate no more, from the next connection on; named by the beginning of its fingerprint."""
-    found = [s for s in show(root, dt.datetime.now(dt.UTC)) if s.fingerprint.startswith(prefix.lower())]
-    if len(prefix) < 8 or len(found) != 1:
-        raise KeyFileError(f"{prefix!r} names {len(found)} certificates; give at least 8 digits of a fingerprint")
+    """Trust a certificate no more, from the next connection on.
+
+    Args:
+        root: the directory of keys.
+        prefix: the beginning of the certificate's fingerprint.
+
+    Raises:
+        KeyFileError: the prefix is too short, or does not name exactly one certificate.
+    """
+    certificates = show(root, dt.datetime.now(dt.UTC))
+    found = [summary for summary in certificates if summary.fingerprint.startswith(prefix.lower())]
+    if len(prefix) < MIN_FINGERPRINT_DIGITS or len(found) != 1:
+        advice = f"give at least {MIN_FINGERPRINT_DIGITS} digits of a fingerprint"
+        raise KeyFileError(f"{prefix!r} names {len(found)} certificates; {advice}")
     lines = sorted(revoked(root) | {found[0].fingerprint})
     _write(root / "revoked", "".join(f"{line}\n" for line in lines).encode())
     return found[0]
 
 
 def show(root: Path, now: dt.datetime) -> list[KeySummary]:
-    """All certificates there are, own ones first."""
-    name = _name(root)
+    """Return all certificates, this cluster's own ones first.
+
+    Raises:
+        KeyFileError: there are no keys, or a file is not a certificate.
+    """
+    own_name = _own_name(root)
     active = (root / "active").read_text().strip()
-    gone = revoked(root)
-    found = []
+    revoked_now = revoked(root)
+    summaries = []
     for path in sorted((root / "own").glob("*.pem")) + sorted((root / "trusted").glob("*/*.pem")):
-        cert = _read(path)
-        mine = path.parent.name == "own"
-        state = ("active" if path.stem == active else "ready") if mine else "trusted"
-        if cert.not_valid_after_utc <= now:
+        certificate = _read_certificate(path)
+        is_own = path.parent.name == "own"
+        state = ("active" if path.stem == active else "ready") if is_own else "trusted"
+        if certificate.not_valid_after_utc <= now:
             state = "expired"
-        if fingerprint(cert) in gone:
+        if fingerprint(certificate) in revoked_now:
             state = "revoked"
-        owner = name if mine else path.parent.name
-        found.append(KeySummary(owner, str(path.relative_to(root)), fingerprint(cert), cert.not_valid_after_utc, state))
-    return found
+        summary = KeySummary(
+            cluster=own_name if is_own else path.parent.name,
+            file=str(path.relative_to(root)),
+            fingerprint=fingerprint(certificate),
+            until=certificate.not_valid_after_utc,
+            state=state,
+        )
+        summaries.append(summary)
+    return summaries
