--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -263,10 +263,10 @@
         chosen = next(iter(gang.reservations), None)
         if chosen is None or job.allocations or not job.live or job.startable() != job.spec.tasks:
             self._release(gang)
-            self.move(gang, HomeState.WAITING, "no room elsewhere" if chosen is None else "it starts at home")
+            self.move(gang, HomeState.WAITING, "no capacity elsewhere" if chosen is None else "it starts at home")
             return
         gang.assignment = RemoteAssignment(chosen, gang.reservations[chosen])
-        self.move(gang, HomeState.DECIDING, f"{chosen} has room")
+        self.move(gang, HomeState.DECIDING, f"reserved by {chosen}")
         try:
             self._write(gang, gang.assignment)
         except (StoreError, FencedError) as error:
@@ -373,7 +373,7 @@
         self.move(gang, HomeState.OVER, "done")
 
     def _cancel(self, gang: RemoteGang) -> None:
-        """Record the cancellation; the user is told of it from here on, and not before."""
+        """Record the cancellation; only from here on its user gets it confirmed."""
         if not self.records.write_cancellation(gang.job):
             self._reread(gang)
             return
