--- /dev/null
+++ b/tests/federation/test_circuit_breaker.py
@@ -0,0 +1,42 @@
+"""The circuit breaker of a cluster: pauses, trial requests, and what ends them."""
+
+from __future__ import annotations
+
+import random
+
+from grebestand.federation.circuit_breaker import FAILURES, CircuitBreaker
+from grebestand.federation.state_machines import BreakerState
+from grebestand.simulation.single_controller_cluster import ManualClock
+
+
+def test_breaker_pauses_grow_until_a_request_succeeds() -> None:
+    clock = ManualClock()
+    breaker = CircuitBreaker("east", clock, random.Random(3))
+    pauses = []
+    for _ in range(4):
+        while breaker.allows_request():
+            breaker.record_failure("no answer")
+        begin = clock.now
+        while not breaker.allows_request():
+            clock.now += 0.1
+        pauses.append(clock.now - begin)
+        breaker.record_failure("no answer")
+    assert FAILURES > 1 and pauses[-1] > 2 * pauses[0] and breaker.state is BreakerState.OPEN
+    clock.now += 500.0
+    assert breaker.allows_request()
+    breaker.record_success()
+    assert breaker.state.name == "CLOSED"
+
+
+def test_breaker_allows_another_trial_if_the_first_was_never_sent() -> None:
+    """One question goes after a pause; the asker may find no budget for it, and then nobody was ever asked again."""
+    clock = ManualClock()
+    breaker = CircuitBreaker("east", clock, random.Random(3))
+    while breaker.allows_request():
+        breaker.record_failure("no answer")
+    clock.now += 10.0
+    assert breaker.allows_request() and not breaker.allows_request()
+    clock.now += 10.0
+    assert breaker.allows_request() and not breaker.allows_request()
+    breaker.record_success()
+    assert breaker.allows_request() and breaker.allows_request()
--- a/tests/federation/test_federation_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -39,16 +39,16 @@
     return str(file)
 
 
-def test_with_no_other_cluster_nothing_is_listened_to_and_gangs_stay_home(tmp_path: Path) -> None:
+def test_without_other_clusters_nothing_is_served_and_gangs_stay_home(tmp_path: Path) -> None:
     features = load([write(tmp_path, HEAD)], parse(SETTINGS))
     assert features.names == ["federation"] and not features.listeners
-    c = Clusters()
-    c.home.home.remotes.by_name.clear()
-    c.go(20)
-    assert not c.home.home.counts["offers"] and c.home.term.registry.jobs[c.gang].startable() == 3
+    clusters = Clusters()
+    clusters.home.home.remotes.by_name.clear()
+    clusters.go(20)
+    assert not clusters.home.home.counts["offers"] and clusters.home.term.registry.jobs[clusters.gang].startable() == 3
 
 
-def test_a_file_with_others_listens_on_the_link(tmp_path: Path) -> None:
+def test_settings_with_other_clusters_serve_the_link(tmp_path: Path) -> None:
     keys.create(tmp_path / "keys", "home", 2.0, NOW)
     features = load([write(tmp_path, HEAD + LINK)], parse(SETTINGS))
     (listener,) = features.listeners
@@ -72,7 +72,7 @@
         (HEAD + LINK, "keys: column 1: "),
     ],
 )
-def test_faults_name_file_key_and_column_and_end_with_two(
+def test_settings_fault_names_file_field_and_column_and_exits_with_2(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, fault: str
 ) -> None:
     file = write(tmp_path, text)
@@ -97,11 +97,11 @@
     return made
 
 
-def test_who_is_asked_first_follows_room_its_age_images_and_price(tmp_path: Path) -> None:
+def test_preference_follows_free_capacity_age_images_and_price(tmp_path: Path) -> None:
     f = federation(tmp_path)
-    c = Clusters()
-    f.term = c.home.term
-    job = c.home.term.registry.jobs[c.gang]
+    clusters = Clusters()
+    f.term = clusters.home.term
+    job = clusters.home.term.registry.jobs[clusters.gang]
     room = FreeCapacity(VERSION, 6, 16.0, 0.1, [])
 
     def worth(told: FreeCapacity, age: float) -> float:
@@ -117,55 +117,55 @@
     assert set(f.rest) == set(NAMES) and set(KEYS) >= {"prefer", "overflow_after_s"}
 
 
-def test_when_a_gang_is_offered_follows_the_operators_expression(tmp_path: Path) -> None:
+def test_overflow_time_follows_the_operators_expression(tmp_path: Path) -> None:
     f = federation(tmp_path, 'overflow_after_s = "20 if gang_size < 3 else 100 * (1 - zone_load) + gang_cpus"\n')
-    c = Clusters()
-    f.term = c.home.term
-    job = c.home.term.registry.jobs[c.gang]
+    clusters = Clusters()
+    f.term = clusters.home.term
+    job = clusters.home.term.registry.jobs[clusters.gang]
     load_now = 45.0 / 48.0  # of one zone; the other has no machines
-    assert f.overflow_after_s(job, c.clock.now) == pytest.approx(100 * (1 - load_now) + 45.0)
+    assert f.overflow_after_s(job, clusters.clock.now) == pytest.approx(100 * (1 - load_now) + 45.0)
 
 
-def test_the_cluster_with_room_is_asked_before_the_one_without() -> None:
-    c = Clusters("east", "west")
-    c.home.home.limits.max_clusters_at_once = 1
-    c.home.home.limits.overflow_after_s = lambda job, now: 15.0  # long enough for a look at who has room by then
-    c.east.world.accept(c.east.node, shards=4, cpus=15.0, rank="critical")
-    c.until(lambda: c.runs_in() is not None)
-    assert c.runs_in() == "west" and c.home.home.counts["offers"] == 1
+def test_cluster_with_capacity_is_asked_first() -> None:
+    clusters = Clusters("east", "west")
+    clusters.home.home.limits.max_clusters_at_once = 1
+    clusters.home.home.limits.overflow_after_s = lambda job, now: 15.0  # long enough for a look at who has room by then
+    clusters.east.world.accept(clusters.east.node, shards=4, cpus=15.0, rank="critical")
+    clusters.until(lambda: clusters.runs_in() is not None)
+    assert clusters.runs_in() == "west" and clusters.home.home.counts["offers"] == 1
 
 
-def test_a_cluster_of_another_version_is_offered_nothing() -> None:
-    c = Clusters()
-    look = c.east.guest._probe
+def test_cluster_of_another_version_is_offered_nothing() -> None:
+    clusters = Clusters()
+    look = clusters.east.guest._probe
 
     def newer(message: Probe) -> object:
         told = look(message)
         return msgspec.structs.replace(told, version=VERSION + 1) if isinstance(told, FreeCapacity) else told
 
-    c.east.guest._probe = newer  # type: ignore[method-assign, assignment]
-    c.go(30)
-    assert c.home.home.remotes.by_name["east"].incompatible and not c.home.home.counts["offers"]
-    c.east.guest._probe = look  # type: ignore[method-assign]
-    c.until(lambda: c.runs_in() == "east")
+    clusters.east.guest._probe = newer  # type: ignore[method-assign, assignment]
+    clusters.go(30)
+    assert clusters.home.home.remotes.by_name["east"].incompatible and not clusters.home.home.counts["offers"]
+    clusters.east.guest._probe = look  # type: ignore[method-assign]
+    clusters.until(lambda: clusters.runs_in() == "east")
 
 
-def test_guests_come_after_a_cluster_s_own_work_and_only_where_they_may_run() -> None:
-    c = Clusters()
-    guest = c.east.guest
-    asked = offer(c, rank="critical")
+def test_guest_gets_low_priority_and_only_suitable_machines() -> None:
+    clusters = Clusters()
+    guest = clusters.east.guest
+    asked = offer(clusters, rank="critical")
     guest.answer(asked)
     (kept,) = guest.reservations.by_id.values()
     assert kept.spec.priority is Priority.LOW and kept.spec.team == "blue"
-    assert guest.answer(offer(c, hulls=["m4"])) != Rejection(
+    assert guest.answer(offer(clusters, hulls=["m4"])) != Rejection(
         "none of the machine types that it may run on is known here"
     )
-    assert guest.answer(offer(c, hulls=["g8"])) == Rejection(
+    assert guest.answer(offer(clusters, hulls=["g8"])) == Rejection(
         "none of the machine types that it may run on is known here"
     )
-    assert guest.answer(offer(c, quay="a")) == Rejection("it may run in one zone of its home only")
-    bound = c.home.world.accept(c.home.node, shape="ensemble", shards=3, cpus=15.0, quay="a")
-    assert not c.home.home.offers.eligible(c.home.term.registry.jobs[bound], c.clock.now + 1000.0)
+    assert guest.answer(offer(clusters, quay="a")) == Rejection("it may run in one zone of its home only")
+    bound = clusters.home.world.accept(clusters.home.node, shape="ensemble", shards=3, cpus=15.0, quay="a")
+    assert not clusters.home.home.offers.eligible(clusters.home.term.registry.jobs[bound], clusters.clock.now + 1000.0)
     assert isinstance(guest.answer(Probe("stranger", VERSION)), Rejection)
     told = guest.answer(Probe("home", VERSION))
     assert isinstance(told, FreeCapacity) and told.free == 4 - sum(
@@ -173,66 +173,66 @@
     )
 
 
-def test_references_that_are_equal_in_two_clusters_do_not_meet() -> None:
+def test_equal_job_ids_in_two_clusters_do_not_collide() -> None:
     """The guest's job has a reference drawn there; its own job of the same name is another."""
-    c = Clusters()
-    own = c.east.world.accept(c.east.node, ref=c.gang, shards=1, cpus=1.0)
-    assert own == c.gang
-    c.until(lambda: c.runs_in() == "east")
-    (record,) = c.east.guest.records.values()
-    assert record.ref == c.gang != record.job and c.gang in c.east.term.registry.jobs
+    clusters = Clusters()
+    own = clusters.east.world.accept(clusters.east.node, ref=clusters.gang, shards=1, cpus=1.0)
+    assert own == clusters.gang
+    clusters.until(lambda: clusters.runs_in() == "east")
+    (record,) = clusters.east.guest.records.values()
+    assert record.ref == clusters.gang != record.job and clusters.gang in clusters.east.term.registry.jobs
 
 
 # settling -------------------------------------------------------------------------------------------------
 
 
-def test_what_operators_settle_comes_home_and_is_ended_there_if_the_cluster_comes_back() -> None:
-    c = Clusters()
-    c.until(lambda: c.runs_in() == "east")
-    wire = c.home.links["east"]
+def test_settled_gang_returns_home_and_ends_in_a_cluster_that_comes_back() -> None:
+    clusters = Clusters()
+    clusters.until(lambda: clusters.runs_in() == "east")
+    wire = clusters.home.links["east"]
     wire.drop = lambda m: "request"
-    for w in c.east.workers:  # they are off, as the operators have made sure
-        w.lapse()
-        w.reachable = False
-    c.go(int(QUIET_S) + 5)  # and have waited for longer than it would start anything unasked
-    (gang,) = remote_gangs(c.home.node.store, "east")
-    assert gang.ref == c.gang and not remote_gangs(c.home.node.store, "west")
-    assert settle(c.home.node.store, gang, "somebody") and not settle(c.home.node.store, gang, "somebody")
-    c.go(15)
-    assert c.home.term.registry.jobs[c.gang].startable() == 3 and c.home.home.settled.records
-    c.home.home.limits.overflow_after_s = lambda job, now: 1e9
-    c.finish(c.home)
-    c.until(lambda: c.runs_in() == "home")
+    for worker in clusters.east.workers:  # they are off, as the operators have made sure
+        worker.lapse()
+        worker.reachable = False
+    clusters.go(int(QUIET_S) + 5)  # and have waited for longer than it would start anything unasked
+    (gang,) = remote_gangs(clusters.home.node.store, "east")
+    assert gang.ref == clusters.gang and not remote_gangs(clusters.home.node.store, "west")
+    assert settle(clusters.home.node.store, gang, "somebody") and not settle(clusters.home.node.store, gang, "somebody")
+    clusters.go(15)
+    assert clusters.home.term.registry.jobs[clusters.gang].startable() == 3 and clusters.home.home.settled.records
+    clusters.home.home.limits.overflow_after_s = lambda job, now: 1e9
+    clusters.finish(clusters.home)
+    clusters.until(lambda: clusters.runs_in() == "home")
     # the cluster is back, with a record of a gang that it would start again
-    for w in c.east.workers:
-        w.reachable = True
+    for worker in clusters.east.workers:
+        worker.reachable = True
     wire.drop = lambda m: ""
-    assert c.east.guest.records
-    c.until(lambda: not c.home.home.settled.records, 200)
-    c.go(30)
-    assert c.runs_in() == "home" and not c.east.guest.records
-    assert not [k for k in c.home.world.store.data if k.startswith(PREFIX)]
+    assert clusters.east.guest.records
+    clusters.until(lambda: not clusters.home.home.settled.records, 200)
+    clusters.go(30)
+    assert clusters.runs_in() == "home" and not clusters.east.guest.records
+    assert not [k for k in clusters.home.world.store.data if k.startswith(PREFIX)]
 
 
-def test_settle_asks_for_a_sentence_and_changes_nothing_without_it(
+def test_settle_command_changes_nothing_without_confirmation(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    c = Clusters()
-    c.until(lambda: c.runs_in() == "east")
+    clusters = Clusters()
+    clusters.until(lambda: clusters.runs_in() == "east")
     config = tmp_path / "settings.toml"
     config.write_text(SETTINGS)
-    monkeypatch.setattr("grebestand.clients.http.HttpTransport", lambda *a, **k: c.home.world.store)
+    monkeypatch.setattr("grebestand.clients.http.HttpTransport", lambda *a, **k: clusters.home.world.store)
     command = ["federation", "settle", "--config", str(config), "--cluster", "east", "--confirm"]
     assert main([*command, "yes"]) == 1
-    assert len(remote_gangs(c.home.node.store, "east")) == 1
+    assert len(remote_gangs(clusters.home.node.store, "east")) == 1
     assert "it runs twice" in capsys.readouterr().out.replace("\n", " ")
     assert main([*command, "east is lost and runs nothing"]) == 0
-    assert f"{c.gang}: home again" in capsys.readouterr().out
+    assert f"{clusters.gang}: home again" in capsys.readouterr().out
     assert main(["federation", "settle", "--config", str(config), "--cluster", "east"]) == 0
     assert verbs.run.__module__.endswith("federation")
 
 
-def test_keys_from_the_command_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_keys_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     a, b = str(tmp_path / "a"), str(tmp_path / "b")
     for root, name in ((a, "home"), (b, "east")):
         assert main(["federation", "keys", "create", "--dir", root, "--cluster", name]) == 0
@@ -252,7 +252,7 @@
 # many clusters --------------------------------------------------------------------------------------------
 
 
-def test_more_clusters_cost_no_more_offers_for_each_gang() -> None:
+def test_offers_per_gang_do_not_grow_with_the_number_of_clusters() -> None:
     few, many = simulate(2, 1.0, 3, 150), simulate(8, 1.0, 3, 150)
     assert few.decided and many.decided
     assert many.offers / many.gangs <= 3 * max(1.0, few.offers / few.gangs)
@@ -287,18 +287,18 @@
 def test_an_abort_that_another_controller_was_asked_for_reaches_the_leader(tmp_path: Path) -> None:
     """Users reach any controller; only the leader's home can ask the other cluster to end a gang."""
     f = federation(tmp_path)
-    c = Clusters()
-    c.until(lambda: c.runs_in() == "east")
+    clusters = Clusters()
+    clusters.until(lambda: clusters.runs_in() == "east")
     follower = Process("node-1", None)
     f.take_host(follower)
-    f.recall(c.gang)
-    assert follower.asked == [(RECALL, c.gang.encode())]
+    f.recall(clusters.gang)
+    assert follower.asked == [(RECALL, clusters.gang.encode())]
     assert f.answer() is None  # and other clusters are told that it does not lead
-    leader = Process("node-0", c.home.term)
+    leader = Process("node-0", clusters.home.term)
     f.take_host(leader)
-    f.begin(c.home.term)
+    f.begin(clusters.home.term)
     assert f.home is not None and f.answer() is not None
-    f.take_recall(c.gang.encode())
-    assert f.home.gangs[c.gang].recalled and not leader.asked
+    f.take_recall(clusters.gang.encode())
+    assert f.home.gangs[clusters.gang].recalled and not leader.asked
     leader.term = None  # the term is over: nothing of it answers any more
     assert f.answer() is None
--- a/tests/federation/test_tls_link.py
+++ b/tests/federation/test_tls_link.py
@@ -80,7 +80,7 @@
     made.server.stop(timeout=0.1)
 
 
-def test_clusters_that_believe_each_other_talk_and_the_peer_is_who_its_certificate_says(two: Two) -> None:
+def test_peer_is_identified_by_its_certificate(two: Two) -> None:
     wire = two.wire()
     status, body = two.tell(wire)
     assert status == 200 and decode_reply(body) == Rejection("heard") and two.asked == [ASK]
@@ -89,7 +89,7 @@
     assert status == 403 and b"'west'" in body and len(two.asked) == 1
 
 
-def test_the_link_speaks_ipv6_where_the_address_is_one(tmp_path: Path) -> None:
+def test_link_works_over_ipv6(tmp_path: Path) -> None:
     """An address in brackets was once taken for a name: neither side could use it."""
     two = Two(tmp_path)
     gate = LinkAdmission(AllowedNetworks(["::1/128"]), two.ring, two.clock)
@@ -103,7 +103,7 @@
     two.server.stop(timeout=0.1)
 
 
-def test_keys_rotate_with_overlap_and_no_restart(two: Two) -> None:
+def test_keys_are_rotated_without_restart(two: Two) -> None:
     """Made, handed over, used, and only then the old one revoked; each step leaves a link that works."""
     old = next(s for s in keys.show(two.home, NOW) if s.state == "active")
     pem = keys.rotate(two.home, 2.0, NOW)
@@ -122,7 +122,7 @@
         two.tell(two.wire())
 
 
-def test_a_connection_that_outlives_its_keys_is_not_believed_any_more(two: Two) -> None:
+def test_open_connection_is_refused_after_its_certificate_is_revoked(two: Two) -> None:
     wire = two.wire()
     assert two.tell(wire)[0] == 200
     mark = next(s for s in keys.show(two.east, NOW) if s.cluster == "home")
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("case", ["expired", "unknown", "revoked"])
-def test_a_bad_certificate_is_refused_with_a_line_that_says_which(
+def test_refusal_of_a_certificate_is_logged_with_its_reason(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, case: str
 ) -> None:
     two = Two(tmp_path, NOW - dt.timedelta(days=30) if case == "expired" else NOW)
@@ -154,7 +154,7 @@
     two.server.stop(timeout=0.1)
 
 
-def test_who_is_outside_the_networks_is_refused_before_the_handshake(tmp_path: Path) -> None:
+def test_host_outside_the_networks_is_refused_before_the_handshake(tmp_path: Path) -> None:
     class Never:
         def accept_handshake(self, sock: Any, host: str) -> Any:
             raise AssertionError("a handshake was begun")
@@ -167,7 +167,7 @@
     server.stop(timeout=0.1)
 
 
-def test_networks_are_ipv4_and_ipv6_and_faults_name_what_is_wrong() -> None:
+def test_networks_of_ipv4_and_ipv6_and_their_faults() -> None:
     networks = AllowedNetworks(["10.2.0.0/16", "10.3.0.0/16", "fd00:2::/64", "192.0.2.7/32"])
     inside = ["10.2.255.1", "10.3.0.1", "192.0.2.7", "fd00:2::9", "::ffff:10.2.0.1", "fd00:2::1%eth0"]
     assert all(host in networks for host in inside)
@@ -178,7 +178,7 @@
             AllowedNetworks([text])
 
 
-def test_what_is_too_large_malformed_or_of_another_version_gets_a_clear_refusal(two: Two) -> None:
+def test_invalid_requests_are_refused_with_a_status(two: Two) -> None:
     wire = two.wire()
     assert two.tell(wire, b"x" * (MAX_MESSAGE_BYTES + 1))[0] == 413
     assert two.tell(two.wire(), b"\xc1")[0] == 400
@@ -251,7 +251,7 @@
         return Wire()
 
 
-def test_the_leader_is_found_remembered_and_found_again() -> None:
+def test_leader_is_found_remembered_and_found_again() -> None:
     f = Fake()
     assert f.link.tell(ASK) == Rejection("yes") and len(f.asked) <= 2
     f.asked.clear()
@@ -261,7 +261,7 @@
     assert f.link.tell(ASK) == Rejection("yes") and f.asked[0] == "b" and f.asked[-1] == "c"
 
 
-def test_a_cluster_that_does_not_answer_takes_a_bounded_time() -> None:
+def test_unanswered_message_takes_a_bounded_time() -> None:
     f = Fake()
     f.silent = {"a", "b", "c"}
     begin = f.clock.now
@@ -273,7 +273,7 @@
     )  # the leader itself is silent: nothing follows from the others' word
 
 
-def test_connections_are_made_anew_when_the_keys_have_changed() -> None:
+def test_connections_are_made_anew_after_keys_change() -> None:
     f = Fake()
     f.link.tell(ASK)
     before = f.opened
@@ -293,7 +293,7 @@
     return Empty()
 
 
-def test_an_answer_that_breaks_off_counts_as_none() -> None:
+def test_truncated_response_counts_as_unreachable() -> None:
     """Found by a rehearsal: the parser's error for half an answer came through and ended a leader's step."""
 
     def half(sock: Any, _: object) -> None:
@@ -308,7 +308,7 @@
     server.stop(timeout=0.1)
 
 
-def test_a_connection_that_breaks_while_it_is_answered_is_no_error(two: Two, capfd: pytest.CaptureFixture[str]) -> None:
+def test_connection_that_breaks_during_a_reply_logs_no_traceback(two: Two, capfd: pytest.CaptureFixture[str]) -> None:
     """A cut of the link once filled the log with traces."""
     broken = Event()
 
@@ -337,7 +337,7 @@
     return found
 
 
-def test_what_is_sent_again_is_bounded_by_what_is_sent_first() -> None:
+def test_retries_and_bytes_are_bounded() -> None:
     clock = ManualClock()
     retries = RetryBackoff(0.3, 1.0, clock)
     assert spent(retries.take_retry, clock, 60.0) <= 62
