--- a/src/grebestand/commands/rehearse.py
+++ b/src/grebestand/commands/rehearse.py
@@ -87,7 +87,8 @@
     import gevent
     import msgspec
 
-    from ..load_test.scale_run import ScaleRunPlan, rehearse
+    from ..load_test.scale_plan import ScaleRunPlan
+    from ..load_test.scale_run import rehearse
 
     if not (
         1 <= arguments.workers <= 10_000 and 2 <= arguments.controllers <= 20 and 1 <= arguments.teams <= 5_000
--- a/src/grebestand/load_test/part_process.py
+++ b/src/grebestand/load_test/part_process.py
@@ -1,4 +1,4 @@
-"""The parent's end of the processes of a scale run (`child`): started, told what to do, watched and ended."""
+"""The parent's side of the processes of a scale run (`child_process`): starts, commands, watches and ends them."""
 
 from __future__ import annotations
 
@@ -12,21 +12,35 @@
 from gevent import subprocess
 from gevent.event import AsyncResult
 
-#: a part comes up, does what it was told, or ends within so many seconds
-UP_S, DO_S, END_S = 20.0, 90.0, 3.0
+from .errors import ProcessEndedError, ProcessTimeoutError
+
+#: a process is up within this, in seconds
+UP_S = 20.0
+#: a process has executed a command within this, in seconds: users poll all accepted jobs at the end
+DO_S = 90.0
+#: a process ends by itself within this, in seconds, before it is killed
+END_S = 3.0
 
 
 class PartProcess:
     """The parent's side of a child process that plays one part of the run."""
 
     def __init__(self, name: str, role: str, config: object, root: Path) -> None:
+        """Start the process and send it its configuration.
+
+        Args:
+            name: the name of the process, and of its log.
+            role: what it plays, one of the roles of `child_process`.
+            config: the configuration of that role, sent as JSON.
+            root: the directory of the log.
+        """
         self.name = name
         self.log = root / f"{name}.log"
-        #: the last that it has counted
+        #: the last counters that it has sent
         self.counts: dict[str, Any] = {}
         self._ready: AsyncResult = AsyncResult()
-        self._answer: AsyncResult = AsyncResult()
-        environment = {**os.environ, "PYTHONPATH": os.pathsep.join(p for p in sys.path if p)}
+        self._response: AsyncResult = AsyncResult()
+        environment = {**os.environ, "PYTHONPATH": os.pathsep.join(path for path in sys.path if path)}
         command = [sys.executable, "-m", "grebestand.load_test.child_process", role]
         with open(self.log, "ab") as out:
             # a group of its own: an interrupt at the terminal is for the parent, which then ends it
@@ -42,8 +56,8 @@
         try:
             self._process.stdin.write(msgspec.json.encode(message) + b"\n")
             self._process.stdin.flush()
-        except (OSError, ValueError) as e:
-            raise RuntimeError(f"{self.name} has ended: {self.last_words()}") from e
+        except (OSError, ValueError) as error:
+            raise ProcessEndedError(self.name, self.last_words()) from error
 
     def _read(self) -> None:
         for line in self._process.stdout:
@@ -53,32 +67,46 @@
             elif "ready" in message:
                 self._ready.set(message["ready"])
             else:
-                self._answer.set(message)
-        error = RuntimeError(f"{self.name} has ended: {self.last_words()}")
+                self._response.set(message)
+        error = ProcessEndedError(self.name, self.last_words())
         self._ready.set_exception(error)
-        self._answer.set_exception(error)
+        self._response.set_exception(error)
 
     def ready(self) -> dict[str, str]:
-        """The addresses at which it is there."""
+        """Wait until the process is up, and return the addresses that it serves.
+
+        Raises:
+            ProcessEndedError: it has ended.
+            ProcessTimeoutError: it was not up in time.
+        """
         try:
-            found: dict[str, str] = self._ready.get(timeout=UP_S)
+            addresses: dict[str, str] = self._ready.get(timeout=UP_S)
         except gevent.Timeout:
-            raise RuntimeError(f"{self.name} did not come up: {self.last_words()}") from None
-        return found
+            raise ProcessTimeoutError(self.name, "come up", self.last_words()) from None
+        return addresses
 
     def tell(self, **message: object) -> None:
-        """Send a message to the child."""
+        """Send a message without waiting for a response.
+
+        Raises:
+            ProcessEndedError: the process has ended.
+        """
         self._write(message)
 
     def do(self, **message: object) -> dict[str, Any]:
-        """Has it do something, and waits until it says that it has."""
-        self._answer = AsyncResult()
+        """Send a command, and wait for its response.
+
+        Raises:
+            ProcessEndedError: the process has ended.
+            ProcessTimeoutError: it did not respond in time.
+        """
+        self._response = AsyncResult()
         self._write(message)
         try:
-            found: dict[str, Any] = self._answer.get(timeout=DO_S)
+            response: dict[str, Any] = self._response.get(timeout=DO_S)
         except gevent.Timeout:
-            raise RuntimeError(f"{self.name} did not {message['do']}: {self.last_words()}") from None
-        return found
+            raise ProcessTimeoutError(self.name, str(message["do"]), self.last_words()) from None
+        return response
 
     @property
     def alive(self) -> bool:
@@ -86,7 +114,7 @@
         return self._process.poll() is None
 
     def last_words(self) -> str:
-        """The last line of its log."""
+        """Return the last line of its log."""
         text = self.log.read_text("utf-8", "replace").strip() if self.log.exists() else ""
         return text.splitlines()[-1] if text else "nothing in its log"
 
--- a/tests/load_test/test_scale_run.py
+++ b/tests/load_test/test_scale_run.py
@@ -19,7 +19,9 @@
 from grebestand.load_test.gang_rendezvous import GangRendezvous, dial
 from grebestand.load_test.hollow_workers import HollowPlan, HollowProcess, Row
 from grebestand.load_test.scale_check import ScaleVerdict, check
-from grebestand.load_test.scale_run import ScaleRun, ScaleRunPlan, ScaleRunResult
+from grebestand.load_test.scale_plan import ScaleRunPlan
+from grebestand.load_test.scale_report import ScaleRunResult
+from grebestand.load_test.scale_run import ScaleRun
 from grebestand.load_test.scale_users import Draw, JobRow, LoadPlan
 from grebestand.simulation.single_controller_cluster import InMemoryCluster
 from grebestand.wire.jobs import Kind, decode_spec
