--- a/src/grebestand/load_test/child_process.py
+++ b/src/grebestand/load_test/child_process.py
@@ -1,4 +1,4 @@
-"""One part of a scale run as a process of its own: `python -m grebestand.rehearsal.child ROLE`.
+"""One part of a scale run as a process of its own: `python -m grebestand.load_test.child_process ROLE`.
 
 The parent writes lines of JSON to its standard input: first what to be, then what to do. It answers on its standard
 output: once "ready", each second its "counts", and "kept" when its history is in the file that it was given. When its
@@ -100,10 +100,12 @@
             meeting = GangRendezvous(msgspec.convert(config["types"], list[MachineType]))
             return meeting, {"cloud": meeting.cloud_address, "meeting": meeting.address}
         if self.role == "users":
-            from .scale_users import LoadPlan, LoadUsers
+            from .records import LoadPlan
+            from .scale_users import LoadUsers
 
             return LoadUsers(msgspec.convert(config, LoadPlan), self._line_ended), {}
-        from .hollow_workers import HollowPlan, HollowProcess
+        from .hollow_process import HollowProcess
+        from .records import HollowPlan
 
         return HollowProcess(msgspec.convert(config, HollowPlan), self._line_ended), {}
 
--- a/src/grebestand/load_test/figures.py
+++ b/src/grebestand/load_test/figures.py
@@ -12,8 +12,7 @@
 from itertools import pairwise
 from typing import Any
 
-from .hollow_workers import Row
-from .scale_users import JobRow
+from .records import JobRow, TaskRow
 
 #: a worker process is held against these: percent of a core, megabytes, bytes a second in both directions
 WORKER_LIMITS = {"cpu_percent": 1.9, "memory_mb": 64.0, "bytes_per_s": 3000.0}
@@ -150,12 +149,12 @@
     ]  # fmt: skip
 
 
-def starts(rows: Iterable[Row], begin: float, end: float) -> int:
+def starts(rows: Iterable[TaskRow], begin: float, end: float) -> int:
     """Tasks that began to run in this time."""
     return sum(r.what == "run" and begin <= r.at < end for r in rows)
 
 
-def urgent(rows: Iterable[Row], jobs: list[JobRow], end: float) -> dict[str, Any]:
+def urgent(rows: Iterable[TaskRow], jobs: list[JobRow], end: float) -> dict[str, Any]:
     """Seconds from the acceptance of urgent jobs until all of their tasks had begun; or until the end."""
     wanted = {j.id: j for j in jobs if j.urgent and j.accepted_at is not None}
     first: dict[str, dict[int, float]] = defaultdict(dict)
--- a/src/grebestand/load_test/scale_check.py
+++ b/src/grebestand/load_test/scale_check.py
@@ -9,8 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .hollow_workers import Row
-from .scale_users import JobRow
+from .records import JobRow, TaskRow
 
 #: amounts of CPUs that differ by less are equal
 CLOSE = 1e-6
@@ -33,7 +32,7 @@
         return not (self.twice or self.lost or self.over_quota)
 
 
-def check(rows: Iterable[Row], jobs: list[JobRow], limits: dict[str, float]) -> ScaleVerdict:
+def check(rows: Iterable[TaskRow], jobs: list[JobRow], limits: dict[str, float]) -> ScaleVerdict:
     """`limits`: CPUs that each team may use at a time."""
     verdict = ScaleVerdict()
     known = {j.id: j for j in jobs}
--- a/src/grebestand/load_test/scale_report.py
+++ b/src/grebestand/load_test/scale_report.py
@@ -12,10 +12,9 @@
 
 from . import figures
 from .figures import Sample
-from .hollow_workers import Row, Unserved
+from .records import JobRow, TaskRow, UnservedRequest
 from .scale_check import ScaleVerdict, check
 from .scale_plan import ScaleRunPlan
-from .scale_users import JobRow
 
 #: the name of the process of the one worker that does not share its process with others
 SINGLE_WORKER_PROCESS = "worker"
@@ -60,8 +59,8 @@
 class ScaleRunHistory:
     """What hollow workers and users have recorded, of all processes together."""
 
-    rows: list[Row] = field(default_factory=list)
-    unserved: list[Unserved] = field(default_factory=list)
+    rows: list[TaskRow] = field(default_factory=list)
+    unserved: list[UnservedRequest] = field(default_factory=list)
     #: when each answered heartbeat was sent, and for how long its worker waited for the answer, in seconds
     sent_at: list[float] = field(default_factory=list)
     waits: list[float] = field(default_factory=list)
@@ -201,11 +200,11 @@
         counts = [self.record.counts[name] for name in self.record.counts if name in self.record.worker_processes]
         return {name: sum(count["at"][name] for count in counts) for name in self.record.controllers}
 
-    def _unserved(self, *, while_killed: bool) -> list[Unserved]:
+    def _unserved(self, *, while_killed: bool) -> list[UnservedRequest]:
         """Return the connections without an answer, those at killed controllers or all others."""
         return [request for request in self.record.history.unserved if self._was_down(request) is while_killed]
 
-    def _was_down(self, request: Unserved) -> bool:
+    def _was_down(self, request: UnservedRequest) -> bool:
         """Return whether the run itself kept that controller down.
 
         A connection that was taken and then not answered is the controller's own failure.
@@ -263,7 +262,7 @@
         )
 
 
-def _count_kinds(requests: Iterable[Unserved]) -> dict[str, int]:
+def _count_kinds(requests: Iterable[UnservedRequest]) -> dict[str, int]:
     """Return how many connections stayed without an answer, by controller and kind."""
     counts: dict[str, int] = {}
     for request in requests:
--- a/src/grebestand/load_test/scale_run.py
+++ b/src/grebestand/load_test/scale_run.py
@@ -26,9 +26,9 @@
 from .connection import Connection, NoResponseError, Traffic
 from .errors import ControllersUnavailableError, MemoryLimitExceededError, ProcessEndedError
 from .figures import Sample
-from .hollow_workers import HollowPlan, KeptRecords
 from .part_process import UP_S, PartProcess
 from .procfs import sockets, usage
+from .records import HollowPlan, KeptRecords, LoadPlan, PollRecord
 from .scale_plan import MACHINE_CPUS, MACHINE_TYPE, POLICY, ZONES, ScaleRunPlan
 from .scale_report import (
     RESTART_DELAY_S,
@@ -41,7 +41,6 @@
     ScaleRunResult,
 )
 from .scale_summary import ScaleSummary, find_machine_limits
-from .scale_users import LoadPlan, PollRecord
 
 Records = TypeVar("Records", KeptRecords, PollRecord)
 #: a machine of a hollow worker: name, loopback host, zone
--- a/tests/load_test/test_scale_run.py
+++ b/tests/load_test/test_scale_run.py
@@ -17,12 +17,13 @@
 from grebestand.load_test.connection import Connection, NoResponseError, Traffic, answer
 from grebestand.load_test.figures import quantile, urgent
 from grebestand.load_test.gang_rendezvous import GangRendezvous, dial
-from grebestand.load_test.hollow_workers import HollowPlan, HollowProcess, Row
+from grebestand.load_test.hollow_process import HollowProcess
+from grebestand.load_test.job_generator import JobGenerator
+from grebestand.load_test.records import HollowPlan, JobRow, LoadPlan, TaskRow
 from grebestand.load_test.scale_check import ScaleVerdict, check
 from grebestand.load_test.scale_plan import ScaleRunPlan
 from grebestand.load_test.scale_report import ScaleRunResult
 from grebestand.load_test.scale_run import ScaleRun
-from grebestand.load_test.scale_users import Draw, JobRow, LoadPlan
 from grebestand.simulation.single_controller_cluster import InMemoryCluster
 from grebestand.wire.jobs import Kind, decode_spec
 
@@ -35,9 +36,9 @@
     return msgspec.structs.replace(row, **more)
 
 
-def rows(*steps: tuple[float, str, int, str]) -> list[Row]:
+def rows(*steps: tuple[float, str, int, str]) -> list[TaskRow]:
     """(when, what, task, machine) of j-1."""
-    return [Row(at, what, "j-1", i, 1, m, "done" if what == "off" else "") for at, what, i, m in steps]
+    return [TaskRow(at, what, "j-1", i, 1, m, "done" if what == "off" else "") for at, what, i, m in steps]
 
 
 GOOD = rows((1, "on", 0, "m0"), (1, "on", 1, "m1"), (3, "off", 0, "m0"), (3, "off", 1, "m1"))
@@ -65,10 +66,12 @@
         (GOOD, [job(), job("j-2", done=False, last="0")], (0, 1, 0), "neither done nor known at the end"),
         (GOOD[:3], [job()], (0, 1, 0), "called done, and 1 of 2 tasks are"),
         (GOOD, [job(), job("j-2", wrong="was done and is running")], (0, 1, 0), "was done and is running"),
-        ([*GOOD, Row(4, "on", "j-9", 0, 1, "m0")], [job()], (0, 1, 0), "nobody has submitted it"),
+        ([*GOOD, TaskRow(4, "on", "j-9", 0, 1, "m0")], [job()], (0, 1, 0), "nobody has submitted it"),
     ],
 )  # fmt: skip
-def test_each_break_is_found(found: list[Row], jobs: list[JobRow], counts: tuple[int, int, int], fault: str) -> None:
+def test_each_break_is_found(
+    found: list[TaskRow], jobs: list[JobRow], counts: tuple[int, int, int], fault: str
+) -> None:
     verdict = check(found, jobs, LIMITS)
     assert (verdict.twice, verdict.lost, verdict.over_quota) == counts and not verdict.good
     assert any(fault in f for f in verdict.faults)
@@ -89,7 +92,11 @@
 
 
 def test_urgent_waits_count_until_the_last_task_runs_and_to_the_end_if_one_never_does() -> None:
-    found = [Row(1.1, "run", "j-1", 0, 1, "m0"), Row(2.1, "run", "j-1", 1, 1, "m1"), Row(5.0, "run", "j-1", 1, 2, "m2")]
+    found = [
+        TaskRow(1.1, "run", "j-1", 0, 1, "m0"),
+        TaskRow(2.1, "run", "j-1", 1, 1, "m1"),
+        TaskRow(5.0, "run", "j-1", 1, 2, "m2"),
+    ]
     told = urgent(found, [job(urgent=True), job("j-2", urgent=True, tasks=1)], 10.1)
     assert told["never"] == 1
     assert told["by_size"]["2-16"]["max"] == pytest.approx(2.0)
@@ -100,9 +107,9 @@
 def test_the_load_is_drawn_from_the_seed_and_every_gang_is_allowed_by_its_team() -> None:
     def drawn(seed: int) -> list[str]:
         plan = LoadPlan({}, "", {"red": 16.0, "blue": 64.0}, 100.0, 1.0, (8.0, 12.0), 512, seed)
-        draw, found = Draw(plan), []
+        generator, found = JobGenerator(plan), []
         for i in range(200):
-            spec, row = draw.job(i % 5 == 0)
+            spec, row = generator.next_job(urgent=i % 5 == 0)
             assert spec.kind is not Kind.GANG or spec.tasks <= plan.teams[spec.team]
             assert (row.tasks, row.team, row.gang) == (spec.tasks, spec.team, spec.kind is Kind.GANG)
             found.append(f"{spec.team} {spec.kind} {spec.tasks}")
