--- a/src/grebestand/commands/rehearse.py
+++ b/src/grebestand/commands/rehearse.py
@@ -142,7 +142,8 @@
 def _rehearse(arguments: argparse.Namespace) -> int:
     if arguments.name == "scale":
         return _scale(arguments)
-    from ..fault_test.federation import FaultTestPlan, rehearse
+    from ..fault_test.federation import rehearse
+    from ..fault_test.federation_plan import FaultTestPlan
     from ..fault_test.history import write
 
     most = 50 if arguments.name == "clusters" else 4
