--- a/src/grebestand/fault_test/history.py
+++ b/src/grebestand/fault_test/history.py
@@ -8,17 +8,35 @@
 from typing import Any
 
 from ..emulators.task_execution import TaskEvent
+from ..errors import GrebestandError
 
+#: the version of the files' columns and metadata
 FORMAT = "1"
 
 
-class HistoryFileError(ValueError):
-    """One line that names the file and what is wrong with it."""
+class HistoryFileError(GrebestandError, ValueError):
+    """A file is not a history.
+
+    Attributes:
+        path: the file.
+        reason: what is wrong with it.
+    """
+
+    def __init__(self, path: Path, reason: str) -> None:
+        self.path = path
+        self.reason = reason
+        super().__init__(f"{path}: {reason}")
 
 
 @dataclass
 class History:
-    """What happened, and what it has to be held against."""
+    """What happened in a run.
+
+    Attributes:
+        cancel_s: a cancelled gang has left its machines after so many seconds.
+        rows: what tasks and users saw.
+        about: what the run was: its seed and the number of its clusters.
+    """
 
     cancel_s: float
     rows: list[TaskEvent] = field(default_factory=list)
@@ -34,27 +52,33 @@
     import pyarrow as pa
     import pyarrow.parquet as pq
 
-    columns = {f.name: [asdict(r)[f.name] for r in history.rows] for f in fields(TaskEvent)}
+    rows = [asdict(row) for row in history.rows]
+    columns = {column.name: [row[column.name] for row in rows] for column in fields(TaskEvent)}
     types = {"at": pa.float64(), "task": pa.int32(), "tasks": pa.int32(), "attempt": pa.int64()}
     schema = pa.schema(
-        [(f.name, types.get(f.name, pa.string())) for f in fields(TaskEvent)],
+        [(column.name, types.get(column.name, pa.string())) for column in fields(TaskEvent)],
         metadata={"format": FORMAT, "cancel_s": repr(history.cancel_s), "about": json.dumps(history.about)},
     )
     pq.write_table(pa.table(columns, schema=schema), path, compression="zstd")
 
 
 def read(path: Path) -> History:
-    """Read a history from a Parquet file; raise `HistoryFileError` if it is not one."""
+    """Read a history from a Parquet file.
+
+    Raises:
+        HistoryFileError: the file cannot be read, or is not a history of this version.
+    """
     import pyarrow as pa
     import pyarrow.parquet as pq
 
     try:
         table = pq.read_table(path)
-    except (OSError, pa.ArrowInvalid) as e:
-        raise HistoryFileError(f"{path}: not a history: {str(e).splitlines()[0]}") from e
-    meta = {k.decode(): v.decode() for k, v in (table.schema.metadata or {}).items()}
-    wanted = {f.name for f in fields(TaskEvent)}
-    if meta.get("format") != FORMAT or not wanted <= set(table.column_names):
-        raise HistoryFileError(f"{path}: not a history of this version ({meta.get('format', 'no format named')})")
-    rows = [TaskEvent(**{k: r[k] for k in wanted}) for r in table.to_pylist()]
-    return History(float(meta["cancel_s"]), rows, json.loads(meta["about"]))
+    except (OSError, pa.ArrowInvalid) as error:
+        raise HistoryFileError(path, f"not a history: {str(error).splitlines()[0]}") from error
+    metadata = {key.decode(): value.decode() for key, value in (table.schema.metadata or {}).items()}
+    columns = {column.name for column in fields(TaskEvent)}
+    if metadata.get("format") != FORMAT or not columns <= set(table.column_names):
+        found = metadata.get("format", "no format named")
+        raise HistoryFileError(path, f"not a history of this version ({found})")
+    rows = [TaskEvent(**{name: row[name] for name in columns}) for row in table.to_pylist()]
+    return History(float(metadata["cancel_s"]), rows, json.loads(metadata["about"]))
