--- a/src/grebestand/load_test/connection.py
+++ b/src/grebestand/load_test/connection.py
@@ -11,17 +11,33 @@
 
 from gevent import socket
 
-#: what one read takes at the most, and the largest headers that are read, in bytes
-READ_BYTES, HEAD_BYTES = 65536, 16384
+from ..errors import GrebestandError
+
+#: one read takes at most this, in bytes
+READ_BYTES = 65536
+#: the largest headers that are read, in bytes
+HEAD_BYTES = 16384
+HEAD_END = b"\r\n\r\n"
+RETRY_AFTER = b"\r\nRetry-After:"
+#: a socket's timeout must not be 0, which means that it does not block
+LEAST_TIMEOUT_S = 0.01
+#: the other end of a connection may be idle for this long, in seconds
+IDLE_TIMEOUT_S = 30.0
 REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 409: "Conflict", 421: "Misdirected Request"}
 
 
-class NoResponseError(Exception):
-    """Nothing that can be read came back. `kind`: refused, reset, timeout or unreadable."""
+class NoResponseError(GrebestandError):
+    """No response came that can be read.
 
-    def __init__(self, kind: str, text: str = "") -> None:
-        super().__init__(f"{kind}: {text}" if text else kind)
+    Attributes:
+        kind: refused, reset, timeout or unreadable.
+        reason: what the operating system or the parser says.
+    """
+
+    def __init__(self, kind: str, reason: str = "") -> None:
         self.kind = kind
+        self.reason = reason
+        super().__init__(f"{kind}: {reason}" if reason else kind)
 
 
 @dataclass
@@ -35,8 +51,8 @@
     unreadable: int = 0
 
 
-def _head(data: bytes) -> tuple[str, int, bool]:
-    """The first line, the body's length and whether the connection is closed after it."""
+def _parse_head(data: bytes) -> tuple[str, int, bool]:
+    """Return the first line, the length of the body, and whether the connection is closed after it."""
     lines = data.decode("latin-1").split("\r\n")
     length, close = 0, False
     for line in lines[1:]:
@@ -52,12 +68,12 @@
 
 
 class Connection:
-    """The asking end."""
+    """The client's end of a persistent connection."""
 
     def __init__(self, address: str, traffic: Traffic) -> None:
         self.address = address
         self.traffic = traffic
-        #: no answer has come over the connection that is open, or is to be opened
+        #: whether no response has come yet over the connection that is open, or is to be opened
         self.fresh = True
         self._socket: socket.socket | None = None
         self._rest = b""
@@ -68,19 +84,26 @@
             self._socket.close()
         self._socket, self._rest, self.fresh = None, b"", True
 
-    def ask(self, method: str, path: str, body: bytes, within_s: float) -> tuple[int, bytes, float]:
-        """Status, body and what `Retry-After` says, in seconds; raises `NoResponseError`, and closes then."""
-        end = time.monotonic() + within_s
+    def ask(self, method: str, path: str, body: bytes, timeout_s: float) -> tuple[int, bytes, float]:
+        """Send a request and wait for the response.
+
+        Returns:
+            Status, body, and the seconds of `Retry-After`, 0 without that header.
+
+        Raises:
+            NoResponseError: no response came that can be read; the connection is closed.
+        """
+        deadline = time.monotonic() + timeout_s
         try:
-            return self._ask(method, path, body, end)
-        except ConnectionRefusedError as e:
-            raise self._failed("refused", e) from e
-        except TimeoutError as e:
-            raise self._failed("timeout", e) from e
-        except OSError as e:
-            raise self._failed("reset", e) from e
-        except ValueError as e:
-            raise self._failed("unreadable", e) from e
+            return self._ask(method, path, body, deadline)
+        except ConnectionRefusedError as error:
+            raise self._failed("refused", error) from error
+        except TimeoutError as error:
+            raise self._failed("timeout", error) from error
+        except OSError as error:
+            raise self._failed("reset", error) from error
+        except ValueError as error:
+            raise self._failed("unreadable", error) from error
 
     def _failed(self, kind: str, error: Exception) -> NoResponseError:
         if self._socket is not None:
@@ -88,42 +111,50 @@
         self._socket, self._rest = None, b""
         return NoResponseError(kind, str(error))
 
-    def _ask(self, method: str, path: str, body: bytes, end: float) -> tuple[int, bytes, float]:
-        if self._socket is None:
-            self.fresh = True
-            host, _, port = self.address.rpartition(":")
-            self._socket = socket.create_connection((host, int(port)), timeout=max(0.01, end - time.monotonic()))
-        sock = self._socket
+    def _ask(self, method: str, path: str, body: bytes, deadline: float) -> tuple[int, bytes, float]:
+        sock = self._socket if self._socket is not None else self._connect(deadline)
         head = f"{method} {path} HTTP/1.1\r\nHost: {self.address}\r\nContent-Type: application/json\r\n"
         request = f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
-        sock.settimeout(max(0.01, end - time.monotonic()))
+        sock.settimeout(max(LEAST_TIMEOUT_S, deadline - time.monotonic()))
         sock.sendall(request)
         self.traffic.sent += len(request)
+        return self._read_response(sock, deadline)
+
+    def _connect(self, deadline: float) -> socket.socket:
+        self.fresh = True
+        host, _, port = self.address.rpartition(":")
+        timeout_s = max(LEAST_TIMEOUT_S, deadline - time.monotonic())
+        self._socket = socket.create_connection((host, int(port)), timeout=timeout_s)
+        return self._socket
+
+    def _read_response(self, sock: socket.socket, deadline: float) -> tuple[int, bytes, float]:
         data = self._rest
-        while (at := data.find(b"\r\n\r\n")) < 0:
-            data += self._read(sock, end)
+        while (head_end := data.find(HEAD_END)) < 0:
+            data += self._read(sock, deadline)
             if len(data) > HEAD_BYTES + READ_BYTES:
                 raise ValueError("headers too large")
-        first, length, close = _head(data[:at])
+        head = data[:head_end]
+        status_line, length, close = _parse_head(head)
         retry_s = 0.0
-        if b"\r\nRetry-After:" in data[:at]:
-            retry_s = float(data[:at].partition(b"\r\nRetry-After:")[2].partition(b"\r\n")[0])
-        while len(data) < at + 4 + length:
-            data += self._read(sock, end)
-        self._rest = data[at + 4 + length :]
+        if RETRY_AFTER in head:
+            retry_s = float(head.partition(RETRY_AFTER)[2].partition(b"\r\n")[0])
+        body_begin = head_end + len(HEAD_END)
+        while len(data) < body_begin + length:
+            data += self._read(sock, deadline)
+        self._rest = data[body_begin + length :]
         self.traffic.messages += 1
-        status = int(first.split(" ")[1])
-        answer = data[at + 4 : at + 4 + length]
+        status = int(status_line.split(" ")[1])
+        body = data[body_begin : body_begin + length]
         self.fresh = False
         if close:
             self.close()
-        return status, answer, retry_s
+        return status, body, retry_s
 
-    def _read(self, sock: socket.socket, end: float) -> bytes:
-        left = end - time.monotonic()
-        if left <= 0:
+    def _read(self, sock: socket.socket, deadline: float) -> bytes:
+        remaining_s = deadline - time.monotonic()
+        if remaining_s <= 0:
             raise TimeoutError("no answer in time")
-        sock.settimeout(left)
+        sock.settimeout(remaining_s)
         data = bytes(sock.recv(READ_BYTES))
         if not data:
             raise ConnectionResetError("closed by the other end")
@@ -135,27 +166,34 @@
 
 
 def answer(sock: socket.socket, handle: Answerer, traffic: Traffic) -> None:
-    """The answering end, until the other end closes; a request that cannot be read ends it."""
+    """Serve one connection until the other end closes it; a request that cannot be read ends it as well.
+
+    Args:
+        sock: the connection, which is closed at the end.
+        handle: returns status and body for method, path and body.
+        traffic: counts requests and responses.
+    """
     data = b""
     try:
-        sock.settimeout(30.0)
+        sock.settimeout(IDLE_TIMEOUT_S)
         while True:
-            while (at := data.find(b"\r\n\r\n")) < 0:
+            while (head_end := data.find(HEAD_END)) < 0:
                 more = sock.recv(READ_BYTES)
                 if not more or len(data) > HEAD_BYTES:
                     return
                 data += more
-            first, length, close = _head(data[:at])
-            while len(data) < at + 4 + length:
+            request_line, length, close = _parse_head(data[:head_end])
+            body_begin = head_end + len(HEAD_END)
+            while len(data) < body_begin + length:
                 more = sock.recv(READ_BYTES)
                 if not more:
                     return
                 data += more
-            traffic.received += at + 4 + length
+            traffic.received += body_begin + length
             traffic.messages += 1
-            method, path, _ = first.split(" ", 2)
-            status, body = handle(method, path, data[at + 4 : at + 4 + length])
-            data = data[at + 4 + length :]
+            method, path, _ = request_line.split(" ", 2)
+            status, body = handle(method, path, data[body_begin : body_begin + length])
+            data = data[body_begin + length :]
             head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: application/json\r\n"
             response = f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
             sock.sendall(response)
--- a/src/grebestand/load_test/procfs.py
+++ b/src/grebestand/load_test/procfs.py
@@ -1,4 +1,4 @@
-"""What the kernel says of a process: processor time, resident memory, sockets. Linux's `/proc`."""
+"""The resources that a process uses, as Linux's `/proc` has them: processor time, resident memory, sockets."""
 
 from __future__ import annotations
 
@@ -6,8 +6,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 2**20
+#: fields of `/proc/PID/stat` behind the process's name: ticks in user and in kernel mode, and resident pages
+_USER_TICKS, _KERNEL_TICKS, _RESIDENT_PAGES = 11, 12, 21
 
 
 @dataclass(frozen=True)
@@ -19,17 +21,18 @@
 
 
 def usage(pid: int) -> Usage | None:
-    """None: the process is gone."""
+    """Return what a process uses, or None if it is gone."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
         return None
-    fields = stat.rpartition(")")[2].split()
-    return Usage((int(fields[11]) + int(fields[12])) / _TICKS, int(fields[21]) * _PAGE_MB)
+    fields = stat.rpartition(")")[2].split()  # the name may have spaces and parentheses
+    ticks = int(fields[_USER_TICKS]) + int(fields[_KERNEL_TICKS])
+    return Usage(cpu_s=ticks / _TICKS_PER_S, memory_mb=int(fields[_RESIDENT_PAGES]) * _PAGE_MB)
 
 
 def sockets(pid: int) -> int:
-    """Open sockets; 0 if the process is gone."""
+    """Return the number of open sockets, 0 if the process is gone."""
     count = 0
     try:
         for name in os.listdir(f"/proc/{pid}/fd"):
