--- a/src/grebestand/load_test/figures.py
+++ b/src/grebestand/load_test/figures.py
@@ -1,6 +1,6 @@
 """Figures of a scale run: what each role used between two samples, and distributions of waits.
 
-Samples are taken about once a second. A controller's part in an interval counts for the role that it had in it.
+Samples are taken about once a second. What a controller uses in an interval counts for the role that it had in it.
 """
 
 from __future__ import annotations
@@ -14,8 +14,9 @@
 
 from .records import JobRow, TaskRow
 
-#: a worker process is held against these: percent of a core, megabytes, bytes a second in both directions
+#: the objectives of a worker process: percent of a core, megabytes, bytes a second in both directions
 WORKER_LIMITS = {"cpu_percent": 1.9, "memory_mb": 64.0, "bytes_per_s": 3000.0}
+#: groups of urgent jobs: at least and at most so many tasks
 SIZES = ((1, 1), (2, 16), (17, 64), (65, 128))
 #: how reports are answered that were answered at all
 STATUSES = ("200", "421", "503")
@@ -37,13 +38,13 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float | None:
-    """The least value that so large a share does not exceed."""
-    found = sorted(values)
-    return found[max(0, math.ceil(share * len(found)) - 1)] if found else None
+    """Return the least value that so large a share does not exceed, None without values."""
+    ordered = sorted(values)
+    return ordered[max(0, math.ceil(share * len(ordered)) - 1)] if ordered else None
 
 
 def spread(values: Sequence[float]) -> dict[str, float | None]:
-    """Seconds."""
+    """Return count, quantiles and maximum of values, in the unit of these."""
     return {
         "count": float(len(values)), "p50": quantile(values, 0.5), "p95": quantile(values, 0.95),
         "p99": quantile(values, 0.99), "max": max(values, default=None),
@@ -51,19 +52,20 @@
 
 
 def answers(counts: Iterable[dict[str, Any]]) -> dict[str, dict[str, int]]:
-    """Of each controller, how reports were answered, over all hollow processes."""
+    """Return how heartbeats were answered by each controller, over all processes of hollow workers."""
     total: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
-    for c in counts:
-        for name, found in c.get("answers", {}).items():
-            for status, n in found.items():
-                total[name][status] += n
-    return {n: dict(f) for n, f in total.items()}
+    for count in counts:
+        for name, by_status in count.get("answers", {}).items():
+            for status, number in by_status.items():
+                total[name][status] += number
+    return {name: dict(by_status) for name, by_status in total.items()}
 
 
-def _rate(a: Sample, b: Sample, part: str, key: str) -> float:
-    first, last = a.counts.get(part, {}), b.counts.get(part, {})
-    seconds = last.get("at_s", 0.0) - first.get("at_s", 0.0)
-    return float(last.get(key, 0) - first.get(key, 0)) / seconds if seconds > 0 else 0.0
+def _rate(first: Sample, last: Sample, part: str, key: str) -> float:
+    """Return how fast a process's counter grows, by the process's own times of counting."""
+    before, after = first.counts.get(part, {}), last.counts.get(part, {})
+    seconds = after.get("at_s", 0.0) - before.get("at_s", 0.0)
+    return float(after.get(key, 0) - before.get(key, 0)) / seconds if seconds > 0 else 0.0
 
 
 def _reports(a: Sample, b: Sample, name: str) -> dict[str, float]:
@@ -75,69 +77,114 @@
     return found
 
 
+@dataclass
+class _RoleUse:
+    """What one role used over the intervals in which a process had it."""
+
+    cpu_s: float = 0.0
+    #: the seconds of all intervals, added up over the processes of the role
+    seconds: float = 0.0
+    cpu_share_max: float = 0.0
+    memory_mb: float = 0.0
+    sockets: int = 0
+    #: heartbeats by how they were answered, and bytes of heartbeats and responses; of controllers only
+    reports: dict[str, float] = field(default_factory=lambda: defaultdict(float))
+    report_bytes: float = 0.0
+
+    def figures(self) -> dict[str, Any]:
+        """Return means and maxima."""
+        return {
+            "cpu_share": self.cpu_s / self.seconds,
+            "cpu_share_max": self.cpu_share_max,
+            "memory_mb": self.memory_mb,
+            "sockets": self.sockets,
+        }
+
+    def controller_figures(self) -> dict[str, Any]:
+        """Return the rates of heartbeats of a controller's role."""
+        answered = sum(count for status, count in self.reports.items() if status != "none")
+        return {
+            "reports_per_s": {status: count / self.seconds for status, count in self.reports.items()},
+            "messages_per_s": answered / self.seconds,
+            "bytes_per_s": self.report_bytes / self.seconds,
+        }
+
+
 def window(samples: list[Sample], controllers: list[str], hollow: list[str]) -> dict[str, Any]:
-    """What each role used in the mean: shares of a core, MB, sockets at the most, messages and bytes a second."""
+    """Return what each role used between the first and the last sample.
+
+    Args:
+        samples: at least two, or there is nothing to return.
+        controllers: the names of the controllers.
+        hollow: the names of the processes of hollow workers.
+
+    Returns:
+        Shares of a core, megabytes, most sockets, and messages and bytes a second, by role.
+    """
     if len(samples) < 2:
         return {}
     first, last = samples[0], samples[-1]
-    cpu: dict[str, float] = defaultdict(float)
-    lived: dict[str, float] = defaultdict(float)
-    memory: dict[str, float] = defaultdict(float)
-    sockets: dict[str, int] = defaultdict(int)
-    highest: dict[str, float] = defaultdict(float)
-    reports: dict[str, dict[str, float]] = defaultdict(lambda: defaultdict(float))
-    report_bytes: dict[str, float] = defaultdict(float)
-    for a, b in pairwise(samples):
-        seconds = b.at - a.at
-        for name in b.cpu_s:
-            used = b.cpu_s[name] - a.cpu_s.get(name, 0.0)
-            if name not in a.cpu_s or used < 0:
-                continue  # it began in this interval
-            role = name if name not in controllers else "leader" if name == a.leader == b.leader else "answering"
-            cpu[role] += used
-            lived[role] += seconds
-            highest[role] = max(highest[role], used / seconds)
-            memory[role] = max(memory[role], b.memory_mb[name])
-            sockets[role] = max(sockets[role], b.sockets.get(name, 0))
-            if name in controllers:
-                for status, rate in _reports(a, b, name).items():
-                    reports[role][status] += rate * seconds
-                report_bytes[role] += b.bytes_at.get(name, 0) - a.bytes_at.get(name, 0)
-    roles: dict[str, dict[str, Any]] = {}
-    for role in cpu:
-        roles[role] = {
-            "cpu_share": cpu[role] / lived[role], "cpu_share_max": highest[role], "memory_mb": memory[role],
-            "sockets": sockets[role],
-        }  # fmt: skip
-        if role in ("leader", "answering"):
-            roles[role]["reports_per_s"] = {s: n / lived[role] for s, n in reports[role].items()}
-            roles[role]["messages_per_s"] = sum(n for s, n in reports[role].items() if s != "none") / lived[role]
-            roles[role]["bytes_per_s"] = report_bytes[role] / lived[role]
+    uses: dict[str, _RoleUse] = defaultdict(_RoleUse)
+    for before, after in pairwise(samples):
+        _add_interval(uses, before, after, controllers)
+    roles = {role: use.figures() for role, use in uses.items()}
+    for role in ("leader", "answering"):
+        if role in roles:
+            roles[role] |= uses[role].controller_figures()
+    _add_own_counts(roles, first, last, hollow)
+    seconds = last.at - first.at
+    by_controller = {name: _reports(first, last, name) for name in controllers}
+    return {
+        "seconds": seconds,
+        "roles": roles,
+        "reports_per_s": sum(sum(use.reports.values()) for use in uses.values()) / seconds,
+        "answered_by": {name: sum(rates[status] for status in STATUSES) for name, rates in by_controller.items()},
+        "report_bytes_per_s": sum(roles[name]["bytes_per_s"] for name in hollow if name in roles),
+    }
+
+
+def _add_interval(uses: dict[str, _RoleUse], before: Sample, after: Sample, controllers: list[str]) -> None:
+    """Add what each process used between two samples to its role."""
+    seconds = after.at - before.at
+    for name in after.cpu_s:
+        used_s = after.cpu_s[name] - before.cpu_s.get(name, 0.0)
+        if name not in before.cpu_s or used_s < 0:
+            continue  # it began in this interval
+        use = uses[_role(name, before, after, controllers)]
+        use.cpu_s += used_s
+        use.seconds += seconds
+        use.cpu_share_max = max(use.cpu_share_max, used_s / seconds)
+        use.memory_mb = max(use.memory_mb, after.memory_mb[name])
+        use.sockets = max(use.sockets, after.sockets.get(name, 0))
+        if name in controllers:
+            for status, rate in _reports(before, after, name).items():
+                use.reports[status] += rate * seconds
+            use.report_bytes += after.bytes_at.get(name, 0) - before.bytes_at.get(name, 0)
+
+
+def _role(name: str, before: Sample, after: Sample, controllers: list[str]) -> str:
+    if name not in controllers:
+        return name
+    return "leader" if name == before.leader == after.leader else "answering"
+
+
+def _add_own_counts(roles: dict[str, dict[str, Any]], first: Sample, last: Sample, hollow: list[str]) -> None:
+    """Add rates of what processes have counted themselves."""
     for name in (*hollow, "worker", "users"):
         if name in roles:
             roles[name]["messages_per_s"] = _rate(first, last, name, "messages")
             roles[name]["bytes_per_s"] = _rate(first, last, name, "sent") + _rate(first, last, name, "received")
     if "state" in roles:
         roles["state"]["messages_per_s"] = _rate(first, last, "state", "requests")
-        roles["state"]["bytes_per_s"] = _rate(first, last, "state", "bytes")
-        roles["state"]["writes_per_s"] = _rate(first, last, "state", "writes")
-        roles["state"]["refused_per_s"] = _rate(first, last, "state", "refused")
+        for key in ("bytes", "writes", "refused"):
+            roles["state"][f"{key}_per_s"] = _rate(first, last, "state", key)
     if "meeting" in roles:
         roles["meeting"]["messages_per_s"] = _rate(first, last, "meeting", "messages")
         roles["meeting"]["cloud_requests_per_s"] = _rate(first, last, "meeting", "cloud_requests")
-    seconds = last.at - first.at
-    by_controller = {n: _reports(first, last, n) for n in controllers}
-    return {
-        "seconds": seconds,
-        "roles": roles,
-        "reports_per_s": sum(sum(r.values()) for r in reports.values()) / seconds,
-        "answered_by": {n: sum(found[s] for s in STATUSES) for n, found in by_controller.items()},
-        "report_bytes_per_s": sum(roles[h]["bytes_per_s"] for h in hollow if h in roles),
-    }
 
 
 def slopes(workers: int, controllers: int, rates: dict[str, float], windows: dict[str, Any]) -> list[dict[str, Any]]:
-    """A row for each window and role, for lines through runs of several sizes."""
+    """Return a row for each window and role, for lines through runs of several sizes."""
     keys = ("cpu_share", "memory_mb", "sockets", "messages_per_s", "bytes_per_s", "writes_per_s")
     return [
         {
@@ -150,29 +197,41 @@
 
 
 def starts(rows: Iterable[TaskRow], begin: float, end: float) -> int:
-    """Tasks that began to run in this time."""
-    return sum(r.what == "run" and begin <= r.at < end for r in rows)
+    """Return the number of tasks that began to run in this time."""
+    return sum(row.what == "run" and begin <= row.at < end for row in rows)
 
 
 def urgent(rows: Iterable[TaskRow], jobs: list[JobRow], end: float) -> dict[str, Any]:
-    """Seconds from the acceptance of urgent jobs until all of their tasks had begun; or until the end."""
-    wanted = {j.id: j for j in jobs if j.urgent and j.accepted_at is not None}
-    first: dict[str, dict[int, float]] = defaultdict(dict)
-    for r in rows:
-        if r.what == "run" and r.job in wanted:
-            first[r.job][r.index] = min(r.at, first[r.job].get(r.index, r.at))
+    """Return how long urgent jobs waited from their acceptance until all of their tasks had begun, in seconds.
+
+    Args:
+        rows: what happened to tasks.
+        jobs: all jobs.
+        end: jobs of which a task never began count as waiting until then.
+    """
+    wanted = {job.id: job for job in jobs if job.urgent and job.accepted_at is not None}
+    first_runs: dict[str, dict[int, float]] = defaultdict(dict)
+    for row in rows:
+        if row.what == "run" and row.job in wanted:
+            begun = first_runs[row.job]
+            begun[row.index] = min(row.at, begun.get(row.index, row.at))
     waits: dict[str, list[float]] = {}
     never = 0
     for job in wanted.values():
         assert job.accepted_at is not None
-        begun = first[job.id]
+        begun = first_runs[job.id]
         whole = len(begun) == job.tasks
         never += not whole
-        wait = max(0.0, (max(begun.values()) if whole else end) - job.accepted_at)
-        for low, high in SIZES:
-            if low <= job.tasks <= high:
-                kind = "gang" if job.gang else "array"
-                size = str(low) if low == high else f"{low}-{high}"
-                for key in ("all", size, f"{kind} {size}"):
-                    waits.setdefault(key, []).append(wait)
-    return {"never": never, "by_size": {k: spread(v) for k, v in sorted(waits.items())}}
+        wait_s = max(0.0, (max(begun.values()) if whole else end) - job.accepted_at)
+        for key in _size_keys(job):
+            waits.setdefault(key, []).append(wait_s)
+    return {"never": never, "by_size": {key: spread(values) for key, values in sorted(waits.items())}}
+
+
+def _size_keys(job: JobRow) -> list[str]:
+    """Return the groups that a job's wait counts in."""
+    for least, most in SIZES:
+        if least <= job.tasks <= most:
+            size = str(least) if least == most else f"{least}-{most}"
+            return ["all", size, f"{'gang' if job.gang else 'array'} {size}"]
+    return []
