--- a/src/grebestand/commands/rehearse.py
+++ b/src/grebestand/commands/rehearse.py
@@ -87,7 +87,8 @@
     import gevent
     import msgspec
 
-    from ..load_test.scale_run import ScaleRunPlan, rehearse
+    from ..load_test.scale_plan import ScaleRunPlan
+    from ..load_test.scale_run import rehearse
 
     if not (
         1 <= arguments.workers <= 10_000 and 2 <= arguments.controllers <= 20 and 1 <= arguments.teams <= 5_000
@@ -141,7 +142,8 @@
 def _rehearse(arguments: argparse.Namespace) -> int:
     if arguments.name == "scale":
         return _scale(arguments)
-    from ..fault_test.federation import FaultTestPlan, rehearse
+    from ..fault_test.federation import rehearse
+    from ..fault_test.federation_plan import FaultTestPlan
     from ..fault_test.history import write
 
     most = 50 if arguments.name == "clusters" else 4
