--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -123,7 +123,7 @@
             if leader is not None and self.hangs(leader):
                 return Response(421, _json.encode(Redirect()))
         if leader is not None and leader != self.name:
-            named = self.assignment is None or self.assignment.may_send(leader)
+            named = self.assignment is None or self.assignment.may_redirect_to_leader(leader)
             return Response(421, _json.encode(Redirect(leader if named else None)))
         return Response(503, b"{}", retry_after=RETRY_AFTER_S)
 
@@ -144,7 +144,7 @@
         answer_until = received_at + ANSWER_S
         while True:
             if forwarder.open():
-                status, answer = forwarder.pass_on(body, received_at)
+                status, answer = forwarder.forward(body, received_at)
                 if status in (200, 400):
                     return Response(status, answer)
                 if status == 503:
--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -115,7 +115,7 @@
         """Return how long a request to the store may take if all reads are to end at `until`."""
         left_s = until - self.clock()
         if left_s < MIN_STORE_REQUEST_S:
-            raise StoreError("it has taken too long already", maybe=False)
+            raise StoreError("it has taken too long already", possibly_applied=False)
         return min(STORE_REQUEST_TIMEOUT_S, left_s)
 
     def _completed(self, job_id: str, urgency: Urgency, until: float) -> CompletedJobRecord | None:
@@ -162,7 +162,7 @@
             if version:
                 if self.clock() - asked_at > STATUS_VALID_S:
                     # this process stood still, and what was read may no longer be so
-                    raise StoreError("what was read is too old", maybe=False)
+                    raise StoreError("what was read is too old", possibly_applied=False)
                 done, running = self.counts(job_id)
                 status = JobStatus.RUNNING if running else JobStatus.PENDING
                 return JobLookup(status, done, running, version, abroad)
@@ -173,7 +173,7 @@
         """Look up a job that is known to have been accepted."""
         found = self._lookup(job_id, Urgency.ACCEPT, until)
         if found is None:
-            raise StoreError("the job's record moved while it was read", maybe=True)
+            raise StoreError("the job's record moved while it was read", possibly_applied=True)
         return found
 
     @staticmethod
@@ -266,7 +266,7 @@
             try:
                 revision, failed = self.store.commit(conditions, changes, Urgency.ACCEPT, timeout=timeout_s)
             except StoreError as error:
-                if not error.maybe or self.clock() > retry_until - MIN_ACCEPT_TIMEOUT_S:
+                if not error.possibly_applied or self.clock() > retry_until - MIN_ACCEPT_TIMEOUT_S:
                     raise
                 continue
             return None if failed else revision
@@ -318,7 +318,7 @@
             try:
                 _, failed = self.store.commit(conditions, changes, Urgency.ACCEPT, timeout_s)
             except StoreError as error:
-                if not error.maybe or self.clock() > retry_until:
+                if not error.possibly_applied or self.clock() > retry_until:
                     raise
                 continue
             if not failed:
--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -133,11 +133,11 @@
     def _record_hanging(self, peer: PeerClient, sent_at: float, *, answered: bool) -> None:
         """Record since when status exchanges with a peer hang, in contrast to being refused."""
         if answered or self.clock() - sent_at < HANGING_AFTER_S:
-            was_hanging, peer.hangs_since = peer.hangs_since < math.inf, math.inf
+            was_hanging, peer.unresponsive_since = peer.unresponsive_since < math.inf, math.inf
             if was_hanging:
                 self._listener.on_peer_recovered()
         else:
-            peer.hangs_since = min(peer.hangs_since, sent_at)
+            peer.unresponsive_since = min(peer.unresponsive_since, sent_at)
 
     def _record_cancellations_seen(
         self, peer: PeerClient, status: PeerStatus, sent_at: float, *, restarted: bool
@@ -146,10 +146,13 @@
 
         Only answers count: they are as old as the request allows, while a message may have been delayed for minutes.
         """
-        gap = sent_at - peer.told_at > STATUS_GAP_TOLERATED_S or len(status.cancelled) >= MAX_CANCELLATIONS_PER_STATUS
+        gap = (
+            sent_at - peer.acknowledged_at > STATUS_GAP_TOLERATED_S
+            or len(status.cancelled) >= MAX_CANCELLATIONS_PER_STATUS
+        )
         if peer.last is None or restarted or gap:
-            peer.told_from = self.clock()
-        peer.told_at = max(peer.told_at, sent_at)
+            peer.acknowledged_since = self.clock()
+        peer.acknowledged_at = max(peer.acknowledged_at, sent_at)
 
     def known_images(self) -> CachedImages:
         """Return which machine caches which images: from memory or, after a restart, from a peer that knows."""
@@ -160,13 +163,13 @@
                     return images
         return self.cached_images
 
-    def tell_images(self, images: CachedImages) -> None:
+    def send_images(self, images: CachedImages) -> None:
         """Send all peers, as the leader, which machine caches which images."""
         self.cached_images = images
         for peer in self.peers:
             peer.tell(CACHED_IMAGES_PATH, images, CachedImages)
 
-    def tell_resigned(self, name: str, token: int, heir: str = "") -> None:
+    def send_resignation(self, name: str, token: int, heir: str = "") -> None:
         """Tell all peers that this controller, `name`, has resigned; `heir`, which is to lead next, comes first."""
         for peer in sorted(self.peers, key=lambda peer: peer.name != heir):
             peer.tell(RESIGNATION_PATH, ResignationNotice(name, token, heir), PeerStatus)
@@ -179,13 +182,13 @@
         Only controllers confirm cancellations. Those that an earlier process of a peer confirmed without sending them
         were committed before the read, provided that the present process of the peer was heard before it.
         """
-        seen_up_to = (peer.told_at if known_at >= peer.told_from else -math.inf for peer in self.peers)
+        seen_up_to = (peer.acknowledged_at if known_at >= peer.acknowledged_since else -math.inf for peer in self.peers)
         return min(seen_up_to, default=self.clock())
 
     def hangs(self, name: str) -> bool:
         """Return whether a peer has neither answered nor refused status exchanges for a while."""
         now = self.clock()
-        return any(peer.name == name and now - peer.hangs_since > HANGING_TOLERATED_S for peer in self.peers)
+        return any(peer.name == name and now - peer.unresponsive_since > HANGING_TOLERATED_S for peer in self.peers)
 
     def _take_status(self, status: PeerStatus) -> None:
         if status.cancelled:
--- a/src/grebestand/api/read_batching.py
+++ b/src/grebestand/api/read_batching.py
@@ -77,7 +77,7 @@
             gevent.spawn(self._run, batch)
         batch.versions[job_id] = version
         if not batch.done.wait(ANSWER_TIMEOUT_S):
-            raise StoreError("the state service is slow, or too much is asked", maybe=False)
+            raise StoreError("the state service is slow, or too much is asked", possibly_applied=False)
         if batch.error is not None:
             raise batch.error
         return version if job_id in batch.live else 0
--- a/src/grebestand/clients/kv_store.py
+++ b/src/grebestand/clients/kv_store.py
@@ -46,9 +46,9 @@
         maybe: Whether a change that was requested may have been made, or may be made later.
     """
 
-    def __init__(self, text: str, maybe: bool) -> None:
+    def __init__(self, text: str, possibly_applied: bool) -> None:
         super().__init__(text)
-        self.maybe = maybe
+        self.possibly_applied = possibly_applied
 
 
 class LeaseExpiredError(GrebestandError):
@@ -122,7 +122,7 @@
         try:
             self.reads.take(urgency, 1, patience_s=patience_s)
         except RateLimitedError as error:
-            raise StoreError(str(error), maybe=False) from error
+            raise StoreError(str(error), possibly_applied=False) from error
 
     def get(self, key: str, urgency: Urgency = Urgency.POLL, timeout: float = REQUEST_TIMEOUT_S) -> KeyValue | None:
         """Read a key; return None if it does not exist."""
@@ -185,7 +185,7 @@
             return 0, self._decode(body, CommitResult).failed
         if status == HTTPStatus.BAD_REQUEST and b"lease" in body:
             raise LeaseExpiredError(body.decode("utf-8", "replace"))
-        raise StoreError(f"status {status}: {body[:MAX_QUOTED_BYTES]!r}", maybe=False)
+        raise StoreError(f"status {status}: {body[:MAX_QUOTED_BYTES]!r}", possibly_applied=False)
 
     def grant_lease(self, ttl_ms: int) -> int:
         """Create a lease that expires `ttl_ms` milliseconds after its last renewal, and return its number."""
@@ -222,7 +222,7 @@
             path = f"/changes?prefix={prefix}&since={since}&waitMs={wait_ms}"
             status, body = self._watches.request("GET", path, b"", wait_ms / 1000 + WATCH_GRACE_S)
         except (RateLimitedError, UnreachableError) as error:
-            raise StoreError(str(error), maybe=False) from error
+            raise StoreError(str(error), possibly_applied=False) from error
         if status == HTTPStatus.GONE:
             raise RevisionCompactedError(prefix, since)
         if status != HTTPStatus.OK:
@@ -254,12 +254,12 @@
                     self.writes.take(urgency, writes, patience_s=timeout)
                 self.reads.take(urgency, 1, patience_s=timeout)
             except RateLimitedError as error:
-                raise StoreError(str(error), maybe=False) from error
+                raise StoreError(str(error), possibly_applied=False) from error
         data = b"" if message is None else _encoder.encode(message)
         try:
             status, body = self._transport.request(method, path, data, timeout)
         except UnreachableError as error:
-            raise StoreError(str(error), maybe=True) from error
+            raise StoreError(str(error), possibly_applied=True) from error
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
             raise _unexpected(status)
         return status, body
@@ -270,9 +270,9 @@
         try:
             return msgspec.json.decode(body, type=message_type)
         except msgspec.DecodeError as error:
-            raise StoreError(f"unreadable answer: {error}", maybe=True) from error
+            raise StoreError(f"unreadable answer: {error}", possibly_applied=True) from error
 
 
 def _unexpected(status: int) -> StoreError:
     """Return the error for a status with which the store has refused a request."""
-    return StoreError(f"status {status}", maybe=False)
+    return StoreError(f"status {status}", possibly_applied=False)
--- a/src/grebestand/clients/peer.py
+++ b/src/grebestand/clients/peer.py
@@ -42,9 +42,9 @@
         self.transport = transport
         self.last: PeerStatus | None = None
         self.last_heard_at = -math.inf
-        self.told_at = -math.inf
-        self.told_from = math.inf
-        self.hangs_since = math.inf
+        self.acknowledged_at = -math.inf
+        self.acknowledged_since = math.inf
+        self.unresponsive_since = math.inf
 
     def send(self, path: str, body: bytes, timeout: float = MESSAGE_TIMEOUT_S) -> bytes | None:
         """Send an encoded message; return the encoded response, or None if there is none within `timeout` seconds."""
--- a/src/grebestand/clocks.py
+++ b/src/grebestand/clocks.py
@@ -3,6 +3,6 @@
 from __future__ import annotations
 
 #: The largest drift between two steady clocks, as a share of the time that passes; the protocol states it.
-DRIFT = 0.0005
+MAX_CLOCK_DRIFT = 0.0005
 #: What is added to such a bound besides drift, in seconds.
-MARGIN_S = 1.0
+CLOCK_MARGIN_S = 1.0
--- a/src/grebestand/cluster_state/job_registry.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -45,7 +45,7 @@
         #: Jobs all of whose tasks are done, until their final record is committed.
         self.finishing: dict[str, Job] = {}
         #: Indices of recorded machines not reconciled since the failover, shared by all jobs whose tasks may be on any.
-        self.anywhere: set[int] = set()
+        self.unreconciled_machines: set[int] = set()
         #: By machine, the jobs that name it among their possible holders.
         self._jobs_by_possible_holder: dict[int, list[Job]] = {}
         self.types: list[TaskType] = []
@@ -118,7 +118,7 @@
             if job.live and job.waiting() > 0:
                 yield job
 
-    def rate_guarantees(self) -> None:
+    def mark_guaranteed(self) -> None:
         """Mark the jobs that their team's guarantee covers together with the team's earlier unfinished jobs."""
         needed_by_team: dict[int, list[int]] = {}
         for job in sorted(self.jobs.values(), key=lambda j: (j.accepted_at, j.spec.id)):
@@ -252,7 +252,7 @@
         job.unseen_below = job.fresh = hi
         # Jobs that may be anywhere share one set: with one each, a failover with thousands of machines and jobs would
         # hold millions of entries.
-        job.possible_holders = self.anywhere if machines is None else machines
+        job.possible_holders = self.unreconciled_machines if machines is None else machines
         for machine in machines or ():
             self._jobs_by_possible_holder.setdefault(machine, []).append(job)
         if not job.possible_holders:
@@ -261,10 +261,10 @@
     def clear_possible_holder(self, machine: int) -> list[Job]:
         """Record that a machine is reconciled, and return the jobs that have no possible holder left."""
         settled = []
-        if machine in self.anywhere:
-            self.anywhere.discard(machine)
-            if not self.anywhere:
-                settled += [job for job in self.jobs.values() if job.possible_holders is self.anywhere]
+        if machine in self.unreconciled_machines:
+            self.unreconciled_machines.discard(machine)
+            if not self.unreconciled_machines:
+                settled += [job for job in self.jobs.values() if job.possible_holders is self.unreconciled_machines]
         for job in self._jobs_by_possible_holder.pop(machine, ()):
             job.possible_holders.discard(machine)
             if not job.possible_holders:
--- a/src/grebestand/cluster_state/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -23,6 +23,7 @@
 
     __slots__ = (
         "attempt",
+        "decided_at",
         "epoch",
         "first",
         "grace",
@@ -31,7 +32,6 @@
         "job",
         "keeps_fetching",
         "machine",
-        "made_at",
         "name",
         "reported_sequence",
         "run_at",
@@ -61,7 +61,7 @@
         #: Sequence of the newest heartbeat of the epoch that named the task.
         self.reported_sequence = NOT_REPORTED
         #: When it was decided.
-        self.made_at = now
+        self.decided_at = now
         #: The task had no allocation before, so it runs from its beginning.
         self.first = False
         #: Not to be sent before the other tasks of its gang have their image.
@@ -124,41 +124,41 @@
         "accepted_at",
         "allocations",
         "avoid",
-        "away",
         "begun",
-        "dirty",
-        "displaced",
         "done",
         "done_count",
-        "doubtful",
         "durable",
-        "earned",
         "ends",
         "errors",
         "failed_at",
         "fails_after_s",
         "fresh",
+        "gang_start",
         "granted",
-        "granted_hi",
+        "granted_below",
         "guaranteed",
         "guest",
-        "hold_until",
+        "has_progress",
         "image",
         "live",
         "may_answer_until",
+        "origin_silent",
         "possible_holders",
         "preempt_at",
+        "preemption_count",
         "rank",
+        "retry_at",
         "returned",
         "runs",
+        "runs_remotely",
         "size",
         "spec",
-        "stages",
         "started_at",
         "state",
+        "suspected_faulty",
         "team",
         "type",
-        "unasked",
+        "unsaved_chunks",
         "unseen_below",
         "version",
         "wait_since",
@@ -198,7 +198,7 @@
         self.durable = bytearray((spec.tasks + 7) // 8)
         self.done_count = 0
         #: By chunk of `done`, since when it has results that are not durable.
-        self.dirty: dict[int, float] = {}
+        self.unsaved_chunks: dict[int, float] = {}
         #: By task index.
         self.allocations: dict[int, Allocation] = {}
         #: Tasks from this index on have never had an allocation.
@@ -208,32 +208,32 @@
         #: Machine index and run time in seconds of the tasks that finished last.
         self.runs: list[tuple[int, float]] = []
         #: Of a gang that was placed and does not run as a whole yet.
-        self.stages: GangStartTimeline | None = None
+        self.gang_start: GangStartTimeline | None = None
         #: The cluster named in its live record, and how many of its tasks run there.
         self.abroad: RemoteAssignment | None = None
         self.abroad_running = 0
         #: Another cluster runs it or may come to run it: nothing of it may start here.
-        self.away = False
+        self.runs_remotely = False
         #: It is another cluster's, and that has not asked about it lately: nothing more of it starts meanwhile.
         self.guest = False
-        self.unasked = False
+        self.origin_silent = False
         #: In how many rounds tasks of it have failed, when last, and after how long at the most, in seconds.
         self.errors = 0
         self.failed_at = -math.inf
         self.fails_after_s = 0.0
         #: It fails wherever it is started: one task, or one gang, of it is tried at a time.
-        self.doubtful = False
+        self.suspected_faulty = False
         #: A task of it was completed, or has saved a checkpoint.
-        self.earned = False
+        self.has_progress = False
         #: How often the whole gang was preempted.
-        self.displaced = 0
+        self.preemption_count = 0
         #: Machines where it failed, by index, and when.
         self.avoid: dict[int, float] = {}
         #: None of it is placed before then.
-        self.hold_until = 0.0
-        #: Its durable grant: machines (None: any) that tasks below `granted_hi` may have been started on.
+        self.retry_at = 0.0
+        #: Its durable grant: machines (None: any) that tasks below `granted_below` may have been started on.
         self.granted: set[int] | None = set()
-        self.granted_hi = 0
+        self.granted_below = 0
         #: Unreconciled machines that may hold tasks started by an earlier leader; such tasks are below `unseen_below`.
         self.possible_holders: set[int] = set()
         self.unseen_below = 0
@@ -252,8 +252,8 @@
 
     def record_progress(self) -> None:
         """Record that work of the job was kept, which shows that it can run."""
-        self.earned = True
-        self.doubtful = False
+        self.has_progress = True
+        self.suspected_faulty = False
 
     def is_done(self, index: int) -> bool:
         """Return whether a task is done."""
@@ -274,13 +274,13 @@
 
     def waiting(self) -> int:
         """Return how many tasks are not done and have no allocation."""
-        if not self.live or self.away or self.unasked:
+        if not self.live or self.runs_remotely or self.origin_silent:
             return 0
         return max(0, self.spec.tasks - self.done_count - len(self.allocations))
 
     def wanted(self) -> int:
         """Return for how many waiting tasks capacity should be found."""
-        return min(self.waiting(), 1) if self.doubtful and not self.gang else self.waiting()
+        return min(self.waiting(), 1) if self.suspected_faulty and not self.gang else self.waiting()
 
     def startable(self) -> int:
         """Return how many waiting tasks are known to run nowhere.
@@ -289,7 +289,7 @@
         seen since, or that no grant covers, do not. Where the zones of a job's other tasks matter, all of them wait:
         an unseen task may be in any zone.
         """
-        if self.doubtful and not self.gang and self.allocations:
+        if self.suspected_faulty and not self.gang and self.allocations:
             return 0
         if not self.possible_holders or not self.live:
             return self.wanted()
@@ -297,11 +297,11 @@
             return 0
         returned = sum(1 for i in set(self.returned) if not self.is_done(i) and i not in self.allocations)
         startable = returned + self.spec.tasks - self.fresh
-        return min(startable, 1) if self.doubtful else startable
+        return min(startable, 1) if self.suspected_faulty else startable
 
     def covers(self, allocation: Allocation) -> bool:
         """Return whether the durable grant tells a later leader that this task may be on that machine."""
-        return allocation.index < self.granted_hi and (self.granted is None or allocation.machine in self.granted)
+        return allocation.index < self.granted_below and (self.granted is None or allocation.machine in self.granted)
 
     def running(self) -> int:
         """Return how many tasks run, here and in another cluster."""
--- a/src/grebestand/cluster_state/machine.py
+++ b/src/grebestand/cluster_state/machine.py
@@ -39,18 +39,17 @@
         "free",
         "freed_at",
         "has_seen_no_term",
+        "image_fetches",
         "images",
         "in_accept_group",
         "index",
         "kind",
         "last_heard_at",
         "last_response_at",
-        "leaving",
         "missed_responses",
         "name",
         "news",
         "previous_epoch_end",
-        "pulls",
         "rank",
         "rank_cpus",
         "reception",
@@ -62,6 +61,7 @@
         "slowness",
         "spot",
         "state",
+        "stopping_count",
         "team_cpus",
         "template",
         "terminates_at",
@@ -94,7 +94,7 @@
         #: The same by priority and team.
         self.team_cpus: dict[tuple[int, int], int] = {}
         #: How many allocations have been asked to stop.
-        self.leaving = 0
+        self.stopping_count = 0
         self.state = MachineState.NEW
         #: Whether it has a durable record.
         self.recorded = False
@@ -140,7 +140,7 @@
         #: Gigabytes of each image in its cache, the least recently used first.
         self.images: OrderedDict[int, float] = OrderedDict()
         #: Images that it fetches, or will once it is told to start, and how many allocations wait for each.
-        self.pulls: dict[int, int] = {}
+        self.image_fetches: dict[int, int] = {}
         #: Since when it has had no allocation.
         self.empty_since = now
         #: How many times as long as others it takes for the same tasks, as far as is known.
@@ -168,7 +168,7 @@
         self.team_cpus[rank_and_team] = self.team_cpus.get(rank_and_team, 0) + job.size[0]
         self.change_count += 1
         if job.image not in self.images:
-            self.pulls[job.image] = self.pulls.get(job.image, 0) + 1
+            self.image_fetches[job.image] = self.image_fetches.get(job.image, 0) + 1
         self.allocations[allocation.name] = allocation
 
     def remove_allocation(self, allocation: Allocation, now: float) -> None:
@@ -185,21 +185,21 @@
             del self.team_cpus[rank_and_team]
         self.change_count += 1
         self.news = True
-        if job.image in self.pulls:
-            self.pulls[job.image] -= 1
-            if not self.pulls[job.image]:
-                del self.pulls[job.image]  # nothing waits for it any more, so the worker gives up the fetch
+        if job.image in self.image_fetches:
+            self.image_fetches[job.image] -= 1
+            if not self.image_fetches[job.image]:
+                del self.image_fetches[job.image]  # nothing waits for it any more, so the worker gives up the fetch
         elif job.image in self.images:
             self.images.move_to_end(job.image)  # used until now
         if allocation.stop is not None:
-            self.leaving -= 1
+            self.stopping_count -= 1
         del self.allocations[allocation.name]
         if not self.allocations:
             self.empty_since = now
 
     def record_stop_request(self) -> None:
         """Record that one of its allocations has been asked to stop."""
-        self.leaving += 1
+        self.stopping_count += 1
         self.change_count += 1
 
     def record_image(self, image: int, gigabytes: float, cache_gb: float) -> None:
@@ -207,7 +207,7 @@
 
         Workers keep the most recently used images up to the size of their cache; this mirrors which they drop.
         """
-        self.pulls.pop(image, None)
+        self.image_fetches.pop(image, None)
         self.news = True
         self.change_count += 1
         self.images[image] = gigabytes
--- a/src/grebestand/cluster_state/machine_inventory.py
+++ b/src/grebestand/cluster_state/machine_inventory.py
@@ -5,7 +5,7 @@
 import logging
 import math
 
-from ..clocks import DRIFT, MARGIN_S
+from ..clocks import CLOCK_MARGIN_S, MAX_CLOCK_DRIFT
 from ..log_events import LogEvent
 from ..state_machines import (
     MACHINE_TRANSITIONS,
@@ -56,17 +56,17 @@
         self.machines: list[Machine] = []
         self.by_name: dict[str, Machine] = {}
         #: By the type's index in the registry.
-        self.kinds: dict[int, MachineType] = {}
+        self.machine_types: dict[int, MachineType] = {}
         #: Capacity of each machine type.
-        self.rooms: list[Resources] = []
+        self.capacities: list[Resources] = []
         self.lease_s = lease_s
         self.report_s = report_s
         #: Jobs that machines are reserved for and that are not in the registry: other clusters' gangs that may come.
-        self.kept: set[str] = set()
+        self.reserved_for_remote: set[str] = set()
         #: Indices of machines to be queried directly: what they report, or do not, has to be explained.
         self.to_query: set[int] = set()
         #: Indices of machines reconciled since the leader last looked.
-        self.proved: list[int] = []
+        self.newly_reconciled: list[int] = []
         #: When the provider deleted a machine, by name: what still arrives under the name is a delayed copy.
         self._deleted_at: dict[str, float] = {}
         #: When silent machines were last searched for, and since when this has gone on without a gap.
@@ -83,11 +83,11 @@
     def learn_types(self, types: list[MachineType]) -> None:
         """Take the machine types that the provider offers, and with them the capacity of all machines."""
         for machine_type in types:
-            self.kinds[self.registry.machine_types.index(machine_type.name)] = machine_type
-        self.rooms = [machine_capacity(machine_type) for machine_type in self.kinds.values()]
+            self.machine_types[self.registry.machine_types.index(machine_type.name)] = machine_type
+        self.capacities = [machine_capacity(machine_type) for machine_type in self.machine_types.values()]
         for machine in self.by_name.values():
             self._measure(machine)
-        self.count_unknown()
+        self.count_unreconciled()
 
     def add(
         self, name: str, addr: str, kind: str, zone: str, spot: bool, now: float, recorded: bool = False
@@ -121,7 +121,7 @@
         )
         return present and machine.recorded and machine.drain is None and any(machine.capacity)
 
-    def usable(self, machine: Machine, now: float) -> bool:
+    def is_schedulable(self, machine: Machine, now: float) -> bool:
         """Return whether a machine may be given tasks now."""
         return (
             machine.state is MachineState.READY
@@ -134,11 +134,11 @@
 
     def note_image(self, machine: Machine, image: int, gigabytes: float) -> None:
         """Record that a machine has an image."""
-        machine_type = self.kinds.get(machine.kind)
+        machine_type = self.machine_types.get(machine.kind)
         machine.record_image(image, gigabytes, machine_type.cache_gb if machine_type else 0.0)
 
     def _measure(self, machine: Machine) -> None:
-        machine_type = self.kinds.get(machine.kind)
+        machine_type = self.machine_types.get(machine.kind)
         if machine_type is not None:
             machine.set_capacity(machine_capacity(machine_type))
 
@@ -168,7 +168,7 @@
             self._remove(machine, now)
         if old is MachineState.UNRECONCILED:
             self._count_reconciled(machine)
-            self.proved.append(machine.index)
+            self.newly_reconciled.append(machine.index)
         self.registry.changed = True
 
     def _release_queued(self, machine: Machine, now: float) -> None:
@@ -185,7 +185,7 @@
         if len(self._deleted_at) > MAX_DELETED_REMEMBERED:
             del self._deleted_at[next(iter(self._deleted_at))]
 
-    def receive(self, machine: Machine, new: Reception, reason: str, now: float) -> None:
+    def change_reception(self, machine: Machine, new: Reception, reason: str, now: float) -> None:
         """Change what is known of a machine's reception of responses; no other function does.
 
         Raises:
@@ -217,7 +217,7 @@
         """
         machine.missed_responses += weight
         if machine.missed_responses >= MISSED_RESPONSES_BEFORE_SUSPICION and machine.reception is Reception.REACHABLE:
-            self.receive(machine, Reception.SUSPECTED, reason, now)
+            self.change_reception(machine, Reception.SUSPECTED, reason, now)
         if machine.reception is not Reception.REACHABLE:
             self.to_query.add(machine.index)
 
@@ -228,7 +228,7 @@
         """
         if machine.reception is not Reception.UNREACHABLE:
             machine.missed_responses = 0
-            self.receive(machine, Reception.REACHABLE, "commands took effect", now)
+            self.change_reception(machine, Reception.REACHABLE, "commands took effect", now)
 
     # allocations ------------------------------------------------------------------------------------------
 
@@ -255,7 +255,7 @@
         Its lease runs from when it sent the heartbeat that was answered last, which was before that response left here.
         That its heartbeats go on arriving shows nothing of that: responses may not reach it.
         """
-        return now - machine.last_response_at > self.lease_s * (1 + 2 * DRIFT) + MARGIN_S
+        return now - machine.last_response_at > self.lease_s * (1 + 2 * MAX_CLOCK_DRIFT) + CLOCK_MARGIN_S
 
     def detect_silent_machines(self, now: float) -> list[Machine]:
         """Suspect the machines that have fallen silent, and return those whose lease has just expired.
@@ -288,7 +288,7 @@
         """Return the machines whose state is not known since the failover."""
         return [machine for machine in self.machines if machine.state is MachineState.UNRECONCILED]
 
-    def count_unknown(self) -> None:
+    def count_unreconciled(self) -> None:
         """Count what unreconciled machines may run, which each team's limit has to allow for.
 
         Each may run anything up to its capacity, and any amount if its capacity is not known yet: a leader begins
--- a/src/grebestand/cluster_state/teams.py
+++ b/src/grebestand/cluster_state/teams.py
@@ -35,11 +35,11 @@
     #: What unknown tasks of it on unreconciled machines may take at most.
     unknown: list[int] = field(default_factory=lambda: [0, 0])
     #: Id of an overdue gang that the limit keeps waiting: nothing else of the team starts meanwhile.
-    kept_for: str = ""
+    limit_reserved_for: str = ""
 
     def left_to(self, ident: str) -> bool:
         """Return whether the job with this id may take what is left of the limit."""
-        return not self.kept_for or self.kept_for == ident
+        return not self.limit_reserved_for or self.limit_reserved_for == ident
 
     def borrows(self) -> bool:
         """Return whether the team uses more than it is guaranteed."""
--- a/src/grebestand/controller/http_front.py
+++ b/src/grebestand/controller/http_front.py
@@ -77,7 +77,7 @@
         """Answer a user, unless connections or time are short: heartbeats go first, and users come back."""
         if environ.get("grebestand.surplus"):
             return Response(503, b'{"error":"no connection is free"}', retry_after=1, close=True)
-        if not self.overload.takes(self.users_busy, poll=method == "GET"):
+        if not self.overload.admits(self.users_busy, poll=method == "GET"):
             return Response(503, b'{"error":"overloaded"}', retry_after=1)
         self.users_busy += 1
         try:
--- a/src/grebestand/controller/lag_monitor.py
+++ b/src/grebestand/controller/lag_monitor.py
@@ -21,4 +21,4 @@
         while True:
             due_at = self.clock() + LAG_SAMPLE_INTERVAL_S
             gevent.sleep(LAG_SAMPLE_INTERVAL_S)
-            self.overload.felt(self.clock() - due_at)
+            self.overload.record_lag(self.clock() - due_at)
--- a/src/grebestand/controller/leader_loop.py
+++ b/src/grebestand/controller/leader_loop.py
@@ -69,16 +69,16 @@
         self.election.check_clock()
         self.workers_link.silent(SUSPECT_AFTER_INTERVALS * self.heartbeat_interval_s, math.inf)
         if self.election.state in (LeaderState.FOLLOWING, LeaderState.RESIGNED):
-            self.election.look()
+            self.election.read_leader_key()
             return 0.8 + 0.4 * self.rng.random()
         if not self.election.renew():
-            self.transfer.consider_state()
+            self.transfer.check_store()
             return RENEW_RETRY_S
         if self.election.state is LeaderState.PAUSED:
             self._resume()
         self.transfer.check_workers()
         if self.election.state is LeaderState.LEADING:
-            self.transfer.check_pace()
+            self.transfer.check_overload()
         return min(RENEW_INTERVAL_S, self.election.lease_ttl_s / RENEWALS_PER_LEASE)
 
     def _resume(self) -> None:
@@ -92,6 +92,6 @@
         if (
             self.current_term.term is term
             and self.election.state is LeaderState.PAUSED
-            and not self.election.challenged
+            and not self.election.challenging_token
         ):
             self.election.move(LeaderState.LEADING, "the hold outlived the silence, and all cancellations are known")
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -125,7 +125,7 @@
         alone = bool(self.peer_api.peers) and next(self._present_peers(PEER_PRESENT_S), None) is None
         return not alone and self.better_placed_peer() is None
 
-    def consider_state(self) -> None:
+    def check_store(self) -> None:
         """Resign as the leader if the store answers a peer but not this controller, not even through a peer."""
         if self.store_link.age_s < STORE_RESIGN_AFTER_S:
             return
@@ -155,13 +155,13 @@
         if silence_s >= self._silence_limit_s(term):
             self._silence_resignations = min(self._silence_resignations + 1, MAX_PATIENCE_STEPS)
             self.workers_link.silent(0.0, 0.0)
-            self._give_way(f"no worker has reported for {silence_s:.1f} s", self._find_heir())
-        elif handler.first_heard and now - handler.last_heard_at < self.heartbeat_interval_s:
+            self.resign(f"no worker has reported for {silence_s:.1f} s", self._find_heir())
+        elif handler.heard_in_term and now - handler.last_heard_at < self.heartbeat_interval_s:
             self._silence_resignations = 0
 
     def _silence_limit_s(self, term: Term) -> float:
         """Return the silence of all workers that shows that the leader is cut off from them."""
-        many = term.heartbeat_handler.first_heard and len(term.inventory.machines) >= MANY_MACHINES
+        many = term.heartbeat_handler.heard_in_term and len(term.inventory.machines) >= MANY_MACHINES
         intervals = MANY_MACHINES_SILENCE_INTERVALS if many else SILENCE_INTERVALS
         return intervals * self.heartbeat_interval_s * (1 + self._silence_resignations)
 
@@ -176,7 +176,7 @@
 
     # overload ---------------------------------------------------------------------------------------------
 
-    def check_pace(self) -> None:
+    def check_overload(self) -> None:
         """Resign as the leader if this controller is overloaded for long and a peer is not.
 
         A leader that answers its workers too late lets their leases expire.
@@ -188,7 +188,7 @@
             if status.load == LoadState.NORMAL.value:
                 # if the load itself is too much, giving way again and again is no help: the next time takes longer
                 self._overload_resignations = min(self._overload_resignations + 1, MAX_PATIENCE_STEPS)
-                self._give_way(f"late for {overloaded_s:.0f} s, and {peer.name} is not", peer.name)
+                self.resign(f"late for {overloaded_s:.0f} s, and {peer.name} is not", peer.name)
                 return
 
     def _overload_patience_s(self) -> float:
@@ -200,14 +200,14 @@
 
     # succession -------------------------------------------------------------------------------------------
 
-    def _give_way(self, reason: str, heir: str) -> None:
+    def resign(self, reason: str, heir: str) -> None:
         """Resign, remove the key and tell all peers, so that one of them leads without waiting for the lease."""
         token = self.election.resign(reason, RESIGNATION_S)
         try:
             self.election.clear_key(token)
         except StoreError as error:
             log.info(LogEvent("leader_key_not_removed", token=token, reason=error))
-        self.peer_api.tell_resigned(self.name, token, heir)
+        self.peer_api.send_resignation(self.name, token, heir)
 
     def succeed(self, notice: ResignationNotice) -> None:
         """Remove the key of a peer that resigned, and take the lead unless the notice names another controller."""
@@ -218,7 +218,7 @@
             # the peer may have reached nobody but this controller, so each that hears of it removes the key
             self.election.clear_key(notice.token)
             if may_lead and self.election.state is LeaderState.FOLLOWING:
-                self.election.look()
+                self.election.read_leader_key()
         except StoreError as error:
             log.info(LogEvent("leader_key_not_removed", controller=notice.name, token=notice.token, reason=error))
 
--- a/src/grebestand/controller/peer_loops.py
+++ b/src/grebestand/controller/peer_loops.py
@@ -45,4 +45,4 @@
             gevent.sleep(IMAGES_S)
             term = self.current_term.loaded()
             if term is not None and self.election.is_leader() and self.overload.spare:
-                self.peer_api.tell_images(term.status_broadcast.cached_images())
+                self.peer_api.send_images(term.status_broadcast.cached_images())
--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -51,11 +51,11 @@
     steps = [
         TermStep(term.job_watch.watch, 0.0),  # the watch itself waits for changes
         TermStep(term.machine_records.record, 0.2),
-        TermStep(term.job_completion.close_jobs, 0.05),
+        TermStep(term.job_completion.complete_jobs, 0.05),
         TermStep(term.progress.save, 0.4),
         TermStep(term.grants.cover, 0.1),
-        TermStep(term.provisioning.clear_orphans, 1.0),
-        TermStep(term.step_fleet, 1.0),
+        TermStep(term.provisioning.delete_settled_records, 1.0),
+        TermStep(term.step_machines, 1.0),
         TermStep(term.job_audit.step, 5.0),
     ]
     if features.records:
@@ -181,7 +181,7 @@
         term.scheduling_loop.step(now)
         while term.scheduling_loop.busy and self._is_current(term):
             gevent.sleep(0)
-            term.scheduling_loop.go_on()
+            term.scheduling_loop.run_slice()
 
     @staticmethod
     def _send_direct_commands(term: Term, now: float) -> None:
@@ -192,4 +192,4 @@
         for index in urgent:
             ready = term.inventory.at(index)
             if ready is not None and ready.state is MachineState.READY:
-                gevent.spawn(term.machine_reconciliation.order_stops, ready)
+                gevent.spawn(term.machine_reconciliation.send_stops, ready)
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -218,8 +218,8 @@
     foundation: Foundation, term_runner: TermRunner, transfer: LeadershipTransfer, peer_api: PeerApi
 ) -> None:
     election = foundation.election
-    election.on_move = term_runner.on_leadership_changed
-    election.on_news = foundation.news.announce
+    election.on_state_changed = term_runner.on_leadership_changed
+    election.on_leadership_news = foundation.news.announce
     election.patience = transfer.patience
     election.cancellation_horizon.cancellations_confirmed_up_to = peer_api.cancellations_confirmed_up_to
 
--- a/src/grebestand/federation/free_capacity.py
+++ b/src/grebestand/federation/free_capacity.py
@@ -14,14 +14,14 @@
     It helps others to choose whom to ask first; nothing is reserved.
     """
     inventory = term.inventory
-    usable = [machine for machine in inventory.machines if inventory.usable(machine, now)]
-    free = [machine for machine in usable if not machine.allocations and machine.reserved_for is None]
+    is_schedulable = [machine for machine in inventory.machines if inventory.is_schedulable(machine, now)]
+    free = [machine for machine in is_schedulable if not machine.allocations and machine.reserved_for is None]
     return FreeCapacity(
         version=VERSION,
         free=len(free),
         cpus=max((machine.capacity[0] / MICRO_UNITS for machine in free), default=0.0),
-        price=_price_per_cpu_hour(term, usable),
-        images=_commonest_images(term, usable),
+        price=_price_per_cpu_hour(term, is_schedulable),
+        images=_commonest_images(term, is_schedulable),
     )
 
 
@@ -37,7 +37,7 @@
 
 def _price_per_cpu_hour(term: Term, machines: list[Machine]) -> float:
     """Return the average price of a CPU for an hour; 0 without machines of known kinds."""
-    all_kinds = term.inventory.kinds
+    all_kinds = term.inventory.machine_types
     kinds = [all_kinds[machine.kind] for machine in machines if machine.kind in all_kinds]
     cpus = sum(kind.cpus for kind in kinds)
     # paired by position, which is exact only while every machine's kind is known; the price is a hint for others
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -135,7 +135,7 @@
             job = term.registry.jobs.get(record.job)
             if job is not None:
                 # home's operators may have declared this cluster lost meanwhile: it starts when home asks about it
-                job.guest = job.unasked = True
+                job.guest = job.origin_silent = True
 
     # messages ---------------------------------------------------------------------------------------------
 
@@ -176,7 +176,7 @@
         job = self._guest_job(request.spec, now)
         if team is None or registry.teams[team].headroom(job.size) < request.spec.tasks:
             return Rejection("the guests' limit is used up")
-        machines = self.term.scheduler.gangs.room_for(job, now)
+        machines = self.term.scheduler.gangs.machines_for(job, now)
         if machines is None:
             return Rejection("no room")
         reservation = Reservation(
@@ -276,8 +276,8 @@
         """Note that home still relies on this cluster, so that the guest's tasks may start; return its status."""
         self._last_asked_at[record.id] = self.term.clock()
         job = self.term.registry.jobs.get(record.job)
-        if job is not None and job.unasked:
-            job.unasked = False
+        if job is not None and job.origin_silent:
+            job.origin_silent = False
             self.term.registry.changed = True
         return self._status(record)
 
@@ -352,12 +352,12 @@
                 self._give_back_if_without_capacity(record, job, now)
 
     def _pause_if_home_is_silent(self, record: GuestRecord, job: Job, now: float) -> None:
-        if not job.unasked and now - self._last_asked_at.get(record.id, -math.inf) > QUIET_S:
-            job.unasked = True
+        if not job.origin_silent and now - self._last_asked_at.get(record.id, -math.inf) > QUIET_S:
+            job.origin_silent = True
             log.info(LogEvent("guest_home_silent", job_id=record.ref, home=record.home))
 
     def _give_back_if_without_capacity(self, record: GuestRecord, job: Job, now: float) -> None:
-        if job.allocations or job.unasked or job.startable() != job.spec.tasks:
+        if job.allocations or job.origin_silent or job.startable() != job.spec.tasks:
             return
         wait_s = now - job.wait_since
         if wait_s <= self.limits.give_back_s:
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -3,7 +3,7 @@
 The decision is one conditional write of the leader: the gang's live record names the cluster and the reservation. A
 user's cancellation, the end of the job and the decision all compete for that one key, so exactly one of them succeeds.
 From before the write is sent until the other cluster has confirmed that it does not run the gang any more, the job is
-`away`: nothing of it starts at home.
+`runs_remotely`: nothing of it starts at home.
 """
 
 from __future__ import annotations
@@ -133,7 +133,7 @@
         check_transition(HOME_TRANSITIONS, gang.state, new, job_id)
         log.info(LogEvent("remote_gang_state_changed", job_id=job_id, from_=gang.state, to=new, reason=why))
         gang.state = new
-        job.away = new in AWAY_STATES
+        job.runs_remotely = new in AWAY_STATES
         if new is HomeState.WAITING:
             gang.assignment = job.abroad = None
             job.abroad_running = 0
--- a/src/grebestand/federation/offering.py
+++ b/src/grebestand/federation/offering.py
@@ -45,7 +45,7 @@
         return (
             job.gang
             and job.live
-            and not job.away
+            and not job.runs_remotely
             and not job.guest
             and job.spec.zone is None
             and not job.allocations
--- a/src/grebestand/federation/reservations.py
+++ b/src/grebestand/federation/reservations.py
@@ -56,7 +56,7 @@
         """Reserve the machines."""
         for machine in reservation.machines:
             machine.reserved_for, machine.reserved_until = reservation.job, reservation.until
-        self.term.inventory.kept.add(reservation.job)
+        self.term.inventory.reserved_for_remote.add(reservation.job)
         self.by_id[reservation.id] = reservation
         log.info(
             LogEvent(
@@ -83,7 +83,7 @@
         reservation.state = new
         if new in (GuestState.RELEASED, GuestState.STARTED):
             self.by_id.pop(reservation.id, None)
-            self.term.inventory.kept.discard(reservation.job)
+            self.term.inventory.reserved_for_remote.discard(reservation.job)
         if new is GuestState.RELEASED:
             for machine in reservation.machines:
                 if machine.reserved_for == reservation.job:
--- a/src/grebestand/flow_control/overload.py
+++ b/src/grebestand/flow_control/overload.py
@@ -62,7 +62,7 @@
         log.warning(LogEvent("load_state_changed", from_=self.state, to=new, reason=reason))
         self.state, self.since = new, self.clock()
 
-    def felt(self, late_s: float) -> None:
+    def record_lag(self, late_s: float) -> None:
         """Take in a measurement of the lag: by how many seconds work is late that is due now."""
         now = self.clock()
         worse = LoadState.OVERLOADED if late_s >= OVERLOADED_S else LoadState.STRAINED
@@ -86,7 +86,7 @@
         """
         return self.state is LoadState.NORMAL
 
-    def takes(self, users: int, poll: bool) -> bool:
+    def admits(self, users: int, poll: bool) -> bool:
         """Return whether one more request of a user is admitted.
 
         Args:
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -124,7 +124,7 @@
         max_wait_s = MAX_QUEUE_WAIT_OVERLOADED_S if now < self._overloaded_until else MAX_QUEUE_WAIT_S
         return now - self._queue[0].came_at < max_wait_s
 
-    def pass_on(self, body: bytes, came_at: float) -> Response:
+    def forward(self, body: bytes, came_at: float) -> Response:
         """Forward a heartbeat and wait for the leader's response to it.
 
         Args:
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -250,7 +250,7 @@
         with_room = [other for other in others if self._room_of(other) > 0]
         return self._redirect(machine, max(with_room, key=self._room_of)) if with_room else None
 
-    def may_send(self, leader: str) -> bool:
+    def may_redirect_to_leader(self, leader: str) -> bool:
         """Return whether one more worker may be redirected to a leader that answers all itself, and count it.
 
         All followers together redirect no more between two of its status messages than it has said that it has
--- a/src/grebestand/heartbeats/commands.py
+++ b/src/grebestand/heartbeats/commands.py
@@ -36,8 +36,8 @@
             starts: Whether tasks may start now; otherwise queued allocations wait for the next heartbeat.
         """
         # stops come first, since this response renews the lease of what they stop; a forgotten task may start again
-        commands = self.unwanted(heartbeat, machine)
-        if machine.leaving:
+        commands = self.unwanted_stops(heartbeat, machine)
+        if machine.stopping_count:
             self._add_requested_stops(machine, commands, now)
         for status in heartbeat.tasks:
             if status.state is TaskPhase.EXITED and self._may_forget(status):
@@ -47,7 +47,7 @@
             self._add_starts(machine, heartbeat, commands, now)
         return commands
 
-    def unwanted(self, heartbeat: Heartbeat, machine: Machine | None = None) -> list[Command]:
+    def unwanted_stops(self, heartbeat: Heartbeat, machine: Machine | None = None) -> list[Command]:
         """Return stop commands for the listed tasks that must not go on.
 
         These are the tasks of jobs that are over, however old the heartbeat is: whatever an earlier leader started was
@@ -63,16 +63,16 @@
             if status.state is TaskPhase.EXITED:
                 continue
             job = self.registry.jobs.get(status.task.rpartition("/")[0])
-            unwanted = job is None or job.state in (JobState.DONE, JobState.CANCELLED)
-            if not unwanted and machine is not None:
+            unwanted_stops = job is None or job.state in (JobState.DONE, JobState.CANCELLED)
+            if not unwanted_stops and machine is not None:
                 allocation = machine.allocations.get(status.task)
-                unwanted = allocation is None or allocation.attempt != status.attempt
-            if unwanted:
+                unwanted_stops = allocation is None or allocation.attempt != status.attempt
+            if unwanted_stops:
                 stops.append(Command("stop", status.task, status.attempt, 0.0))
         return stops[:MAX_COMMANDS]
 
     @staticmethod
-    def uncovered(machine: Machine) -> bool:
+    def needs_grant(machine: Machine) -> bool:
         """Return whether a durable grant must be widened before all that is queued for this machine may be sent."""
         return any(
             allocation.state is AllocationState.QUEUED and not allocation.job.covers(allocation)
@@ -80,7 +80,7 @@
         )
 
     @staticmethod
-    def direct_stops(machine: Machine) -> list[Command]:
+    def requested_stops(machine: Machine) -> list[Command]:
         """Return a stop command for every allocation of the machine that has been asked to stop."""
         return [
             Command("stop", allocation.name, allocation.attempt, allocation.grace)
@@ -127,9 +127,9 @@
         allocation.record_start_command(heartbeat.epoch, heartbeat.sequence, now)
         job = allocation.job
         self.sketches.add("room to start", now - max(machine.freed_at, job.accepted_at))
-        self.sketches.add("decision to start", now - allocation.made_at)
-        if job.stages is not None:
-            job.stages.sent = now
+        self.sketches.add("decision to start", now - allocation.decided_at)
+        if job.gang_start is not None:
+            job.gang_start.sent = now
 
     @staticmethod
     def _waits_for_images(job: Job) -> bool:
--- a/src/grebestand/heartbeats/reconciliation.py
+++ b/src/grebestand/heartbeats/reconciliation.py
@@ -72,9 +72,7 @@
         #: Fencing token of this term.
         self.token = dispatch.token
 
-    def read(  # noqa: C901 - runs for every heartbeat: more calls would cost measurably
-        self, heartbeat: Heartbeat, now: float, solicited: bool
-    ) -> Machine | None:
+    def read(self, heartbeat: Heartbeat, now: float, solicited: bool) -> Machine | None:
         """Reconcile one heartbeat with the cluster state.
 
         A task's result never changes, so it counts from any heartbeat. All else is taken only from one that is newer
@@ -154,7 +152,7 @@
     def _is_consistent(self, machine: Machine, heartbeat: Heartbeat, solicited: bool, now: float) -> bool:
         """Return whether a new heartbeat of this term fits what is known of its machine; if not, it is queried."""
         if solicited:
-            self.inventory.receive(machine, Reception.REACHABLE, "it answered a direct question", now)
+            self.inventory.change_reception(machine, Reception.REACHABLE, "it answered a direct question", now)
             return True
         if machine.reception is Reception.UNREACHABLE:
             # that its heartbeats arrive says nothing of whether responses do
@@ -194,7 +192,9 @@
             machine.record_epoch_while_unreachable(heartbeat.epoch, now)
         if now - machine.unreachable_since <= RESPONSES_ARRIVE_AFTER_LEASES * self.inventory.lease_s:
             return False
-        self.inventory.receive(machine, Reception.REACHABLE, "its epoch outlived its lease, which responses renew", now)
+        self.inventory.change_reception(
+            machine, Reception.REACHABLE, "its epoch outlived its lease, which responses renew", now
+        )
         return True
 
     def _handle_unusable(
--- a/src/grebestand/heartbeats/task_reconciliation.py
+++ b/src/grebestand/heartbeats/task_reconciliation.py
@@ -87,7 +87,7 @@
         if allocation.state is AllocationState.SENT:
             self.inventory.confirm_reception(machine, now)
         self.registry.move_allocation(allocation, state, now)
-        timeline = job.stages
+        timeline = job.gang_start
         if timeline is not None and timeline.attempt == allocation.attempt:
             self._record_gang_stage(job, timeline, state, now)
         if state is AllocationState.RUNNING:
@@ -139,7 +139,7 @@
         if state is AllocationState.FETCHING:
             timeline.reported = now
         elif state is AllocationState.RUNNING and job.running() == job.spec.tasks:
-            job.stages = None
+            job.gang_start = None
             reported = max(timeline.reported, timeline.sent)
             log.info(
                 LogEvent(
@@ -177,7 +177,7 @@
                 self.registry.mark_done(job, gang_index, now)
         elif not job.is_done(index):
             self.registry.mark_done(job, index, now)
-            job.dirty.setdefault(index // self.registry.chunk_bits, now)
+            job.unsaved_chunks.setdefault(index // self.registry.chunk_bits, now)
         self._log_job_start(job, now)
         if job.unfinished() == 0:
             self.registry.move_job(job, JobState.CLOSING, now)
@@ -194,7 +194,7 @@
             # the machine holds something that is not counted here: try again after the next heartbeats
             machine.block_until(now + self.inventory.report_s)
         elif reason is ExitReason.UNKNOWN:
-            job.hold_until = max(job.hold_until, now + UNKNOWN_JOB_INTERVALS * self.inventory.report_s)
+            job.retry_at = max(job.retry_at, now + UNKNOWN_JOB_INTERVALS * self.inventory.report_s)
         elif reason is ExitReason.STOPPED and status.saved:
             job.record_progress()
         if reason in (ExitReason.BUSY, ExitReason.NO_ROOM, ExitReason.UNKNOWN, ExitReason.ALONE):
--- a/src/grebestand/leader/cancellation_horizon.py
+++ b/src/grebestand/leader/cancellation_horizon.py
@@ -17,7 +17,7 @@
 import math
 from collections.abc import Callable
 
-from ..clocks import DRIFT, MARGIN_S
+from ..clocks import CLOCK_MARGIN_S, MAX_CLOCK_DRIFT
 from ..log_events import LogEvent
 from ..settings.platform import Workers
 
@@ -38,7 +38,7 @@
 
     The value is not positive if the settings leave nothing beside the lease.
     """
-    return workers.cancel_s - workers.lease_s * (1 + 2 * DRIFT) - MARGIN_S
+    return workers.cancel_s - workers.lease_s * (1 + 2 * MAX_CLOCK_DRIFT) - CLOCK_MARGIN_S
 
 
 class CancellationHorizon:
--- a/src/grebestand/leader/deprovisioning.py
+++ b/src/grebestand/leader/deprovisioning.py
@@ -126,7 +126,7 @@
         """
         evaluator = self.context.policy_evaluator
         returned = [machine for machine in self.inventory.machines if self._may_return(machine)]
-        for machine in self.context.scheduler.renting.surplus(
+        for machine in self.context.scheduler.scale_out.surplus(
             evaluator.value("keep_empty"), evaluator.value("idle_return_s"), self.clock()
         ):
             machine.drain = RETURN
--- a/src/grebestand/leader/durable_grants.py
+++ b/src/grebestand/leader/durable_grants.py
@@ -77,7 +77,7 @@
 
         A machine without a record was deleted, and a job without a grant was never started.
         """
-        job.granted_hi = record.hi
+        job.granted_below = record.hi
         holders: set[int] | None = None
         job.granted = None
         if record.machines is not None:
@@ -122,9 +122,9 @@
 
     @staticmethod
     def _record_written(job: Job, record: GrantRecord, machines: set[int], now: float) -> None:
-        if job.stages is not None:
-            job.stages.covered = now
-        job.granted_hi = max(job.granted_hi, record.hi)
+        if job.gang_start is not None:
+            job.gang_start.covered = now
+        job.granted_below = max(job.granted_below, record.hi)
         if record.machines is None or job.granted is None:
             job.granted = None
         else:
@@ -158,8 +158,8 @@
             return GrantUpdate(job, GrantRecord(job.spec.tasks, None), set())
         queued = [allocation for allocation in job.allocations.values() if not job.covers(allocation)]
         machines = {allocation.machine for allocation in queued} | (job.granted or set())
-        granted_below = max([job.granted_hi, *(allocation.index + 1 for allocation in queued)])
-        if granted_below > job.granted_hi:
+        granted_below = max([job.granted_below, *(allocation.index + 1 for allocation in queued)])
+        if granted_below > job.granted_below:
             granted_below = min(
                 job.spec.tasks, granted_below + max(MIN_GRANTED_AHEAD, granted_below // GRANTED_AHEAD_SHARE)
             )
--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -14,7 +14,7 @@
 from gevent.lock import BoundedSemaphore
 
 from ..clients.kv_store import KeyValueStoreClient, LeaseExpiredError, StoreError, delete, key_absent, put, version_is
-from ..clocks import DRIFT
+from ..clocks import MAX_CLOCK_DRIFT
 from ..errors import GrebestandError
 from ..flow_control.rate_limiter import Urgency
 from ..log_events import LogEvent
@@ -31,7 +31,7 @@
 KEY_READ_VALID_AFTER_RESTART_S = 2.0
 #: A resigned controller may campaign again early if nobody has taken the key for this long. Longer than the others
 #: need to see that the key is free, so that they go first.
-ALONE_S = 6.0
+REJOIN_AFTER_KEY_FREE_S = 6.0
 #: The lease ends this much earlier by our clock than by its TTL, as the answer to a renewal may have waited in a queue.
 RENEWAL_QUEUE_MARGIN_S = 0.2
 #: Bounds the memory that a broken worker can take by sending ever new tokens that no leader had.
@@ -101,13 +101,13 @@
         #: for how long the key has to be free before this controller campaigns: better placed ones go first
         self.patience: Callable[[], float] = lambda: 0.0
         #: called whenever another controller is found to lead, or this controller's own state changes
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_leadership_news: Callable[[], None] = lambda: None
         #: a higher token that a worker has seen, until a read of the key has decided who leads; else 0
-        self.challenged = 0
+        self.challenging_token = 0
         #: higher tokens that turned out to be no leader's
         self._invalid_tokens: set[int] = set()
         #: called with the old and the new state
-        self.on_move: Callable[[LeaderState, LeaderState], None] = lambda old, new: None
+        self.on_state_changed: Callable[[LeaderState, LeaderState], None] = lambda old, new: None
 
     def move(self, new: LeaderState, reason: str) -> None:
         """Change the state: the one function that does so.
@@ -119,9 +119,9 @@
             return
         check_transition(LEADER_TRANSITIONS, self.state, new, self.name)
         old, self.state = self.state, new
-        self.on_news()
+        self.on_leadership_news()
         log.info(LogEvent("leadership_changed", from_=old, to=new, token=self.token, reason=reason))
-        self.on_move(old, new)
+        self.on_state_changed(old, new)
 
     def is_leader(self) -> bool:
         """Return whether this controller may give commands and answer workers right now, by its own clock.
@@ -165,7 +165,7 @@
 
     # following --------------------------------------------------------------------------------------------
 
-    def look(self) -> None:
+    def read_leader_key(self) -> None:
         """Read the key once: learn who leads, or campaign if nobody does.
 
         Serialised: of two concurrent reads, the older one could mistake the key that this controller has just created
@@ -203,7 +203,7 @@
         """Let a resigned controller campaign again after its pause, or earlier if nobody takes the key."""
         if self.state is not LeaderState.RESIGNED:
             return
-        if self._key_free_since is not None and now - self._key_free_since >= ALONE_S:
+        if self._key_free_since is not None and now - self._key_free_since >= REJOIN_AFTER_KEY_FREE_S:
             self.move(LeaderState.FOLLOWING, "nobody else leads")
         elif now >= self._resigned_until:
             self.move(LeaderState.FOLLOWING, "may lead again")
@@ -215,7 +215,7 @@
             return False
         changed, self.leader = self.leader != name, name
         if changed:
-            self.on_news()
+            self.on_leadership_news()
         return True
 
     def _campaign(self, replaced_version: int) -> None:
@@ -233,12 +233,12 @@
         self.token, self.lease_id, self.leader = revision, lease_id, self.name
         self.cancellation_horizon.begin()
         self._key_free_since = None
-        self._extend(sent_at)
+        self._extend_authority(sent_at)
         self.move(LeaderState.LOADING, "took the key")
 
-    def _extend(self, sent_at: float) -> None:
+    def _extend_authority(self, sent_at: float) -> None:
         """Extend the authority by a lease counted from when the request left, shortened by drift and queueing."""
-        self.authority_until = sent_at + self.lease_ttl_s * (1 - 2 * DRIFT) - RENEWAL_QUEUE_MARGIN_S
+        self.authority_until = sent_at + self.lease_ttl_s * (1 - 2 * MAX_CLOCK_DRIFT) - RENEWAL_QUEUE_MARGIN_S
 
     # leading ----------------------------------------------------------------------------------------------
 
@@ -273,11 +273,11 @@
             return True
         if token != self.token or not self._in_term():
             return True  # the term ended while the lease was renewed
-        if self.challenged:
+        if self.challenging_token:
             if not key_was_read:
                 return False  # the challenge came while the lease was renewed
             self._dismiss_challenge()
-        self._extend(sent_at)
+        self._extend_authority(sent_at)
         return True
 
     def _in_term(self) -> bool:
@@ -303,15 +303,15 @@
         """
         if token in self._invalid_tokens or not self._in_term():
             return
-        self.challenged = token
+        self.challenging_token = token
         self.move(LeaderState.PAUSED, reason)
 
     def _dismiss_challenge(self) -> None:
         """Ignore the challenging token from now on: the key, read after it was seen, is this term's."""
-        log.warning(LogEvent("invalid_token_ignored", invalid_token=self.challenged, token=self.token))
+        log.warning(LogEvent("invalid_token_ignored", invalid_token=self.challenging_token, token=self.token))
         if len(self._invalid_tokens) < MAX_INVALID_TOKENS:
-            self._invalid_tokens.add(self.challenged)
-        self.challenged = 0
+            self._invalid_tokens.add(self.challenging_token)
+        self.challenging_token = 0
 
     def resign(self, reason: str, pause_s: float) -> int:
         """End the term on purpose and do not campaign for `pause_s` seconds.
--- a/src/grebestand/leader/heartbeat_handler.py
+++ b/src/grebestand/leader/heartbeat_handler.py
@@ -56,7 +56,7 @@
         self.scheduling_loop = scheduling_loop
         #: when a worker last sent a heartbeat, and whether one has in this term
         self.last_heard_at = self.clock()
-        self.first_heard = False
+        self.heard_in_term = False
         #: since when nothing is started, as the knowledge of cancellations is too old for it
         self._starts_paused_since: float | None = None
 
@@ -118,12 +118,12 @@
             return self._stale_response(heartbeat)
         if machine.token == self.token:
             # only a heartbeat with this term's token shows that the worker is there now; others may be late copies
-            self.last_heard_at, self.first_heard = now, True
+            self.last_heard_at, self.heard_in_term = now, True
         if machine.state is MachineState.NEW:
             self.provisioning.arrived(machine.name)
         self.machine_reconciliation.check(now)
         if machine.state is MachineState.GONE:
-            return HeartbeatResponse(self.token, self.context.command_builder.unwanted(heartbeat))
+            return HeartbeatResponse(self.token, self.context.command_builder.unwanted_stops(heartbeat))
         self.scheduling_loop.step(now)
         if self.election.state is LeaderState.LEADING:
             self.context.scheduler.fill(machine, now)
@@ -133,7 +133,7 @@
         """Wait a short while for the grants of what is queued on these machines."""
         machines = [response.machine for response in pending]
         for _ in range(GRANT_WRITES_AWAITED):
-            if any(self.context.command_builder.uncovered(machine) for machine in machines):
+            if any(self.context.command_builder.needs_grant(machine) for machine in machines):
                 self.grants.covering().join(timeout=GRANT_WAIT_S)
 
     def finish(self, pending: PendingResponse) -> HeartbeatResponse | None:
@@ -143,13 +143,13 @@
             return None  # the wait for grants, or a scheduling pass, outlasted the authority
         if (machine.epoch, machine.sequence) != (heartbeat.epoch, heartbeat.sequence):
             return self._stale_response(heartbeat)  # a newer heartbeat came meanwhile
-        if machine.leaving and self._runs_cancelled_too_long(machine, now):
+        if machine.stopping_count and self._runs_cancelled_too_long(machine, now):
             return None  # the limit was passed during the wait
         builder = self.context.command_builder
         starts = self._may_start()
         # a heartbeat with an older token may be incomplete or outdated: only stops of unwanted tasks follow from it
         current = machine.token == self.token
-        commands = builder.commands(machine, heartbeat, now, starts) if current else builder.unwanted(heartbeat)
+        commands = builder.commands(machine, heartbeat, now, starts) if current else builder.unwanted_stops(heartbeat)
         machine.last_response_at = now
         return HeartbeatResponse(self.token, commands)
 
@@ -162,7 +162,7 @@
         machine = self.inventory.by_name.get(heartbeat.machine)
         if machine is not None:
             machine.last_response_at = self.clock()
-        return HeartbeatResponse(self.token, self.context.command_builder.unwanted(heartbeat))
+        return HeartbeatResponse(self.token, self.context.command_builder.unwanted_stops(heartbeat))
 
     def _must_not_renew(self, machine: Machine | None, now: float) -> bool:
         """Return whether the lease of a machine has to run out, so that it gets no answer."""
@@ -170,7 +170,7 @@
             return False
         if machine.reception is Reception.UNREACHABLE and machine.state is not MachineState.LEASE_EXPIRED:
             return True  # an answer that comes through after all renews the lease, and its end could not be known
-        return bool(machine.leaving) and self._runs_cancelled_too_long(machine, now)
+        return bool(machine.stopping_count) and self._runs_cancelled_too_long(machine, now)
 
     @staticmethod
     def _runs_cancelled_too_long(machine: Machine, now: float) -> bool:
--- a/src/grebestand/leader/job_audit.py
+++ b/src/grebestand/leader/job_audit.py
@@ -50,7 +50,7 @@
         self._last_key = ""
         self._quiet_turn = 0
         #: the number of defects repaired so far
-        self.mended = 0
+        self.defects_repaired = 0
 
     def step(self) -> None:
         """Check all jobs in memory, the waiting tasks of one quiet job, and now and then a page of records.
@@ -74,7 +74,7 @@
             self._read_page()
 
     def _log_defect(self, job: Job, defect: str) -> None:
-        self.mended += 1
+        self.defects_repaired += 1
         log.error(LogEvent("job_defect_repaired", job_id=job.spec.id, defect=defect))
 
     # in memory --------------------------------------------------------------------------------------------
@@ -87,9 +87,9 @@
     def _check_job(self, job: Job, now: float) -> None:
         for allocation in list(job.allocations.values()):
             self._check_allocation(job, allocation, now)
-        if job.hold_until > now + MAX_DELAY_S:
+        if job.retry_at > now + MAX_DELAY_S:
             self._log_defect(job, "it is delayed for too long")
-            job.hold_until = now
+            job.retry_at = now
         for index in [index for index in job.possible_holders if not self._is_unreconciled(index)]:
             self._log_defect(job, "it waits for a machine that is reconciled")
             self.registry.clear_possible_holder(index)
@@ -108,7 +108,7 @@
             self.inventory.release(machine, allocation, now)
         elif (
             allocation.state in (AllocationState.QUEUED, AllocationState.SENT)
-            and now - allocation.made_at > START_LEASES * self.inventory.lease_s
+            and now - allocation.decided_at > START_LEASES * self.inventory.lease_s
         ):
             self.inventory.to_query.add(machine.index)  # only the machine itself can explain it
 
@@ -201,7 +201,7 @@
         Within a lease each machine has sent what it runs or has expired; those of an earlier term that are unreconciled
         have to be reconciled first.
         """
-        job.hold_until = now + DELAY_LEASES * self.inventory.lease_s
+        job.retry_at = now + DELAY_LEASES * self.inventory.lease_s
         unreconciled = {machine.index for machine in self.inventory.unreconciled()}
         if unreconciled:
             self.registry.add_possible_holders(job, unreconciled, job.spec.tasks)
--- a/src/grebestand/leader/job_completion.py
+++ b/src/grebestand/leader/job_completion.py
@@ -43,7 +43,7 @@
         self.completed_jobs = completed_jobs
         self.features = features
 
-    def close_jobs(self) -> None:
+    def complete_jobs(self) -> None:
         """Complete all finished jobs, each in one transaction.
 
         Raises:
@@ -88,7 +88,7 @@
         # either an earlier try of this commit was carried out after all, or a user's cancellation came first
         found = self.writer.store.get(completed_key(job_id), Urgency.DONE)
         if found is None:
-            raise StoreError(f"{job_id} is neither live nor over", maybe=True)
+            raise StoreError(f"{job_id} is neither live nor over", possibly_applied=True)
         return msgspec.convert(found.value, CompletedJobRecord)
 
     @staticmethod
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -55,12 +55,12 @@
         job.wait_since = now
         job.guest = record.guest
         if record.abroad is not None:
-            job.abroad, job.away = record.abroad, True
+            job.abroad, job.runs_remotely = record.abroad, True
 
     def _update(self, job: Job, record: LiveJobRecord, version: int) -> None:
         """Bring a job back from another cluster, by this leader's own change or as operators gave that cluster up."""
         if job.abroad is not None and record.abroad is None and version > job.version:
-            job.version, job.abroad, job.away = version, None, False
+            job.version, job.abroad, job.runs_remotely = version, None, False
             self.registry.changed = True
 
     def watch(self) -> None:
@@ -89,7 +89,7 @@
             self._reread()
             return
         if changes.revision < since or any(event.version > changes.revision for event in changes.events):
-            raise StoreError(f"revision {changes.revision} after {since}: that cannot be", maybe=False)
+            raise StoreError(f"revision {changes.revision} after {since}: that cannot be", possibly_applied=False)
         now = self.clock()
         for event in changes.events:
             # two reads may be under way: the older one must not undo what the newer one has applied
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -48,13 +48,13 @@
         #: every machine that was on record when the term began has been reconciled
         self.proved = False
         #: indices of machines with a query under way
-        self.asking: set[int] = set()
+        self.queries_under_way: set[int] = set()
 
     def check(self, now: float) -> None:
         """Release the unseen tasks of jobs whose possible holders have all been reconciled."""
         if self.proved:
             return
-        reconciled, self.inventory.proved = self.inventory.proved, []
+        reconciled, self.inventory.newly_reconciled = self.inventory.newly_reconciled, []
         for index in reconciled:
             for job in self.registry.clear_possible_holder(index):
                 self._stop_incomplete_gang(job, now)
@@ -75,8 +75,12 @@
         wanted, inventory.to_query = inventory.to_query, set()
         due = inventory.unreconciled()
         due += [m for m in inventory.machines if m.reception is not Reception.REACHABLE or m.index in wanted]
-        free_queries = max(0, MOST_ASKED - len(self.asking))
-        ready = [m for m in dict.fromkeys(due) if m.index not in self.asking and now - m.asked_at >= QUERY_INTERVAL_S]
+        free_queries = max(0, MOST_ASKED - len(self.queries_under_way))
+        ready = [
+            m
+            for m in dict.fromkeys(due)
+            if m.index not in self.queries_under_way and now - m.asked_at >= QUERY_INTERVAL_S
+        ]
         chosen = ready[:free_queries]
         inventory.to_query = wanted - {m.index for m in chosen}
         return chosen
@@ -86,14 +90,14 @@
 
         Unwanted tasks are stopped at once: until its next heartbeat they would keep it from being reconciled.
         """
-        if machine.index in self.asking:
+        if machine.index in self.queries_under_way:
             return
-        self.asking.add(machine.index)
+        self.queries_under_way.add(machine.index)
         machine.asked_at = self.clock()
         try:
             self._query(machine)
         finally:
-            self.asking.discard(machine.index)
+            self.queries_under_way.discard(machine.index)
 
     def _query(self, machine: Machine) -> None:
         known = machine.epoch, machine.sequence
@@ -113,7 +117,7 @@
             epoch = heartbeat.epoch
             if status == HTTP_OK or heartbeat.token == self.token:
                 self.apply_direct_answer(machine, heartbeat, known)
-                commands, sent = self.context.command_builder.unwanted(heartbeat), commands
+                commands, sent = self.context.command_builder.unwanted_stops(heartbeat), commands
                 if sent or not commands or machine.state is MachineState.GONE:
                     return
                 known = machine.epoch, machine.sequence
@@ -132,7 +136,7 @@
     def _record_missing_answer(self, machine: Machine) -> None:
         if machine.reception is Reception.SUSPECTED and machine.state is not MachineState.GONE:
             reason = "does not answer direct queries"
-            self.inventory.receive(machine, Reception.UNREACHABLE, reason, self.clock())
+            self.inventory.change_reception(machine, Reception.UNREACHABLE, reason, self.clock())
 
     def apply_direct_answer(self, machine: Machine, heartbeat: Heartbeat, known: tuple[int, int]) -> None:
         """Apply the heartbeat with which a machine answered a direct request.
@@ -151,9 +155,9 @@
         self.context.reconciler.read(heartbeat, now, solicited=True)
         self.check(now)
 
-    def order_stops(self, machine: Machine) -> None:
+    def send_stops(self, machine: Machine) -> None:
         """Send those stops to a worker that should not wait for its next heartbeat."""
-        commands: list[Command] = self.context.command_builder.direct_stops(machine)
+        commands: list[Command] = self.context.command_builder.requested_stops(machine)
         if not commands or machine.epoch == 0:
             return
         now = self.clock()
--- a/src/grebestand/leader/machine_records.py
+++ b/src/grebestand/leader/machine_records.py
@@ -28,7 +28,7 @@
             if name not in self.inventory.by_name:
                 record = msgspec.convert(value, MachineRecord)
                 self.inventory.add(name, record.addr, record.type, record.zone, record.spot, now, recorded=True)
-        self.registry.anywhere = {machine.index for machine in self.inventory.machines}
+        self.registry.unreconciled_machines = {machine.index for machine in self.inventory.machines}
 
     def record(self) -> None:
         """Record new machines, after which they may get tasks.
--- a/src/grebestand/leader/provisioning.py
+++ b/src/grebestand/leader/provisioning.py
@@ -90,7 +90,7 @@
 
     def usual_s(self, machine_type: str) -> float:
         """Return what nine in ten boots take at most, in seconds, and never less than what the cloud states."""
-        described = self.inventory.kinds.get(self.registry.machine_types.find(machine_type) or 0)
+        described = self.inventory.machine_types.get(self.registry.machine_types.find(machine_type) or 0)
         stated_s = STATED_BOOT_FACTOR * (described.boot_s if described is not None else UNKNOWN_BOOT_S)
         if self.sketches.count(machine_type) < MIN_BOOT_SAMPLES:
             return stated_s
@@ -220,7 +220,7 @@
     def _pools_to_ask(self) -> Iterator[tuple[CapacityShortage, int]]:
         """Yield shortages with their zones: first those with few late machines, then those with few machines."""
         allow_spot = bool(self.context.policy_evaluator.value("rent_spot"))
-        for shortage in self.context.scheduler.renting.shortages:
+        for shortage in self.context.scheduler.scale_out.shortages:
             if shortage.spot and not allow_spot:
                 continue
             machines_by_zone = self._machines_by_zone(shortage.zones)
@@ -266,7 +266,7 @@
         key = f"{RENT_PREFIX}{name}"
         _, failed = self.writer.commit([key_absent(key)], [put(key, msgspec.to_builtins(record))], Urgency.TAKEOVER)
         if failed:
-            raise StoreError(f"{name} is on record already", maybe=False)
+            raise StoreError(f"{name} is on record already", possibly_applied=False)
         self.unsettled[name] = record
 
     def _record_outcome(self, record: RentalRecord, rented: int, now: float) -> None:
@@ -290,7 +290,7 @@
             )
         )
 
-    def clear_orphans(self) -> None:
+    def delete_settled_records(self) -> None:
         """Delete the records of settled requests, as many as fit a transaction.
 
         Raises:
--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -46,7 +46,7 @@
         self.overload = overload
         self.scheduler = context.scheduler
         #: the earliest times of the next pass and of the next targets
-        self.place_after = self.retarget_after = -math.inf
+        self.next_pass_at = self.next_targets_at = -math.inf
         #: the computation under way, and what to call when it is complete
         self._work: Steps | None = None
         self._on_complete: Callable[[], None] = lambda: None
@@ -67,24 +67,24 @@
         since = now - self.scheduler.retargeted_at
         # the greedy algorithm updates at every arrival; here an arrival brings the next update forward
         due = since >= self.scheduler.view.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
-        if due and now >= self.retarget_after:
+        if due and now >= self.next_targets_at:
             registry.arrived = False
             self._begin(self._compute_targets(now), self._finish_targets)
-        if not self.busy and registry.changed and now >= self.place_after:
+        if not self.busy and registry.changed and now >= self.next_pass_at:
             registry.changed = False
-            self._begin(self.scheduler.passing(now), self._finish_pass)
+            self._begin(self.scheduler.full_pass_steps(now), self._finish_pass)
 
     def _compute_targets(self, now: float) -> Steps:
         self.inventory.detect_silent_machines(now)
         self.machine_reconciliation.check(now)
-        yield from self.scheduler.retargeting(now, self.overload.spare)
+        yield from self.scheduler.retarget_steps(now, self.overload.spare)
 
     def _begin(self, work: Steps, on_complete: Callable[[], None]) -> None:
         self._work, self._on_complete = work, on_complete
         self._began_at, self._spent_s = self.clock(), 0.0
-        self.go_on()
+        self.run_slice()
 
-    def go_on(self) -> None:
+    def run_slice(self) -> None:
         """Run one more slice of the computation under way, if any."""
         work = self._work
         if work is None:
@@ -113,7 +113,7 @@
             self._on_complete()
 
     def _finish_targets(self) -> None:
-        self.retarget_after = self.clock() + TARGETS_REST * self._spent_s
+        self.next_targets_at = self.clock() + TARGETS_REST * self._spent_s
         if self.clock() - self._durations_logged_at >= self.scheduler.view.policy_values.period_s:
             self._durations_logged_at = self.clock()
             self.context.stragglers.forget()
@@ -125,4 +125,4 @@
         if self._spent_s < TRIFLE_S:
             return
         gap_s = LIGHT_GAP_S if self._spent_s < LIGHT_S else PASS_GAP_S
-        self.place_after = max(self._began_at + gap_s, self.clock() + min(PASS_REST * self._spent_s, MOST_REST_S))
+        self.next_pass_at = max(self._began_at + gap_s, self.clock() + min(PASS_REST * self._spent_s, MOST_REST_S))
--- a/src/grebestand/leader/task_progress.py
+++ b/src/grebestand/leader/task_progress.py
@@ -73,9 +73,9 @@
         chunk_bytes = self._chunk_bytes()
         chunks: list[_DirtyChunk] = []
         for job in self.registry.jobs.values():
-            if not job.dirty or not job.live:
+            if not job.unsaved_chunks or not job.live:
                 continue
-            for number, since in job.dirty.items():
+            for number, since in job.unsaved_chunks.items():
                 if now - since >= PROGRESS_AGE_S:
                     bits = bytes(job.done[number * chunk_bytes : (number + 1) * chunk_bytes])
                     self.pages.put(f"{job.spec.id}/{number}", base64.b64encode(bits).decode("ascii"))
@@ -88,10 +88,10 @@
         for i, byte in enumerate(chunk.bits):
             job.durable[offset + i] |= byte
         unchanged = job.done[offset : offset + len(chunk.bits)] == chunk.bits
-        if unchanged and job.dirty.get(chunk.number) == chunk.since:
-            job.dirty.pop(chunk.number, None)
+        if unchanged and job.unsaved_chunks.get(chunk.number) == chunk.since:
+            job.unsaved_chunks.pop(chunk.number, None)
         else:
-            job.dirty[chunk.number] = now
+            job.unsaved_chunks[chunk.number] = now
 
     def _chunk_bytes(self) -> int:
         return self.registry.chunk_bits // 8
--- a/src/grebestand/leader/term.py
+++ b/src/grebestand/leader/term.py
@@ -150,7 +150,7 @@
         self.grants.load()
         self._close_finished_jobs(now)
         self._load_feature_records()
-        self.inventory.count_unknown()
+        self.inventory.count_unreconciled()
         now = self.clock()
         self._restart_leases(now)
         self.job_watch.begin()
@@ -202,12 +202,12 @@
         """Return the answer to a heartbeat that was begun, or None if this controller may not answer any more."""
         return self.heartbeat_handler.finish(pending)
 
-    def wants_spread(self, machines: float) -> bool:
+    def assignment_wanted(self, machines: float) -> bool:
         """Return whether, by the policy, with so many machines every controller is to answer heartbeats."""
         evaluator = self.context.policy_evaluator
         return bool(evaluator.policy.value("spread_reports", {**evaluator.names(), "machines": machines}))
 
-    def step_fleet(self) -> None:
+    def step_machines(self) -> None:
         """Settle rental requests, read the cloud's list, and return and rent machines.
 
         Raises:
@@ -215,7 +215,7 @@
             FencedError: this term may not write any more.
             StoreError: the store could not be reached.
         """
-        if not self.inventory.kinds:
+        if not self.inventory.machine_types:
             types = self.machine_types()
             if types is None:
                 return
--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class GangCandidates:
+class GangCandidate:
     """Slots for a gang's tasks on one machine, as of a change count, with the cost of fetching the image included."""
 
     machine: Machine
@@ -68,7 +68,7 @@
 class GangShare(NamedTuple):
     """How many of a gang's tasks are to start on one machine."""
 
-    candidate: GangCandidates
+    candidate: GangCandidate
     tasks: int
 
 
@@ -76,7 +76,7 @@
 class GangSelection:
     """The candidates that a search found, and the shares chosen from them: None if they are not enough."""
 
-    candidates: list[GangCandidates]
+    candidates: list[GangCandidate]
     shares: list[GangShare] | None
 
 
@@ -186,7 +186,7 @@
             return False
         team = self.registry.teams[job.team]
         if not team.left_to(job.spec.id):
-            job.why_waiting = f"its team's limit is kept for {team.kept_for}"
+            job.why_waiting = f"its team's limit is kept for {team.limit_reserved_for}"
             return False
         if team.headroom(job.size) < job.spec.tasks:
             job.why_waiting = "team limit"
@@ -199,8 +199,8 @@
         Smaller jobs of its team would use up the limit again and again.
         """
         team = self.registry.teams[job.team]
-        if not team.kept_for and job.startable() and team.headroom(job.size) < job.spec.tasks:
-            team.kept_for = job.spec.id
+        if not team.limit_reserved_for and job.startable() and team.headroom(job.size) < job.spec.tasks:
+            team.limit_reserved_for = job.spec.id
 
     def _similar_was_refused(self, job: Job, shape: GangShape) -> bool:
         """Return whether this pass could not fit a gang of the same shape that was no larger.
@@ -216,9 +216,9 @@
 
     def _find_candidates(
         self, job: Job, ready: list[Machine], table: PlacementTable, now: float
-    ) -> Generator[None, None, list[GangCandidates]]:
+    ) -> Generator[None, None, list[GangCandidate]]:
         """Return what machines could do for a gang; the search ends early once there is enough of the cheapest."""
-        candidates: list[GangCandidates] = []
+        candidates: list[GangCandidate] = []
         #: by zone, tasks that could start now at the lowest cost there can be
         cheapest_slots: dict[int, int] = {}
         lowest_cost = IDLE_WEIGHT * self.images.least_s(job) * job.size[0] / MICRO_UNITS
@@ -251,13 +251,13 @@
                 candidate.machine
                 for candidate, _ in selection.shares
                 if candidate.change_count != candidate.machine.change_count
-                or not self.inventory.usable(candidate.machine, now)
+                or not self.inventory.is_schedulable(candidate.machine, now)
             }
             if not outdated:
                 return True
             selection.candidates = [c for c in selection.candidates if c.machine not in outdated]
             for machine in sorted(outdated, key=lambda m: m.index):
-                if self.inventory.usable(machine, now):
+                if self.inventory.is_schedulable(machine, now):
                     selection.candidates += self.offers(job, machine, table, now)
             selection.shares = self.choose(job, selection.candidates)
         return False
@@ -275,7 +275,7 @@
             self._reserve(candidate.machine, job, until=now + RESERVATION_S)
             self.preemption.displace(candidate.victims, job, now)
 
-    def _reserve_free_machines(self, job: Job, candidates: list[GangCandidates], now: float) -> None:
+    def _reserve_free_machines(self, job: Job, candidates: list[GangCandidate], now: float) -> None:
         """Reserve free machines for an overdue gang, in the zone where most of it fits, until it can start whole.
 
         This is done for one gang in a pass, the first in order of service, and for no more machines than it needs.
@@ -283,7 +283,7 @@
         within `RESERVATION_S` if the gang starts elsewhere, is cancelled, or fits better into another zone.
         """
         self._overdue_gang = job.spec.id
-        free_by_zone: dict[int, list[GangCandidates]] = {}
+        free_by_zone: dict[int, list[GangCandidate]] = {}
         for candidate in candidates:
             machine = candidate.machine
             if candidate.ready and not candidate.victims and machine.reserved_for in (None, job.spec.id):
@@ -305,7 +305,7 @@
         """Start all tasks of a gang."""
         attempt = self.dispatch.next_attempt()
         free_since = max(job.wait_since, *(candidate.machine.freed_at for candidate, _ in shares))
-        job.stages = GangStartTimeline(attempt, free_since, now)
+        job.gang_start = GangStartTimeline(attempt, free_since, now)
         # a task whose machine has the image would wait for the others, and workers end that wait after a while
         fetches_s = [self.images.fetch_s(job, candidate.machine) for candidate, _ in shares]
         uneven = max(fetches_s) > UNEVEN_FETCH_SHARE * self.gang_wait_s
@@ -328,24 +328,24 @@
             )
         )
 
-    def room_for(self, job: Job, now: float) -> list[Machine] | None:
+    def machines_for(self, job: Job, now: float) -> list[Machine] | None:
         """Return machines that could start the whole gang now without preemption, or None if there are not enough.
 
         Args:
             job: a gang that is not registered here: another cluster asks.
             now: seconds on the leader's clock.
         """
-        candidates: list[GangCandidates] = []
+        candidates: list[GangCandidate] = []
         table: PlacementTable = {}
         for machine in self.inventory.machines:
-            if self.inventory.usable(machine, now) and machine.free[0] >= job.size[0]:
+            if self.inventory.is_schedulable(machine, now) and machine.free[0] >= job.size[0]:
                 candidates += [c for c in self.offers(job, machine, table, now) if c.ready]
         shares = self.choose(job, candidates)
         return [candidate.machine for candidate, _ in shares] if shares is not None else None
 
     def _table_for(self, job: Job, now: float) -> PlacementTable:
         """Return what is known of machines for gangs like this one, whatever their images."""
-        max_per_machine = max((tasks_that_fit(job.size, capacity) for capacity in self.inventory.rooms), default=0)
+        max_per_machine = max((tasks_that_fit(job.size, capacity) for capacity in self.inventory.capacities), default=0)
         key = (
             job.size,
             job.rank,
@@ -355,7 +355,7 @@
         )
         return self._cached_table(self._tables, key)
 
-    def offers(self, job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidates]:
+    def offers(self, job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidate]:
         """Return what a machine could do for a gang: slots that are free now, or that preemption would free.
 
         Both cost CPU seconds: work that is thrown away, and cores that idle while the image is fetched. A machine
@@ -371,7 +371,7 @@
         if machine.slowness > SLOW_MACHINE_RATIO:  # the slowest machine sets the speed of the whole gang
             fetch_cost += (machine.slowness - 1.0) * self.context.run_times.run_s(job) * job.size[0] / MICRO_UNITS
         return [
-            GangCandidates(machine, change_count, p.tasks, p.victims, fetch_cost + p.cost, p.ready) for p in placements
+            GangCandidate(machine, change_count, p.tasks, p.victims, fetch_cost + p.cost, p.ready) for p in placements
         ]
 
     def _examine(self, job: Job, machine: Machine, now: float) -> list[GangPlacement]:
@@ -382,7 +382,7 @@
         free = min(tasks_that_fit(job.size, machine.free), job.spec.tasks)
         if free > 0:
             placements.append(GangPlacement(free, [], 0.0, ready=True))
-        if (machine.leaving and free > 0) or self._must_not_preempt_yet(job, now):
+        if (machine.stopping_count and free > 0) or self._must_not_preempt_yet(job, now):
             return placements
         for tasks in range(min(tasks_that_fit(job.size, machine.capacity), job.spec.tasks), free, -1):
             eviction = self.preemption.eviction(job, machine, tasks, now)
@@ -392,7 +392,7 @@
                 break
         return placements
 
-    def choose(self, job: Job, candidates: list[GangCandidates]) -> list[GangShare] | None:
+    def choose(self, job: Job, candidates: list[GangCandidate]) -> list[GangShare] | None:
         """Return the cheapest machines for a whole gang, in one zone or spread as its job demands.
 
         Returns:
@@ -414,17 +414,17 @@
                 best, best_cost = shares, cost
         return best
 
-    def _ranked(self, job: Job, candidates: list[GangCandidates]) -> Iterator[GangCandidates]:
+    def _ranked(self, job: Job, candidates: list[GangCandidate]) -> Iterator[GangCandidate]:
         """Yield the best candidates first. The order among equals is computed only as far as it is asked for."""
 
-        def cost_key(candidate: GangCandidates) -> tuple[bool, float]:
+        def cost_key(candidate: GangCandidate) -> tuple[bool, float]:
             return candidate.machine.reserved_for is None, candidate.cost
 
         for _, equals in itertools.groupby(sorted(candidates, key=cost_key), cost_key):
             yield from sorted(equals, key=lambda c: self.placement.preference(job, c.machine))
 
     @staticmethod
-    def _pick(ranked: Iterator[GangCandidates], tasks: int, max_per_zone: int) -> list[GangShare] | None:
+    def _pick(ranked: Iterator[GangCandidate], tasks: int, max_per_zone: int) -> list[GangShare] | None:
         """Return shares of the first candidates that take all tasks, or None if they do not suffice."""
         missing = tasks
         shares: list[GangShare] = []
--- a/src/grebestand/scheduling/image_locality.py
+++ b/src/grebestand/scheduling/image_locality.py
@@ -39,7 +39,7 @@
             if not examined % MACHINES_PER_STEP:
                 yield
             if self.inventory.counts(machine):
-                for image in (*machine.images, *machine.pulls):
+                for image in (*machine.images, *machine.image_fetches):
                     host_cpus[image] = host_cpus.get(image, 0) + machine.capacity[0]
         self.hosted = set(host_cpus)
         self.well_spread = {i for i, cpus in demand_cpus.items() if host_cpus.get(i, 0) >= HOST_FACTOR * cpus}
@@ -51,18 +51,18 @@
         machine fetches one after the other, and where enough machines have the image already, the job waits for
         those as long as a fetch would take.
         """
-        if job.image in machine.images or job.image in machine.pulls:
+        if job.image in machine.images or job.image in machine.image_fetches:
             return True
         fetch_s = self.fetch_s(job, machine)
         if fetch_s <= self.inventory.report_s:
             return True
-        return not machine.pulls and (job.image not in self.well_spread or now - job.started_at >= fetch_s)
+        return not machine.image_fetches and (job.image not in self.well_spread or now - job.started_at >= fetch_s)
 
     def least_s(self, job: Job) -> float:
         """Return the shortest time for which the job would wait for its image: none if some machine has it."""
         if job.image in self.hosted:
             return 0.0
-        rates = (kind.fetch_gb_per_s for kind in self.inventory.kinds.values())
+        rates = (kind.fetch_gb_per_s for kind in self.inventory.machine_types.values())
         fastest = max(rates, default=DEFAULT_FETCH_GB_PER_S)
         return self.registry.image_gb[job.image] / max(fastest, MIN_FETCH_GB_PER_S)
 
@@ -70,12 +70,12 @@
         """Return how long the job would wait for its image on a machine; concurrent fetches share the rate."""
         if job.image in machine.images:
             return 0.0
-        kind = self.inventory.kinds.get(machine.kind)
+        kind = self.inventory.machine_types.get(machine.kind)
         if kind is None:
             return 0.0
         sizes_gb = self.registry.image_gb
-        under_way = job.image in machine.pulls
+        under_way = job.image in machine.image_fetches
         gigabytes = sizes_gb[job.image] * REMAINING_SHARE if under_way else sizes_gb[job.image]
-        if machine.pulls and not under_way:
-            gigabytes += sum(sizes_gb[image] for image in machine.pulls)
+        if machine.image_fetches and not under_way:
+            gigabytes += sum(sizes_gb[image] for image in machine.image_fetches)
         return gigabytes / max(kind.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
--- a/src/grebestand/scheduling/machine_health.py
+++ b/src/grebestand/scheduling/machine_health.py
@@ -67,11 +67,11 @@
             now: seconds on the leader's clock.
         """
         self._record_failure_of_job(job, machine, ran_s, now)
-        if not job.earned and not self._runs_elsewhere(job, now):
+        if not job.has_progress and not self._runs_elsewhere(job, now):
             # whichever is at fault: while the job waits, other jobs show what the machine does with them
             if job.errors > 1:
-                job.hold_until = now + self._job_backoff_s(job)
-            if not job.doubtful and max(job.errors, len(job.avoid)) >= OWN_FAULT_FAILURES:
+                job.retry_at = now + self._job_backoff_s(job)
+            if not job.suspected_faulty and max(job.errors, len(job.avoid)) >= OWN_FAULT_FAILURES:
                 self._doubt(job, now)
             if len(job.avoid) >= OWN_FAULT_FAILURES:
                 self._exonerate_machines(job)
@@ -101,7 +101,7 @@
         Further failures of a job that has never succeeded do not count: a job with a mistake of its own that is
         retried there would block the machine for longer and longer.
         """
-        is_repetition = job.spec.id in machine.error_jobs and not job.earned
+        is_repetition = job.spec.id in machine.error_jobs and not job.has_progress
         machine.error_jobs.add(job.spec.id)
         if now - machine.error_at > FAILURE_INTERVAL_S and not is_repetition:
             machine.errors += 1
@@ -131,7 +131,7 @@
         It is retried less often and with one task, or one gang, at a time. It is never given up: machines may have
         been at fault after all.
         """
-        job.doubtful = True
+        job.suspected_faulty = True
         log.info(LogEvent("job_retries_reduced", job_id=job.spec.id, machines=len(job.avoid)))
         for allocation in [a for a in job.allocations.values() if a.run_at is None]:
             if not job.gang:
@@ -160,14 +160,14 @@
         Otherwise a job that may run on few machines would wait for ever. A job that was taken to be at fault is
         trusted again once one of its tasks runs for longer than those that failed.
         """
-        if not job.doubtful:
+        if not job.suspected_faulty:
             for index in [i for i, failed_at in job.avoid.items() if now - failed_at > AVOIDED_S]:
                 del job.avoid[index]
             return
         if cls._has_task_running_for(job, max(RECOVERED_AFTER_S, RECOVERED_FACTOR * job.fails_after_s), now):
-            job.doubtful = False
+            job.suspected_faulty = False
             job.errors = 0
-            job.hold_until = 0.0
+            job.retry_at = 0.0
 
     def evacuate(self, machine: Machine, now: float) -> None:
         """Stop the tasks of a machine that is about to go; those that have progress to save get time for it."""
--- a/src/grebestand/scheduling/migration.py
+++ b/src/grebestand/scheduling/migration.py
@@ -61,7 +61,7 @@
         return sum(
             1
             for machine in self.inventory.machines
-            if machine.leaving
+            if machine.stopping_count
             for allocation in machine.allocations.values()
             if allocation.stop == MIGRATION
         )
@@ -70,7 +70,7 @@
         """Return the number of empty slots in the accept group, by type and machine."""
         empty_slots: dict[int, dict[Machine, int]] = {}
         for machine in self.inventory.machines:
-            if machine.in_accept_group and self.inventory.usable(machine, now) and machine.reserved_for is None:
+            if machine.in_accept_group and self.inventory.is_schedulable(machine, now) and machine.reserved_for is None:
                 for task_type, slots in enumerate(machine.template):
                     empty = slots - machine.slots_used(task_type)
                     if empty > 0:
@@ -80,7 +80,9 @@
     def _rejected_machines(self, now: float) -> list[Machine]:
         """Return the usable machines of the reject group, the highest rank first."""
         rejected = [
-            m for m in self.inventory.machines if not m.in_accept_group and m.rank and self.inventory.usable(m, now)
+            m
+            for m in self.inventory.machines
+            if not m.in_accept_group and m.rank and self.inventory.is_schedulable(m, now)
         ]
         rejected.sort(key=lambda machine: -machine.rank)
         return rejected
--- a/src/grebestand/scheduling/pending_reasons.py
+++ b/src/grebestand/scheduling/pending_reasons.py
@@ -65,7 +65,7 @@
                 "cluster_summarised",
                 machines=len(machines),
                 accepting=sum(1 for m in machines if m.in_accept_group),
-                ready=sum(1 for m in machines if self.inventory.usable(m, now)),
+                ready=sum(1 for m in machines if self.inventory.is_schedulable(m, now)),
                 cpus_used=round(sum(m.used[0] for m in machines) / MICRO_UNITS),
                 cpus=round(sum(m.capacity[0] for m in machines) / MICRO_UNITS),
                 cpus_by_state=[f"{state.name.lower()}:{n / MICRO_UNITS:.0f}" for state, n in cpus_by_state.items()],
@@ -112,6 +112,6 @@
         """Return why a job waits."""
         if job.possible_holders and not job.startable():
             return "some machines are not reconciled"
-        if now < job.hold_until:
+        if now < job.retry_at:
             return "its tasks failed lately"
         return job.why_waiting or "not yet tried"
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -97,7 +97,7 @@
         """
         if not self._queue or machine.free[0] < self._smallest_cpus or not machine.news:
             return
-        if machine.reserved_for is not None or not self.inventory.usable(machine, now):
+        if machine.reserved_for is not None or not self.inventory.is_schedulable(machine, now):
             return
         # what did not fit here in the last pass fits only once something on this machine has changed
         machine.news = False
@@ -115,7 +115,7 @@
             if wanted <= 0:
                 queue_outdated = queue_outdated or job.waiting() == 0
                 continue
-            if now < job.hold_until or not self.allowed(job, machine):
+            if now < job.retry_at or not self.allowed(job, machine):
                 continue
             if not self.images.worth_fetching(job, machine, now):
                 continue
@@ -149,7 +149,7 @@
         unplaced = yield from self._start_on_options(job, options, turn, now)
         if unplaced > 0:
             job.why_waiting = "no slot"
-            yield from self._make_room(job, ready, unplaced, now)
+            yield from self._preempt_for(job, ready, unplaced, now)
 
     def _find_options(
         self, job: Job, roomy: list[Machine], now: float, has_reserved: bool
@@ -275,7 +275,7 @@
             and (kinds is None or machine.kind in kinds)
             and (job.zone < 0 or job.zone == machine.zone)
             and (machine.reserved_for is None or machine.reserved_for == job.spec.id)
-            and (machine.index not in job.avoid or not job.earned)
+            and (machine.index not in job.avoid or not job.has_progress)
         )
 
     def preference(self, job: Job, machine: Machine) -> tuple[object, ...]:
@@ -311,7 +311,7 @@
 
     def _slots_still_free(self, job: Job, machine: Machine, now: float) -> int:
         """Return how many tasks a machine takes now that was found suitable in an earlier turn."""
-        if not self.inventory.usable(machine, now) or not self.allowed(job, machine):
+        if not self.inventory.is_schedulable(machine, now) or not self.allowed(job, machine):
             return 0
         return self._slots_for(job, machine, now) if self.images.worth_fetching(job, machine, now) else 0
 
@@ -353,7 +353,7 @@
                 return 0
         return limit
 
-    def _make_room(self, job: Job, ready: list[Machine], tasks: int, now: float) -> Steps:
+    def _preempt_for(self, job: Job, ready: list[Machine], tasks: int, now: float) -> Steps:
         """Preempt other work for a job's waiting tasks, if the job may displace any."""
         if self.preemption.patient(job, self.policy_values.reclaim_after_s, now):
             return
@@ -399,7 +399,9 @@
             if not to_clear or not job.live:
                 return
             machine = machines.pop()
-            eviction = self._eviction_for_one_task(job, machine, now) if self.inventory.usable(machine, now) else None
+            eviction = (
+                self._eviction_for_one_task(job, machine, now) if self.inventory.is_schedulable(machine, now) else None
+            )
             if eviction is not None:
                 to_clear -= 1
                 self._reserve(machine, job, until=now + CLEARED_RESERVATION_S)
@@ -407,7 +409,7 @@
 
     def _eviction_for_one_task(self, job: Job, machine: Machine, now: float) -> tuple[list[Allocation], float] | None:
         """Return what would have to stop on a machine for one task of the job, and the cost of that."""
-        if machine.reserved_for is not None or machine.leaving:
+        if machine.reserved_for is not None or machine.stopping_count:
             return None
         # where the task fits already, it is the template that refuses it, and preemption does not help
         if fits(job.size, machine.free) or not self.allowed(job, machine):
--- a/src/grebestand/scheduling/preemption.py
+++ b/src/grebestand/scheduling/preemption.py
@@ -112,7 +112,7 @@
         if cost is None:
             tasks = job.spec.tasks if job.gang else 1
             # a gang that was displaced before costs more, so that it is not the cheapest victim again and again
-            cpus = (1.0 + job.displaced) * tasks * max(job.size[0], 1) / MICRO_UNITS
+            cpus = (1.0 + job.preemption_count) * tasks * max(job.size[0], 1) / MICRO_UNITS
             checkpoints = job.spec.checkpoint_s > 0
             is_protected = job.guaranteed or (not checkpoints and self.ordering.tight(job, None, now))
             cost = self._costs_by_job[job] = PreemptionCost(cpus, checkpoints, is_protected)
@@ -124,7 +124,7 @@
         cost = self._cost_for_job(job, now)
         if victim.run_at is None:
             # its cores have been idle while its image is fetched, which would have to be fetched again elsewhere
-            seconds = IDLE_OVERHEAD_S + now - victim.made_at
+            seconds = IDLE_OVERHEAD_S + now - victim.decided_at
         elif cost.checkpoints:
             seconds = job.spec.save_s + SAVE_MARGIN_S
         else:
@@ -138,7 +138,7 @@
         This is a quick check of CPUs by priority and team, which rules out most machines. It may return False where
         `eviction` finds nothing, never True where it finds something.
         """
-        if machine.leaving:
+        if machine.stopping_count:
             return False
         cpus = machine.free[0] + sum(machine.rank_cpus[job.rank + 1 :])
         if reclaims and cpus < job.size[0]:
@@ -158,7 +158,7 @@
         """
         need = multiply(job.size, tasks)
         capacity = machine.free
-        if machine.leaving:
+        if machine.stopping_count:
             for allocation in machine.allocations.values():
                 if allocation.stop is not None:
                     capacity = add(capacity, allocation.job.size)
@@ -184,7 +184,7 @@
             other = victim.job
             grace_s = other.spec.save_s + SAVE_MARGIN_S if other.spec.checkpoint_s > 0 else 0.0
             if other.gang:
-                other.displaced += 1
+                other.preemption_count += 1
                 self.dispatch.stop_job(other, "preempted", grace_s, now)
             else:
                 self.dispatch.stop(victim, "preempted", grace_s, now)
--- a/src/grebestand/scheduling/scale_out.py
+++ b/src/grebestand/scheduling/scale_out.py
@@ -52,7 +52,7 @@
         """Return the pools of machines that the cloud offers and the cluster has none of."""
         present = {(pool.machine_type, pool.zone, pool.spot) for pool in pools}
         rentable: list[Pool] = []
-        for kind, offered in self.inventory.kinds.items():
+        for kind, offered in self.inventory.machine_types.items():
             zones = [self.registry.zones.index(zone) for zone in offered.zones] if zoned else [-1]
             capacity = next((pool.capacity for pool in pools if pool.machine_type == kind), None)
             if capacity is None:
@@ -69,7 +69,7 @@
         """Return a shortage for each pool that takes some type and is still offered, on-demand machines first."""
         shortages: list[CapacityShortage] = []
         for pool in sorted(pools, key=lambda pool: pool.spot):
-            offered = self.inventory.kinds.get(pool.machine_type)
+            offered = self.inventory.machine_types.get(pool.machine_type)
             if offered is None or not any(pool.takes(slot) for slot in slots):
                 continue
             zones = (pool.zone,) if pool.zone >= 0 else tuple(self.registry.zones.index(z) for z in offered.zones)
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -35,17 +35,17 @@
         self.gangs = GangScheduling(
             context, images=self.images, preemption=self.preemption, placement=self.placement, gang_wait_s=gang_wait_s
         )
-        self.renting = ScaleOut(context)
-        self.targets = TemplateTargets(context, self.renting)
+        self.scale_out = ScaleOut(context)
+        self.targets = TemplateTargets(context, self.scale_out)
         self.migration = Migration(context, self.images)
         self.pending_reasons = PendingReasons(context)
 
     def retarget(self, now: float, spare: bool = True) -> None:
         """Compute targets and templates without a break."""
-        for _ in self.retargeting(now, spare):
+        for _ in self.retarget_steps(now, spare):
             pass
 
-    def retargeting(self, now: float, spare: bool = True) -> Steps:
+    def retarget_steps(self, now: float, spare: bool = True) -> Steps:
         """Compute targets and templates in steps.
 
         Args:
@@ -71,21 +71,21 @@
 
     def place(self, now: float) -> None:
         """Run a full pass without a break."""
-        for _ in self.passing(now):
+        for _ in self.full_pass_steps(now):
             pass
 
-    def passing(self, now: float) -> Steps:
+    def full_pass_steps(self, now: float) -> Steps:
         """Run a full pass in steps: every waiting job, over every usable machine."""
         for failed in [j for j in self.registry.jobs.values() if j.avoid]:
             MachineHealth.look_again(failed, now)
-        waiting = [j for j in self.registry.waiting_jobs() if now >= j.hold_until and j.startable() > 0]
+        waiting = [j for j in self.registry.waiting_jobs() if now >= j.retry_at and j.startable() > 0]
         if not waiting:
             self.placement.end([])
             return
         self._sort_by_urgency(waiting, now)
         self._begin_pass()
         reserving_jobs = self._expire_reservations(now)
-        ready = [m for m in self.inventory.machines if self.inventory.usable(m, now)]
+        ready = [m for m in self.inventory.machines if self.inventory.is_schedulable(m, now)]
         turn = self.view.turn
         # most machines have no free capacity for any of the single tasks; those whose heartbeat frees some meanwhile
         # are filled by `fill`
@@ -95,7 +95,7 @@
             yield
             if self.view.turn != turn:
                 turn = self.view.turn
-                ready = [m for m in ready if self.inventory.usable(m, now)]
+                ready = [m for m in ready if self.inventory.is_schedulable(m, now)]
                 roomy = [m for m in ready if m.free[0] >= smallest_cpus]
             if self._must_wait(job, now):
                 continue
@@ -108,7 +108,7 @@
 
     def _sort_by_urgency(self, waiting: list[Job], now: float) -> None:
         """Sort waiting jobs in the order of service."""
-        self.registry.rate_guarantees()
+        self.registry.mark_guaranteed()
         begin_after_s = self.view.policy_values.begin_after_s
         waiting.sort(key=lambda job: self.ordering.urgency(job, now, begin_after_s))
 
@@ -118,7 +118,7 @@
         self.placement.begin()
         self.gangs.begin()
         for team in self.registry.teams:
-            team.kept_for = ""
+            team.limit_reserved_for = ""
 
     def _expire_reservations(self, now: float) -> set[str]:
         """Remove reservations that have expired or whose job needs none, and return the jobs that had any.
@@ -129,7 +129,7 @@
         for machine in self.inventory.machines:
             if machine.reserved_for is None:
                 continue
-            if machine.reserved_for in self.inventory.kept and now < machine.reserved_until:
+            if machine.reserved_for in self.inventory.reserved_for_remote and now < machine.reserved_until:
                 continue
             reserving_jobs.add(machine.reserved_for)
             job = self.registry.jobs.get(machine.reserved_for)
@@ -139,7 +139,7 @@
 
     def _must_wait(self, job: Job, now: float) -> bool:
         """Return whether a pass skips a job: it has changed since the pass began, or a feature vetoes it."""
-        if not job.live or now < job.hold_until or job.startable() <= 0:
+        if not job.live or now < job.retry_at or job.startable() <= 0:
             return True
         veto = self.view.features.veto(job, now)
         if veto is not None:
--- a/src/grebestand/settings/type_inference.py
+++ b/src/grebestand/settings/type_inference.py
@@ -44,7 +44,7 @@
 BOOLEAN = InferredType(True, Range())
 
 
-def infer_type(node: ast.expr, names: Names) -> InferredType:  # noqa: RET503 - `_refuse` never returns
+def infer_type(node: ast.expr, names: Names) -> InferredType:
     """Return the type of an expression.
 
     Raises:
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -119,7 +119,7 @@
     def lead(self) -> Term:
         """Win the election, load a term and lead it."""
         p = self.world.settings.params
-        self.election.look()
+        self.election.read_leader_key()
         assert self.election.state is LeaderState.LOADING, self.election.state
         writer = FencedWriter(self.election, self.store, self.users.value_bytes, p.state.txn_ops)
         self.term = Term(
@@ -199,11 +199,11 @@
                     self.handle_heartbeat(term, w)
             for m in [term.inventory.at(i) for i in term.dispatch.urgent]:
                 if m is not None and self.workers[m.name].reachable:
-                    term.machine_reconciliation.order_stops(m)
+                    term.machine_reconciliation.send_stops(m)
             term.dispatch.urgent = set()
             for m in term.machine_reconciliation.to_query(self.clock.now):
                 term.machine_reconciliation.ask(m)
             term.inventory.detect_silent_machines(self.clock.now)
             term.machine_reconciliation.check(self.clock.now)
-            term.job_completion.close_jobs()
+            term.job_completion.complete_jobs()
             term.progress.save()
--- a/src/grebestand/storage/paged_records.py
+++ b/src/grebestand/storage/paged_records.py
@@ -219,7 +219,7 @@
             if written:
                 return
             self._dirty.update(numbers)
-        raise StoreError(f"pages {self.prefix} change too often", maybe=True)
+        raise StoreError(f"pages {self.prefix} change too often", possibly_applied=True)
 
     def _try_to_write(self, numbers: list[int], urgency: Urgency) -> bool:
         """Commit pages on the versions known of them; if a condition fails, read its key's version and return False."""
--- a/tests/connectivity/test_leader_lease.py
+++ b/tests/connectivity/test_leader_lease.py
@@ -29,7 +29,7 @@
     cluster = InMemoryCluster()
     leader, follower = InMemoryController(cluster, "node-0"), InMemoryController(cluster, "node-1")
     leader.lead()
-    follower.election.look()
+    follower.election.read_leader_key()
     assert follower.election.known_leader() == "node-0"
     cluster.clock.now += 10.0
     assert follower.election.known_leader() is None
--- a/tests/connectivity/test_partial_partitions.py
+++ b/tests/connectivity/test_partial_partitions.py
@@ -9,7 +9,7 @@
 import gevent
 import pytest
 
-from grebestand.leader.election import ALONE_S
+from grebestand.leader.election import REJOIN_AFTER_KEY_FREE_S
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
 from grebestand.simulation.virtual_time import VirtualLoop, simulated
 
@@ -138,7 +138,7 @@
     cut_links(world, links_to_workers(leader), LinkMode.HELD, 8)
     assert world.leading() == []
     world.links.heal()
-    gevent.sleep(ALONE_S + 3.0)
+    gevent.sleep(REJOIN_AFTER_KEY_FREE_S + 3.0)
     assert world.leading() == [leader]
 
 
--- a/tests/fault_test/test_history_checker.py
+++ b/tests/fault_test/test_history_checker.py
@@ -101,7 +101,7 @@
 
 
 def test_a_decision_that_is_broken_on_purpose_is_found_by_the_checker(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The same day twice: room appears at home while the gang is abroad. Without `away`, home starts it as well."""
+    """The same day twice: room appears at home while the gang is abroad. Without that mark home starts it too."""
 
     def day() -> History:
         c = Clusters()
@@ -115,7 +115,7 @@
 
     def careless(self: HomeCluster, trip: RemoteGang, new: object, why: str) -> None:
         move(self, trip, new, why)  # type: ignore[arg-type]
-        trip.job.away = False
+        trip.job.runs_remotely = False
 
     monkeypatch.setattr(HomeCluster, "move", careless)
     verdict = check(day())
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -95,7 +95,9 @@
     assert clusters.home.term.registry.jobs[clusters.gang].startable() == 0
     clusters.go(25)
     wire.drop = lambda m: ""
-    clusters.until(lambda: not clusters.home.term.registry.jobs[clusters.gang].away or clusters.runs_in() is not None)
+    clusters.until(
+        lambda: not clusters.home.term.registry.jobs[clusters.gang].runs_remotely or clusters.runs_in() is not None
+    )
     clusters.until(lambda: clusters.runs_in() is not None)
 
 
@@ -115,7 +117,7 @@
     wire.drop = starts_at_home
     clusters.until(lambda: bool(wire.sent))
     gang = clusters.home.home.gangs[clusters.gang]
-    assert gang.state is HomeState.WAITING and not job.away and len(job.allocations) == 3
+    assert gang.state is HomeState.WAITING and not job.runs_remotely and len(job.allocations) == 3
     assert not clusters.east.guest.reservations.by_id
 
 
@@ -187,7 +189,7 @@
         worker.lapse()
         worker.reachable = False
     first = {r.id for r in clusters.east.guest.records.values()}
-    clusters.until(lambda: not clusters.home.term.registry.jobs[clusters.gang].away, 200)
+    clusters.until(lambda: not clusters.home.term.registry.jobs[clusters.gang].runs_remotely, 200)
     for worker in clusters.east.workers:
         worker.reachable = True
     clusters.until(lambda: clusters.runs_in() == "east", 300)
@@ -296,7 +298,7 @@
     for worker in clusters.east.workers:
         worker.lapse()
         worker.reachable = False
-    clusters.until(lambda: not clusters.home.term.registry.jobs[clusters.gang].away, 200)
+    clusters.until(lambda: not clusters.home.term.registry.jobs[clusters.gang].runs_remotely, 200)
     monkeypatch.setattr(HomeCluster, "_return", returns)
     clusters.home.world.store.lose_answers = 0
     clusters.go(10)
--- a/tests/flow_control/test_admission.py
+++ b/tests/flow_control/test_admission.py
@@ -34,7 +34,7 @@
 def overloaded_front(cluster: InMemoryCluster) -> HttpFront:
     """The HTTP front of a controller that is late, with half of its user requests in progress."""
     front = Controller(cluster.settings, cluster.policy).http_front
-    front.overload.felt(3.0)
+    front.overload.record_lag(3.0)
     front.users_busy = front.overload.most_users // 2
     return front
 
@@ -43,7 +43,7 @@
     front = overloaded_front(InMemoryCluster())
     poll = {"REQUEST_METHOD": "GET", "PATH_INFO": "/v2/runs/j-000001"}
     assert front.answer(poll).status == 503
-    assert front.overload.takes(front.users_busy, poll=False)
+    assert front.overload.admits(front.users_busy, poll=False)
 
 
 def test_overloaded_controller_handles_heartbeats() -> None:
--- a/tests/flow_control/test_overload_monitor.py
+++ b/tests/flow_control/test_overload_monitor.py
@@ -14,7 +14,7 @@
 
 
 def state_after(monitor: OverloadMonitor, late_s: float) -> LoadState:
-    monitor.felt(late_s)
+    monitor.record_lag(late_s)
     return monitor.state
 
 
@@ -35,7 +35,7 @@
 
 
 def test_change_of_the_load_state_is_logged_as_an_event(caplog: pytest.LogCaptureFixture) -> None:
-    OverloadMonitor(Quota(), ManualClock()).felt(0.5)
+    OverloadMonitor(Quota(), ManualClock()).record_lag(0.5)
     (record,) = caplog.records
     assert record.levelno == logging.WARNING
     assert parse_log_event(record.getMessage()) == (
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -35,7 +35,7 @@
     term.scheduler.retargeted_at -= 100.0
     term.scheduling_loop.step(cluster.clock.now)
     assert len(migrations) == 1
-    term.overload.felt(0.5)
+    term.overload.record_lag(0.5)
     job_id = cluster.accept(node, shape="ensemble", shards=1, cpus=8.0)
     cluster.settle(term, 2)
     assert len(migrations) == 1
@@ -62,7 +62,7 @@
     node.lead()
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = node.leadership_transfer(peer)
-    node.load.felt(2.0)
+    node.load.record_lag(2.0)
     for passed_s, peer_load, stays in (
         (3.0, LoadState.NORMAL, True),
         (4.0, LoadState.STRAINED, True),
@@ -70,9 +70,9 @@
     ):
         cluster.clock.now += passed_s
         node.election.renew()
-        node.load.felt(2.0)
+        node.load.record_lag(2.0)
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1, load=peer_load.value)
-        leadership_transfer.check_pace()
+        leadership_transfer.check_overload()
         assert node.election.is_leader() is stays
 
 
@@ -84,14 +84,14 @@
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = node.leadership_transfer(peer)
     term.machine_reconciliation.proved = False
-    node.load.felt(2.0)
+    node.load.record_lag(2.0)
     overloaded_at = cluster.clock.now
     while node.election.is_leader() and cluster.clock.now - overloaded_at < 60.0:
         cluster.clock.now += 0.5
         node.election.renew()
-        node.load.felt(2.0)
+        node.load.record_lag(2.0)
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
-        leadership_transfer.check_pace()
+        leadership_transfer.check_overload()
     assert cluster.clock.now - overloaded_at == pytest.approx(
         RECONCILING_PATIENCE_FACTOR * OVERLOAD_RESIGN_AFTER_S, abs=0.6
     )
@@ -106,14 +106,14 @@
     cluster.settle(term, 3)
     cluster.accept(node, shards=3000, cpus=1.0, ramGb=0.1)
     passes: list[float] = []
-    passing = term.scheduler.passing
+    full_pass_steps = term.scheduler.full_pass_steps
 
     def slow_pass(now: float) -> Steps:
         passes.append(now)
-        yield from passing(now)
+        yield from full_pass_steps(now)
         cluster.clock.now += 0.05
 
-    monkeypatch.setattr(term.scheduler, "passing", slow_pass)
+    monkeypatch.setattr(term.scheduler, "full_pass_steps", slow_pass)
     cluster.clock.now += 6.0
     node.election.renew()
     reconnected_at = cluster.clock.now
@@ -142,7 +142,7 @@
     second_term.machine_reconciliation.direct = late_response
     second_term.machine_reconciliation.ask(machine)
     assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.proved
-    assert not second_term.machine_reconciliation.asking
+    assert not second_term.machine_reconciliation.queries_under_way
 
 
 def test_array_is_granted_once_while_completion_writes_wait(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/heartbeat_relay/test_forwarder.py
+++ b/tests/heartbeat_relay/test_forwarder.py
@@ -63,7 +63,7 @@
 
 def test_simultaneous_heartbeats_share_batches_and_get_their_own_responses(loop: VirtualLoop) -> None:
     forwarder, leader = start_forwarder(loop, echo)
-    requests = [gevent.spawn(forwarder.pass_on, b"%d" % i, loop.time) for i in range(600)]
+    requests = [gevent.spawn(forwarder.forward, b"%d" % i, loop.time) for i in range(600)]
     gevent.joinall(requests)
     assert [request.value for request in requests] == [(200, b"%d" % i) for i in range(600)]
     assert [len(b.reports) for b in leader.batches] == [MOST_REPORTS, MOST_REPORTS, 600 - 2 * MOST_REPORTS]
@@ -77,8 +77,8 @@
         return echo(batch)
 
     forwarder, _ = start_forwarder(loop, slow_echo)
-    assert forwarder.pass_on(b"new", loop.time) == (200, b"new")
-    assert forwarder.pass_on(b"old", loop.time - ANSWER_S + 1.0) == (0, b"")
+    assert forwarder.forward(b"new", loop.time) == (200, b"new")
+    assert forwarder.forward(b"old", loop.time - ANSWER_S + 1.0) == (0, b"")
 
 
 def test_overloaded_leader_bounds_batches_and_queue(loop: VirtualLoop) -> None:
@@ -88,13 +88,13 @@
 
     forwarder, leader = start_forwarder(loop, slow)
     for _ in range(BATCHES):
-        gevent.spawn(forwarder.pass_on, b"", loop.time)
+        gevent.spawn(forwarder.forward, b"", loop.time)
         gevent.sleep(0.1)
-    gevent.spawn(forwarder.pass_on, b"waits", loop.time)
+    gevent.spawn(forwarder.forward, b"waits", loop.time)
     gevent.sleep(0.1)
     assert len(leader.batches) == BATCHES  # and no more are under way
     gevent.sleep(MAX_QUEUE_WAIT_S)
-    assert forwarder.pass_on(b"", loop.time) == (503, b"")  # at once
+    assert forwarder.forward(b"", loop.time) == (503, b"")  # at once
 
 
 def test_forwarding_pauses_while_the_leader_does_not_answer(loop: VirtualLoop) -> None:
@@ -103,11 +103,11 @@
         return echo(batch)
 
     forwarder, leader = start_forwarder(loop, silent)
-    assert forwarder.open() and forwarder.pass_on(b"", loop.time) == (0, b"")
+    assert forwarder.open() and forwarder.forward(b"", loop.time) == (0, b"")
     assert loop.time >= UNRESPONSIVE_AFTER_S and forwarder.state is ForwarderState.RESTING and not forwarder.open()
     leader.answer = echo
     gevent.sleep(PAUSE_S)
-    assert forwarder.open() and forwarder.pass_on(b"x", loop.time) == (200, b"x")
+    assert forwarder.open() and forwarder.forward(b"x", loop.time) == (200, b"x")
 
 
 def test_truncated_or_mismatched_response_is_dropped(loop: VirtualLoop) -> None:
@@ -119,9 +119,9 @@
         return status, answer[: len(answer) // 2]
 
     leader.request = truncated  # type: ignore[method-assign]
-    assert forwarder.pass_on(b"report", loop.time) == (0, b"")
+    assert forwarder.forward(b"report", loop.time) == (0, b"")
     leader.answer, leader.request = (lambda batch: HeartbeatBatchResponse([])), whole  # type: ignore[method-assign]
-    assert forwarder.pass_on(b"report", loop.time) == (0, b"")  # nor is an answer to something else
+    assert forwarder.forward(b"report", loop.time) == (0, b"")  # nor is an answer to something else
 
 
 def test_overloaded_leader_that_sends_status_keeps_its_followers(loop: VirtualLoop) -> None:
@@ -135,10 +135,10 @@
     forwarder = HeartbeatForwarder("node-1", lambda: loop.time, lambda: peer)
     gevent.spawn(forwarder.run)
     for _ in range(3):
-        asking = gevent.spawn(forwarder.pass_on, b"", loop.time)
+        queries_under_way = gevent.spawn(forwarder.forward, b"", loop.time)
         gevent.sleep(1.5)
         peer.last_heard_at = loop.time
-        assert asking.get() == (0, b"") and forwarder.open()
+        assert queries_under_way.get() == (0, b"") and forwarder.open()
 
 
 def test_pause_ends_with_the_next_leader(loop: VirtualLoop) -> None:
@@ -152,6 +152,6 @@
     current_leader = old
     forwarder = HeartbeatForwarder("node-1", lambda: loop.time, lambda: current_leader)
     gevent.spawn(forwarder.run)
-    assert forwarder.pass_on(b"", loop.time) == (0, b"") and not forwarder.open()
+    assert forwarder.forward(b"", loop.time) == (0, b"") and not forwarder.open()
     current_leader = new
-    assert forwarder.open() and forwarder.pass_on(b"x", loop.time) == (200, b"x")
+    assert forwarder.open() and forwarder.forward(b"x", loop.time) == (200, b"x")
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -159,7 +159,7 @@
 def leader_transfers_leadership(cluster: SimulatedCluster) -> None:
     controller = cluster.nodes[cluster.leading()[0]]
     assert controller is not None
-    gevent.spawn(controller.leadership_transfer._give_way, "played", "")
+    gevent.spawn(controller.leadership_transfer.resign, "played", "")
 
 
 def leader_and_follower_crash(cluster: SimulatedCluster) -> None:
@@ -258,17 +258,17 @@
 def follower_answers_from_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     """A follower repeats a worker's last response where the leader gives none in time."""
     last_responses: dict[str, tuple[int, bytes]] = {}
-    pass_on = HeartbeatForwarder.pass_on
+    forward = HeartbeatForwarder.forward
 
     def remembering(self: HeartbeatForwarder, body: bytes, came_at: float) -> tuple[int, bytes]:
         machine = json.loads(body)["vessel"]
-        status, response = pass_on(self, body, came_at)
+        status, response = forward(self, body, came_at)
         if status == 200:
             last_responses[machine] = status, response
             return status, response
         return last_responses.get(machine, (status, response))
 
-    monkeypatch.setattr(HeartbeatForwarder, "pass_on", remembering)
+    monkeypatch.setattr(HeartbeatForwarder, "forward", remembering)
     monkeypatch.setattr(HeartbeatForwarder, "open", lambda self: True)
 
 
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -138,12 +138,12 @@
     """Where everything begins at once, several hundred came within a tenth of a second."""
     leader = PeerCapacity("leader", "a", True, 900, 240)
     neighbours = Neighbours(leader, PeerCapacity("far", "b", False, 0, 900), PeerCapacity("near", "a", False, 0, 900))
-    assert sum(neighbours.assignment.may_send("leader") for _ in range(300)) == 80
+    assert sum(neighbours.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 80
     # at a start the others are not heard of yet, and send all the same
     alone = Neighbours(leader)
     alone.assignment.followers = 5
-    assert sum(alone.assignment.may_send("leader") for _ in range(300)) == 48
+    assert sum(alone.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 48
     neighbours.assignment.heard("leader")
     neighbours.others[0] = PeerCapacity("leader", "a", True, 1140, 0)
-    assert sum(neighbours.assignment.may_send("leader") for _ in range(300)) == 20
-    assert neighbours.assignment.may_send("nobody knows")
+    assert sum(neighbours.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 20
+    assert neighbours.assignment.may_redirect_to_leader("nobody knows")
--- a/tests/heartbeats/test_machine_reception.py
+++ b/tests/heartbeats/test_machine_reception.py
@@ -38,8 +38,8 @@
     cluster, controller, term = start_cluster(1)
     (worker,) = cluster.workers.values()
     machine = term.inventory.by_name[worker.name]
-    term.inventory.receive(machine, Reception.SUSPECTED, "test", cluster.clock.now)
-    term.inventory.receive(machine, Reception.UNREACHABLE, "test", cluster.clock.now)
+    term.inventory.change_reception(machine, Reception.SUSPECTED, "test", cluster.clock.now)
+    term.inventory.change_reception(machine, Reception.UNREACHABLE, "test", cluster.clock.now)
     cluster.accept(controller)
     worker.reachable = False  # for questions; its reports and their answers go on
     states = set()
--- a/tests/heartbeats/test_task_failures.py
+++ b/tests/heartbeats/test_task_failures.py
@@ -31,7 +31,7 @@
             for task in worker.running():
                 worker.finish(task, ExitReason.ERROR)
     assert all(machine.drain is None for machine in term.inventory.machines)
-    assert term.registry.jobs[job_id].hold_until > 0
+    assert term.registry.jobs[job_id].retry_at > 0
     assert sum(len(worker.started) for worker in workers) < 120
 
 
@@ -46,6 +46,6 @@
         job = term.registry.jobs[job_id]
         assert job.state is JobState.WAITING or job.allocations[0].state is AllocationState.SENT
         assert (machine.blocked_until > cluster.clock.now) == (why is ExitReason.NO_ROOM)
-        assert (job.hold_until > cluster.clock.now) == (why is ExitReason.UNKNOWN)
+        assert (job.retry_at > cluster.clock.now) == (why is ExitReason.UNKNOWN)
         controller.users.cancel(job_id)
         cluster.settle(term, 3)
--- a/tests/leader/test_cancellation_scenarios.py
+++ b/tests/leader/test_cancellation_scenarios.py
@@ -156,7 +156,7 @@
 
     def hangs(prefix: str, since: int, wait_ms: int) -> ChangeEvents:
         gevent.sleep(wait_ms / 1000 + 2.0)
-        raise StoreError("timeout", maybe=False)
+        raise StoreError("timeout", possibly_applied=False)
 
     controller.store.changes = hangs  # type: ignore[method-assign]
     cancel_some_jobs(cluster)
--- a/tests/leader/test_cancellations.py
+++ b/tests/leader/test_cancellations.py
@@ -46,6 +46,6 @@
     # an answer would renew its lease for too long if the worker did not obey
     assert cluster.handle_heartbeat(term, worker) is None
     (machine,) = term.inventory.machines
-    term.machine_reconciliation.order_stops(machine)
+    term.machine_reconciliation.send_stops(machine)
     assert cluster.handle_heartbeat(term, worker) is not None
     assert not worker.running() and job_id not in term.registry.jobs
--- a/tests/leader/test_deprovisioning.py
+++ b/tests/leader/test_deprovisioning.py
@@ -17,7 +17,7 @@
         {"ref": "n-000008", "tide": "starting", "heldS": 10.0, **row},
         {"ref": "n-000009", "tide": "failed", "heldS": 10.0, **row},
     ]
-    term.step_fleet()
+    term.step_machines()
     assert sorted(cluster.cloud.deleted) == ["n-000007", "n-000009"]
 
 
@@ -38,6 +38,6 @@
     ]
     for _ in range(3):
         cluster.settle(new_term, 5)
-        new_term.step_fleet()
+        new_term.step_machines()
     assert cluster.cloud.deleted == [cut_off.name]
     assert new_term.machine_reconciliation.proved and new_term.registry.jobs[job_id].startable() > 0
--- a/tests/leader/test_election.py
+++ b/tests/leader/test_election.py
@@ -54,7 +54,7 @@
     successor.lead()
     assert successor.election.token > controller.election.token
     stranger = InMemoryController(cluster, "node-1")
-    stranger.election.look()
+    stranger.election.read_leader_key()
     assert stranger.election.state is LeaderState.FOLLOWING
     assert stranger.election.leader == "node-0"
 
@@ -68,12 +68,12 @@
     peer.election.clear_key(token)
     peer.lead()
     assert peer.election.token > token
-    controller.election.look()
+    controller.election.read_leader_key()
     assert (controller.election.state.name, controller.election.leader) == ("RESIGNED", "node-1")
     peer.election.clear_key(token)  # a repeated notice: the new key is another's and stays
     assert cluster.store.data["leader"][1] == peer.election.token
     cluster.clock.now += 21.0
-    controller.election.look()
+    controller.election.read_leader_key()
     assert controller.election.state.name == "LOADING"  # the peer's lease expired; this one may lead again
 
 
@@ -91,10 +91,10 @@
         cluster.clock.now += 0.5
         controller.state_link.failed(cluster.clock.now, "refused", 1.5)
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, cluster.clock.now - served_at)
-        leadership_transfer.consider_state()
+        leadership_transfer.check_store()
     assert controller.election.is_leader() and leadership_transfer.healthy()
     # the peer is served again, and this one is not
     peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
     assert not leadership_transfer.healthy()
-    leadership_transfer.consider_state()
+    leadership_transfer.check_store()
     assert controller.election.state is LeaderState.RESIGNED
--- a/tests/leader/test_job_audit_repairs.py
+++ b/tests/leader/test_job_audit_repairs.py
@@ -19,7 +19,7 @@
     for _ in range(6):
         term.job_audit.step()
         cluster.settle(term, 2)
-    assert term.job_audit.mended == 1 and len(cluster.workers) == 1
+    assert term.job_audit.defects_repaired == 1 and len(cluster.workers) == 1
     running = sorted(task for worker in cluster.workers.values() for task in worker.running())
     assert running == [f"{job_id}/0", f"{job_id}/1"]
 
@@ -32,11 +32,13 @@
     for _ in range(20):
         cluster.settle(term, 1)
         term.job_audit.step()
-    assert term.job_audit.mended == 1 and not any(worker.running() for worker in cluster.workers.values())
+    assert term.job_audit.defects_repaired == 1 and not any(worker.running() for worker in cluster.workers.values())
     for _ in range(20):
         cluster.settle(term, 1)
         term.job_audit.step()
-    assert sum(len(worker.running()) for worker in cluster.workers.values()) == 2 and term.job_audit.mended == 1
+    assert (
+        sum(len(worker.running()) for worker in cluster.workers.values()) == 2 and term.job_audit.defects_repaired == 1
+    )
 
 
 def test_job_without_a_record_does_not_go_on() -> None:
@@ -66,7 +68,7 @@
     for _ in range(90):
         cluster.settle(term, 1)
         term.job_audit.step()
-    assert term.job_audit.mended == 1 and len(worker.started) > before
+    assert term.job_audit.defects_repaired == 1 and len(worker.started) > before
 
 
 def test_healthy_jobs_are_left_alone() -> None:
@@ -81,4 +83,4 @@
                     worker.finish(task)
         cluster.settle(term, 1)
         term.job_audit.step()
-    assert not term.job_audit.mended
+    assert not term.job_audit.defects_repaired
--- a/tests/leader/test_job_completion.py
+++ b/tests/leader/test_job_completion.py
@@ -13,7 +13,7 @@
 def test_job_is_done_only_after_commit_and_stays_done() -> None:
     cluster, controller, term, job_id = start_finished_job()
     assert polled_state(controller, job_id) != "done"
-    term.job_completion.close_jobs()
+    term.job_completion.complete_jobs()
     assert polled_state(controller, job_id) == "done"
     assert job_id not in term.registry.jobs
     fresh = InMemoryController(cluster, "node-9")
@@ -25,7 +25,7 @@
     cluster, controller, term, job_id = start_finished_job()
     other = InMemoryController(cluster, "node-1")
     assert json.loads(other.users.cancel(job_id).body)["tide"] == "cancelled"
-    term.job_completion.close_jobs()
+    term.job_completion.complete_jobs()
     assert polled_state(controller, job_id) == "cancelled"
     assert not term.registry.finishing
 
@@ -34,8 +34,8 @@
     cluster, controller, term, job_id = start_finished_job()
     cluster.store.lose_answers = 1
     with pytest.raises(Exception, match="lost"):
-        term.job_completion.close_jobs()
-    term.job_completion.close_jobs()
+        term.job_completion.complete_jobs()
+    term.job_completion.complete_jobs()
     assert polled_state(controller, job_id) == "done"
 
 
@@ -45,7 +45,7 @@
     cluster.settle(term)
     workers[0].finish(f"{job_id}/{workers[0].running()[0].split('/')[1]}")
     cluster.handle_heartbeat(term, workers[0])
-    term.job_completion.close_jobs()
+    term.job_completion.complete_jobs()
     assert polled_state(controller, job_id) == "done"
 
 
--- a/tests/leader/test_machine_reconciliation.py
+++ b/tests/leader/test_machine_reconciliation.py
@@ -11,9 +11,9 @@
     _successor, term = fail_over(cluster, "node-1")
     first = term.machine_reconciliation.to_query(cluster.clock.now)
     assert 0 < len(first) < 80
-    term.machine_reconciliation.asking = {machine.index for machine in first}
+    term.machine_reconciliation.queries_under_way = {machine.index for machine in first}
     assert not term.machine_reconciliation.to_query(cluster.clock.now)
-    term.machine_reconciliation.asking = set()
+    term.machine_reconciliation.queries_under_way = set()
     for machine in first:
         term.machine_reconciliation.ask(machine)
     second = term.machine_reconciliation.to_query(cluster.clock.now)
--- a/tests/leader/test_malformed_provider_responses.py
+++ b/tests/leader/test_malformed_provider_responses.py
@@ -18,7 +18,7 @@
         cluster.cloud.request = lambda *_, answer=answer: (200, answer)  # type: ignore[method-assign]
         term.deprovisioning.listed_at = -1e9
         with pytest.raises(CloudError):
-            term.step_fleet()
+            term.step_machines()
     cluster.cloud.request = lambda *_: (200, json.dumps({"vessels": [strange]}).encode())  # type: ignore[method-assign]
     term.deprovisioning.listed_at = -1e9
     term.deprovisioning.read_list()
--- a/tests/leader/test_provisioning.py
+++ b/tests/leader/test_provisioning.py
@@ -19,14 +19,14 @@
     term.scheduling_loop.step(cluster.clock.now)
     cluster.cloud.lose_answers = 1
     with pytest.raises(Exception, match="lost"):
-        term.step_fleet()
+        term.step_machines()
     assert len([k for k in cluster.store.data if k.startswith("rent/")]) == 1
     (name,) = cluster.cloud.requests
     _successor, new_term = fail_over(cluster, "node-1")
     assert name in new_term.provisioning.unsettled
-    new_term.step_fleet()
+    new_term.step_machines()
     assert set(new_term.provisioning.expected) >= set(cluster.cloud.requests[name])
-    new_term.provisioning.clear_orphans()
+    new_term.provisioning.delete_settled_records()
     assert f"rent/{name}" not in cluster.store.data
 
 
@@ -42,9 +42,9 @@
     cluster.cloud.capacity = 12
     cluster.clock.now += 6.0
     term.scheduling_loop.step(cluster.clock.now)
-    lack = max(s.count for s in term.scheduler.renting.shortages)
+    lack = max(s.count for s in term.scheduler.scale_out.shortages)
     assert lack > 40
-    term.step_fleet()
+    term.step_machines()
     # zone a gave less than was asked for; zone b and the other kind of machine were asked in the same step
     assert len(term.provisioning.expected) == 12
     assert term.provisioning.request_count == 4 and set(term.provisioning.refused_until) == {
@@ -72,7 +72,7 @@
     cluster.accept(controller, shards=200)
     cluster.clock.now += 10.0
     term.scheduling_loop.step(cluster.clock.now)
-    term.step_fleet()
+    term.step_machines()
     assert cluster.cloud.requests
     cluster.worker("n-000100")
     cluster.settle(term, 4)
--- a/tests/leader/test_scheduling_loop.py
+++ b/tests/leader/test_scheduling_loop.py
@@ -17,7 +17,7 @@
     job_id = cluster.accept(controller, shards=40, cpus=1.0, ramGb=1.0)
     cluster.settle(term, 3)
     assert len(worker.running()) == 16
-    term.scheduling_loop.place_after = term.scheduling_loop.retarget_after = cluster.clock.now + 100.0
+    term.scheduling_loop.next_pass_at = term.scheduling_loop.next_targets_at = cluster.clock.now + 100.0
     for task in worker.running()[:4]:
         worker.finish(task)
     cluster.clock.now += 1.0
@@ -36,14 +36,14 @@
 def test_pass_is_followed_by_proportional_rest() -> None:
     cluster, _controller, term, (_worker,) = start_cluster(1)
     passes: list[float] = []
-    passing = term.scheduler.passing
+    full_pass_steps = term.scheduler.full_pass_steps
 
     def slow(now: float) -> Steps:
         passes.append(now)
-        yield from passing(now)
+        yield from full_pass_steps(now)
         cluster.clock.now += 0.1
 
-    term.scheduler.passing = slow  # type: ignore[method-assign]
+    term.scheduler.full_pass_steps = slow  # type: ignore[method-assign]
     for _ in range(300):
         cluster.clock.now += 0.01
         term.registry.changed = True
@@ -57,12 +57,12 @@
     """A controller that is stopped or slowed down while it computes finds out only when it looks at its clock."""
     cluster, controller, term, (worker,) = start_cluster(1)
     job_id = cluster.accept(controller)
-    passing = term.scheduler.passing
+    full_pass_steps = term.scheduler.full_pass_steps
 
     def late(now: float) -> Steps:
-        yield from passing(now)
+        yield from full_pass_steps(now)
         cluster.clock.now += 30.0
 
-    monkeypatch.setattr(term.scheduler, "passing", late)
+    monkeypatch.setattr(term.scheduler, "full_pass_steps", late)
     assert cluster.handle_heartbeat(term, worker) is None
     assert term.registry.jobs[job_id].allocations[0].state is AllocationState.QUEUED and not worker.started
--- a/tests/leader/test_task_progress.py
+++ b/tests/leader/test_task_progress.py
@@ -29,9 +29,9 @@
     assert len(job.allocations) == 16 and job.waiting() == 100_000 - 16
     for index in range(99_000):
         term.registry.mark_done(job, index, 0.0)
-        job.dirty.setdefault(index // term.registry.chunk_bits, 0.0)
+        job.unsaved_chunks.setdefault(index // term.registry.chunk_bits, 0.0)
     term.progress.save()
-    assert job.dirty == {}
+    assert job.unsaved_chunks == {}
     assert cluster.store.largest_value <= 4096 and cluster.store.largest_txn <= 12
     _successor, new_term = fail_over(cluster, "node-1")
     assert new_term.registry.jobs[job_id].done_count == 99_000
--- a/tests/leader/test_unbooted_machines.py
+++ b/tests/leader/test_unbooted_machines.py
@@ -23,7 +23,7 @@
         for entry in cluster.cloud.listed:
             entry["heldS"] = float(entry["heldS"]) + 1.0
         before = len(requests)
-        term.step_fleet()
+        term.step_machines()
         times += [cluster.clock.now] * (len(requests) - before)
     boot = TYPES[0].boot_s
     assert times[1] - times[0] < 2.5 * boot  # replaced, not after they were given up
--- a/tests/scenarios/test_absent_machines.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -253,7 +253,7 @@
         names = world.leading() or [world.leaders[-1][1]]
         leader = world.nodes[names[0]]
         if number % 2 and leader is not None:
-            gevent.spawn(leader.leadership_transfer._give_way, "played", "")
+            gevent.spawn(leader.leadership_transfer.resign, "played", "")
         else:
             crash_leader(world, [0.2, 7.0][number % 4 // 2])
         gevent.sleep(12.0)
@@ -416,13 +416,13 @@
     """Knowledge of cancellations is never too old, and no peer tells of new ones."""
     monkeypatch.setattr(CancellationRecorder, "record_from_peer", lambda self, job_ids: None)
     monkeypatch.setattr(CancellationHorizon, "fresh", lambda self: True)
-    extend = LeaderElection._extend
-    monkeypatch.setattr(LeaderElection, "_extend", lambda self, sent: extend(self, sent + 60.0))
+    extend = LeaderElection._extend_authority
+    monkeypatch.setattr(LeaderElection, "_extend_authority", lambda self, sent: extend(self, sent + 60.0))
 
 
 def lengthen_authority(monkeypatch: pytest.MonkeyPatch) -> None:
-    extend = LeaderElection._extend
-    monkeypatch.setattr(LeaderElection, "_extend", lambda self, sent: extend(self, sent + 15.0))
+    extend = LeaderElection._extend_authority
+    monkeypatch.setattr(LeaderElection, "_extend_authority", lambda self, sent: extend(self, sent + 15.0))
 
 
 FAULTS: list[tuple[Scenario, Callable[[pytest.MonkeyPatch], None]]] = [
--- a/tests/scenarios/test_fault_combinations.py
+++ b/tests/scenarios/test_fault_combinations.py
@@ -146,8 +146,8 @@
 
 def test_authority_beyond_the_lease_is_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: that the first leader, alone, goes on for too long."""
-    extend = LeaderElection._extend
-    monkeypatch.setattr(LeaderElection, "_extend", lambda self, sent: extend(self, sent + 10.0))
+    extend = LeaderElection._extend_authority
+    monkeypatch.setattr(LeaderElection, "_extend_authority", lambda self, sent: extend(self, sent + 10.0))
     world = busy_cluster(loop, seed=24)
     (leader,) = world.leading()
     isolate(world, leader, LinkMode.HELD)
@@ -231,7 +231,7 @@
     (first,) = world.leading()
     first_leader, heir = world.nodes[first], next(name for name in world.controllers if name != first)
     assert first_leader is not None
-    gevent.spawn(first_leader.leadership_transfer._give_way, "played", heir)
+    gevent.spawn(first_leader.leadership_transfer.resign, "played", heir)
     gevent.sleep(0.02)
     world.crash(heir)
     cancel_jobs(world, every=3)
@@ -240,7 +240,7 @@
     for name in world.leading():
         next_leader = world.nodes[name]
         assert next_leader is not None
-        gevent.spawn(next_leader.leadership_transfer._give_way, "played", first)
+        gevent.spawn(next_leader.leadership_transfer.resign, "played", first)
     gevent.sleep(10)
     back(world, heir)
     assert world.longest_pause(20.0, 25.0) <= 5.0 and not world.both
--- a/tests/scenarios/test_fault_pairs.py
+++ b/tests/scenarios/test_fault_pairs.py
@@ -117,7 +117,7 @@
     for name in world.leading():
         node = world.nodes[name]
         if node is not None:
-            gevent.spawn(node.leadership_transfer._give_way, "played", rng.choice(peers_of(world, name)))
+            gevent.spawn(node.leadership_transfer.resign, "played", rng.choice(peers_of(world, name)))
 
 
 def isolate_leader(world: SimulatedCluster, rng: random.Random) -> None:
--- a/tests/scenarios/test_late_transactions.py
+++ b/tests/scenarios/test_late_transactions.py
@@ -59,7 +59,7 @@
 ) -> None:
     cluster, controller = resigned
     campaign_late(controller)
-    controller.election.look()
+    controller.election.read_leader_key()
     assert LEADER_KEY not in cluster.store.data and controller.election.state.name == "RESIGNED"
 
 
@@ -68,12 +68,12 @@
 ) -> None:
     cluster, controller = resigned
     campaign_late(controller)
-    controller.election.look()
+    controller.election.read_leader_key()
     campaign_late(controller)
     cluster.clock.now += 21.0  # the lease of that key has expired
     late_token = campaign_late(controller)
     assert late_token
-    controller.election.look()
+    controller.election.read_leader_key()
     assert controller.election.state.name == "LOADING" and controller.election.token > late_token
 
 
@@ -93,7 +93,7 @@
         if changes and (changes[0].put or "").startswith("rent/"):
             rental_keys.append(changes[0].put)
             if len(rental_keys) == 1:
-                raise StoreError("the answer was lost", maybe=True)
+                raise StoreError("the answer was lost", possibly_applied=True)
         return result
 
     monkeypatch.setattr(term.writer, "commit", commit_and_lose_first_answer)
@@ -102,7 +102,7 @@
         term.election.renew()
         term.scheduling_loop.step(cluster.clock.now)
         try:
-            term.step_fleet()
+            term.step_machines()
         except StoreError:
             continue
     assert len(rental_keys) >= 2 and len(set(rental_keys)) == len(rental_keys)
--- a/tests/scenarios/test_mass_failure.py
+++ b/tests/scenarios/test_mass_failure.py
@@ -91,7 +91,7 @@
         worker.reachable = False
     for _ in range(13):
         cluster.settle(term, 2)
-        term.step_fleet()
+        term.step_machines()
     requested_while_silent = requested_machines(cluster)
     # one request for each machine that is lacking, not one at each look; and none that may come back is deleted
     assert 0 < requested_while_silent <= MACHINES and len(cluster.cloud.requests) <= 2 * 6
@@ -129,13 +129,13 @@
     assert all(team.unknown[0] == unknown_cpus for team in registry.teams)
     # the wide array names no machines in its grant: it shares one set with others that may be anywhere
     array = next(job for job in registry.jobs.values() if job.spec.tasks == ARRAY_TASKS)
-    assert array.possible_holders is registry.anywhere and len(array.possible_holders) == len(silent)
+    assert array.possible_holders is registry.unreconciled_machines and len(array.possible_holders) == len(silent)
     for worker in silent:
         worker.reachable = True
         worker.lapse()
     cluster.settle(term, 8)
     assert term.machine_reconciliation.proved
-    assert not registry.anywhere and not array.possible_holders and not array.unseen_below
+    assert not registry.unreconciled_machines and not array.possible_holders and not array.unseen_below
     assert all(team.unknown == [0, 0] for team in registry.teams)
     assert full.all_gangs_are_whole()
     assert full.term.handle_heartbeat(workers[0].report()) is None
--- a/tests/scenarios/test_paused_leader.py
+++ b/tests/scenarios/test_paused_leader.py
@@ -32,7 +32,7 @@
     (KeyValueStoreClient, "commit"),
     (LeaderElection, "renew"), (JobWatch, "_follow"), (JobCompletion, "_complete"), (TaskProgress, "save"),
     (MachineRecords, "record"),
-    (Provisioning, "_rent_under"), (MachineReconciliation, "apply_direct_answer"), (LeadershipTransfer, "_give_way"),
+    (Provisioning, "_rent_under"), (MachineReconciliation, "apply_direct_answer"), (LeadershipTransfer, "resign"),
     (JobApi, "_lookup"),
     (JobApi, "_accept"), (JobApi, "cancel"),
 ]  # fmt: skip
@@ -95,7 +95,7 @@
         for name in world.leading():
             node = world.nodes[name]
             assert node is not None
-            gevent.spawn(node.leadership_transfer._give_way, "played", "")
+            gevent.spawn(node.leadership_transfer.resign, "played", "")
     gevent.sleep(4)
     for _ in range(3):
         world.cancel_now(3)
--- a/tests/scenarios/test_random_fault_schedules.py
+++ b/tests/scenarios/test_random_fault_schedules.py
@@ -111,7 +111,7 @@
 )
 
 
-def apply_fault(world: SimulatedCluster, fault: tuple[object, ...]) -> None:  # noqa: C901 - one case a kind of fault
+def apply_fault(world: SimulatedCluster, fault: tuple[object, ...]) -> None:
     """Begin one fault of a schedule, and see to its end."""
     match fault:
         case ("cut", str(near), str(far), LinkMode() as mode) if near != far:
@@ -237,8 +237,8 @@
 
 def lengthen_authority(monkeypatch: pytest.MonkeyPatch) -> None:
     """Authority is not counted from when the renewal was sent."""
-    extend = LeaderElection._extend
-    monkeypatch.setattr(LeaderElection, "_extend", lambda self, sent: extend(self, sent + 8.0))
+    extend = LeaderElection._extend_authority
+    monkeypatch.setattr(LeaderElection, "_extend_authority", lambda self, sent: extend(self, sent + 8.0))
 
 
 def expire_leases_early(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/scheduling/test_failing_jobs_and_machines.py
+++ b/tests/scheduling/test_failing_jobs_and_machines.py
@@ -36,7 +36,7 @@
             for task in worker.running():
                 worker.finish(task, ExitReason.ERROR)
         cluster.settle(term, 1)
-    assert term.registry.jobs[job_id].doubtful
+    assert term.registry.jobs[job_id].suspected_faulty
     cluster.settle(term, 45)
     assert sum(len(worker.running()) for worker in cluster.workers.values()) == 12
 
--- a/tests/scheduling/test_gang_lifecycle.py
+++ b/tests/scheduling/test_gang_lifecycle.py
@@ -6,7 +6,7 @@
 
 from grebestand.cluster_state.jobs import Job
 from grebestand.cluster_state.machine import Machine
-from grebestand.scheduling.gang_scheduling import GangCandidates, GangPlacement
+from grebestand.scheduling.gang_scheduling import GangCandidate, GangPlacement
 from grebestand.wire.workers import ExitReason, TaskPhase
 from support.single_leader import start_cluster
 
@@ -118,10 +118,10 @@
     offers = term.scheduler.gangs.offers
 
     def counted(
-        job: Job, machine: Machine, rooms: dict[int, tuple[int, list[GangPlacement]]], now: float
-    ) -> list[GangCandidates]:
+        job: Job, machine: Machine, capacities: dict[int, tuple[int, list[GangPlacement]]], now: float
+    ) -> list[GangCandidate]:
         looked.append(job.spec.id)
-        return offers(job, machine, rooms, now)
+        return offers(job, machine, capacities, now)
 
     monkeypatch.setattr(term.scheduler.gangs, "offers", counted)
     term.scheduler.place(cluster.clock.now)
--- a/tests/scheduling/test_gang_scheduling.py
+++ b/tests/scheduling/test_gang_scheduling.py
@@ -9,7 +9,7 @@
 from grebestand.cluster_state.jobs import Job
 from grebestand.cluster_state.machine import Machine
 from grebestand.scheduling import gang_scheduling
-from grebestand.scheduling.gang_scheduling import GangCandidates, PlacementTable
+from grebestand.scheduling.gang_scheduling import GangCandidate, PlacementTable
 from grebestand.state_machines import MachineState
 from grebestand.wire.workers import TaskPhase
 from support.scheduling_cluster import WIDE_LIMIT_SETTINGS, SchedulingCluster, advance, finish, scheduling_cluster
@@ -23,7 +23,7 @@
     """A pass over 5000 machines lets heartbeats in between; a decision from before is checked when it is applied."""
     cluster = scheduling_cluster(3, monkeypatch)
     job_id = accept_gang(cluster, tasks=2)
-    steps = cluster.term.scheduler.passing(cluster.now)
+    steps = cluster.term.scheduler.full_pass_steps(cluster.now)
     advance(steps, 4)  # the job, and all three machines have been examined
     first = cluster.machine(cluster.workers[0])
     cluster.term.inventory.move(first, MachineState.SUSPECT, cluster.now)
@@ -37,7 +37,7 @@
 def test_gang_waits_if_machines_left_after_change_are_not_enough(monkeypatch: pytest.MonkeyPatch) -> None:
     cluster = scheduling_cluster(2, monkeypatch)
     job_id = accept_gang(cluster, tasks=2)
-    steps = cluster.term.scheduler.passing(cluster.now)
+    steps = cluster.term.scheduler.full_pass_steps(cluster.now)
     advance(steps, 3)
     cluster.machine(cluster.workers[1]).drain = "recall"
     cluster.begin_turn()
@@ -50,7 +50,7 @@
     cluster = scheduling_cluster(2, monkeypatch)
     job_id = accept_gang(cluster, tasks=2)
     job = cluster.job(job_id)
-    steps = cluster.term.scheduler.passing(cluster.now)
+    steps = cluster.term.scheduler.full_pass_steps(cluster.now)
     advance(steps, 2)
     assert cluster.controller.users.cancel(job_id).status == 200
     cluster.term.job_watch.watch()
@@ -67,7 +67,7 @@
     examined: set[int] = set()
     offers = scheduler.gangs.offers
 
-    def recorded(job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidates]:
+    def recorded(job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidate]:
         examined.add(machine.index)
         return offers(job, machine, table, now)
 
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -19,7 +19,7 @@
     job_id = cluster.world.accept(cluster.controller, crew="red", shards=30, cpus=4.0)
     other_id = cluster.world.accept(cluster.controller, crew="red", shards=30, cpus=1.0, rank="best_effort")
     scheduler.retarget(cluster.now)
-    steps = scheduler.passing(cluster.now)
+    steps = scheduler.full_pass_steps(cluster.now)
     while not cluster.job(job_id).allocations:
         next(steps)
     scheduler.placement._start_tasks(cluster.job(other_id), cluster.machine(cluster.workers[2]), 12, cluster.now)
@@ -44,7 +44,7 @@
         return slots_for(job, machine, now)
 
     monkeypatch.setattr(term.scheduler.placement, "_slots_for", recorded)
-    term.scheduling_loop.place_after = term.scheduling_loop.retarget_after = cluster.now + 100.0
+    term.scheduling_loop.next_pass_at = term.scheduling_loop.next_targets_at = cluster.now + 100.0
     for _ in range(5):
         world.clock.now += 1.0
         assert world.handle_heartbeat(term, worker) is not None
--- a/tests/scheduling/test_preemption_rules.py
+++ b/tests/scheduling/test_preemption_rules.py
@@ -42,4 +42,4 @@
     assert worker.running() == [f"{borrower}/0"]
     cluster.settle(term, 10)
     assert worker.running() == [f"{owner}/0"]
-    assert term.registry.jobs[borrower].displaced == 1
+    assert term.registry.jobs[borrower].preemption_count == 1
--- a/tests/scheduling/test_scheduling_slices.py
+++ b/tests/scheduling/test_scheduling_slices.py
@@ -11,21 +11,21 @@
 
 def slow_down_passes(cluster: SchedulingCluster, monkeypatch: pytest.MonkeyPatch, step_s: float) -> None:
     """Make each step of a pass take so many seconds."""
-    passing = cluster.term.scheduler.passing
+    full_pass_steps = cluster.term.scheduler.full_pass_steps
 
     def slow_passing(now: float) -> Steps:
-        for _ in passing(now):
+        for _ in full_pass_steps(now):
             cluster.world.clock.now += step_s
             yield
 
-    monkeypatch.setattr(cluster.term.scheduler, "passing", slow_passing)
+    monkeypatch.setattr(cluster.term.scheduler, "full_pass_steps", slow_passing)
 
 
 def accept_gang(cluster: SchedulingCluster) -> str:
     """Accept a gang for all machines, and make sure that the next computation is the pass that places it."""
     job_id = cluster.world.accept(cluster.controller, shape="ensemble", shards=3, cpus=16.0)
     cluster.world.clock.now += 1.0
-    cluster.term.scheduling_loop.retarget_after = cluster.now + 100.0
+    cluster.term.scheduling_loop.next_targets_at = cluster.now + 100.0
     return job_id
 
 
@@ -42,11 +42,11 @@
     assert cluster.world.handle_heartbeat(cluster.term, cluster.workers[0]) is not None
     for _ in range(50):
         slice_began = cluster.now
-        loop.go_on()
+        loop.run_slice()
         assert cluster.now - slice_began < SLICE_S + step_s
     assert len(cluster.job(job_id).allocations) == 3
     # a change that came with the heartbeat in between brings another pass; the pass's own starts do not
-    loop.place_after = cluster.now
+    loop.next_pass_at = cluster.now
     assert not cluster.term.registry.changed
 
 
@@ -58,5 +58,5 @@
     loop.step(cluster.now)
     assert loop.busy
     cluster.controller.election.resign("gives way", 10.0)
-    loop.go_on()
+    loop.run_slice()
     assert loop._work is None and not cluster.job(job_id).allocations
--- a/tests/support/cluster_actions.py
+++ b/tests/support/cluster_actions.py
@@ -39,7 +39,7 @@
     for name in world.leading():
         node = world.nodes[name]
         assert node is not None
-        gevent.spawn(node.leadership_transfer._give_way, "played", "")
+        gevent.spawn(node.leadership_transfer.resign, "played", "")
 
 
 def heal(world: SimulatedCluster) -> None:
--- a/tests/support/federated_clusters.py
+++ b/tests/support/federated_clusters.py
@@ -12,12 +12,7 @@
 from grebestand.federation.circuit_breaker import CircuitBreaker
 from grebestand.federation.guest import GuestCluster, GuestLimits
 from grebestand.federation.home import HomeCluster
-from grebestand.federation.messages import (
-    Message,
-    Probe,
-    Reply,
-    ReservationRequest,
-)
+from grebestand.federation.messages import Message, Probe, Reply, ReservationRequest
 from grebestand.federation.overflow_limits import OverflowLimits
 from grebestand.federation.remote_cluster import Cluster
 from grebestand.leader.term import Term
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -26,7 +26,7 @@
 sys.path[:0] = [str(_ROOT / "src"), str(_ROOT / "target" / "deps")]
 
 from grebestand.api.peer_api import IMAGES_S  # noqa: E402
-from grebestand.clocks import DRIFT, MARGIN_S  # noqa: E402
+from grebestand.clocks import CLOCK_MARGIN_S, MAX_CLOCK_DRIFT  # noqa: E402
 from grebestand.controller.controller import RENEW_S, TELL_S  # noqa: E402
 from grebestand.federation.circuit_breaker import LONGEST_S  # noqa: E402
 from grebestand.flow_control.connection_limits import plan_connections  # noqa: E402
@@ -902,7 +902,7 @@
     """The table of failures and what they cost."""
     t, lim = m.letter, m.limits
     tasks = t["running"] / t["workers"]
-    lapse = lim["lease_s"] * (1 + 2 * DRIFT) + MARGIN_S
+    lapse = lim["lease_s"] * (1 + 2 * MAX_CLOCK_DRIFT) + CLOCK_MARGIN_S
     zone = t["workers"] / t["zones"]
     region = m.sizes()[0].workers
     budget = 0.8 * lim["cloud_rps"]
--- a/tools/decisions.py
+++ b/tools/decisions.py
@@ -157,7 +157,7 @@
         assert m is not None
         self.scheduler.fill(m, self.now)
         for allocation in m.allocations.values():  # grants are taken as written
-            allocation.job.granted, allocation.job.granted_hi = None, allocation.job.spec.tasks
+            allocation.job.granted, allocation.job.granted_below = None, allocation.job.spec.tasks
         commands = self.answers.commands(m, Heartbeat(name, "", kind, zone, spot, 1, self.sequence[name]), self.now)
         for c in commands:
             if c.op == "start":
@@ -184,7 +184,7 @@
             self.registry.add(spec, i + 1, self.now - 20.0, self.now)
             if not i % 100:
                 yield
-        self.inventory.count_unknown()
+        self.inventory.count_unreconciled()
         yield
         for i in range(len(self.machines)):
             self.report(i)
@@ -193,12 +193,12 @@
     def retarget(self) -> Iterator[None]:
         """The steps of setting targets."""
         self.now += 5.0
-        return self.scheduler.retargeting(self.now)
+        return self.scheduler.retarget_steps(self.now)
 
     def one_pass(self) -> Iterator[None]:
         """The steps of a full pass."""
         self.now += 1.0
-        return self.scheduler.passing(self.now)
+        return self.scheduler.full_pass_steps(self.now)
 
     def quiet_reports(self) -> Iterator[None]:
         """Heartbeats of a hundred machines with nothing new."""
