--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -64,7 +64,7 @@
     #: by block; clients send the same few blocks again and again, and parsing one takes half the time of a request
     _parsed: ClassVar[dict[bytes, Any]] = {}
 
-    def MessageClass(self, rfile: Any, *_: Any) -> Any:
+    def MessageClass(self, rfile: Any, *_: Any) -> Any:  # noqa: N802 - the base class looks it up by this name
         """Return the parsed headers that follow in `rfile`; the name is that of the base class."""
         lines = []
         size = 0
--- a/src/grebestand/load_test/scale_summary.py
+++ b/src/grebestand/load_test/scale_summary.py
@@ -30,9 +30,11 @@
     if found["windows"]["calm"] and rate < LEAST_RATE_SHARE * wanted:
         limits.append(f"{rate:.0f} starts a second of {wanted:.0f} asked for")
     roles = found["windows"]["whole"].get("roles", {})
-    for name in (*hollow, "users", "state", "meeting"):
-        if roles.get(name, {}).get("cpu_share_max", 0.0) > BUSY_CORE_SHARE:
-            limits.append(f"{name} used up to {roles[name]['cpu_share_max']:.2f} of a core")
+    limits += [
+        f"{name} used up to {roles[name]['cpu_share_max']:.2f} of a core"
+        for name in (*hollow, "users", "state", "meeting")
+        if roles.get(name, {}).get("cpu_share_max", 0.0) > BUSY_CORE_SHARE
+    ]
     late = sum(found["hollow"][name].get("late_answers", 0) for name in hollow)
     if late:
         limits.append(f"{late} answers came while their hollow process was late")
--- a/src/grebestand/settings/type_inference.py
+++ b/src/grebestand/settings/type_inference.py
@@ -44,7 +44,7 @@
 BOOLEAN = InferredType(True, Range())
 
 
-def infer_type(node: ast.expr, names: Names) -> InferredType:
+def infer_type(node: ast.expr, names: Names) -> InferredType:  # noqa: RET503 - `_refuse` never returns
     """Return the type of an expression.
 
     Raises:
--- a/tests/scenarios/test_random_fault_schedules.py
+++ b/tests/scenarios/test_random_fault_schedules.py
@@ -111,7 +111,7 @@
 )
 
 
-def apply_fault(world: SimulatedCluster, fault: tuple[object, ...]) -> None:
+def apply_fault(world: SimulatedCluster, fault: tuple[object, ...]) -> None:  # noqa: C901 - one case a kind
     """Begin one fault of a schedule, and see to its end."""
     match fault:
         case ("cut", str(near), str(far), LinkMode() as mode) if near != far:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -125,7 +125,7 @@
     def __init__(self) -> None:
         self.count = 0
 
-    def of(self, kind: inspect.Type, full: bool) -> Any:
+    def of(self, kind: inspect.Type, full: bool) -> Any:  # noqa: C901 - one case a kind
         self.count += 1
         match kind:
             case inspect.Metadata(type=inner):
