--- a/src/grebestand/load_test/child_process.py
+++ b/src/grebestand/load_test/child_process.py
@@ -1,8 +1,8 @@
 """One part of a scale run as a process of its own: `python -m grebestand.load_test.child_process ROLE`.
 
-The parent writes lines of JSON to its standard input: first what to be, then what to do. It answers on its standard
-output: once "ready", each second its "counts", and "kept" when its history is in the file that it was given. When its
-standard input ends, it ends.
+The parent writes lines of JSON to its standard input: first its configuration, then commands. It responds on its
+standard output: once "ready", each second its "counts", "kept" when its records are in the file that it was given, and
+"did" after any other command. It ends when its standard input ends.
 """
 
 from __future__ import annotations
@@ -17,88 +17,95 @@
 import msgspec
 from gevent.fileobject import FileObjectPosix
 
+#: the methods of parts that commands call
+METHODS = {"begin": "begin", "ask": "ask_all"}
+#: counters are sent to the parent this often, in seconds
+COUNTS_INTERVAL_S = 1.0
+
 
 class Part(Protocol):
     """A part of the run that a child process plays."""
 
     def counts(self) -> dict[str, Any]:
-        """Counters so far, sent to the parent every second."""
+        """Return the counters so far, which are sent to the parent."""
 
 
 class Child:
     """The child's side of a part process: reads messages from standard input, writes counts to standard output."""
 
     def __init__(self, role: str) -> None:
+        """Prepare to play a role: "state", "meeting", "users" or "hollow"."""
         self.role = role
         self.faults = 0
         self._input = FileObjectPosix(0, "rb")
         self._hub = gevent.get_hub()
         self._print_error = self._hub.handle_error
-        self._hub.handle_error = self._fault
+        self._hub.handle_error = self._count_fault
 
-    def _fault(self, context: object, kind: Any, error: Any, trace: Any) -> None:
-        """A greenlet that failed is told of on standard error, and counted."""
+    def _count_fault(self, context: object, kind: Any, error: Any, trace: Any) -> None:
+        """Print the error of a greenlet that failed, and count it."""
         if kind is not None and not issubclass(kind, self._hub.NOT_ERROR):
             self.faults += 1
         self._print_error(context, kind, error, trace)
 
-    def tell(self, **what: object) -> None:
+    def _send(self, **message: object) -> None:
         """Send a message to the parent."""
         # the parent reads all the time; a line is far below what a pipe holds
-        data = msgspec.json.encode(what) + b"\n"
+        data = msgspec.json.encode(message) + b"\n"
         while data:
             data = data[os.write(1, data) :]
 
-    def hear(self) -> dict[str, Any]:
-        """The next message of the parent; ends the process if the parent is gone."""
+    def _receive(self) -> dict[str, Any]:
+        """Return the next message of the parent; end the process if the parent is gone."""
         line = self._input.readline()
         if not line:
-            os._exit(1)  # whoever started it is gone
-        found: dict[str, Any] = msgspec.json.decode(line)
-        return found
+            os._exit(1)
+        message: dict[str, Any] = msgspec.json.decode(line)
+        return message
 
     def run(self) -> None:
-        """Play the part until the parent says that it ends."""
-        part, ready = self._make(self.hear())
-        self.tell(ready=ready)
-        gevent.spawn(self._count, part)
+        """Play the part until the parent ends it."""
+        part, addresses = self._build(self._receive())
+        self._send(ready=addresses)
+        gevent.spawn(self._send_counts, part)
         while True:
-            message = self.hear()
-            do = message["do"]
-            if do == "end":
+            message = self._receive()
+            command = message["do"]
+            if command == "end":
                 return
-            if do == "keep":
+            if command == "keep":
                 with open(message["file"], "wb") as out:
                     out.write(msgspec.msgpack.encode(part.kept_rows()))
-                self.tell(kept=message["file"], faults=self.faults)
-            elif do == "rest":
+                self._send(kept=message["file"], faults=self.faults)
+            elif command == "rest":
                 part.loading = False
             else:
-                getattr(part, {"begin": "begin", "ask": "ask_all"}[do])()
-                self.tell(did=do)
+                getattr(part, METHODS[command])()
+                self._send(did=command)
 
-    def _count(self, part: Part) -> None:
+    def _send_counts(self, part: Part) -> None:
         while True:
-            self.tell(counts={**part.counts(), "faults": self.faults, "at_s": time.monotonic()})
-            gevent.sleep(1.0)
+            self._send(counts={**part.counts(), "faults": self.faults, "at_s": time.monotonic()})
+            gevent.sleep(COUNTS_INTERVAL_S)
 
     def _line_ended(self) -> None:
-        """What the machines share is gone."""
+        """Print that the gang rendezvous is gone."""
         if not self._hub.dead:
             print(f"{self.role}: the line to what machines share has ended", file=sys.stderr)
 
-    def _make(self, config: dict[str, Any]) -> tuple[Any, dict[str, str]]:
+    def _build(self, config: dict[str, Any]) -> tuple[Any, dict[str, str]]:
+        """Build the part and return it with the addresses that it serves; each role imports only what it needs."""
         if self.role == "state":
             from ..emulators.site import HttpStoreEmulator
 
             store = HttpStoreEmulator(time.monotonic, config["rps"], config["write_rps"])
-            return _StateCounts(store), {"state": store.address}
+            return _StorePart(store), {"state": store.address}
         if self.role == "meeting":
             from ..wire.cloud import MachineType
             from .gang_rendezvous import GangRendezvous
 
-            meeting = GangRendezvous(msgspec.convert(config["types"], list[MachineType]))
-            return meeting, {"cloud": meeting.cloud_address, "meeting": meeting.address}
+            rendezvous = GangRendezvous(msgspec.convert(config["types"], list[MachineType]))
+            return rendezvous, {"cloud": rendezvous.cloud_address, "meeting": rendezvous.address}
         if self.role == "users":
             from .records import LoadPlan
             from .scale_users import LoadUsers
@@ -110,16 +117,22 @@
         return HollowProcess(msgspec.convert(config, HollowPlan), self._line_ended), {}
 
 
-class _StateCounts:
+class _StorePart:
+    """The key-value store as a part."""
+
     def __init__(self, store: Any) -> None:
         self.store = store
 
     def counts(self) -> dict[str, float]:
-        s = self.store
+        store = self.store
         return {
-            "requests": s.requests, "refused": s.refused, "transactions": s.writes, "writes": s.model.writes,
-            "bytes": s.bytes, "keys": len(s.model.data),
-        }  # fmt: skip
+            "requests": store.requests,
+            "refused": store.refused,
+            "transactions": store.writes,
+            "writes": store.model.writes,
+            "bytes": store.bytes,
+            "keys": len(store.model.data),
+        }
 
 
 def main() -> None:
--- a/src/grebestand/load_test/gang_rendezvous.py
+++ b/src/grebestand/load_test/gang_rendezvous.py
@@ -1,8 +1,9 @@
-"""What the machines of a scale run share: the cloud that lists them, jobs' descriptions, results, and gangs that meet.
+"""What the workers of a scale run share: their cloud, descriptions of jobs, results, and gangs that wait to be whole.
 
-Hollow processes and users are on lines of JSON arrays over loopback. From them: "machine" (name, address, type, zone),
-"put" (job's description), "want" (job, index, attempt), "done" (task), "wait" (job, attempt, index, tasks, seconds) and
-"gone" (job, attempt, index). To them: "job", "known", "run", "over", "gone" and "lose".
+Processes of hollow workers and users connect over loopback and exchange lines of JSON arrays. They send "machine"
+(name, address, type, zone), "put" (a job's description), "want" (job, index, attempt), "done" (job, index), "wait"
+(job, attempt, index, tasks, run time in seconds) and "gone" (job, attempt, index). They get "job", "known", "run",
+"over", "gone" and "lose".
 """
 
 from __future__ import annotations
@@ -23,57 +24,68 @@
 from ..wire.cloud import ListedMachine, MachineType
 from ..wire.jobs import JobSpec
 
+#: a name followed by its arguments
 Message = list[Any]
+#: one read takes at most this, in bytes
+READ_BYTES = 65536
+CONNECT_TIMEOUT_S = 10.0
 
 
 class MessageLine:
-    """One end: messages leave in the order in which they were said, several in a packet."""
+    """One end of a connection: messages leave in the order in which they were queued, several in a packet."""
 
     def __init__(self, sock: socket.socket) -> None:
+        """Begin to send over a connected socket."""
         self._socket = sock
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._said: list[bytes] = []
+        self._queue: list[bytes] = []
         self._wake = Event()
         gevent.spawn(self._send)
 
     def say(self, *message: object) -> None:
         """Queue a message for the other end."""
-        self._said.append(msgspec.json.encode(message))
+        self._queue.append(msgspec.json.encode(message))
         self._wake.set()
 
     def _send(self) -> None:
         while True:
             self._wake.wait()
             self._wake.clear()
-            said, self._said = self._said, []
+            queued, self._queue = self._queue, []
             try:
-                self._socket.sendall(b"\n".join(said) + b"\n")
+                self._socket.sendall(b"\n".join(queued) + b"\n")
             except OSError:
-                return  # the reading side of this end sees it as well
+                return  # `listen` ends as well
 
-    def listen(self, hear: Callable[[Message], None]) -> None:
-        """Until the other end closes."""
-        data = b""
+    def listen(self, handle: Callable[[Message], None]) -> None:
+        """Handle messages until the other end closes the connection."""
+        partial_line = b""
         while True:
             try:
-                more = self._socket.recv(65536)
+                more = self._socket.recv(READ_BYTES)
             except OSError:
                 return
             if not more:
                 return
-            *lines, data = (data + more).split(b"\n")
+            *lines, partial_line = (partial_line + more).split(b"\n")
             for line in lines:
-                hear(msgspec.json.decode(line))
+                handle(msgspec.json.decode(line))
 
 
-def dial(address: str, hear: Callable[[Message], None], ended: Callable[[], None]) -> MessageLine:
-    """Connect to the rendezvous at an address; `hear` gets its messages, `ended` is called when it is gone."""
+def dial(address: str, handle: Callable[[Message], None], ended: Callable[[], None]) -> MessageLine:
+    """Connect to the rendezvous.
+
+    Args:
+        address: its address.
+        handle: gets its messages.
+        ended: called when it is gone.
+    """
     host, _, port = address.rpartition(":")
-    line = MessageLine(socket.create_connection((host, int(port)), timeout=10.0))
+    line = MessageLine(socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S))
     line._socket.settimeout(None)
 
     def run() -> None:
-        line.listen(hear)
+        line.listen(handle)
         ended()
 
     gevent.spawn(run)
@@ -82,7 +94,13 @@
 
 @dataclass
 class Gang:
-    """One attempt of a gang: who waits, on which line, and whether it has started or is over."""
+    """One attempt of a gang.
+
+    Attributes:
+        waiting: the members that wait or run, by their index, with the line of their process.
+        started: whether all members were there.
+        over: whether it has ended, whole or not.
+    """
 
     waiting: dict[int, MessageLine] = field(default_factory=dict)
     started: bool = False
@@ -90,41 +108,40 @@
 
 
 class GangRendezvous:
-    """Where the members of gangs wait for each other across worker processes, and the cloud that lists their
-    machines.
-    """
+    """Where members of gangs wait for each other across processes, and the cloud that lists their machines."""
 
     def __init__(self, types: list[MachineType]) -> None:
+        """Serve the cloud and the lines of processes; the cloud has these machine types."""
         self.cloud = CloudEmulator()
         self.cloud.types, self.cloud.capacity = types, 0
-        self.cloud.removed = self._removed
+        self.cloud.removed = self._machines_deleted
         self.cloud_requests = self.messages = 0
         self.specs: dict[str, JobSpec] = {}
         self.results: set[tuple[str, int]] = set()
         self.gangs: dict[tuple[str, int], Gang] = {}
         self.lines: list[MessageLine] = []
-        self._cloud = serve(self._ask_cloud)
-        self.cloud_address = f"{HOST}:{self._cloud.server_port}"
-        self._server = StreamServer((HOST, 0), self._take)
+        self._cloud_server = serve(self._answer_cloud_request)
+        self.cloud_address = f"{HOST}:{self._cloud_server.server_port}"
+        self._server = StreamServer((HOST, 0), self._serve_line)
         self._server.start()
         self.address = f"{HOST}:{self._server.server_port}"
 
-    def _ask_cloud(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+    def _answer_cloud_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         self.cloud_requests += 1
         return self.cloud.request(method, path, body, 0.0)
 
-    def _removed(self, names: list[str]) -> None:
-        self.cloud.listed = [e for e in self.cloud.listed if e["ref"] not in names]
+    def _machines_deleted(self, names: list[str]) -> None:
+        self.cloud.listed = [entry for entry in self.cloud.listed if entry["ref"] not in names]
         for line in self.lines:
             line.say("lose", names)
 
-    def _take(self, sock: socket.socket, _: object) -> None:
+    def _serve_line(self, sock: socket.socket, _: object) -> None:
         line = MessageLine(sock)
         self.lines.append(line)
-        line.listen(lambda message: self._hear(line, message))
+        line.listen(lambda message: self._handle(line, message))
         self.lines.remove(line)
 
-    def _hear(self, line: MessageLine, message: Message) -> None:
+    def _handle(self, line: MessageLine, message: Message) -> None:
         self.messages += 1
         what, *rest = message
         if what == "machine":
@@ -141,28 +158,32 @@
         elif what == "done":
             self.results.add((rest[0], rest[1]))
         elif what == "wait":
-            self._wait(line, *rest)
+            self._join(line, *rest)
         elif what == "gone":
-            self._gone(*rest)
+            self._leave(*rest)
         else:
             raise ValueError(f"unknown message {what!r}")
 
-    def _wait(self, line: MessageLine, job: str, attempt: int, index: int, tasks: int, seconds: float) -> None:
+    def _join(self, line: MessageLine, job: str, attempt: int, index: int, tasks: int, run_s: float) -> None:
         gang = self.gangs.setdefault((job, attempt), Gang())
         gang.waiting[index] = line
         if len(gang.waiting) == tasks and not gang.started:
             gang.started = True
-            self._tell(gang, "run", job, attempt)
-            gevent.spawn_later(seconds, self._over, job, attempt, gang)
+            self._send_to_members(gang, "run", job, attempt)
+            gevent.spawn_later(run_s, self._complete, job, attempt, gang)
 
-    def _over(self, job: str, attempt: int, gang: Gang) -> None:
-        """It has run for its time: if no task is missing, all are done."""
+    def _complete(self, job: str, attempt: int, gang: Gang) -> None:
+        """End a gang that has run for its time: all of its tasks are done, unless one was lost before."""
         if not gang.over:
             gang.over = True
-            self.results |= {(job, i) for i in gang.waiting}
-            self._tell(gang, "over", job, attempt)
+            self.results |= {(job, index) for index in gang.waiting}
+            self._send_to_members(gang, "over", job, attempt)
+
+    def _leave(self, job: str, attempt: int, index: int) -> None:
+        """Note that a member is gone: the others of a gang that has started get a message.
 
-    def _gone(self, job: str, attempt: int, index: int) -> None:
+        A gang that has not started goes on waiting until all members are there.
+        """
         gang = self.gangs.get((job, attempt))
         if gang is None or gang.over:
             return
@@ -170,13 +191,14 @@
             gang.waiting.pop(index, None)
         else:
             gang.over = True
-            self._tell(gang, "gone", job, attempt)
+            self._send_to_members(gang, "gone", job, attempt)
 
     @staticmethod
-    def _tell(gang: Gang, what: str, job: str, attempt: int) -> None:
-        for line in {id(x): x for x in gang.waiting.values()}.values():
+    def _send_to_members(gang: Gang, what: str, job: str, attempt: int) -> None:
+        # several members may be in one process, which gets the message once
+        for line in {id(line): line for line in gang.waiting.values()}.values():
             line.say(what, job, attempt)
 
     def counts(self) -> dict[str, float]:
-        """Requests of the cloud, messages, and machines deleted so far."""
+        """Return the counters so far: requests to the cloud, messages, and deleted machines."""
         return {"cloud_requests": self.cloud_requests, "messages": self.messages, "deleted": len(self.cloud.deleted)}
