--- a/src/grebestand/fault_test/many_clusters.py
+++ b/src/grebestand/fault_test/many_clusters.py
@@ -1,7 +1,7 @@
-"""How offers and reserved room grow with the number of clusters and with load: many leaders in one process, on one
-clock that is turned, with the decision code as it is and links that never fail.
+"""How offers and reservations grow with the number of clusters and with load.
 
-Half of the clusters are crowded, half have room. Gangs come at random; a gang that is at work takes three machines.
+Many leaders decide in one process, on one simulated clock and over links that never fail. Half of the clusters are
+crowded, half have free capacity. Gangs arrive at random; a running gang takes three machines.
 """
 
 from __future__ import annotations
@@ -20,9 +20,18 @@
 from ..simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController, ManualClock
 from ..wire.workers import TaskPhase
 
-MACHINES, GANG, RUN_S = 6, 3, 15.0
-#: gangs at work at a time that a cluster's machines could hold, in the mean, asked of crowded and of idle ones
-CROWDED, IDLE = 1.6, 0.3
+#: machines of each cluster
+MACHINES = 6
+#: tasks of each gang, each of which takes a machine
+GANG_TASKS = 3
+#: run time of each task, in seconds
+RUN_S = 15.0
+#: the load of crowded and of idle clusters, as a share of what their machines can run
+CROWDED_LOAD, IDLE_LOAD = 1.6, 0.3
+#: the simulated time, in seconds
+SECONDS = 240
+#: no gangs arrive in the last seconds, so that most are done at the end
+QUIET_END_S = 60
 
 
 @dataclass
@@ -46,20 +55,17 @@
 
     def row(self) -> str:
         """One line with all figures."""
-        n = max(1, self.gangs)
+        gangs = max(1, self.gangs)
         mean = sum(self.waits) / max(1, len(self.waits))
         return (
             f"clusters {self.clusters:3} load {self.load:.2f} gangs {self.gangs:5} done {self.done:5} "
-            f"abroad {self.decided:4} offers/gang {self.offers / n:5.2f} (most {self.most_offers:2}) "
+            f"abroad {self.decided:4} offers/gang {self.offers / gangs:5.2f} (most {self.most_offers:2}) "
             f"in vain {self.in_vain / max(1, self.reserved):4.0%} of {self.reserved:4} "
-            f"reserved {self.reserved_share:5.1%} of machine time, messages/gang {self.messages / n:6.1f} "
+            f"reserved {self.reserved_share:5.1%} of machine time, messages/gang {self.messages / gangs:6.1f} "
             f"looks/cluster/s {self.looks / self.clusters / SECONDS:4.2f} mean until done {mean:5.1f} s"
         )
 
 
-SECONDS = 240
-
-
 class Member(Host):
     """One cluster with its leader; its own users and workers are played."""
 
@@ -73,18 +79,20 @@
         self.workers = [self.world.worker(f"n-{i:06d}") for i in range(MACHINES)]
         self.node = InMemoryController(self.world, f"{name}-0")
         self.term: Term = self.node.lead()
-        self.rate = load * (CROWDED if crowded else IDLE) * (MACHINES // GANG) / RUN_S
+        self.rate = load * (CROWDED_LOAD if crowded else IDLE_LOAD) * (MACHINES // GANG_TASKS) / RUN_S
         self.began: dict[tuple[str, str], float] = {}
         self.asked: dict[str, float] = {}
         #: not over yet, and how long those that are over took
         self.open: dict[str, float] = {}
         self.waits: list[float] = []
         others = [RemoteClusterSettings(n, {}) for n in names if n != name]
-        told = LocalLoad(name, guests_team="blue", others=others)
+        settings = LocalLoad(name, guests_team="blue", others=others)
         vocabulary = Vocabulary(KEYS, NAMES)
         base = parse(DEFAULTS, "defaults", vocabulary)
         values = parse({"overflow_after_s": 3, "look_s": 5}, "simulation", vocabulary, base)
-        self.federation = Federation(values, self.world.settings, told, clock, random.Random(name), lambda work: work())
+        self.federation = Federation(
+            values, self.world.settings, settings, clock, random.Random(name), lambda work: work()
+        )
 
     def present(self) -> Term:
         """The term of this cluster's leader."""
@@ -106,19 +114,19 @@
         """Play one second: submissions, ends of tasks, and heartbeats."""
         now = self.clock.now
         while not last and self.rng.random() < self.rate:
-            ident = self.world.accept(self.node, shape="ensemble", shards=GANG, cpus=15.0, pullGb=0.0)
-            self.asked[ident] = self.open[ident] = now
+            job_id = self.world.accept(self.node, shape="ensemble", shards=GANG_TASKS, cpus=15.0, pullGb=0.0)
+            self.asked[job_id] = self.open[job_id] = now
             if self.rng.random() > self.rate:
                 break
-        for w in self.workers:
-            for status in w.tasks.values():
-                key = (w.name, f"{status.task} {status.attempt}")
+        for worker in self.workers:
+            for status in worker.tasks.values():
+                key = (worker.name, f"{status.task} {status.attempt}")
                 if status.state is TaskPhase.RUNNING and now - self.began.setdefault(key, now) >= RUN_S:
-                    w.finish(status.task)
+                    worker.finish(status.task)
         self.world.settle(self.term, 1, 0.0)
         self.federation.step()
-        for ident in [i for i in self.open if self.node.completed_jobs.get(i) is not None]:
-            self.waits.append(now - self.open.pop(ident))
+        for job_id in [job_id for job_id in self.open if self.node.completed_jobs.get(job_id) is not None]:
+            self.waits.append(now - self.open.pop(job_id))
 
 
 class InProcessLink:
@@ -155,25 +163,29 @@
             offers[key] = offers.get(key, 0) + 1
             result.reserved += isinstance(answer, Reserved)
 
-    for m in members.values():
-        m.federation.links = {n: InProcessLink(o, count) for n, o in members.items() if o is not m}
-        m.federation.take_host(m)
-        m.federation.begin(m.term)
-    kept = 0
+    for member in members.values():
+        others = {name: other for name, other in members.items() if other is not member}
+        member.federation.links = {name: InProcessLink(other, count) for name, other in others.items()}
+        member.federation.take_host(member)
+        member.federation.begin(member.term)
+    reserved_machine_s = 0
     for second in range(seconds):
         clock.now += 1.0
-        for m in members.values():
-            m.second(second > seconds - 60)
-            kept += sum(x.reserved_for is not None and not x.allocations for x in m.term.inventory.machines)
-    for m in members.values():
-        home = m.federation.home
+        for member in members.values():
+            member.second(second > seconds - QUIET_END_S)
+            reserved_machine_s += sum(
+                machine.reserved_for is not None and not machine.allocations
+                for machine in member.term.inventory.machines
+            )
+    for member in members.values():
+        home = member.federation.home
         assert home is not None
-        result.gangs += len(m.asked)
+        result.gangs += len(member.asked)
         result.in_vain += home.counts["in_vain"]
         result.decided += home.counts["decided"]
-        result.done += len(m.waits)
-        result.waits += m.waits
+        result.done += len(member.waits)
+        result.waits += member.waits
     result.offers = sum(offers.values())
     result.most_offers = max(offers.values(), default=0)
-    result.reserved_share = kept / (seconds * MACHINES * clusters)
+    result.reserved_share = reserved_machine_s / (seconds * MACHINES * clusters)
     return result
