--- a/src/grebestand/emulators/controller_processes.py
+++ b/src/grebestand/emulators/controller_processes.py
@@ -13,16 +13,20 @@
 
 from .site import HOST, EmulatedSite
 
+#: a controller ends by itself within this, in seconds, before it is killed
+END_S = 3.0
+READY_POLL_S = 0.1
+
 
 def free_port() -> int:
-    """A port of loopback that nobody uses at the moment."""
-    with socket.socket() as s:
-        s.bind((HOST, 0))
-        return int(s.getsockname()[1])
+    """Return a port of loopback that nobody uses at the moment."""
+    with socket.socket() as probe:
+        probe.bind((HOST, 0))
+        return int(probe.getsockname()[1])
 
 
 class ControllerProcesses:
-    """Controllers of one cluster, wherever its state service and cloud are. Settings and logs are in a directory."""
+    """Controllers of one cluster, wherever its key-value store and cloud are."""
 
     def __init__(
         self,
@@ -33,7 +37,16 @@
         policy: str,
         descriptors: int | None = None,
     ) -> None:
-        """`names` with their zones; `outside`: addresses of `cloud` and `state`; `descriptors`: open files of each."""
+        """Write the settings of all controllers.
+
+        Args:
+            names: the names of the controllers, with their zones.
+            outside: the addresses of `cloud` and `state`.
+            root: the directory of settings and logs.
+            params: the part of the settings without names and addresses.
+            policy: the text of the policy file.
+            descriptors: the limit of open files of each controller; that of this process if not given.
+        """
         self.root = root
         root.mkdir(parents=True, exist_ok=True)
         self.names = list(names)
@@ -44,16 +57,22 @@
         self._running: dict[str, subprocess.Popen[bytes]] = {}
         (root / "policy.toml").write_text(policy)
         for name in self.names:
-            known = "".join(
-                f'[[known]]\nhost_name = "{n}"\narea = "{names[n]}"\naddress = "{peers[n]}"\n'
-                for n in self.names
-                if n != name
-            )
-            (root / f"{name}.toml").write_text(
-                f'host_name = "{name}"\narea = "{names[name]}"\nserve_on = "{self.addresses[name]}"\n'
-                f'peer_listen = "{peers[name]}"\n{known}[outside]\ncloud = "{outside["cloud"]}"\n'
-                f'state = "{outside["state"]}"\n[params]\ncount = {len(names)}\n{params}'
-            )
+            (root / f"{name}.toml").write_text(self._settings(name, names, peers, outside, params))
+
+    def _settings(
+        self, name: str, zones: dict[str, str], peers: dict[str, str], outside: dict[str, str], params: str
+    ) -> str:
+        """Return the settings file of a controller."""
+        known = "".join(
+            f'[[known]]\nhost_name = "{other}"\narea = "{zones[other]}"\naddress = "{peers[other]}"\n'
+            for other in self.names
+            if other != name
+        )
+        return (
+            f'host_name = "{name}"\narea = "{zones[name]}"\nserve_on = "{self.addresses[name]}"\n'
+            f'peer_listen = "{peers[name]}"\n{known}[outside]\ncloud = "{outside["cloud"]}"\n'
+            f'state = "{outside["state"]}"\n[params]\ncount = {len(zones)}\n{params}'
+        )
 
     def start(self, name: str) -> None:
         """Start a controller's process, unless it is alive."""
@@ -74,7 +93,7 @@
             resource.prlimit(self._running[name].pid, resource.RLIMIT_NOFILE, limits)
 
     def pid(self, name: str) -> int | None:
-        """The process of a controller that is alive."""
+        """Return the process id of a controller, None if it is not alive."""
         return self._running[name].pid if self.alive(name) else None
 
     def start_all(self) -> None:
@@ -88,28 +107,28 @@
         return process is not None and process.poll() is None
 
     def kill(self, name: str) -> None:
-        """Ends it with no warning."""
+        """Kill a controller, so that it cannot release its leader lease."""
         process = self._running.get(name)
         if process is not None and process.poll() is None:
             process.kill()
             process.wait()
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Stops it for a while, in a greenlet of its own."""
+        """Stop a controller with SIGSTOP for a while, and return at once."""
         process = self._running.get(name)
         if process is None or process.poll() is not None:
             return
 
-        def hold() -> None:
+        def stop_and_continue() -> None:
             process.send_signal(signal.SIGSTOP)
             gevent.sleep(seconds)
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
 
-        gevent.spawn(hold)
+        gevent.spawn(stop_and_continue)
 
     def last_words(self) -> str:
-        """The last line of each log, for when they do not come up."""
+        """Return the last line of each controller's log."""
         lines = []
         for name in self.names:
             file = self.root / f"{name}.log"
@@ -118,14 +137,14 @@
         return "; ".join(lines)
 
     def stop(self) -> None:
-        """Ends all that this has started, and nothing else."""
+        """End all controllers that this has started, by force if they do not end in time."""
         for process in self._running.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
         for process in self._running.values():
             try:
-                process.wait(timeout=3.0)
+                process.wait(timeout=END_S)
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
@@ -142,17 +161,17 @@
         site.controllers = dict(self.addresses)
 
     def leader(self) -> str | None:
-        """Who leads, by the state service."""
+        """Return who leads by the key-value store, or None."""
         found = self.site.store.model.data.get("leader")
         return str(found[0]["name"]) if found is not None else None
 
     def ready(self, within_s: float) -> bool:
-        """Waits until a controller leads and machines have reported."""
+        """Wait until a controller leads and a worker has its token; return whether that came in time."""
         end = self.site.clock() + within_s
         while self.site.clock() < end:
-            if self.leader() is not None and any(p.token for p in self.site.yard.players.values()):
+            if self.leader() is not None and any(player.token for player in self.site.yard.players.values()):
                 return True
             if not any(self.alive(name) for name in self.names):
                 return False  # none is left that could
-            gevent.sleep(0.1)
+            gevent.sleep(READY_POLL_S)
         return False
