--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -156,8 +156,8 @@
             priority=PRIORITIES[int(values["guest_rank"])],
             reserve_s=values["reserve_s"],
             give_back_s=values["give_back_s"],
-            most_reserved=int(values["most_reserved"]),
-            most_guests=int(values["most_guests"]),
+            max_reservations=int(values["most_reserved"]),
+            max_guests=int(values["most_guests"]),
         )
 
     def _spawn_in_pool(self, work: Callable[[], None]) -> None:
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -92,8 +92,8 @@
         priority: guests get no higher priority than this: they come after this cluster's own work.
         reserve_s: for how many seconds machines are reserved.
         give_back_s: a gang that has found no capacity here for so many seconds is given back.
-        most_reserved: reservations at a time.
-        most_guests: gangs taken in at a time.
+        max_reservations: reservations at a time.
+        max_guests: gangs taken in at a time.
     """
 
     homes: frozenset[str]
@@ -101,8 +101,8 @@
     priority: Priority = Priority.LOW
     reserve_s: float = 15.0
     give_back_s: float = 60.0
-    most_reserved: int = 8
-    most_guests: int = 64
+    max_reservations: int = 8
+    max_guests: int = 64
 
 
 class GuestCluster:
@@ -202,7 +202,7 @@
             return "none of the machine types that it may run on is known here"
         if self.name in request.path:
             return "it has been offered through here already"
-        if len(self.reservations.by_id) >= limits.most_reserved or len(self.records) >= limits.most_guests:
+        if len(self.reservations.by_id) >= limits.max_reservations or len(self.records) >= limits.max_guests:
             return "as many as are allowed"
         if self.reservations.exists_for(request.home, spec.id):
             return "room is kept for it already"
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -101,7 +101,7 @@
         self.remotes = RemoteClusters(
             name, clusters, limits=limits, clock=term.clock, rng=rng, spawn=spawn, sketches=self.sketches
         )
-        self.offers = OfferPlanner(term, self.remotes.by_name, limits)
+        self.offer_planner = OfferPlanner(term, self.remotes.by_name, limits)
         self.records = AssignmentRecords(term)
         #: gangs that are offered or abroad, by job id
         self.gangs: dict[str, RemoteGang] = {}
@@ -219,7 +219,7 @@
     # offering ---------------------------------------------------------------------------------------------
 
     def _offer_due(self, now: float) -> None:
-        for offer in self.offers.due(self.gangs, now):
+        for offer in self.offer_planner.due(self.gangs, now):
             self.gangs[offer.gang.job.spec.id] = offer.gang
             clusters = offer.clusters
             self._spawn_step(offer.gang, lambda gang, clusters=clusters: self._offer(gang, clusters))  # type: ignore[misc]
--- a/tests/federation/test_federation_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -165,7 +165,9 @@
     )
     assert guest.answer(offer(clusters, quay="a")) == Rejection("it may run in one zone of its home only")
     bound = clusters.home.world.accept(clusters.home.node, shape="ensemble", shards=3, cpus=15.0, quay="a")
-    assert not clusters.home.home.offers.eligible(clusters.home.term.registry.jobs[bound], clusters.clock.now + 1000.0)
+    assert not clusters.home.home.offer_planner.eligible(
+        clusters.home.term.registry.jobs[bound], clusters.clock.now + 1000.0
+    )
     assert isinstance(guest.answer(Probe("stranger", VERSION)), Rejection)
     told = guest.answer(Probe("home", VERSION))
     assert isinstance(told, FreeCapacity) and told.free == 4 - sum(
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -357,10 +357,10 @@
 def test_reservations_are_bounded_by_count_and_by_the_team_limit() -> None:
     clusters = Clusters()
     guest = clusters.east.guest
-    guest.limits.most_reserved = 1
+    guest.limits.max_reservations = 1
     assert isinstance(guest.answer(offer(clusters)), Reserved)
     assert guest.answer(offer(clusters)) == Rejection("as many as are allowed")
-    guest.limits.most_reserved = 8
+    guest.limits.max_reservations = 8
     clusters.east.term.registry.teams[clusters.east.term.registry.team_names.index("blue")].limit = (15_000_000, 0)
     assert guest.answer(offer(clusters)) == Rejection("the guests' limit is used up")
 
--- a/tests/federation/test_tls_link.py
+++ b/tests/federation/test_tls_link.py
@@ -5,7 +5,7 @@
 import datetime as dt
 import logging
 import random
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -32,7 +32,6 @@
     UncertainReply,
     decode_reply,
 )
-from grebestand.federation.rate_limits import RetryBackoff, TokenBucket
 from grebestand.federation.tls_link import PATH, TlsLink, over_tls
 from grebestand.simulation.single_controller_cluster import ManualClock
 
@@ -41,7 +40,7 @@
 
 
 class Two:
-    """The keys of two clusters that believe each other, and the door of one of them on loopback."""
+    """The keys of two clusters that trust each other, and the link server of one of them on loopback."""
 
     def __init__(self, root: Path, home_made: dt.datetime = NOW) -> None:
         self.home, self.east = root / "home", root / "east"
@@ -53,9 +52,9 @@
         self.asked: list[Message] = []
         self.networks = ["127.0.0.0/8"]
         self.port = free_port()
-        door = LinkServer(self.ring, lambda: self.answer, lambda: "east-1", self.clock)
+        link_server = LinkServer(self.ring, lambda: self.answer, lambda: "east-1", self.clock)
         gate = LinkAdmission(AllowedNetworks(self.networks), self.ring, self.clock)
-        self.server = listen(f"127.0.0.1:{self.port}", "listen", door.app, 4, gate)
+        self.server = listen(f"127.0.0.1:{self.port}", "listen", link_server.app, 4, gate)
         self.server.start()
 
     def answer(self, message: Message) -> Reply:
@@ -93,8 +92,8 @@
     """An address in brackets was once taken for a name: neither side could use it."""
     two = Two(tmp_path)
     gate = LinkAdmission(AllowedNetworks(["::1/128"]), two.ring, two.clock)
-    door = LinkServer(two.ring, lambda: two.answer, lambda: None, two.clock)
-    server = listen(f"[::1]:{free_port()}", "listen", door.app, 4, gate)
+    link_server = LinkServer(two.ring, lambda: two.answer, lambda: None, two.clock)
+    server = listen(f"[::1]:{free_port()}", "listen", link_server.app, 4, gate)
     server.start()
     context = Keyring(two.home, "home", two.clock).client("east")
     wire = HttpTransport("[::1]", server.server_port, 1, tls=context)
@@ -324,27 +323,3 @@
     broken.set()
     gevent.sleep(0.1)
     assert "Traceback" not in capfd.readouterr().err
-
-
-# bounds ---------------------------------------------------------------------------------------------------
-
-
-def spent(take: Callable[[], bool], clock: ManualClock, seconds: float) -> int:
-    found = 0
-    for _ in range(int(seconds * 100)):
-        clock.now += 0.01
-        found += take()
-    return found
-
-
-def test_retries_and_bytes_are_bounded() -> None:
-    clock = ManualClock()
-    retries = RetryBackoff(0.3, 1.0, clock)
-    assert spent(retries.take_retry, clock, 60.0) <= 62
-    for _ in range(30):
-        retries.record_first_try()
-    assert 9 <= sum(retries.take_retry() for _ in range(100)) <= 11
-    bucket = TokenBucket(4.0, clock)
-    assert spent(lambda: bucket.take(1.0), clock, 30.0) <= 30 * 4 + 4
-    clock.now += 10.0
-    assert bucket.take(100.0) and not bucket.take(1.0)  # more than a second's worth goes, and is paid for
--- a/tests/support/federated_clusters.py
+++ b/tests/support/federated_clusters.py
@@ -24,11 +24,12 @@
 from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController, ManualClock
 from grebestand.wire.jobs import decode_spec
 
+#: the settings with a larger limit for each team
 WIDE = SETTINGS.replace("cpus_max = 64.0", "cpus_max = 640.0")
 
 
-class Ahead(ManualClock):
-    """Another clock for the same time: it runs fast by as much as is allowed, and shows another hour."""
+class FastClock(ManualClock):
+    """Another machine's steady clock: it runs fast by the largest drift that is allowed, and has another origin."""
 
     def __init__(self, base: ManualClock) -> None:
         self.base = base
@@ -39,7 +40,7 @@
 
     @now.setter
     def now(self, value: float) -> None:
-        """Time is turned by the base alone."""
+        """Ignored: the base clock alone is advanced."""
 
 
 class Side:
@@ -59,12 +60,14 @@
         self.world.settle(self.term, 3)
 
     def lead(self) -> None:
+        """Begin a term of a new leader."""
         self.node = InMemoryController(self.world, f"{self.name}-{self.leaders}")
         self.leaders += 1
         self.term: Term = self.node.lead()
         self.begin()
 
     def begin(self) -> None:
+        """Begin home and guest of the present term, with the links as they are now."""
         clusters = [
             Cluster(name, link, CircuitBreaker(name, self.world.clock, self.rng)) for name, link in self.links.items()
         ]
@@ -73,17 +76,18 @@
             self.home.remotes.probe_due = lambda now: None  # type: ignore[method-assign]
         self.guest = GuestCluster(
             self.name, self.term, GuestLimits(frozenset({"home", "east", "west"}), "blue"),
-            lambda ident: self.node.users.cancel(ident).status == 200,
+            lambda job_id: self.node.users.cancel(job_id).status == 200,
         )  # fmt: skip
 
     def round(self) -> None:
+        """Let the workers, the leader and both sides of federation act once."""
         self.world.settle(self.term, 1, 0.0)
         self.home.step()
         self.guest.step()
 
 
 class Wire:
-    """The way to another cluster, with faults: what is lost, and what is delivered again later."""
+    """The link to another cluster. `drop` decides for each message what is lost: "request", "answer" or nothing."""
 
     def __init__(self, to: Side) -> None:
         self.to = to
@@ -91,24 +95,25 @@
         self.sent: list[Message] = []
 
     def tell(self, message: Message) -> Reply | None:
+        """Deliver a message, written and read as on the wire, and return its reply."""
         fault = self.drop(message)
         if fault == "request":
             return None
-        found = messages.decode(msgspec.msgpack.encode(message))
-        if not isinstance(found, Probe):
-            self.sent.append(found)
-        answer = self.to.guest.answer(found)
-        return None if fault == "answer" else messages.decode_reply(msgspec.msgpack.encode(answer))
+        received = messages.decode(msgspec.msgpack.encode(message))
+        if not isinstance(received, Probe):
+            self.sent.append(received)
+        reply = self.to.guest.answer(received)
+        return None if fault == "answer" else messages.decode_reply(msgspec.msgpack.encode(reply))
 
 
 class Clusters:
-    """A crowded home and others with room, on one clock."""
+    """A home cluster without free capacity and others with some, on one clock, and a gang that waits at home."""
 
     def __init__(self, *others: str, looks: bool = True, ahead: bool = False) -> None:
-        """Without `looks`, home does not know who has room, and asks two at once."""
+        """Without `looks`, home probes nobody, and offers the gang to two clusters at once."""
         self.clock = ManualClock()
         self.home = Side("home", self.clock, 3)
-        self.others = [Side(name, Ahead(self.clock) if ahead else self.clock, 4) for name in others or ("east",)]
+        self.others = [Side(name, FastClock(self.clock) if ahead else self.clock, 4) for name in others or ("east",)]
         self.home.links = {o.name: Wire(o) for o in self.others}
         self.home.looks = looks
         self.home.begin()
@@ -125,6 +130,7 @@
         return self.others[0]
 
     def go(self, rounds: int) -> None:
+        """Advance the clock by so many seconds, one round a second, with a check after each."""
         for _ in range(rounds):
             self.clock.now += 1.0
             for side in self.sides:
@@ -132,7 +138,7 @@
             self.check()
 
     def crash(self, *down: Side) -> None:
-        """These clusters' leaders end; the others go on, and new leaders follow when the holds have run out."""
+        """End the leaders of these clusters; the others go on, and new leaders follow when the leases have expired."""
         for _ in range(13):
             self.clock.now += 1.0
             for side in self.sides:
@@ -143,15 +149,17 @@
         self.check()
 
     def gangs(self) -> dict[str, list[str]]:
-        """Tasks of the gang that run, by cluster: at home under its own name, elsewhere under the guest's."""
+        """Return the running tasks of the gang, by cluster: at home by its own job id, elsewhere by the guests'."""
         found = {}
         for side in self.sides:
             names = {self.gang} if side is self.home else {r.job for r in side.guest.records.values()}
-            found[side.name] = [t for w in side.workers for t in w.running() if t.rpartition("/")[0] in names]
+            found[side.name] = [
+                task for worker in side.workers for task in worker.running() if task.rpartition("/")[0] in names
+            ]
         return found
 
     def check(self) -> None:
-        """Never split, never twice: all that runs of it runs in one cluster, each task once."""
+        """Check that the gang is neither split nor run twice: its tasks run in one cluster, each once."""
         if not hasattr(self, "gang"):
             return
         running = {name: tasks for name, tasks in self.gangs().items() if tasks}
@@ -159,25 +167,30 @@
         assert all(len(tasks) == len(set(tasks)) <= 3 for tasks in running.values())
 
     def runs_in(self) -> str | None:
+        """Return the cluster that runs all tasks of the gang, or None."""
         whole = [name for name, tasks in self.gangs().items() if len(tasks) == 3]
         return whole[0] if whole else None
 
     def finish(self, side: Side) -> None:
-        for w in side.workers:
-            for task in w.running():
-                w.finish(task)
+        """Finish all tasks that run in a cluster."""
+        for worker in side.workers:
+            for task in worker.running():
+                worker.finish(task)
 
     def view(self) -> str:
+        """Return the state of the gang as its user is given it."""
         return str(msgspec.json.decode(self.home.node.users.poll(self.gang).body)["tide"])
 
-    def until(self, done: Callable[[], bool], most: int = 120) -> None:
-        for _ in range(most):
+    def until(self, done: Callable[[], bool], seconds: int = 120) -> None:
+        """Advance the clock until a condition holds; fail if it does not within so many seconds."""
+        for _ in range(seconds):
             if done():
                 return
             self.go(1)
-        raise AssertionError(f"not within {most} s")
+        raise AssertionError(f"not within {seconds} s")
 
 
-def offer(c: Clusters, **more: Any) -> ReservationRequest:
-    spec = decode_spec(c.home.world.job(shape="ensemble", shards=2, cpus=15.0, **more))
+def offer(clusters: Clusters, **more: Any) -> ReservationRequest:
+    """Return an offer of a new gang of two tasks, as home would send it."""
+    spec = decode_spec(clusters.home.world.job(shape="ensemble", shards=2, cpus=15.0, **more))
     return ReservationRequest("home", spec, ["home"])
