--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -2,8 +2,8 @@
 
 The decision is one conditional write of the leader: the gang's live record names the cluster and the reservation. A
 user's cancellation, the end of the job and the decision all compete for that one key, so exactly one of them succeeds.
-From before the write is sent until the other cluster has confirmed that it does not run the gang any more, the job is
-`runs_remotely`: nothing of it starts at home.
+From before the write is sent until the other cluster has confirmed that it does not run the gang any more, the job
+is marked `runs_remotely`: nothing of it starts at home.
 """
 
 from __future__ import annotations
