--- a/src/grebestand/cluster_state/machine.py
+++ b/src/grebestand/cluster_state/machine.py
@@ -30,7 +30,7 @@
         "blocked_until",
         "capacity",
         "change_count",
-        "drain",
+        "drain_reason",
         "empty_since",
         "epoch",
         "error_at",
@@ -134,7 +134,7 @@
         self.error_at = -math.inf
         self.error_jobs: set[str] = set()
         #: Why it is drained, if it is.
-        self.drain: str | None = None
+        self.drain_reason: str | None = None
         #: When the provider takes it back.
         self.terminates_at = math.inf
         #: Gigabytes of each image in its cache, the least recently used first.
--- a/src/grebestand/cluster_state/machine_inventory.py
+++ b/src/grebestand/cluster_state/machine_inventory.py
@@ -119,7 +119,7 @@
             machine.state in (MachineState.READY, MachineState.SUSPECT)
             and machine.reception is not Reception.UNREACHABLE
         )
-        return present and machine.recorded and machine.drain is None and any(machine.capacity)
+        return present and machine.recorded and machine.drain_reason is None and any(machine.capacity)
 
     def is_schedulable(self, machine: Machine, now: float) -> bool:
         """Return whether a machine may be given tasks now."""
@@ -127,7 +127,7 @@
             machine.state is MachineState.READY
             and machine.reception is Reception.REACHABLE
             and machine.recorded
-            and machine.drain is None
+            and machine.drain_reason is None
             and now >= machine.blocked_until
             and machine.capacity != NO_RESOURCES
         )
--- a/src/grebestand/heartbeats/reconciliation.py
+++ b/src/grebestand/heartbeats/reconciliation.py
@@ -120,7 +120,7 @@
             self._handle_absent(machine, heartbeat, absent, Evidence(solicited, proven, rarely_heard), now)
         if machine.state is MachineState.UNRECONCILED:
             self._reconcile_machine(machine, heartbeat, now)
-        if heartbeat.notice_s is not None and machine.drain != RECLAIMED:
+        if heartbeat.notice_s is not None and machine.drain_reason != RECLAIMED:
             self._begin_reclaim(machine, heartbeat.notice_s, now)
         return machine
 
@@ -313,6 +313,6 @@
     def _begin_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
         """Stop what is on a machine that the provider has announced to reclaim."""
         log.info(LogEvent("machine_reclaim_announced", machine=machine.name, notice_s=notice_s))
-        machine.drain = RECLAIMED
+        machine.drain_reason = RECLAIMED
         machine.terminates_at = now + notice_s
         self.health.evacuate(machine, now)
--- a/src/grebestand/leader/deprovisioning.py
+++ b/src/grebestand/leader/deprovisioning.py
@@ -129,7 +129,7 @@
         for machine in self.context.scheduler.scale_out.surplus(
             evaluator.value("keep_empty"), evaluator.value("idle_return_s"), self.clock()
         ):
-            machine.drain = RETURN
+            machine.drain_reason = RETURN
             returned.append(machine)
         if returned:
             self._remove([machine.name for machine in returned[:MAX_DELETED_PER_REQUEST]])
@@ -137,7 +137,7 @@
     @staticmethod
     def _may_return(machine: Machine) -> bool:
         known = (MachineState.READY, MachineState.LEASE_EXPIRED, MachineState.SUSPECT)
-        return not machine.allocations and machine.state in known and machine.drain in RETURNED_DRAINS
+        return not machine.allocations and machine.state in known and machine.drain_reason in RETURNED_DRAINS
 
     def _remove(self, names: list[str]) -> None:
         """Delete machines; once the cloud has answered, they and all that ran on them are gone."""
@@ -149,8 +149,8 @@
     def _delete(self, names: list[str]) -> None:
         for name in names:
             machine = self.inventory.by_name.get(name)
-            if machine is not None and machine.drain is None:
-                machine.drain = RETURN
+            if machine is not None and machine.drain_reason is None:
+                machine.drain_reason = RETURN
         self.election.guard()
         self.cloud.remove(names)
         now = self.clock()
--- a/src/grebestand/scheduling/machine_health.py
+++ b/src/grebestand/scheduling/machine_health.py
@@ -78,9 +78,9 @@
                 return
         self._record_failure_of_machine(machine, job, now)
         is_faulty = machine.errors >= self.sick_errors and len(machine.error_jobs) >= MIN_FAILED_JOBS
-        if machine.drain is None and is_faulty:
+        if machine.drain_reason is None and is_faulty:
             log.warning(LogEvent("machine_drained", machine=machine.name, reason=DRAIN_FAULTY, failures=machine.errors))
-            machine.drain = DRAIN_FAULTY
+            machine.drain_reason = DRAIN_FAULTY
             self.evacuate(machine, now)
 
     @staticmethod
@@ -150,8 +150,8 @@
             machine.errors = min(machine.errors, len(machine.error_jobs))
             if not machine.errors:
                 machine.blocked_until = machine.error_at = -math.inf
-            if machine.drain == DRAIN_FAULTY and len(machine.error_jobs) < MIN_FAILED_JOBS:
-                machine.drain = None
+            if machine.drain_reason == DRAIN_FAULTY and len(machine.error_jobs) < MIN_FAILED_JOBS:
+                machine.drain_reason = None
 
     @classmethod
     def look_again(cls, job: Job, now: float) -> None:
@@ -171,7 +171,7 @@
 
     def evacuate(self, machine: Machine, now: float) -> None:
         """Stop the tasks of a machine that is about to go; those that have progress to save get time for it."""
-        reason = machine.drain or DRAIN_DEFAULT
+        reason = machine.drain_reason or DRAIN_DEFAULT
         for allocation in list(machine.allocations.values()):
             job = allocation.job
             if not job.live:
@@ -187,9 +187,9 @@
 
     def _may_run_on(self, allocation: Allocation, machine: Machine, saves: bool, now: float) -> bool:
         """Return whether a task of a machine that is drained is better left alone."""
-        if machine.drain == DRAIN_RECALL and not saves and allocation.run_at is not None:
+        if machine.drain_reason == DRAIN_RECALL and not saves and allocation.run_at is not None:
             remaining_s = self.run_times.run_s(allocation.job) - (now - allocation.run_at)
             if remaining_s < machine.terminates_at - now:
                 return True  # it may well complete before the machine goes
         # a machine that is faulty or slow stays until what runs there has ended
-        return machine.drain in (DRAIN_FAULTY, DRAIN_SLOW) and allocation.state is AllocationState.RUNNING
+        return machine.drain_reason in (DRAIN_FAULTY, DRAIN_SLOW) and allocation.state is AllocationState.RUNNING
--- a/src/grebestand/scheduling/scale_out.py
+++ b/src/grebestand/scheduling/scale_out.py
@@ -87,7 +87,7 @@
         idle = [
             m
             for m in self.inventory.machines
-            if not m.allocations and m.drain is None and m.state is MachineState.READY and not m.in_accept_group
+            if not m.allocations and m.drain_reason is None and m.state is MachineState.READY and not m.in_accept_group
         ]
         idle.sort(key=lambda m: m.empty_since)
         return [m for m in idle[: max(0, len(idle) - math.ceil(keep))] if now - m.empty_since > idle_s]
--- a/src/grebestand/scheduling/stragglers.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -119,9 +119,9 @@
 
     def _drain(self, machine: Machine, samples: RunTimeSamples, now: float) -> None:
         """Drain a slow machine, unless too many are being drained: it is placed last until those are gone."""
-        if machine.drain is not None:
+        if machine.drain_reason is not None:
             return
-        draining = sum(1 for other in self.inventory.machines if other.drain == DRAIN_SLOW)
+        draining = sum(1 for other in self.inventory.machines if other.drain_reason == DRAIN_SLOW)
         if draining >= max(1, len(self.inventory.machines) // MACHINES_PER_DRAIN):
             return
         log.warning(
@@ -133,7 +133,7 @@
                 samples=samples.count,
             )
         )
-        machine.drain = DRAIN_SLOW
+        machine.drain_reason = DRAIN_SLOW
         self.health.evacuate(machine, now)
 
     def forget(self) -> None:
--- a/tests/heartbeats/test_task_failures.py
+++ b/tests/heartbeats/test_task_failures.py
@@ -17,8 +17,8 @@
             for task in worker.running():
                 worker.finish(task, ExitReason.ERROR if worker is faulty else ExitReason.DONE)
     inventory = term.inventory
-    assert faulty.name not in inventory.by_name or inventory.by_name[faulty.name].drain == "faulty"
-    assert inventory.by_name[healthy.name].drain is None
+    assert faulty.name not in inventory.by_name or inventory.by_name[faulty.name].drain_reason == "faulty"
+    assert inventory.by_name[healthy.name].drain_reason is None
     assert not term.registry.jobs
 
 
@@ -30,7 +30,7 @@
         for worker in workers:
             for task in worker.running():
                 worker.finish(task, ExitReason.ERROR)
-    assert all(machine.drain is None for machine in term.inventory.machines)
+    assert all(machine.drain_reason is None for machine in term.inventory.machines)
     assert term.registry.jobs[job_id].retry_at > 0
     assert sum(len(worker.started) for worker in workers) < 120
 
--- a/tests/scheduling/test_gang_scheduling.py
+++ b/tests/scheduling/test_gang_scheduling.py
@@ -39,7 +39,7 @@
     job_id = accept_gang(cluster, tasks=2)
     steps = cluster.term.scheduler.full_pass_steps(cluster.now)
     advance(steps, 3)
-    cluster.machine(cluster.workers[1]).drain = "recall"
+    cluster.machine(cluster.workers[1]).drain_reason = "recall"
     cluster.begin_turn()
     finish(steps)
     job = cluster.job(job_id)
--- a/tests/scheduling/test_stragglers.py
+++ b/tests/scheduling/test_stragglers.py
@@ -56,7 +56,7 @@
 def test_slow_machine_is_drained_once(
     cluster: SchedulingCluster, slow_machine: Machine, caplog: pytest.LogCaptureFixture
 ) -> None:
-    assert slow_machine.drain == "slow"
+    assert slow_machine.drain_reason == "slow"
     records = [*caplog.get_records("setup"), *caplog.records]
     drained = logged_events(records, "machine_drained")
     assert [(fields["machine"], fields["reason"]) for fields in drained] == [(slow_machine.name, "slow")]
