--- a/src/grebestand/cluster_state/dispatch.py
+++ b/src/grebestand/cluster_state/dispatch.py
@@ -55,9 +55,9 @@
         if allocation.state is AllocationState.QUEUED:
             self.inventory.release(machine, allocation, now)
             return
-        if allocation.stop is not None and grace >= allocation.grace:
+        if allocation.stop_reason is not None and grace >= allocation.grace:
             return
-        if allocation.stop is None:
+        if allocation.stop_reason is None:
             machine.record_stop_request()
         allocation.request_stop(why, grace)
         self.urgent.add(machine.index)
--- a/src/grebestand/cluster_state/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -39,7 +39,7 @@
         "sent_sequence",
         "start_sent_at",
         "state",
-        "stop",
+        "stop_reason",
         "stop_sent_at",
     )  # fmt: skip
 
@@ -71,7 +71,7 @@
         #: When the task was first seen to run.
         self.run_at: float | None = None
         #: Why it has been asked to stop, and with how many seconds for a checkpoint.
-        self.stop: str | None = None
+        self.stop_reason: str | None = None
         self.grace = 0.0
         self.stop_sent_at = -math.inf
         #: When a response last carried the start command.
@@ -85,7 +85,7 @@
 
     def request_stop(self, reason: str, grace_s: float) -> None:
         """Record that the task is to stop, and how many seconds it has for a checkpoint."""
-        self.stop, self.grace = reason, grace_s
+        self.stop_reason, self.grace = reason, grace_s
 
     def record_lost_start(self) -> None:
         """Record that the start command did not arrive, so that the next response carries it again."""
--- a/src/grebestand/cluster_state/machine.py
+++ b/src/grebestand/cluster_state/machine.py
@@ -191,7 +191,7 @@
                 del self.image_fetches[job.image]  # nothing waits for it any more, so the worker gives up the fetch
         elif job.image in self.images:
             self.images.move_to_end(job.image)  # used until now
-        if allocation.stop is not None:
+        if allocation.stop_reason is not None:
             self.stopping_count -= 1
         del self.allocations[allocation.name]
         if not self.allocations:
--- a/src/grebestand/heartbeats/commands.py
+++ b/src/grebestand/heartbeats/commands.py
@@ -85,7 +85,7 @@
         return [
             Command("stop", allocation.name, allocation.attempt, allocation.grace)
             for allocation in machine.allocations.values()
-            if allocation.stop is not None
+            if allocation.stop_reason is not None
         ]
 
     @staticmethod
@@ -97,7 +97,7 @@
         """
         stopped = {(command.task, command.attempt) for command in commands}
         for allocation in machine.allocations.values():
-            if allocation.stop is None:
+            if allocation.stop_reason is None:
                 continue
             if (allocation.name, allocation.attempt) not in stopped:
                 commands.append(Command("stop", allocation.name, allocation.attempt, allocation.grace))
@@ -109,7 +109,7 @@
             if len(commands) >= MAX_COMMANDS:
                 break
             # written out, since it runs for every task of every heartbeat, and nearly all have started
-            if allocation.stop is not None or not (
+            if allocation.stop_reason is not None or not (
                 allocation.state is AllocationState.QUEUED
                 or (allocation.state is AllocationState.SENT and allocation.sent_sequence == START_LOST)
             ):
--- a/src/grebestand/heartbeats/reconciliation.py
+++ b/src/grebestand/heartbeats/reconciliation.py
@@ -279,7 +279,7 @@
                 if not self._start_was_lost(allocation, heartbeat, evidence.solicited, now):
                     continue
                 start_lost = True
-                if allocation.stop is None and allocation.job.live:
+                if allocation.stop_reason is None and allocation.job.live:
                     self.registry.move_allocation(allocation, AllocationState.SENT, now)
                     allocation.record_lost_start()
                     continue
--- a/src/grebestand/heartbeats/task_reconciliation.py
+++ b/src/grebestand/heartbeats/task_reconciliation.py
@@ -213,7 +213,7 @@
         for other in list(ended.job.allocations.values()):
             if other.attempt != ended.attempt:
                 self.dispatch.stop(other, "stale attempt", 0.0, now)
-            elif other.stop is None and not self._keep_fetching(machine, other, reason, now):
+            elif other.stop_reason is None and not self._keep_fetching(machine, other, reason, now):
                 self.dispatch.stop(other, "gang broken", 0.0, now)
 
     def _keep_fetching(self, machine: Machine, allocation: Allocation, reason: str, now: float) -> bool:
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -162,7 +162,7 @@
             return
         now = self.clock()
         for allocation in machine.allocations.values():
-            if allocation.stop is not None:
+            if allocation.stop_reason is not None:
                 allocation.stop_sent_at = now
         known = machine.epoch, machine.sequence
         try:
--- a/src/grebestand/scheduling/migration.py
+++ b/src/grebestand/scheduling/migration.py
@@ -63,7 +63,7 @@
             for machine in self.inventory.machines
             if machine.stopping_count
             for allocation in machine.allocations.values()
-            if allocation.stop == MIGRATION
+            if allocation.stop_reason == MIGRATION
         )
 
     def _empty_slots(self, now: float) -> dict[int, dict[Machine, int]]:
@@ -92,7 +92,7 @@
         """Return whether a task runs, loses little by being moved, and has run for long enough."""
         spec = allocation.job.spec
         movable = spec.kind is Kind.SERVICE or (spec.checkpoint_s > 0 and spec.kind is Kind.ARRAY)
-        if not movable or allocation.state is not AllocationState.RUNNING or allocation.stop is not None:
+        if not movable or allocation.state is not AllocationState.RUNNING or allocation.stop_reason is not None:
             return False
         min_run_s = MIN_RUN_PER_SAVE * max(spec.save_s, MIN_SAVE_S)
         return allocation.run_at is not None and now - allocation.run_at >= min_run_s
--- a/src/grebestand/scheduling/preemption.py
+++ b/src/grebestand/scheduling/preemption.py
@@ -69,7 +69,7 @@
             reclaims: whether the job may reclaim its team's guarantee now.
         """
         other = victim.job
-        if other is job or not other.live or victim.stop is not None:
+        if other is job or not other.live or victim.stop_reason is not None:
             return False
         if job.rank != other.rank:
             # a guarantee never displaces work of higher priority: that would displace it in turn, and two jobs that
@@ -100,7 +100,7 @@
         change_count, victims = self._victims_by_machine.get(machine.index, NOT_EXAMINED)
         if change_count != machine.change_count:
             victims = sorted(
-                ((self._lost_work(a, now), a) for a in machine.allocations.values() if a.stop is None),
+                ((self._lost_work(a, now), a) for a in machine.allocations.values() if a.stop_reason is None),
                 key=operator.itemgetter(0),
             )
             self._victims_by_machine[machine.index] = machine.change_count, victims
@@ -160,7 +160,7 @@
         capacity = machine.free
         if machine.stopping_count:
             for allocation in machine.allocations.values():
-                if allocation.stop is not None:
+                if allocation.stop_reason is not None:
                     capacity = add(capacity, allocation.job.size)
         victims: list[Allocation] = []
         cost = 0.0
--- a/tests/scheduling/test_cached_findings.py
+++ b/tests/scheduling/test_cached_findings.py
@@ -33,7 +33,7 @@
         machine = term.inventory.at(index)
         if machine is not None and machine.change_count == change_count:
             compared += 1
-            stoppable = {name for name, allocation in machine.allocations.items() if allocation.stop is None}
+            stoppable = {name for name, allocation in machine.allocations.items() if allocation.stop_reason is None}
             assert {allocation.name for _, allocation in victims} == stoppable
             assert [lost_work for lost_work, _ in victims] == sorted(lost_work for lost_work, _ in victims)
     return compared
--- a/tests/scheduling/test_gang_lifecycle.py
+++ b/tests/scheduling/test_gang_lifecycle.py
@@ -21,7 +21,7 @@
     workers[0].finish(workers[0].running()[0], ExitReason.PEERS)
     job = term.registry.jobs[job_id]
     cluster.handle_heartbeat(term, workers[0])
-    assert all(p.stop for p in job.allocations.values())
+    assert all(p.stop_reason for p in job.allocations.values())
     assert not any(p.attempt not in first for p in job.allocations.values())
     cluster.settle(term, 8)
     second = {worker.started[-1][1] for worker in workers}
