--- a/src/grebestand/cluster_state/job_registry.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -249,7 +249,7 @@
             machines: Indices of the machines; None for any that is on record.
             hi: Only tasks below this index may have been started.
         """
-        job.unseen_below = job.fresh = hi
+        job.unseen_below = job.first_unallocated = hi
         # Jobs that may be anywhere share one set: with one each, a failover with thousands of machines and jobs would
         # hold millions of entries.
         job.possible_holders = self.unreconciled_machines if machines is None else machines
--- a/src/grebestand/cluster_state/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -132,7 +132,7 @@
         "errors",
         "failed_at",
         "fails_after_s",
-        "fresh",
+        "first_unallocated",
         "gang_start",
         "granted",
         "granted_below",
@@ -202,7 +202,7 @@
         #: By task index.
         self.allocations: dict[int, Allocation] = {}
         #: Tasks from this index on have never had an allocation.
-        self.fresh = 0
+        self.first_unallocated = 0
         #: Tasks below `fresh` that have lost their allocation; an index may be listed twice, or be stale.
         self.returned: list[int] = []
         #: Machine index and run time in seconds of the tasks that finished last.
@@ -296,7 +296,7 @@
         if self.gang or self.spec.one_zone or self.spec.spread:
             return 0
         returned = sum(1 for i in set(self.returned) if not self.is_done(i) and i not in self.allocations)
-        startable = returned + self.spec.tasks - self.fresh
+        startable = returned + self.spec.tasks - self.first_unallocated
         return min(startable, 1) if self.suspected_faulty else startable
 
     def covers(self, allocation: Allocation) -> bool:
@@ -313,9 +313,9 @@
             index = self.returned.pop()
             if not self.is_done(index) and index not in self.allocations:
                 return index
-        while self.fresh < self.spec.tasks:
-            index = self.fresh
-            self.fresh += 1
+        while self.first_unallocated < self.spec.tasks:
+            index = self.first_unallocated
+            self.first_unallocated += 1
             if not self.is_done(index) and index not in self.allocations:
                 return index
         return None
--- a/src/grebestand/leader/job_audit.py
+++ b/src/grebestand/leader/job_audit.py
@@ -123,14 +123,16 @@
         returned = {
             index
             for index in job.returned
-            if index < job.fresh and not job.is_done(index) and index not in job.allocations
+            if index < job.first_unallocated and not job.is_done(index) and index not in job.allocations
         }
         fresh = sum(
-            1 for index in range(job.fresh, job.spec.tasks) if not job.is_done(index) and index not in job.allocations
+            1
+            for index in range(job.first_unallocated, job.spec.tasks)
+            if not job.is_done(index) and index not in job.allocations
         )
         if len(returned) + fresh < job.waiting():
             self._log_defect(job, "some of its waiting tasks are not listed")
-            seen = range(job.fresh)
+            seen = range(job.first_unallocated)
             # the last one is taken first, so that the order of tasks is kept
             job.returned = [
                 index for index in reversed(seen) if not job.is_done(index) and index not in job.allocations
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -258,13 +258,13 @@
     def _start_tasks(self, job: Job, machine: Machine, count: int, now: float) -> int:
         """Start up to `count` waiting tasks of the job on a machine, and return how many were started."""
         for started in range(count):
-            fresh = job.fresh
+            fresh = job.first_unallocated
             index = job.take()
             if index is None:
                 return started
             job.started_at = now
             allocation = self.dispatch.start(job, index, machine, self.dispatch.next_attempt(), now)
-            allocation.first = job.fresh > fresh
+            allocation.first = job.first_unallocated > fresh
         return count
 
     def allowed(self, job: Job, machine: Machine) -> bool:
--- a/tests/leader/test_job_audit_repairs.py
+++ b/tests/leader/test_job_audit_repairs.py
@@ -58,7 +58,7 @@
     job_id = cluster.accept(controller, shards=40)
     cluster.settle(term, 2)
     job = term.registry.jobs[job_id]
-    job.fresh = 40  # broken on purpose: passed over
+    job.first_unallocated = 40  # broken on purpose: passed over
     worker = cluster.workers["n-000000"]
     for _ in range(16):
         for task in worker.running()[:1]:
