--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -92,7 +92,7 @@
         if self.election.state is not LeaderState.LEADING:
             self._work = None
             return
-        self.scheduler.view.turn += 1
+        self.scheduler.view.slice_number += 1
         # what the computation itself changes is no reason for another one; what others change between slices is
         changed = self.registry.changed
         slice_began_at = self.clock()
--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -156,11 +156,11 @@
         if self._similar_was_refused(job, shape) and not has_reserved and not reserves_free:
             job.why_waiting = GANG_DOES_NOT_FIT
             return
-        turn = self.context.turn
+        turn = self.context.slice_number
         table = self._table_for(job, now)
         candidates = yield from self._find_candidates(job, ready, table, now)
         selection = GangSelection(candidates, self.choose(job, candidates))
-        if self.context.turn != turn:
+        if self.context.slice_number != turn:
             if not self._repair(job, selection, table, now):
                 job.why_waiting = "its machines changed while it was placed"
                 return
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -140,7 +140,7 @@
         if self._startable_tasks(job) <= 0:
             job.why_waiting = "team limit"
             return
-        turn = self.context.turn
+        turn = self.context.slice_number
         options = yield from self._find_options(job, roomy, now, has_reserved)
         options.sort(key=attrgetter("preference"))
         if job.spec.one_zone and options:
@@ -240,7 +240,7 @@
             if started_in_step >= STARTS_PER_STEP:
                 started_in_step = 0
                 yield
-            if self.context.turn != turn:
+            if self.context.slice_number != turn:
                 tasks = self._slots_still_free(job, machine, now)
                 wanted = placed + self._startable_tasks(job)
                 if job.spec.spread:
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -86,15 +86,15 @@
         self._begin_pass()
         reserving_jobs = self._expire_reservations(now)
         ready = [m for m in self.inventory.machines if self.inventory.is_schedulable(m, now)]
-        turn = self.view.turn
+        turn = self.view.slice_number
         # most machines have no free capacity for any of the single tasks; those whose heartbeat frees some meanwhile
         # are filled by `fill`
         smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
         roomy = [m for m in ready if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
-            if self.view.turn != turn:
-                turn = self.view.turn
+            if self.view.slice_number != turn:
+                turn = self.view.slice_number
                 ready = [m for m in ready if self.inventory.is_schedulable(m, now)]
                 roomy = [m for m in ready if m.free[0] >= smallest_cpus]
             if self._must_wait(job, now):
--- a/src/grebestand/scheduling/scheduling_context.py
+++ b/src/grebestand/scheduling/scheduling_context.py
@@ -57,7 +57,7 @@
         #: evaluates the policy for the present state of the cluster
         self.evaluate_policy = policy_values
         #: incremented whenever a suspended computation is resumed after other work has run
-        self.turn = 0
+        self.slice_number = 0
         #: as of the last computation of targets
         self.policy_values = policy_values()
 
--- a/src/grebestand/scheduling/template_targets.py
+++ b/src/grebestand/scheduling/template_targets.py
@@ -33,7 +33,7 @@
     def set(self, now: float) -> Steps:
         """Compute targets and the greedy plan, and set templates, ranks and groups, in steps."""
         demand = self._demand(now)
-        turn = self.context.turn
+        turn = self.context.slice_number
         pools = MachinePools()
         assignments = yield from self._assignments(demand, pools)
         yield
@@ -109,7 +109,7 @@
             machine.rank, machine.in_accept_group = assignment.rank, assignment.accept
             if not assignment.changed:
                 continue
-            if self.context.turn != turn:
+            if self.context.slice_number != turn:
                 # its tasks may have changed since, and nothing is to be preempted for a template
                 assignment.empty, assignment.holds = self._held(machine, demand)
                 if not assignment.may_become(assignment.config):
