--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -66,7 +66,7 @@
         registry = self.registry
         since = now - self.scheduler.retargeted_at
         # the greedy algorithm updates at every arrival; here an arrival brings the next update forward
-        due = since >= self.scheduler.view.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
+        due = since >= self.scheduler.context.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
         if due and now >= self.next_targets_at:
             registry.arrived = False
             self._begin(self._compute_targets(now), self._finish_targets)
@@ -92,7 +92,7 @@
         if self.election.state is not LeaderState.LEADING:
             self._work = None
             return
-        self.scheduler.view.slice_number += 1
+        self.scheduler.context.slice_number += 1
         # what the computation itself changes is no reason for another one; what others change between slices is
         changed = self.registry.changed
         slice_began_at = self.clock()
@@ -114,7 +114,7 @@
 
     def _finish_targets(self) -> None:
         self.next_targets_at = self.clock() + TARGETS_REST * self._spent_s
-        if self.clock() - self._durations_logged_at >= self.scheduler.view.policy_values.period_s:
+        if self.clock() - self._durations_logged_at >= self.scheduler.context.policy_values.period_s:
             self._durations_logged_at = self.clock()
             self.context.stragglers.forget()
             log.info(LogEvent("durations_measured", durations=self.context.sketches.tell()))
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -24,7 +24,7 @@
     """Decides what runs where. Builds the parts that decide, and runs them in order."""
 
     def __init__(self, context: SchedulingContext, objectives: list[Objective], gang_wait_s: float) -> None:
-        self.view = context
+        self.context = context
         self.registry = context.registry
         self.inventory = context.inventory
         self.retargeted_at = -math.inf
@@ -53,14 +53,14 @@
             spare: whether the leader has time to spare, so that tasks may migrate as well.
         """
         self.retargeted_at = now
-        self.view.policy_values = self.view.evaluate_policy()
+        self.context.policy_values = self.context.evaluate_policy()
         yield from self.targets.set(now)
         self.placement.forget()
         self.gangs.forget()
         self.preemption.forget()
         yield from self.images.measure()
         yield
-        if spare and self.view.policy_values.migrate:
+        if spare and self.context.policy_values.migrate:
             self.migration.migrate(now)
             yield
         self.pending_reasons.tell(now)
@@ -86,15 +86,15 @@
         self._begin_pass()
         reserving_jobs = self._expire_reservations(now)
         ready = [m for m in self.inventory.machines if self.inventory.is_schedulable(m, now)]
-        turn = self.view.slice_number
+        turn = self.context.slice_number
         # most machines have no free capacity for any of the single tasks; those whose heartbeat frees some meanwhile
         # are filled by `fill`
         smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
         roomy = [m for m in ready if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
-            if self.view.slice_number != turn:
-                turn = self.view.slice_number
+            if self.context.slice_number != turn:
+                turn = self.context.slice_number
                 ready = [m for m in ready if self.inventory.is_schedulable(m, now)]
                 roomy = [m for m in ready if m.free[0] >= smallest_cpus]
             if self._must_wait(job, now):
@@ -109,7 +109,7 @@
     def _sort_by_urgency(self, waiting: list[Job], now: float) -> None:
         """Sort waiting jobs in the order of service."""
         self.registry.mark_guaranteed()
-        begin_after_s = self.view.policy_values.begin_after_s
+        begin_after_s = self.context.policy_values.begin_after_s
         waiting.sort(key=lambda job: self.ordering.urgency(job, now, begin_after_s))
 
     def _begin_pass(self) -> None:
@@ -141,7 +141,7 @@
         """Return whether a pass skips a job: it has changed since the pass began, or a feature vetoes it."""
         if not job.live or now < job.retry_at or job.startable() <= 0:
             return True
-        veto = self.view.features.veto(job, now)
+        veto = self.context.features.veto(job, now)
         if veto is not None:
             job.why_waiting = veto
             return True
--- a/tests/scheduling/test_preemption_rules.py
+++ b/tests/scheduling/test_preemption_rules.py
@@ -36,7 +36,7 @@
     borrower = cluster.accept(controller, shape="ensemble", shards=1, cpus=15.0)
     cluster.settle(term, 3)
     owner = cluster.accept(controller, shape="ensemble", shards=1, cpus=8.0, crew="red")
-    reclaim = term.scheduler.view.policy_values.reclaim_after_s
+    reclaim = term.scheduler.context.policy_values.reclaim_after_s
     assert reclaim > 3.0
     cluster.settle(term, 2)
     assert worker.running() == [f"{borrower}/0"]
--- a/tests/support/scheduling_cluster.py
+++ b/tests/support/scheduling_cluster.py
@@ -47,7 +47,7 @@
 
     def begin_turn(self) -> None:
         """Do as the scheduling loop does when a computation is resumed after other work has run."""
-        self.term.scheduler.view.slice_number += 1
+        self.term.scheduler.context.slice_number += 1
 
 
 def scheduling_cluster(machines: int, monkeypatch: pytest.MonkeyPatch, settings: str = SETTINGS) -> SchedulingCluster:
