--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -116,7 +116,7 @@
         self.next_targets_at = self.clock() + TARGETS_REST * self._spent_s
         if self.clock() - self._durations_logged_at >= self.scheduler.context.policy_values.period_s:
             self._durations_logged_at = self.clock()
-            self.context.stragglers.forget()
+            self.context.stragglers.remove_deleted_machines()
             log.info(LogEvent("durations_measured", durations=self.context.sketches.tell()))
         self.registry.changed = True
 
--- a/src/grebestand/scheduling/stragglers.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -136,7 +136,7 @@
         machine.drain_reason = DRAIN_SLOW
         self.health.evacuate(machine, now)
 
-    def forget(self) -> None:
+    def remove_deleted_machines(self) -> None:
         """Drop the samples of machines that no longer exist."""
         for index in [i for i in self._samples if self.inventory.at(i) is None]:
             del self._samples[index]
