--- a/src/grebestand/heartbeats/task_reconciliation.py
+++ b/src/grebestand/heartbeats/task_reconciliation.py
@@ -163,7 +163,7 @@
         if allocation is not None:
             if allocation.run_at is not None and job.spec.estimate_s > 0:
                 self.run_times.learn(job, now - allocation.run_at)
-            self.stragglers.finished(machine, allocation, now)
+            self.stragglers.record_run_time(machine, allocation, now)
             self.inventory.release(machine, allocation, now)
         machine.record_success()
         self._mark_done(job, index, now)
--- a/src/grebestand/scheduling/stragglers.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -87,7 +87,7 @@
         #: by index of the machine
         self._samples: dict[int, RunTimeSamples] = {}
 
-    def finished(self, machine: Machine, allocation: Allocation, now: float) -> None:
+    def record_run_time(self, machine: Machine, allocation: Allocation, now: float) -> None:
         """Take in the run time of a task that has completed on a machine."""
         job = allocation.job
         if job.gang or not allocation.first or allocation.run_at is None or now <= allocation.run_at:
