--- a/src/grebestand/heartbeats/task_reconciliation.py
+++ b/src/grebestand/heartbeats/task_reconciliation.py
@@ -189,7 +189,7 @@
         reason = status.why
         if reason is ExitReason.ERROR:
             ran_s = now - allocation.run_at if allocation.run_at is not None else 0.0
-            self.health.failed(machine, job, ran_s, now)
+            self.health.record_failure(machine, job, ran_s, now)
         elif reason is ExitReason.NO_ROOM:
             # the machine holds something that is not counted here: try again after the next heartbeats
             machine.block_until(now + self.inventory.report_s)
--- a/src/grebestand/scheduling/machine_health.py
+++ b/src/grebestand/scheduling/machine_health.py
@@ -57,7 +57,7 @@
         #: failures in a row after which a machine is drained
         self.sick_errors = sick_errors
 
-    def failed(self, machine: Machine, job: Job, ran_s: float, now: float) -> None:
+    def record_failure(self, machine: Machine, job: Job, ran_s: float, now: float) -> None:
         """Record that a task has failed, and draw the consequences for its job and its machine.
 
         Args:
