--- a/src/grebestand/leader/term.py
+++ b/src/grebestand/leader/term.py
@@ -205,7 +205,7 @@
     def assignment_wanted(self, machines: float) -> bool:
         """Return whether, by the policy, with so many machines every controller is to answer heartbeats."""
         evaluator = self.context.policy_evaluator
-        return bool(evaluator.policy.value("spread_reports", {**evaluator.names(), "machines": machines}))
+        return bool(evaluator.policy.value("spread_reports", {**evaluator.variables(), "machines": machines}))
 
     def step_machines(self) -> None:
         """Settle rental requests, read the cloud's list, and return and rent machines.
--- a/src/grebestand/scheduling/policy_values.py
+++ b/src/grebestand/scheduling/policy_values.py
@@ -47,9 +47,9 @@
 
     def value(self, key: str) -> float:
         """Return the present value of one policy entry."""
-        return self.policy.value(key, self.names())
+        return self.policy.value(key, self.variables())
 
-    def names(self) -> dict[str, float]:
+    def variables(self) -> dict[str, float]:
         """Return the variables that the policy's expressions may use."""
         params, machines = self.params, self.inventory.machines
         return {
@@ -77,7 +77,7 @@
 
     def policy_values(self) -> PolicyValues:
         """Return the present values of all entries that scheduling decisions use."""
-        names = self.names()
+        names = self.variables()
 
         def value(key: str) -> float:
             return self.policy.value(key, names)
