--- a/src/grebestand/leader/provisioning.py
+++ b/src/grebestand/leader/provisioning.py
@@ -204,10 +204,10 @@
             lack = shortage.count - self.coming(self.clock()).count
             if lack <= 0 or requests >= MAX_REQUESTS_PER_STEP:
                 return
-            if self.refused_until.get(PoolKey(shortage.kind, zone, shortage.spot), 0.0) > self.clock():
+            if self.refused_until.get(PoolKey(shortage.machine_type, zone, shortage.spot), 0.0) > self.clock():
                 continue
             record = RentalRecord(
-                type=self.registry.machine_types.name(shortage.kind),
+                type=self.registry.machine_types.name(shortage.machine_type),
                 zone=self.registry.zones.name(zone),
                 spot=shortage.spot,
                 count=min(lack, max(FEWEST_RENTED, min(MOST_RENTED, lack // len(set(shortage.zones))))),
--- a/src/grebestand/scheduling/scale_out.py
+++ b/src/grebestand/scheduling/scale_out.py
@@ -21,7 +21,7 @@
 class CapacityShortage:
     """Machines of one type that would cover what the greedy plan lacks."""
 
-    kind: int
+    machine_type: int
     spot: bool
     count: int
     zones: tuple[int, ...]
