--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -40,7 +40,7 @@
         self.migration = Migration(context, self.images)
         self.pending_reasons = PendingReasons(context)
 
-    def retarget(self, now: float, spare: bool = True) -> None:
+    def update_targets(self, now: float, spare: bool = True) -> None:
         """Compute targets and templates without a break."""
         for _ in self.retarget_steps(now, spare):
             pass
--- a/tests/scheduling/test_cached_findings.py
+++ b/tests/scheduling/test_cached_findings.py
@@ -64,6 +64,6 @@
                     worker.finish(task, ExitReason.ERROR if rng.random() < 0.02 else ExitReason.DONE)
         world.settle(term, 2)
         now = world.clock.now
-        term.scheduler.retarget(now) if rng.random() < 0.2 else term.scheduler.place(now)
+        term.scheduler.update_targets(now) if rng.random() < 0.2 else term.scheduler.place(now)
         compared += compare_allowances(term) + compare_victims(term)
     assert compared > MIN_COMPARISONS
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -18,7 +18,7 @@
     monkeypatch.setattr(placement, "STARTS_PER_STEP", 1)
     job_id = cluster.world.accept(cluster.controller, crew="red", shards=30, cpus=4.0)
     other_id = cluster.world.accept(cluster.controller, crew="red", shards=30, cpus=1.0, rank="best_effort")
-    scheduler.retarget(cluster.now)
+    scheduler.update_targets(cluster.now)
     steps = scheduler.full_pass_steps(cluster.now)
     while not cluster.job(job_id).allocations:
         next(steps)
--- a/tests/scheduling/test_template_targets.py
+++ b/tests/scheduling/test_template_targets.py
@@ -12,7 +12,7 @@
     cluster = scheduling_cluster(1, monkeypatch)
     scheduler = cluster.term.scheduler
     first_id = cluster.world.accept(cluster.controller, shards=4, cpus=3.0, rank="best_effort")
-    scheduler.retarget(cluster.now)
+    scheduler.update_targets(cluster.now)
     machine = cluster.machine(cluster.workers[0])
     template_before = machine.template
     cluster.world.accept(cluster.controller, shards=9, cpus=7.0)
