--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -77,7 +77,7 @@
     def _compute_targets(self, now: float) -> Steps:
         self.inventory.detect_silent_machines(now)
         self.machine_reconciliation.check(now)
-        yield from self.scheduler.retarget_steps(now, self.overload.spare)
+        yield from self.scheduler.update_targets_steps(now, self.overload.spare)
 
     def _begin(self, work: Steps, on_complete: Callable[[], None]) -> None:
         self._work, self._on_complete = work, on_complete
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -42,10 +42,10 @@
 
     def update_targets(self, now: float, spare: bool = True) -> None:
         """Compute targets and templates without a break."""
-        for _ in self.retarget_steps(now, spare):
+        for _ in self.update_targets_steps(now, spare):
             pass
 
-    def retarget_steps(self, now: float, spare: bool = True) -> Steps:
+    def update_targets_steps(self, now: float, spare: bool = True) -> Steps:
         """Compute targets and templates in steps.
 
         Args:
--- a/tests/scheduling/test_template_targets.py
+++ b/tests/scheduling/test_template_targets.py
@@ -16,7 +16,7 @@
     machine = cluster.machine(cluster.workers[0])
     template_before = machine.template
     cluster.world.accept(cluster.controller, shards=9, cpus=7.0)
-    steps = scheduler.retarget_steps(cluster.now)
+    steps = scheduler.update_targets_steps(cluster.now)
     advance(steps, 3)  # the plan is made: a template with two slots of the second type
     for index in range(4):
         cluster.term.dispatch.start(cluster.job(first_id), index, machine, 9, cluster.now)
--- a/tools/decisions.py
+++ b/tools/decisions.py
@@ -193,7 +193,7 @@
     def retarget(self) -> Iterator[None]:
         """The steps of setting targets."""
         self.now += 5.0
-        return self.scheduler.retarget_steps(self.now)
+        return self.scheduler.update_targets_steps(self.now)
 
     def one_pass(self) -> Iterator[None]:
         """The steps of a full pass."""
