--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -64,7 +64,7 @@
         if self.busy or self.election.state is not LeaderState.LEADING:
             return
         registry = self.registry
-        since = now - self.scheduler.retargeted_at
+        since = now - self.scheduler.targets_updated_at
         # the greedy algorithm updates at every arrival; here an arrival brings the next update forward
         due = since >= self.scheduler.context.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
         if due and now >= self.next_targets_at:
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -27,7 +27,7 @@
         self.context = context
         self.registry = context.registry
         self.inventory = context.inventory
-        self.retargeted_at = -math.inf
+        self.targets_updated_at = -math.inf
         self.ordering = JobOrdering(objectives, context.run_times)
         self.images = ImageLocality(context)
         self.preemption = Preemption(context, self.ordering)
@@ -52,7 +52,7 @@
             now: seconds on the leader's clock.
             spare: whether the leader has time to spare, so that tasks may migrate as well.
         """
-        self.retargeted_at = now
+        self.targets_updated_at = now
         self.context.policy_values = self.context.evaluate_policy()
         yield from self.targets.set(now)
         self.placement.forget()
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -32,7 +32,7 @@
     cluster, node, term, _ = cluster_with_leader()
     migrations: list[float] = []
     monkeypatch.setattr(term.scheduler.migration, "migrate", migrations.append)
-    term.scheduler.retargeted_at -= 100.0
+    term.scheduler.targets_updated_at -= 100.0
     term.scheduling_loop.step(cluster.clock.now)
     assert len(migrations) == 1
     term.overload.record_lag(0.5)
