--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -220,7 +220,7 @@
     election = foundation.election
     election.on_state_changed = term_runner.on_leadership_changed
     election.on_leadership_news = foundation.news.announce
-    election.patience = transfer.patience
+    election.campaign_delay_s = transfer.patience
     election.cancellation_horizon.cancellations_confirmed_up_to = peer_api.cancellations_confirmed_up_to
 
 
--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -99,7 +99,7 @@
         self._key_free_since: float | None = None
         self._read_lock = BoundedSemaphore(1)
         #: for how long the key has to be free before this controller campaigns: better placed ones go first
-        self.patience: Callable[[], float] = lambda: 0.0
+        self.campaign_delay_s: Callable[[], float] = lambda: 0.0
         #: called whenever another controller is found to lead, or this controller's own state changes
         self.on_leadership_news: Callable[[], None] = lambda: None
         #: a higher token that a worker has seen, until a read of the key has decided who leads; else 0
@@ -195,7 +195,7 @@
                 self.clear_key(found.version)
             return
         self.leader = None
-        if self._key_free_since is not None and now - self._key_free_since < self.patience():
+        if self._key_free_since is not None and now - self._key_free_since < self.campaign_delay_s():
             return
         self._campaign(found.version if found is not None else 0)
 
