--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -219,7 +219,7 @@
 ) -> None:
     election = foundation.election
     election.on_state_changed = term_runner.on_leadership_changed
-    election.on_leadership_news = foundation.news.announce
+    election.on_leadership_changed = foundation.news.announce
     election.campaign_delay_s = transfer.patience
     election.cancellation_horizon.cancellations_confirmed_up_to = peer_api.cancellations_confirmed_up_to
 
--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -101,7 +101,7 @@
         #: for how long the key has to be free before this controller campaigns: better placed ones go first
         self.campaign_delay_s: Callable[[], float] = lambda: 0.0
         #: called whenever another controller is found to lead, or this controller's own state changes
-        self.on_leadership_news: Callable[[], None] = lambda: None
+        self.on_leadership_changed: Callable[[], None] = lambda: None
         #: a higher token that a worker has seen, until a read of the key has decided who leads; else 0
         self.challenging_token = 0
         #: higher tokens that turned out to be no leader's
@@ -119,7 +119,7 @@
             return
         check_transition(LEADER_TRANSITIONS, self.state, new, self.name)
         old, self.state = self.state, new
-        self.on_leadership_news()
+        self.on_leadership_changed()
         log.info(LogEvent("leadership_changed", from_=old, to=new, token=self.token, reason=reason))
         self.on_state_changed(old, new)
 
@@ -215,7 +215,7 @@
             return False
         changed, self.leader = self.leader != name, name
         if changed:
-            self.on_leadership_news()
+            self.on_leadership_changed()
         return True
 
     def _campaign(self, replaced_version: int) -> None:
