--- a/src/grebestand/controller/leader_loop.py
+++ b/src/grebestand/controller/leader_loop.py
@@ -85,7 +85,7 @@
         """Return from a pause. Cancellations of the meantime are read before any heartbeat is answered."""
         term = self.current_term.term
         if term is None or not term.loaded:
-            self.election.move(LeaderState.LOADING, "the hold outlived the silence")
+            self.election.change_state(LeaderState.LOADING, "the hold outlived the silence")
             return
         term.job_watch.catch_up()
         # the read takes a while: the term may have ended meanwhile, or a worker may have shown a higher token
@@ -94,4 +94,6 @@
             and self.election.state is LeaderState.PAUSED
             and not self.election.challenging_token
         ):
-            self.election.move(LeaderState.LEADING, "the hold outlived the silence, and all cancellations are known")
+            self.election.change_state(
+                LeaderState.LEADING, "the hold outlived the silence, and all cancellations are known"
+            )
--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -117,7 +117,7 @@
             return
         if self.election.state is LeaderState.LOADING:
             self.assignment_loop.decide(term)
-            self.election.move(LeaderState.LEADING, "records read")
+            self.election.change_state(LeaderState.LEADING, "records read")
         for step in steps_of(term, self.features):
             gevent.spawn(self._repeat, term, step.run, step.pause_s)
         gevent.spawn(self._run_ticks, term)
--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -109,7 +109,7 @@
         #: called with the old and the new state
         self.on_state_changed: Callable[[LeaderState, LeaderState], None] = lambda old, new: None
 
-    def move(self, new: LeaderState, reason: str) -> None:
+    def change_state(self, new: LeaderState, reason: str) -> None:
         """Change the state: the one function that does so.
 
         Raises:
@@ -158,10 +158,10 @@
     def check_clock(self) -> None:
         """Pause the term if its lease, or its knowledge of cancellations, has become too old."""
         if self.state in (LeaderState.LOADING, LeaderState.LEADING) and self.clock() >= self.authority_until:
-            self.move(LeaderState.PAUSED, "the lease could not be renewed in time")
+            self.change_state(LeaderState.PAUSED, "the lease could not be renewed in time")
         elif self.state is LeaderState.LEADING and not self.cancellation_horizon.fresh():
             age_s = self.cancellation_horizon.age_s
-            self.move(LeaderState.PAUSED, f"cancellations are known up to {age_s:.1f} s ago only")
+            self.change_state(LeaderState.PAUSED, f"cancellations are known up to {age_s:.1f} s ago only")
 
     # following --------------------------------------------------------------------------------------------
 
@@ -204,9 +204,9 @@
         if self.state is not LeaderState.RESIGNED:
             return
         if self._key_free_since is not None and now - self._key_free_since >= REJOIN_AFTER_KEY_FREE_S:
-            self.move(LeaderState.FOLLOWING, "nobody else leads")
+            self.change_state(LeaderState.FOLLOWING, "nobody else leads")
         elif now >= self._resigned_until:
-            self.move(LeaderState.FOLLOWING, "may lead again")
+            self.change_state(LeaderState.FOLLOWING, "may lead again")
 
     def _is_of_another_controller(self, found: KeyValue) -> bool:
         """Return whether the key names another controller, and remember that one as the leader."""
@@ -234,7 +234,7 @@
         self.cancellation_horizon.begin()
         self._key_free_since = None
         self._extend_authority(sent_at)
-        self.move(LeaderState.LOADING, "took the key")
+        self.change_state(LeaderState.LOADING, "took the key")
 
     def _extend_authority(self, sent_at: float) -> None:
         """Extend the authority by a lease counted from when the request left, shortened by drift and queueing."""
@@ -293,7 +293,7 @@
         if self._in_term():
             self.authority_until = 0.0
             self.leader = None
-            self.move(LeaderState.FOLLOWING, reason)
+            self.change_state(LeaderState.FOLLOWING, reason)
 
     def challenge(self, token: int, reason: str) -> None:
         """Pause the term, as somebody has seen a higher token, until a read of the key has decided who leads.
@@ -304,7 +304,7 @@
         if token in self._invalid_tokens or not self._in_term():
             return
         self.challenging_token = token
-        self.move(LeaderState.PAUSED, reason)
+        self.change_state(LeaderState.PAUSED, reason)
 
     def _dismiss_challenge(self) -> None:
         """Ignore the challenging token from now on: the key, read after it was seen, is this term's."""
@@ -323,7 +323,7 @@
         self.authority_until = 0.0
         self.leader = None
         self._resigned_until = self.clock() + pause_s
-        self.move(LeaderState.RESIGNED, reason)
+        self.change_state(LeaderState.RESIGNED, reason)
         return token
 
     def clear_key(self, token: int) -> None:
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -127,7 +127,7 @@
             self.world.clock, self.completed_jobs, lambda: TYPES, self.load, self.features,
         )  # fmt: skip
         self.term.load()
-        self.election.move(LeaderState.LEADING, "test")
+        self.election.change_state(LeaderState.LEADING, "test")
         return self.term
 
 
--- a/tests/heartbeats/test_heartbeat_evidence.py
+++ b/tests/heartbeats/test_heartbeat_evidence.py
@@ -109,7 +109,7 @@
     worker.token = 1 << 50
     assert term.handle_heartbeat(worker.report()) is None and not term.writer.is_leader()
     assert term.election.renew() and term.election.state is LeaderState.PAUSED
-    term.election.move(LeaderState.LEADING, "test")
+    term.election.change_state(LeaderState.LEADING, "test")
     assert term.handle_heartbeat(worker.report()) is None and term.writer.is_leader()
 
 
--- a/tests/leader/test_election.py
+++ b/tests/leader/test_election.py
@@ -43,7 +43,7 @@
     for lease_id in cluster.store.holds:  # after an outage all leases have their full time again
         cluster.store.holds[lease_id] = (12.0, cluster.clock.now + 12.0)
     assert controller.election.renew()
-    controller.election.move(LeaderState.LEADING, "test")
+    controller.election.change_state(LeaderState.LEADING, "test")
     assert controller.election.token == token
     assert isinstance(term.handle_heartbeat(worker.report()), HeartbeatResponse)
 
