--- a/src/grebestand/controller/peer_events.py
+++ b/src/grebestand/controller/peer_events.py
@@ -44,7 +44,7 @@
 
     def on_leader_restarted(self, name: str) -> None:
         """A peer that led has a new process, so its term is over."""
-        self.election.ended(name)
+        self.election.record_leader_restart(name)
 
     def on_peer_recovered(self) -> None:
         """A peer that hung answers again, so requests that wait for it may go on."""
--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -146,7 +146,7 @@
         """
         return self.leader if self.clock() - self._key_read_at < KEY_READ_VALID_S else None
 
-    def ended(self, name: str) -> None:
+    def record_leader_restart(self, name: str) -> None:
         """Note that a controller's process has restarted: the term of its earlier process is over.
 
         Workers are redirected there for a short while yet, since it usually takes its own key again at once.
