--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -25,19 +25,19 @@
 #: how long gangs avoid a machine after a failure on it: one bad machine costs the whole gang its start
 GANG_PROBATION_S = 30.0
 #: a core that idles while an image is fetched also delays its job, so it counts for more than a lost second of work
-IDLE_WEIGHT = 2.0
+IDLE_CPU_WEIGHT = 2.0
 #: CPU seconds added to the cost of each task for which others are stopped: capacity that is free now starts sooner
-PREEMPTION_DELAY_COST = 5.0
+PREEMPTION_DELAY_CPU_S = 5.0
 #: if the slowest image fetch of a gang takes more than this share of the time for which workers let tasks wait for
 #: their gang, the tasks that need no fetch start later
 UNEVEN_FETCH_SHARE = 0.5
 #: free slots in one zone at the lowest possible cost that are enough to choose from: the search may stop there
-ENOUGH = 200
+SUFFICIENT_CHEAPEST_SLOTS = 200
 #: the same, as a multiple of the gang's tasks
-ENOUGH_PER_TASK = 4
+SUFFICIENT_CHEAPEST_SLOTS_PER_TASK = 4
 #: how often a choice is repaired for machines that changed during the search
-MAX_REPAIRS = 3
-GANG_DOES_NOT_FIT = "not all slots are free at once, nor can they be cleared in one zone"
+MAX_RESELECTIONS = 3
+NO_GANG_SLOTS_REASON = "not all slots are free at once, nor can they be cleared in one zone"
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
     #: CPU seconds lost, for each task
     cost: float
     #: whether the slots are free now; without victims they may still have to wait for tasks that were stopped before
-    ready: bool = False
+    free_now: bool = False
 
 
 @dataclass(frozen=True)
@@ -62,7 +62,7 @@
     tasks: int
     victims: list[Allocation]
     cost: float
-    ready: bool
+    free_now: bool
 
 
 class GangShare(NamedTuple):
@@ -117,34 +117,34 @@
         self.placement = placement
         self.gang_wait_s = gang_wait_s
         #: tasks and size of the smallest gang that this pass could not fit
-        self._smallest_refused: dict[GangShape, tuple[int, Resources]] = {}
+        self._smallest_unplaceable: dict[GangShape, tuple[int, Resources]] = {}
         #: borrowing teams for which the cached tables are valid
-        self._borrowers: set[int] = set()
+        self._borrowing_teams: set[int] = set()
         #: the overdue gang for which this pass reserves free machines
         self._overdue_gang = ""
         #: what was found on machines, by everything about a gang that matters but its image
         self._tables: dict[tuple[object, ...], PlacementTable] = {}
 
-    def begin(self) -> None:
+    def begin_pass(self) -> None:
         """Start a full pass."""
-        self._smallest_refused = {}
+        self._smallest_unplaceable = {}
         self._overdue_gang = ""
-        if self.preemption.borrowers != self._borrowers:
-            self.forget()
+        if self.preemption.borrowing_teams != self._borrowing_teams:
+            self.clear_cache()
 
-    def forget(self) -> None:
+    def clear_cache(self) -> None:
         """Drop cached tables: time has passed, so that costs are higher, or other teams borrow."""
         self._tables = {}
-        self._borrowers = set(self.preemption.borrowers)
+        self._borrowing_teams = set(self.preemption.borrowing_teams)
 
-    def place(self, job: Job, ready: list[Machine], now: float, has_reserved: bool) -> Steps:
+    def place(self, job: Job, schedulable: list[Machine], now: float, has_reservation: bool) -> Steps:
         """Start a gang whole, or preempt other work for it, or note why it waits.
 
         Args:
             job: a gang.
-            ready: all usable machines.
+            schedulable: all usable machines.
             now: seconds on the leader's clock.
-            has_reserved: whether machines are reserved for this gang.
+            has_reservation: whether machines are reserved for this gang.
         """
         is_overdue = self.preemption.ordering.overdue(job, now, self.policy_values.begin_after_s)
         if not self._may_start(job):
@@ -153,26 +153,26 @@
             return
         reserves_free = is_overdue and not self._overdue_gang
         shape = job.type, job.spec.one_zone, job.spec.spread, self.preemption.reclaims_for(job, now)
-        if self._similar_was_refused(job, shape) and not has_reserved and not reserves_free:
-            job.why_waiting = GANG_DOES_NOT_FIT
+        if self._similar_is_unplaceable(job, shape) and not has_reservation and not reserves_free:
+            job.why_waiting = NO_GANG_SLOTS_REASON
             return
         turn = self.context.turn
         table = self._table_for(job, now)
-        candidates = yield from self._find_candidates(job, ready, table, now)
-        selection = GangSelection(candidates, self.choose(job, candidates))
+        candidates = yield from self._find_candidates(job, schedulable, table, now)
+        selection = GangSelection(candidates, self.select_shares(job, candidates))
         if self.context.turn != turn:
-            if not self._repair(job, selection, table, now):
+            if not self._replace_outdated(job, selection, table, now):
                 job.why_waiting = "its machines changed while it was placed"
                 return
             if not self._may_start(job):
                 return
         if selection.shares is None:
-            job.why_waiting = GANG_DOES_NOT_FIT
+            job.why_waiting = NO_GANG_SLOTS_REASON
             if reserves_free:
                 self._reserve_free_machines(job, selection.candidates, now)
             if not job.avoid and not self._must_not_preempt_yet(job, now):
-                self._smallest_refused[shape] = job.spec.tasks, job.size
-        elif all(share.candidate.ready for share in selection.shares):
+                self._smallest_unplaceable[shape] = job.spec.tasks, job.size
+        elif all(share.candidate.free_now for share in selection.shares):
             self._start(job, selection.shares, now)
         else:
             self._clear(job, selection.shares, now)
@@ -202,49 +202,49 @@
         if not team.limit_reserved_for and job.startable() and team.headroom(job.size) < job.spec.tasks:
             team.limit_reserved_for = job.spec.id
 
-    def _similar_was_refused(self, job: Job, shape: GangShape) -> bool:
+    def _similar_is_unplaceable(self, job: Job, shape: GangShape) -> bool:
         """Return whether this pass could not fit a gang of the same shape that was no larger.
 
         Nothing within a pass frees capacity for such a gang, and each search takes milliseconds.
         """
-        tasks, size = self._smallest_refused.get(shape, (job.spec.tasks + 1, job.size))
+        tasks, size = self._smallest_unplaceable.get(shape, (job.spec.tasks + 1, job.size))
         return job.spec.tasks >= tasks and fits(size, job.size)
 
     def _must_not_preempt_yet(self, job: Job, now: float) -> bool:
         """Return whether a gang should go on waiting before other work is stopped for it."""
-        return self.preemption.patient(job, self.policy_values.preempt_after_s, now)
+        return self.preemption.must_wait(job, self.policy_values.preempt_after_s, now)
 
     def _find_candidates(
-        self, job: Job, ready: list[Machine], table: PlacementTable, now: float
+        self, job: Job, schedulable: list[Machine], table: PlacementTable, now: float
     ) -> Generator[None, None, list[GangCandidate]]:
         """Return what machines could do for a gang; the search ends early once there is enough of the cheapest."""
         candidates: list[GangCandidate] = []
         #: by zone, tasks that could start now at the lowest cost there can be
         cheapest_slots: dict[int, int] = {}
-        lowest_cost = IDLE_WEIGHT * self.images.least_s(job) * job.size[0] / MICRO_UNITS
-        enough = max(ENOUGH, ENOUGH_PER_TASK * job.spec.tasks)
-        for examined, machine in enumerate(ready, 1):
+        lowest_cost = IDLE_CPU_WEIGHT * self.images.min_fetch_s(job) * job.size[0] / MICRO_UNITS
+        enough = max(SUFFICIENT_CHEAPEST_SLOTS, SUFFICIENT_CHEAPEST_SLOTS_PER_TASK * job.spec.tasks)
+        for examined, machine in enumerate(schedulable, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
-            # `offers` looks this up as well: most machines have nothing, and are skipped here without a call
+            # `candidates_on` looks this up as well: most machines have nothing, and are skipped here without a call
             change_count, placements = table.get(machine.index, NOT_EXAMINED)
             if not placements and change_count == machine.change_count:
                 continue
-            for candidate in self.offers(job, machine, table, now):
+            for candidate in self.candidates_on(job, machine, table, now):
                 candidates.append(candidate)
-                if candidate.ready and candidate.cost <= lowest_cost:
+                if candidate.free_now and candidate.cost <= lowest_cost:
                     cheapest_slots[machine.zone] = cheapest_slots.get(machine.zone, 0) + candidate.tasks
             if cheapest_slots.get(machine.zone, 0) >= enough:
                 break
         return candidates
 
-    def _repair(self, job: Job, selection: GangSelection, table: PlacementTable, now: float) -> bool:
+    def _replace_outdated(self, job: Job, selection: GangSelection, table: PlacementTable, now: float) -> bool:
         """Replace chosen machines that changed while others were examined.
 
         Returns:
-            False if the choice still rests on outdated candidates after `MAX_REPAIRS` attempts.
+            False if the choice still rests on outdated candidates after `MAX_RESELECTIONS` attempts.
         """
-        for _ in range(MAX_REPAIRS):
+        for _ in range(MAX_RESELECTIONS):
             if selection.shares is None:
                 return True
             outdated = {
@@ -258,16 +258,16 @@
             selection.candidates = [c for c in selection.candidates if c.machine not in outdated]
             for machine in sorted(outdated, key=lambda m: m.index):
                 if self.inventory.is_schedulable(machine, now):
-                    selection.candidates += self.offers(job, machine, table, now)
-            selection.shares = self.choose(job, selection.candidates)
+                    selection.candidates += self.candidates_on(job, machine, table, now)
+            selection.shares = self.select_shares(job, selection.candidates)
         return False
 
     def _clear(self, job: Job, shares: list[GangShare], now: float) -> None:
         """Stop the victims on the chosen machines, and reserve these for the gang."""
         victims = [victim for candidate, _ in shares for victim in candidate.victims]
-        if not all(self.preemption.may_stop(job, victim, now) for victim in victims):
-            self.forget()  # a guarantee or a limit has changed since they were looked up
-            job.why_waiting = GANG_DOES_NOT_FIT
+        if not all(self.preemption.may_still_displace(job, victim, now) for victim in victims):
+            self.clear_cache()  # a guarantee or a limit has changed since they were looked up
+            job.why_waiting = NO_GANG_SLOTS_REASON
             return
         job.why_waiting = "its slots are being cleared"
         job.preempt_at = now
@@ -286,7 +286,7 @@
         free_by_zone: dict[int, list[GangCandidate]] = {}
         for candidate in candidates:
             machine = candidate.machine
-            if candidate.ready and not candidate.victims and machine.reserved_for in (None, job.spec.id):
+            if candidate.free_now and not candidate.victims and machine.reserved_for in (None, job.spec.id):
                 free_by_zone.setdefault(machine.zone if job.spec.one_zone else -1, []).append(candidate)
         if not free_by_zone:
             return
@@ -339,8 +339,8 @@
         table: PlacementTable = {}
         for machine in self.inventory.machines:
             if self.inventory.is_schedulable(machine, now) and machine.free[0] >= job.size[0]:
-                candidates += [c for c in self.offers(job, machine, table, now) if c.ready]
-        shares = self.choose(job, candidates)
+                candidates += [c for c in self.candidates_on(job, machine, table, now) if c.free_now]
+        shares = self.select_shares(job, candidates)
         return [candidate.machine for candidate, _ in shares] if shares is not None else None
 
     def _table_for(self, job: Job, now: float) -> PlacementTable:
@@ -353,9 +353,9 @@
             self._must_not_preempt_yet(job, now),
             min(job.spec.tasks, max_per_machine),
         )
-        return self._cached_table(self._tables, key)
+        return self._get_or_create_table(self._tables, key)
 
-    def offers(self, job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidate]:
+    def candidates_on(self, job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidate]:
         """Return what a machine could do for a gang: slots that are free now, or that preemption would free.
 
         Both cost CPU seconds: work that is thrown away, and cores that idle while the image is fetched. A machine
@@ -365,34 +365,35 @@
         if change_count != machine.change_count:
             change_count, placements = table[machine.index] = machine.change_count, self._examine(job, machine, now)
         on_probation = machine.errors and now - machine.error_at <= GANG_PROBATION_S
-        if not placements or on_probation or not self.placement.allowed(job, machine):
+        if not placements or on_probation or not self.placement.satisfies_constraints(job, machine):
             return []
-        fetch_cost = IDLE_WEIGHT * self.images.fetch_s(job, machine) * job.size[0] / MICRO_UNITS
+        fetch_cost = IDLE_CPU_WEIGHT * self.images.fetch_s(job, machine) * job.size[0] / MICRO_UNITS
         if machine.slowness > SLOW_MACHINE_RATIO:  # the slowest machine sets the speed of the whole gang
             fetch_cost += (machine.slowness - 1.0) * self.context.run_times.run_s(job) * job.size[0] / MICRO_UNITS
         return [
-            GangCandidate(machine, change_count, p.tasks, p.victims, fetch_cost + p.cost, p.ready) for p in placements
+            GangCandidate(machine, change_count, p.tasks, p.victims, fetch_cost + p.cost, p.free_now)
+            for p in placements
         ]
 
     def _examine(self, job: Job, machine: Machine, now: float) -> list[GangPlacement]:
         """Return the slots that a machine has for a gang, whatever its image: free ones, and more by preemption."""
-        if self.preemption.hopeless(job, machine, self.preemption.reclaims_for(job, now) >= 0):
+        if self.preemption.cannot_free_enough(job, machine, self.preemption.reclaims_for(job, now) >= 0):
             return []
         placements = []
         free = min(tasks_that_fit(job.size, machine.free), job.spec.tasks)
         if free > 0:
-            placements.append(GangPlacement(free, [], 0.0, ready=True))
+            placements.append(GangPlacement(free, [], 0.0, free_now=True))
         if (machine.stopping_count and free > 0) or self._must_not_preempt_yet(job, now):
             return placements
         for tasks in range(min(tasks_that_fit(job.size, machine.capacity), job.spec.tasks), free, -1):
-            eviction = self.preemption.eviction(job, machine, tasks, now)
+            eviction = self.preemption.find_victims(job, machine, tasks, now)
             if eviction is not None:
                 victims, cost = eviction
-                placements.append(GangPlacement(tasks, victims, cost / tasks + PREEMPTION_DELAY_COST))
+                placements.append(GangPlacement(tasks, victims, cost / tasks + PREEMPTION_DELAY_CPU_S))
                 break
         return placements
 
-    def choose(self, job: Job, candidates: list[GangCandidate]) -> list[GangShare] | None:
+    def select_shares(self, job: Job, candidates: list[GangCandidate]) -> list[GangShare] | None:
         """Return the cheapest machines for a whole gang, in one zone or spread as its job demands.
 
         Returns:
@@ -401,12 +402,12 @@
         tasks = job.spec.tasks
         if not job.spec.one_zone:
             max_per_zone = -(-tasks // 2) if job.spec.spread else tasks
-            return self._pick(self._ranked(job, candidates), tasks, max_per_zone)
+            return self._take_shares(self._ranked(job, candidates), tasks, max_per_zone)
         best: list[GangShare] | None = None
         best_cost = math.inf
         for zone in sorted({c.machine.zone for c in candidates}):
             in_zone = self._ranked(job, [c for c in candidates if c.machine.zone == zone])
-            shares = self._pick(in_zone, tasks, tasks)
+            shares = self._take_shares(in_zone, tasks, tasks)
             if shares is None:
                 continue
             cost = sum(share.candidate.cost * share.tasks for share in shares)
@@ -424,7 +425,7 @@
             yield from sorted(equals, key=lambda c: self.placement.preference(job, c.machine))
 
     @staticmethod
-    def _pick(ranked: Iterator[GangCandidate], tasks: int, max_per_zone: int) -> list[GangShare] | None:
+    def _take_shares(ranked: Iterator[GangCandidate], tasks: int, max_per_zone: int) -> list[GangShare] | None:
         """Return shares of the first candidates that take all tasks, or None if they do not suffice."""
         missing = tasks
         shares: list[GangShare] = []
--- a/src/grebestand/scheduling/greedy.py
+++ b/src/grebestand/scheduling/greedy.py
@@ -33,7 +33,7 @@
     spot: bool
     capacity: Resources
 
-    def takes(self, slot: Slot) -> bool:
+    def accepts(self, slot: Slot) -> bool:
         """Return whether tasks of a type may run on these machines and one of them fits."""
         return (
             (slot.spot or not self.spot)
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class ServerDemand:
+class PlanEntry:
     """One entry of a plan: a configuration, and how many machines of a pool should have it."""
 
     pool: int
@@ -60,24 +60,25 @@
     config: SlotTemplate
     empty: bool
     #: its tasks by type; empty if some have no place in any configuration of these types
-    holds: SlotTemplate = ()
+    tasks_by_type: SlotTemplate = ()
     #: 1 for machines of the plan's first entry; one more than the plan's length for machines that it does not use
     rank: int = 0
-    accept: bool = False
+    in_accept_group: bool = False
     changed: bool = False
     #: the machine's index, for the caller
-    tag: int = field(default=0)
+    machine_index: int = field(default=0)
     #: position in the order of assignment
     order: int = 0
 
-    def may_become(self, config: SlotTemplate) -> bool:
+    def can_take_config(self, config: SlotTemplate) -> bool:
         """Return whether the machine can take over a configuration without preemption.
 
         The paper reassigns empty machines only. Nothing is preempted either where everything that the machine holds
         has a slot in the new configuration.
         """
         return self.empty or (
-            bool(self.holds) and all(held <= slots for held, slots in zip(self.holds, config, strict=True))
+            bool(self.tasks_by_type)
+            and all(held <= slots for held, slots in zip(self.tasks_by_type, config, strict=True))
         )
 
 
@@ -130,7 +131,7 @@
     def __init__(self, slots: list[Slot], pools: list[Pool]) -> None:
         self._slots = slots
         self._pools = pools
-        self._types_by_pool = [{j for j, slot in enumerate(slots) if pool.takes(slot)} for pool in pools]
+        self._types_by_pool = [{j for j, slot in enumerate(slots) if pool.accepts(slot)} for pool in pools]
         self._known: dict[tuple[Resources, tuple[int, ...]], SlotTemplate] = {}
 
     def best(self, pool: int, candidates: list[int]) -> SlotTemplate:
@@ -143,7 +144,7 @@
         return config
 
 
-def gpa(slots: list[Slot], targets: list[float], pools: list[Pool], sizes: list[int]) -> list[ServerDemand]:
+def gpa(slots: list[Slot], targets: list[float], pools: list[Pool], sizes: list[int]) -> list[PlanEntry]:
     """Plan configurations with the Greedy Placement Algorithm (Algorithm 1), for several pools.
 
     In each round every pool that still has machines gets the highest-reward configuration of the types that are
@@ -160,7 +161,7 @@
     free_machines = list(sizes)
     candidates = [j for j in range(len(slots)) if remaining[j] > 0]
     configurations = _BestConfigurations(slots, pools)
-    plan: list[ServerDemand] = []
+    plan: list[PlanEntry] = []
     while candidates and any(free_machines):
         configs = [configurations.best(pool, candidates) if free_machines[pool] else () for pool in range(len(pools))]
         rewards = [_reward(slots, config) for config in configs]
@@ -174,7 +175,7 @@
         first_done = min(used, key=lambda j: (machines_needed[j], j))
         count = min(int(machines_needed[first_done]), free_machines[pool])
         if count:
-            plan.append(ServerDemand(pool, config, count))
+            plan.append(PlanEntry(pool, config, count))
             free_machines[pool] -= count
             for j in used:
                 remaining[j] = max(0.0, remaining[j] - count * config[j])
@@ -183,7 +184,7 @@
     return plan
 
 
-def cra(assignments: list[TemplateAssignment], plan: list[ServerDemand]) -> int:
+def cra(assignments: list[TemplateAssignment], plan: list[PlanEntry]) -> int:
     """Run Classification and Reassignment (Algorithm 2): set each machine's rank, group and configuration.
 
     Args:
@@ -202,7 +203,7 @@
             return int(end.value)
 
 
-def cra_steps(assignments: list[TemplateAssignment], plan: list[ServerDemand]) -> Generator[None, None, int]:
+def cra_steps(assignments: list[TemplateAssignment], plan: list[PlanEntry]) -> Generator[None, None, int]:
     """Do the same as `cra`, with a yield before each entry of the plan."""
     worst_rank = len(plan) + 1
     #: by pool and configuration, the machines without a rank in order of assignment
@@ -221,11 +222,11 @@
         if _reassign(groups, demand.config, rank, missing, wanted_later) < missing:
             first_short = min(first_short, rank)
     for assignment in assignments:
-        assignment.accept = assignment.rank <= first_short and assignment.rank < worst_rank
+        assignment.in_accept_group = assignment.rank <= first_short and assignment.rank < worst_rank
     return first_short
 
 
-def _rank_configured(groups: dict[SlotTemplate, list[TemplateAssignment]], demand: ServerDemand, rank: int) -> int:
+def _rank_configured(groups: dict[SlotTemplate, list[TemplateAssignment]], demand: PlanEntry, rank: int) -> int:
     """Rank the machines that have the wanted configuration already, and return how many were ranked."""
     configured = groups.get(demand.config, [])
     ranked = configured[: demand.count]
@@ -251,7 +252,7 @@
         missing: how many machines are to get it at most.
         wanted_later: configurations of later entries of the plan, which are taken last.
     """
-    convertible = [a for group in groups.values() for a in group if a.may_become(config)]
+    convertible = [a for group in groups.values() for a in group if a.can_take_config(config)]
     convertible.sort(key=lambda a: (not a.empty, a.config in wanted_later, a.order))
     reassigned = convertible[:missing]
     reassigned_orders = {assignment.order for assignment in reassigned}
--- a/src/grebestand/scheduling/image_locality.py
+++ b/src/grebestand/scheduling/image_locality.py
@@ -8,9 +8,9 @@
 
 #: an image is well spread if the machines that have it have this many times the CPUs that its jobs want, as they are
 #: shared with other work
-HOST_FACTOR = 2.0
+WIDELY_CACHED_CPU_RATIO = 2.0
 #: a fetch that is under way has this share of the image left, on average
-REMAINING_SHARE = 0.5
+AVERAGE_REMAINING_SHARE = 0.5
 #: fetch rate (GB/s) while the cloud's offer is not known
 DEFAULT_FETCH_GB_PER_S = 1.0
 #: fetch rates (GB/s) count for at least this much, so that sizes can be divided by them
@@ -23,9 +23,9 @@
     def __init__(self, context: SchedulingContext) -> None:
         super().__init__(context)
         #: images whose machines had enough capacity for the demand at the last computation of targets
-        self.well_spread: set[int] = set()
+        self.widely_cached: set[int] = set()
         #: images that some machine had or fetched then
-        self.hosted: set[int] = set()
+        self.cached_images: set[int] = set()
 
     def measure(self) -> Steps:
         """Find the images whose machines, shared with other work, can serve the demand for them."""
@@ -34,15 +34,17 @@
             if job.live:
                 tasks = len(job.allocations) + min(job.wanted(), self.registry.teams[job.team].headroom(job.size))
                 demand_cpus[job.image] = demand_cpus.get(job.image, 0) + tasks * job.size[0]
-        host_cpus: dict[int, int] = {}
+        caching_cpus: dict[int, int] = {}
         for examined, machine in enumerate(list(self.inventory.machines), 1):
             if not examined % MACHINES_PER_STEP:
                 yield
             if self.inventory.counts(machine):
                 for image in (*machine.images, *machine.image_fetches):
-                    host_cpus[image] = host_cpus.get(image, 0) + machine.capacity[0]
-        self.hosted = set(host_cpus)
-        self.well_spread = {i for i, cpus in demand_cpus.items() if host_cpus.get(i, 0) >= HOST_FACTOR * cpus}
+                    caching_cpus[image] = caching_cpus.get(image, 0) + machine.capacity[0]
+        self.cached_images = set(caching_cpus)
+        self.widely_cached = {
+            i for i, cpus in demand_cpus.items() if caching_cpus.get(i, 0) >= WIDELY_CACHED_CPU_RATIO * cpus
+        }
 
     def worth_fetching(self, job: Job, machine: Machine, now: float) -> bool:
         """Return whether the machine has the job's image, or should fetch it.
@@ -56,11 +58,11 @@
         fetch_s = self.fetch_s(job, machine)
         if fetch_s <= self.inventory.report_s:
             return True
-        return not machine.image_fetches and (job.image not in self.well_spread or now - job.started_at >= fetch_s)
+        return not machine.image_fetches and (job.image not in self.widely_cached or now - job.started_at >= fetch_s)
 
-    def least_s(self, job: Job) -> float:
+    def min_fetch_s(self, job: Job) -> float:
         """Return the shortest time for which the job would wait for its image: none if some machine has it."""
-        if job.image in self.hosted:
+        if job.image in self.cached_images:
             return 0.0
         rates = (kind.fetch_gb_per_s for kind in self.inventory.machine_types.values())
         fastest = max(rates, default=DEFAULT_FETCH_GB_PER_S)
@@ -75,7 +77,7 @@
             return 0.0
         sizes_gb = self.registry.image_gb
         under_way = job.image in machine.image_fetches
-        gigabytes = sizes_gb[job.image] * REMAINING_SHARE if under_way else sizes_gb[job.image]
+        gigabytes = sizes_gb[job.image] * AVERAGE_REMAINING_SHARE if under_way else sizes_gb[job.image]
         if machine.image_fetches and not under_way:
             gigabytes += sum(sizes_gb[image] for image in machine.image_fetches)
         return gigabytes / max(kind.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
--- a/src/grebestand/scheduling/job_ordering.py
+++ b/src/grebestand/scheduling/job_ordering.py
@@ -7,10 +7,10 @@
 from ..settings.platform import Objective
 
 #: how long after its last objective can no longer be met a job moves ahead of the others of its priority
-AGED_S = 180.0
+AGING_DELAY_S = 180.0
 #: a task that is stopped starts again about this much later at the earliest: it has to save, a heartbeat has to come,
 #: its image has to be fetched and its job has to be served again
-RESTART_S = 30.0
+MIN_RESTART_DELAY_S = 30.0
 #: a job that ages is served first, then those that can still meet an objective, then those that cannot
 AGED, ON_TIME, LATE = 0, 1, 2
 #: a job's remaining work counts as if its tasks ran for at least this long, so that short estimates do not hide size
@@ -42,7 +42,7 @@
         elif objective.kind == "wait" and objective.within_s:
             self._start_within_s.setdefault(objective.klass, []).append(objective.within_s)
 
-    def ends(self, job: Job) -> list[float]:
+    def due_times(self, job: Job) -> list[float]:
         """Return when the job has to be done to meet each of its objectives, in seconds on the leader's clock.
 
         Nothing that this depends on ever changes, so it is kept with the job.
@@ -74,11 +74,11 @@
         for as long as small ones keep arriving.
         """
         remaining_s = self.run_times.run_s(job)
-        latest_starts = [end - remaining_s for end in self.ends(job)]
+        latest_starts = [end - remaining_s for end in self.due_times(job)]
         latest_starts += [job.accepted_at + within_s for within_s in self._start_within_s.get(job.spec.klass, ())]
         last_chance = max(latest_starts) if latest_starts else job.accepted_at
         value: float
-        if now > last_chance + AGED_S or self.overdue(job, now, begin_after_s):
+        if now > last_chance + AGING_DELAY_S or self.overdue(job, now, begin_after_s):
             group, value = AGED, job.accepted_at
         elif not latest_starts or now <= last_chance:
             group, value = ON_TIME, job.unfinished() * job.size[0] * max(remaining_s, MIN_RUN_S)
@@ -86,7 +86,7 @@
             group, value = LATE, job.accepted_at
         return (not job.guaranteed, job.rank, group, value, job.accepted_at)
 
-    def tight(self, job: Job, run_at: float | None, now: float) -> bool:
+    def stop_would_miss_objective(self, job: Job, run_at: float | None, now: float) -> bool:
         """Return whether a running task that can still meet an objective of its job would miss it if it were stopped.
 
         Args:
@@ -97,4 +97,4 @@
         remaining_s = self.run_times.run_s(job)
         if run_at is not None:
             remaining_s = max(0.0, remaining_s - (now - run_at))
-        return any(0 <= end - now - remaining_s < RESTART_S for end in self.ends(job))
+        return any(0 <= end - now - remaining_s < MIN_RESTART_DELAY_S for end in self.due_times(job))
--- a/src/grebestand/scheduling/machine_health.py
+++ b/src/grebestand/scheduling/machine_health.py
@@ -26,18 +26,18 @@
 #: failures of one job, or on one machine, that are closer together than this count as one
 FAILURE_INTERVAL_S = 1.0
 #: a job that failed this often, or on this many machines, and never succeeded is most likely at fault itself
-OWN_FAULT_FAILURES = 3
+MIN_FAILURES_TO_SUSPECT_JOB = 3
 #: a machine is at fault only if tasks of at least this many jobs failed on it
-MIN_FAILED_JOBS = 2
+MIN_FAILED_JOBS_TO_DRAIN = 2
 #: how many machines a job remembers to have failed on, and for how long
 MAX_AVOIDED_MACHINES = 64
-AVOIDED_S = 60.0
+AVOID_MACHINE_S = 60.0
 #: a job that keeps failing is retried with exponential backoff: 2 ** (failures - 1) seconds, up to a limit
 JOB_BACKOFF_BASE_S = 2.0
 MAX_JOB_BACKOFF_EXPONENT = 7
 MAX_JOB_BACKOFF_S = 30.0
 #: so is a machine that keeps failing: 2 * 2 ** failures seconds, up to a limit
-MACHINE_BACKOFF_S = 2.0
+MACHINE_BACKOFF_BASE_S = 2.0
 MAX_MACHINE_BACKOFF_EXPONENT = 5
 MAX_MACHINE_BACKOFF_S = 60.0
 #: a job is no longer taken to be at fault once a task of it has run for this long, and twice as long as any that failed
@@ -71,13 +71,13 @@
             # whichever is at fault: while the job waits, other jobs show what the machine does with them
             if job.errors > 1:
                 job.retry_at = now + self._job_backoff_s(job)
-            if not job.suspected_faulty and max(job.errors, len(job.avoid)) >= OWN_FAULT_FAILURES:
-                self._doubt(job, now)
-            if len(job.avoid) >= OWN_FAULT_FAILURES:
+            if not job.suspected_faulty and max(job.errors, len(job.avoid)) >= MIN_FAILURES_TO_SUSPECT_JOB:
+                self._mark_suspected_faulty(job, now)
+            if len(job.avoid) >= MIN_FAILURES_TO_SUSPECT_JOB:
                 self._exonerate_machines(job)
                 return
         self._record_failure_of_machine(machine, job, now)
-        is_faulty = machine.errors >= self.sick_errors and len(machine.error_jobs) >= MIN_FAILED_JOBS
+        is_faulty = machine.errors >= self.sick_errors and len(machine.error_jobs) >= MIN_FAILED_JOBS_TO_DRAIN
         if machine.drain is None and is_faulty:
             log.warning(LogEvent("machine_drained", machine=machine.name, reason=DRAIN_FAULTY, failures=machine.errors))
             machine.drain = DRAIN_FAULTY
@@ -106,7 +106,7 @@
         if now - machine.error_at > FAILURE_INTERVAL_S and not is_repetition:
             machine.errors += 1
             machine.error_at = now
-        backoff_s = MACHINE_BACKOFF_S * 2 ** min(machine.errors, MAX_MACHINE_BACKOFF_EXPONENT)
+        backoff_s = MACHINE_BACKOFF_BASE_S * 2 ** min(machine.errors, MAX_MACHINE_BACKOFF_EXPONENT)
         machine.blocked_until = now + min(MAX_MACHINE_BACKOFF_S, backoff_s)
         log.info(LogEvent("task_failed", job_id=job.spec.id, machine=machine.name, machine_failures=machine.errors))
 
@@ -125,7 +125,7 @@
         """Return whether other tasks run for longer than those that failed: then the job is not at fault."""
         return cls._has_task_running_for(job, job.fails_after_s + FAILURE_INTERVAL_S, now)
 
-    def _doubt(self, job: Job, now: float) -> None:
+    def _mark_suspected_faulty(self, job: Job, now: float) -> None:
         """Note that a job is most likely at fault itself: it failed several times and never succeeded.
 
         It is retried less often and with one task, or one gang, at a time. It is never given up: machines may have
@@ -150,18 +150,18 @@
             machine.errors = min(machine.errors, len(machine.error_jobs))
             if not machine.errors:
                 machine.blocked_until = machine.error_at = -math.inf
-            if machine.drain == DRAIN_FAULTY and len(machine.error_jobs) < MIN_FAILED_JOBS:
+            if machine.drain == DRAIN_FAULTY and len(machine.error_jobs) < MIN_FAILED_JOBS_TO_DRAIN:
                 machine.drain = None
 
     @classmethod
-    def look_again(cls, job: Job, now: float) -> None:
+    def clear_expired_failures(cls, job: Job, now: float) -> None:
         """Let time heal: a job tries machines again that it failed on a while ago.
 
         Otherwise a job that may run on few machines would wait for ever. A job that was taken to be at fault is
         trusted again once one of its tasks runs for longer than those that failed.
         """
         if not job.suspected_faulty:
-            for index in [i for i, failed_at in job.avoid.items() if now - failed_at > AVOIDED_S]:
+            for index in [i for i, failed_at in job.avoid.items() if now - failed_at > AVOID_MACHINE_S]:
                 del job.avoid[index]
             return
         if cls._has_task_running_for(job, max(RECOVERED_AFTER_S, RECOVERED_FACTOR * job.fails_after_s), now):
@@ -177,7 +177,7 @@
             if not job.live:
                 continue
             saves = job.spec.checkpoint_s > 0 and machine.terminates_at - now > job.spec.save_s
-            if self._may_run_on(allocation, machine, saves, now):
+            if self._may_finish(allocation, machine, saves, now):
                 continue
             grace_s = job.spec.save_s + SAVE_MARGIN_S if saves else 0.0
             if job.gang:
@@ -185,7 +185,7 @@
             else:
                 self.dispatch.stop(allocation, reason, grace_s, now)
 
-    def _may_run_on(self, allocation: Allocation, machine: Machine, saves: bool, now: float) -> bool:
+    def _may_finish(self, allocation: Allocation, machine: Machine, saves: bool, now: float) -> bool:
         """Return whether a task of a machine that is drained is better left alone."""
         if machine.drain == DRAIN_RECALL and not saves and allocation.run_at is not None:
             remaining_s = self.run_times.run_s(allocation.job) - (now - allocation.run_at)
--- a/src/grebestand/scheduling/migration.py
+++ b/src/grebestand/scheduling/migration.py
@@ -18,9 +18,9 @@
 #: saving is taken to last at least this long
 MIN_SAVE_S = 1.0
 #: tasks that may be on the move at a time
-MAX_MOVING = 2
+MAX_CONCURRENT_MOVES = 2
 #: reason for which a task is stopped
-MIGRATION = "migration"
+MIGRATION_STOP_REASON = "migration"
 
 
 class Migration(SchedulingComponent):
@@ -42,7 +42,7 @@
         without_slot: set[tuple[int, int]] = set()
         for machine in self._rejected_machines(now):
             for allocation in list(machine.allocations.values()):
-                if moving >= MAX_MOVING:
+                if moving >= MAX_CONCURRENT_MOVES:
                     return
                 job = allocation.job
                 if job.type in waiting_types or not self._may_move(allocation, now):
@@ -54,7 +54,7 @@
                     without_slot.add((job.type, job.image))
                     continue
                 moving += 1
-                self.dispatch.stop(allocation, MIGRATION, job.spec.save_s + SAVE_MARGIN_S, now)
+                self.dispatch.stop(allocation, MIGRATION_STOP_REASON, job.spec.save_s + SAVE_MARGIN_S, now)
 
     def _count_moving(self) -> int:
         """Return how many tasks are being stopped for a move."""
@@ -63,7 +63,7 @@
             for machine in self.inventory.machines
             if machine.stopping_count
             for allocation in machine.allocations.values()
-            if allocation.stop == MIGRATION
+            if allocation.stop == MIGRATION_STOP_REASON
         )
 
     def _empty_slots(self, now: float) -> dict[int, dict[Machine, int]]:
--- a/src/grebestand/scheduling/pending_reasons.py
+++ b/src/grebestand/scheduling/pending_reasons.py
@@ -44,7 +44,7 @@
         #: what was last logged for each job that waits
         self._logged: dict[Job, LoggedReason] = {}
 
-    def tell(self, now: float) -> None:
+    def log_if_due(self, now: float) -> None:
         """Log a summary of the cluster and the reasons why jobs wait, once a period."""
         if now - self._summarised_at < self.policy_values.period_s:
             return
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -25,7 +25,7 @@
 #: machines that one pass clears for one job, so that a single job does not displace work all over the cluster
 MAX_MACHINES_CLEARED = 8
 #: candidates that are examined for that: some have changed since they were listed
-MAX_MACHINES_TRIED = 200
+MAX_MACHINES_EXAMINED_TO_CLEAR = 200
 #: how long a cleared machine stays reserved; its tasks have to save and to be reported as gone within this time
 CLEARED_RESERVATION_S = 8.0
 #: a machine that takes this many times as long as others is considered only behind them
@@ -51,7 +51,7 @@
         self.images = images
         self.preemption = preemption
         #: types with waiting tasks at the start of the last full pass
-        self.blocked_types: set[int] = set()
+        self.waiting_types: set[int] = set()
         #: jobs that waited at the end of the last full pass, in order of service
         self._queue: list[Job] = []
         #: CPUs (millionths) of the smallest task among them
@@ -66,16 +66,16 @@
         #: how many tasks templates admit, by type and whether the job has aged: by machine, with its change count
         self._allowances: dict[tuple[int, bool], dict[int, tuple[int, int]]] = {}
 
-    def begin(self) -> None:
+    def begin_pass(self) -> None:
         """Start a full pass. Cached allowances stay valid as long as the machine's change count is the same."""
-        blocked_types = {j.type for j in self.registry.waiting_jobs()}
-        if blocked_types != self.blocked_types:
-            self.forget()
-        self.blocked_types = blocked_types
+        waiting_types = {j.type for j in self.registry.waiting_jobs()}
+        if waiting_types != self.waiting_types:
+            self.clear_cache()
+        self.waiting_types = waiting_types
         self._sizes_without_option, self._sizes_without_slot = {}, {}
         self._machines_to_clear = {}
 
-    def end(self, waiting: list[Job]) -> None:
+    def end_pass(self, waiting: list[Job]) -> None:
         """Finish a full pass.
 
         Args:
@@ -85,7 +85,7 @@
         self._queue = [j for j in waiting if not j.gang and j.waiting() > 0]
         self._smallest_cpus = min((j.size[0] for j in self._queue), default=0)
 
-    def forget(self) -> None:
+    def clear_cache(self) -> None:
         """Drop cached allowances: templates have changed, or the types whose spare slots may be borrowed."""
         self._allowances = {}
 
@@ -115,7 +115,7 @@
             if wanted <= 0:
                 queue_outdated = queue_outdated or job.waiting() == 0
                 continue
-            if now < job.retry_at or not self.allowed(job, machine):
+            if now < job.retry_at or not self.satisfies_constraints(job, machine):
                 continue
             if not self.images.worth_fetching(job, machine, now):
                 continue
@@ -127,21 +127,23 @@
         if queue_outdated:
             self._queue = [j for j in self._queue if j.waiting() > 0]
 
-    def place(self, job: Job, roomy: list[Machine], ready: list[Machine], now: float, has_reserved: bool) -> Steps:
+    def place(
+        self, job: Job, with_capacity: list[Machine], schedulable: list[Machine], now: float, has_reservation: bool
+    ) -> Steps:
         """Start a job's waiting tasks where there are slots, and preempt other work for the rest if it may.
 
         Args:
             job: any job that is not a gang.
-            roomy: usable machines whose free capacity may suffice for a task.
-            ready: all usable machines, as candidates for preemption.
+            with_capacity: usable machines whose free capacity may suffice for a task.
+            schedulable: all usable machines, as candidates for preemption.
             now: seconds on the leader's clock.
-            has_reserved: whether machines are reserved for this job.
+            has_reservation: whether machines are reserved for this job.
         """
         if self._startable_tasks(job) <= 0:
             job.why_waiting = "team limit"
             return
         turn = self.context.turn
-        options = yield from self._find_options(job, roomy, now, has_reserved)
+        options = yield from self._find_options(job, with_capacity, now, has_reservation)
         options.sort(key=attrgetter("preference"))
         if job.spec.one_zone and options:
             zone = self._zone_for(job, options)
@@ -149,26 +151,26 @@
         unplaced = yield from self._start_on_options(job, options, turn, now)
         if unplaced > 0:
             job.why_waiting = "no slot"
-            yield from self._preempt_for(job, ready, unplaced, now)
+            yield from self._preempt_for(job, schedulable, unplaced, now)
 
     def _find_options(
-        self, job: Job, roomy: list[Machine], now: float, has_reserved: bool
+        self, job: Job, with_capacity: list[Machine], now: float, has_reservation: bool
     ) -> Generator[None, None, list[SlotOption]]:
-        """Return the machines that have slots for the job, in the order of `roomy`."""
+        """Return the machines that have slots for the job, in the order of `with_capacity`."""
         options: list[SlotOption] = []
         aged = self._has_aged(job, now)
         # templates admit types, whatever their tasks' sizes: one lookup serves all jobs of a type
-        allowances = self._cached_table(self._allowances, (job.type, aged))
-        if not has_reserved and self._known_without_option(job, aged):
+        allowances = self._get_or_create_table(self._allowances, (job.type, aged))
+        if not has_reservation and self._known_without_option(job, aged):
             return options
         any_slot = False
         # the loop over all machines for each job: inlined lookups rather than calls, as most machines are skipped
-        for examined, machine in enumerate(roomy, 1):
+        for examined, machine in enumerate(with_capacity, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
             if job.size[0] > machine.free[0]:
                 continue
-            if has_reserved and machine.reserved_for == job.spec.id:
+            if has_reservation and machine.reserved_for == job.spec.id:
                 tasks = self._slots_for(job, machine, now)
             else:
                 change_count, tasks = allowances.get(machine.index, NOT_EXAMINED)
@@ -179,7 +181,7 @@
                     tasks = min(tasks, tasks_that_fit(job.size, machine.free))
             if tasks > 0:
                 any_slot = True
-                if self.allowed(job, machine) and self.images.worth_fetching(job, machine, now):
+                if self.satisfies_constraints(job, machine) and self.images.worth_fetching(job, machine, now):
                     options.append(SlotOption(self.preference(job, machine), tasks, machine))
         if not any_slot:
             self._sizes_without_slot[job.type, aged] = job.size
@@ -267,7 +269,7 @@
             allocation.first = job.fresh > fresh
         return count
 
-    def allowed(self, job: Job, machine: Machine) -> bool:
+    def satisfies_constraints(self, job: Job, machine: Machine) -> bool:
         """Return whether the job's constraints let it run on the machine at all, whatever is free there."""
         kinds = self.registry.types[job.type].machine_types
         return (
@@ -311,7 +313,7 @@
 
     def _slots_still_free(self, job: Job, machine: Machine, now: float) -> int:
         """Return how many tasks a machine takes now that was found suitable in an earlier turn."""
-        if not self.inventory.is_schedulable(machine, now) or not self.allowed(job, machine):
+        if not self.inventory.is_schedulable(machine, now) or not self.satisfies_constraints(job, machine):
             return 0
         return self._slots_for(job, machine, now) if self.images.worth_fetching(job, machine, now) else 0
 
@@ -349,37 +351,37 @@
         for lender, slots in enumerate(machine.template):
             if slots <= 0 or lender == task_type:
                 continue
-            if lender in self.blocked_types or self.registry.types[lender].rank >= rank:
+            if lender in self.waiting_types or self.registry.types[lender].rank >= rank:
                 return 0
         return limit
 
-    def _preempt_for(self, job: Job, ready: list[Machine], tasks: int, now: float) -> Steps:
+    def _preempt_for(self, job: Job, schedulable: list[Machine], tasks: int, now: float) -> Steps:
         """Preempt other work for a job's waiting tasks, if the job may displace any."""
-        if self.preemption.patient(job, self.policy_values.reclaim_after_s, now):
+        if self.preemption.must_wait(job, self.policy_values.reclaim_after_s, now):
             return
         has_lowest_priority = job.rank == len(PRIORITIES) - 1
-        if has_lowest_priority and not (job.guaranteed and self.preemption.borrowers - {job.team}):
+        if has_lowest_priority and not (job.guaranteed and self.preemption.borrowing_teams - {job.team}):
             return
         job.preempt_at = now
         reclaiming_team = self.preemption.reclaims_for(job, now)
         machines = self._machines_to_clear.get((job.type, reclaiming_team))
         if machines is None:
             # similar jobs share one list: examining every machine for each of them is quadratic in the cluster's size
-            machines = yield from self._rank_machines_to_clear(job, ready, reclaiming_team, now)
+            machines = yield from self._rank_machines_to_clear(job, schedulable, reclaiming_team, now)
             self._machines_to_clear[job.type, reclaiming_team] = machines
         self._clear_machines(job, machines, tasks, now)
 
     def _rank_machines_to_clear(
-        self, job: Job, ready: list[Machine], reclaiming_team: int, now: float
+        self, job: Job, schedulable: list[Machine], reclaiming_team: int, now: float
     ) -> Generator[None, None, list[Machine]]:
         """Return the machines where preemption would free capacity for a task of the job, the cheapest last."""
         costs: list[tuple[float, Machine]] = []
-        for examined, machine in enumerate(ready, 1):
+        for examined, machine in enumerate(schedulable, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
-            if self.preemption.hopeless(job, machine, reclaiming_team >= 0):
+            if self.preemption.cannot_free_enough(job, machine, reclaiming_team >= 0):
                 continue
-            eviction = self._eviction_for_one_task(job, machine, now)
+            eviction = self._victims_for_one_task(job, machine, now)
             if eviction is not None:
                 costs.append((eviction[1], machine))
         costs.sort(key=itemgetter(0), reverse=True)
@@ -395,24 +397,24 @@
             now: seconds on the leader's clock.
         """
         to_clear = max(1, min(tasks, MAX_MACHINES_CLEARED))
-        for _ in range(min(len(machines), MAX_MACHINES_TRIED)):
+        for _ in range(min(len(machines), MAX_MACHINES_EXAMINED_TO_CLEAR)):
             if not to_clear or not job.live:
                 return
             machine = machines.pop()
             eviction = (
-                self._eviction_for_one_task(job, machine, now) if self.inventory.is_schedulable(machine, now) else None
+                self._victims_for_one_task(job, machine, now) if self.inventory.is_schedulable(machine, now) else None
             )
             if eviction is not None:
                 to_clear -= 1
                 self._reserve(machine, job, until=now + CLEARED_RESERVATION_S)
                 self.preemption.displace(eviction[0], job, now)
 
-    def _eviction_for_one_task(self, job: Job, machine: Machine, now: float) -> tuple[list[Allocation], float] | None:
+    def _victims_for_one_task(self, job: Job, machine: Machine, now: float) -> tuple[list[Allocation], float] | None:
         """Return what would have to stop on a machine for one task of the job, and the cost of that."""
         if machine.reserved_for is not None or machine.stopping_count:
             return None
         # where the task fits already, it is the template that refuses it, and preemption does not help
-        if fits(job.size, machine.free) or not self.allowed(job, machine):
+        if fits(job.size, machine.free) or not self.satisfies_constraints(job, machine):
             return None
-        eviction = self.preemption.eviction(job, machine, 1, now)
+        eviction = self.preemption.find_victims(job, machine, 1, now)
         return eviction if eviction is not None and eviction[0] else None
--- a/src/grebestand/scheduling/preemption.py
+++ b/src/grebestand/scheduling/preemption.py
@@ -23,7 +23,7 @@
 #: seconds of work that every stop is taken to lose, so that work that has only just begun is not free to stop
 STOP_OVERHEAD_S = 1.0
 #: the same for a task that has not begun to run, on top of the time for which its cores have been idle
-IDLE_OVERHEAD_S = 1.0
+NOT_RUNNING_OVERHEAD_S = 1.0
 #: a job that has just preempted others waits this long before it preempts more: their capacity may not be free yet
 PREEMPTION_INTERVAL_S = 1.0
 
@@ -46,16 +46,16 @@
         super().__init__(context)
         self.ordering = ordering
         #: teams above their guarantee when the pass began: a guarantee is reclaimed from these only
-        self.borrowers: set[int] = set()
+        self.borrowing_teams: set[int] = set()
         #: by machine: its change count, and its tasks with the cost of stopping each, the cheapest first
         self._victims_by_machine: dict[int, tuple[int, list[tuple[float, Allocation]]]] = {}
         self._costs_by_job: dict[Job, PreemptionCost] = {}
 
-    def begin(self) -> None:
+    def begin_pass(self) -> None:
         """Start a full pass: find the teams that borrow."""
-        self.borrowers = {index for index, team in enumerate(self.registry.teams) if team.borrows()}
+        self.borrowing_teams = {index for index, team in enumerate(self.registry.teams) if team.borrows()}
 
-    def forget(self) -> None:
+    def clear_cache(self) -> None:
         """Drop cached costs, which grow with time."""
         self._victims_by_machine = {}
         self._costs_by_job = {}
@@ -79,7 +79,7 @@
             reclaims and not other.guaranteed and other.team != job.team and self.registry.teams[other.team].borrows()
         )
 
-    def may_stop(self, job: Job, victim: Allocation, now: float) -> bool:
+    def may_still_displace(self, job: Job, victim: Allocation, now: float) -> bool:
         """Return whether a victim that was found earlier may still be displaced."""
         return victim.state is not AllocationState.GONE and self._may_displace(
             job, victim, self.reclaims_for(job, now) >= 0
@@ -87,7 +87,7 @@
 
     def reclaims_for(self, job: Job, now: float) -> int:
         """Return the index of the team whose guarantee the job may reclaim from others now, or -1."""
-        others_borrow = job.guaranteed and bool(self.borrowers - {job.team})
+        others_borrow = job.guaranteed and bool(self.borrowing_teams - {job.team})
         return job.team if others_borrow and now - job.wait_since >= self.policy_values.reclaim_after_s else -1
 
     def _ranked_victims(self, machine: Machine, now: float) -> list[tuple[float, Allocation]]:
@@ -114,7 +114,9 @@
             # a gang that was displaced before costs more, so that it is not the cheapest victim again and again
             cpus = (1.0 + job.preemption_count) * tasks * max(job.size[0], 1) / MICRO_UNITS
             checkpoints = job.spec.checkpoint_s > 0
-            is_protected = job.guaranteed or (not checkpoints and self.ordering.tight(job, None, now))
+            is_protected = job.guaranteed or (
+                not checkpoints and self.ordering.stop_would_miss_objective(job, None, now)
+            )
             cost = self._costs_by_job[job] = PreemptionCost(cpus, checkpoints, is_protected)
         return cost
 
@@ -124,19 +126,21 @@
         cost = self._cost_for_job(job, now)
         if victim.run_at is None:
             # its cores have been idle while its image is fetched, which would have to be fetched again elsewhere
-            seconds = IDLE_OVERHEAD_S + now - victim.decided_at
+            seconds = NOT_RUNNING_OVERHEAD_S + now - victim.decided_at
         elif cost.checkpoints:
             seconds = job.spec.save_s + SAVE_MARGIN_S
         else:
             seconds = now - victim.run_at
-        is_protected = cost.is_protected or (cost.checkpoints and self.ordering.tight(job, victim.run_at, now))
+        is_protected = cost.is_protected or (
+            cost.checkpoints and self.ordering.stop_would_miss_objective(job, victim.run_at, now)
+        )
         return (PROTECTED_WEIGHT if is_protected else 1.0) * cost.cpus * (STOP_OVERHEAD_S + seconds)
 
-    def hopeless(self, job: Job, machine: Machine, reclaims: bool) -> bool:
+    def cannot_free_enough(self, job: Job, machine: Machine, reclaims: bool) -> bool:
         """Return whether displacing all that the job may displace on a machine frees too little for one task.
 
         This is a quick check of CPUs by priority and team, which rules out most machines. It may return False where
-        `eviction` finds nothing, never True where it finds something.
+        `find_victims` finds nothing, never True where it finds something.
         """
         if machine.stopping_count:
             return False
@@ -145,11 +149,11 @@
             cpus += sum(
                 used
                 for (rank, team), used in machine.team_cpus.items()
-                if rank == job.rank and team != job.team and team in self.borrowers
+                if rank == job.rank and team != job.team and team in self.borrowing_teams
             )
         return cpus < job.size[0]
 
-    def eviction(self, job: Job, machine: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
+    def find_victims(self, job: Job, machine: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
         """Return the cheapest victims on a machine that free capacity for so many tasks, and their cost.
 
         Returns:
@@ -190,6 +194,6 @@
                 self.dispatch.stop(victim, "preempted", grace_s, now)
 
     @staticmethod
-    def patient(job: Job, after_s: float, now: float) -> bool:
+    def must_wait(job: Job, after_s: float, now: float) -> bool:
         """Return whether the job should wait longer before any work is preempted for it."""
         return now - job.wait_since < after_s or now - job.preempt_at < PREEMPTION_INTERVAL_S
--- a/src/grebestand/scheduling/scale_out.py
+++ b/src/grebestand/scheduling/scale_out.py
@@ -70,7 +70,7 @@
         shortages: list[CapacityShortage] = []
         for pool in sorted(pools, key=lambda pool: pool.spot):
             offered = self.inventory.machine_types.get(pool.machine_type)
-            if offered is None or not any(pool.takes(slot) for slot in slots):
+            if offered is None or not any(pool.accepts(slot) for slot in slots):
                 continue
             zones = (pool.zone,) if pool.zone >= 0 else tuple(self.registry.zones.index(z) for z in offered.zones)
             shortages.append(CapacityShortage(pool.machine_type, pool.spot, missing, zones))
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -55,15 +55,15 @@
         self.retargeted_at = now
         self.view.policy_values = self.view.evaluate_policy()
         yield from self.targets.set(now)
-        self.placement.forget()
-        self.gangs.forget()
-        self.preemption.forget()
+        self.placement.clear_cache()
+        self.gangs.clear_cache()
+        self.preemption.clear_cache()
         yield from self.images.measure()
         yield
         if spare and self.view.policy_values.migrate:
             self.migration.migrate(now)
             yield
-        self.pending_reasons.tell(now)
+        self.pending_reasons.log_if_due(now)
 
     def fill(self, machine: Machine, now: float) -> None:
         """Fill the free capacity of a machine after its heartbeat."""
@@ -77,34 +77,34 @@
     def full_pass_steps(self, now: float) -> Steps:
         """Run a full pass in steps: every waiting job, over every usable machine."""
         for failed in [j for j in self.registry.jobs.values() if j.avoid]:
-            MachineHealth.look_again(failed, now)
+            MachineHealth.clear_expired_failures(failed, now)
         waiting = [j for j in self.registry.waiting_jobs() if now >= j.retry_at and j.startable() > 0]
         if not waiting:
-            self.placement.end([])
+            self.placement.end_pass([])
             return
         self._sort_by_urgency(waiting, now)
         self._begin_pass()
-        reserving_jobs = self._expire_reservations(now)
-        ready = [m for m in self.inventory.machines if self.inventory.is_schedulable(m, now)]
+        jobs_with_reservations = self._expire_reservations(now)
+        schedulable = [m for m in self.inventory.machines if self.inventory.is_schedulable(m, now)]
         turn = self.view.turn
         # most machines have no free capacity for any of the single tasks; those whose heartbeat frees some meanwhile
         # are filled by `fill`
         smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
-        roomy = [m for m in ready if m.free[0] >= smallest_cpus]
+        with_capacity = [m for m in schedulable if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
             if self.view.turn != turn:
                 turn = self.view.turn
-                ready = [m for m in ready if self.inventory.is_schedulable(m, now)]
-                roomy = [m for m in ready if m.free[0] >= smallest_cpus]
+                schedulable = [m for m in schedulable if self.inventory.is_schedulable(m, now)]
+                with_capacity = [m for m in schedulable if m.free[0] >= smallest_cpus]
             if self._must_wait(job, now):
                 continue
-            has_reserved = job.spec.id in reserving_jobs
+            has_reservation = job.spec.id in jobs_with_reservations
             if job.gang:
-                yield from self.gangs.place(job, ready, now, has_reserved)
+                yield from self.gangs.place(job, schedulable, now, has_reservation)
             else:
-                yield from self.placement.place(job, roomy, ready, now, has_reserved)
-        self.placement.end(waiting)
+                yield from self.placement.place(job, with_capacity, schedulable, now, has_reservation)
+        self.placement.end_pass(waiting)
 
     def _sort_by_urgency(self, waiting: list[Job], now: float) -> None:
         """Sort waiting jobs in the order of service."""
@@ -114,9 +114,9 @@
 
     def _begin_pass(self) -> None:
         """Reset what holds for one pass only."""
-        self.preemption.begin()
-        self.placement.begin()
-        self.gangs.begin()
+        self.preemption.begin_pass()
+        self.placement.begin_pass()
+        self.gangs.begin_pass()
         for team in self.registry.teams:
             team.limit_reserved_for = ""
 
@@ -125,17 +125,17 @@
 
         A job whose reservation has just expired is returned as well: its machines are looked up in the ordinary way.
         """
-        reserving_jobs: set[str] = set()
+        jobs_with_reservations: set[str] = set()
         for machine in self.inventory.machines:
             if machine.reserved_for is None:
                 continue
             if machine.reserved_for in self.inventory.reserved_for_remote and now < machine.reserved_until:
                 continue
-            reserving_jobs.add(machine.reserved_for)
+            jobs_with_reservations.add(machine.reserved_for)
             job = self.registry.jobs.get(machine.reserved_for)
             if now >= machine.reserved_until or job is None or not job.live or job.waiting() == 0:
                 machine.reserved_for = None
-        return reserving_jobs
+        return jobs_with_reservations
 
     def _must_wait(self, job: Job, now: float) -> bool:
         """Return whether a pass skips a job: it has changed since the pass began, or a feature vetoes it."""
--- a/src/grebestand/scheduling/scheduling_context.py
+++ b/src/grebestand/scheduling/scheduling_context.py
@@ -81,7 +81,7 @@
         """Reserve a machine for one job, so that until then no other job is started there."""
         machine.reserved_for, machine.reserved_until = job.spec.id, until
 
-    def _cached_table(self, tables: dict[K, dict[int, V]], key: K) -> dict[int, V]:
+    def _get_or_create_table(self, tables: dict[K, dict[int, V]], key: K) -> dict[int, V]:
         """Return the table cached under a key; a new one replaces the oldest if there are too many."""
         table = tables.get(key)
         if table is None:
--- a/src/grebestand/scheduling/stragglers.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -30,24 +30,24 @@
 #: with this many samples a machine's estimate is used to prefer other machines, before it suffices to drain it
 MIN_SAMPLES_FOR_SLOWNESS = 4
 #: samples have to be of at least this many jobs before a machine is drained
-MIN_JOBS = 2
+MIN_SAMPLED_JOBS = 2
 #: the variance of fewer samples is not defined
 MIN_SAMPLES_FOR_VARIANCE = 2
 #: by how many standard errors the mean has to exceed the bound
 STANDARD_ERRORS = 2
 #: at most one in this many machines is drained for its speed at a time
-MACHINES_PER_DRAIN = 20
+MACHINES_PER_SLOW_DRAIN = 20
 
 
 class RunTimeSamples:
     """Mean and variance of one machine's samples (Welford's method)."""
 
-    __slots__ = ("count", "jobs", "mean", "squares")
+    __slots__ = ("count", "jobs", "mean", "squared_deviations")
 
     def __init__(self) -> None:
         self.count = 0
         #: mean of the samples, and sum of their squared differences from it
-        self.mean = self.squares = 0.0
+        self.mean = self.squared_deviations = 0.0
         #: the first jobs that samples came from, no more than matter
         self.jobs: set[str] = set()
 
@@ -56,15 +56,15 @@
         self.count += 1
         delta = value - self.mean
         self.mean += delta / self.count
-        self.squares += delta * (value - self.mean)
-        if len(self.jobs) < MIN_JOBS:
+        self.squared_deviations += delta * (value - self.mean)
+        if len(self.jobs) < MIN_SAMPLED_JOBS:
             self.jobs.add(job_id)
 
-    def surely_above(self, bound: float) -> bool:
+    def significantly_above(self, bound: float) -> bool:
         """Return whether the mean exceeds the bound by two standard errors."""
         if self.count < MIN_SAMPLES_FOR_VARIANCE:
             return False
-        standard_error = math.sqrt(self.squares / (self.count - 1) / self.count)
+        standard_error = math.sqrt(self.squared_deviations / (self.count - 1) / self.count)
         return self.mean - STANDARD_ERRORS * standard_error > bound
 
 
@@ -94,7 +94,7 @@
             return
         run_time_s = now - allocation.run_at
         others = [(index, seconds) for index, seconds in job.runs if index != machine.index]
-        self._remember(job, machine, run_time_s)
+        self._append_run_time(job, machine, run_time_s)
         if len(others) < MIN_OTHER_TASKS or len({index for index, _ in others}) < MIN_OTHER_MACHINES:
             return
         samples = self._samples.setdefault(machine.index, RunTimeSamples())
@@ -102,27 +102,27 @@
         samples.add(math.log(ratio), job.spec.id)
         if samples.count >= MIN_SAMPLES_FOR_SLOWNESS:
             machine.slowness = max(1.0, math.exp(samples.mean))
-        if self._is_surely_slow(samples):
+        if self._is_significantly_slow(samples):
             self._drain(machine, samples, now)
 
     @staticmethod
-    def _remember(job: Job, machine: Machine, run_time_s: float) -> None:
+    def _append_run_time(job: Job, machine: Machine, run_time_s: float) -> None:
         """Keep a run time with its job, in place of the oldest if there are too many."""
         if len(job.runs) >= MAX_RUN_TIMES:
             job.runs.pop(0)
         job.runs.append((machine.index, run_time_s))
 
-    def _is_surely_slow(self, samples: RunTimeSamples) -> bool:
+    def _is_significantly_slow(self, samples: RunTimeSamples) -> bool:
         """Return whether a machine's samples suffice to drain it."""
-        enough = samples.count >= self.min_samples and len(samples.jobs) >= MIN_JOBS
-        return enough and samples.surely_above(math.log(self.slow_ratio))
+        enough = samples.count >= self.min_samples and len(samples.jobs) >= MIN_SAMPLED_JOBS
+        return enough and samples.significantly_above(math.log(self.slow_ratio))
 
     def _drain(self, machine: Machine, samples: RunTimeSamples, now: float) -> None:
         """Drain a slow machine, unless too many are being drained: it is placed last until those are gone."""
         if machine.drain is not None:
             return
         draining = sum(1 for other in self.inventory.machines if other.drain == DRAIN_SLOW)
-        if draining >= max(1, len(self.inventory.machines) // MACHINES_PER_DRAIN):
+        if draining >= max(1, len(self.inventory.machines) // MACHINES_PER_SLOW_DRAIN):
             return
         log.warning(
             LogEvent(
--- a/src/grebestand/scheduling/template_targets.py
+++ b/src/grebestand/scheduling/template_targets.py
@@ -10,13 +10,13 @@
 from ..cluster_state.machine import Machine
 from ..cluster_state.resources import MICRO_UNITS, Resources, dominant_share
 from ..cluster_state.slots import SlotTemplate
-from .greedy import Pool, ServerDemand, TemplateAssignment, cra_steps, gpa
+from .greedy import PlanEntry, Pool, TemplateAssignment, cra_steps, gpa
 from .planning import MachinePools, TypeDemand
 from .scale_out import ScaleOut
 from .scheduling_context import MACHINES_PER_STEP, SchedulingComponent, SchedulingContext, Steps
 
 #: how long a type without tasks keeps its spare slots, so that short gaps between jobs do not change templates
-TYPE_MEMORY_S = 60.0
+INACTIVE_TYPE_RETENTION_S = 60.0
 #: a type's payoff grows with its share of a machine, which counts for at least this much
 MIN_SHARE = 1e-6
 #: capacity of a machine while none has reported its own: one CPU, one card, one gigabyte
@@ -56,7 +56,7 @@
             waiting = min(job.wanted(), team.headroom(job.size))
             counts[job.type] = counts.get(job.type, 0) + len(job.allocations) + waiting
         registered = self.registry.types
-        types = [i for i, t in enumerate(registered) if i in counts or now - t.seen_at < TYPE_MEMORY_S]
+        types = [i for i, t in enumerate(registered) if i in counts or now - t.seen_at < INACTIVE_TYPE_RETENTION_S]
         types.sort(key=lambda i: (registered[i].rank, i))
         capacity = self._largest_capacity()
         slots = []
@@ -88,8 +88,8 @@
             template = machine.template
             config = tuple(template[index] if index < len(template) else 0 for index in demand.types)
             empty, holds = self._held(machine, demand)
-            assignments.append(TemplateAssignment(pool, config, empty, holds, tag=machine.index))
-        assignments.sort(key=lambda a: (a.empty, a.tag))
+            assignments.append(TemplateAssignment(pool, config, empty, holds, machine_index=machine.index))
+        assignments.sort(key=lambda a: (a.empty, a.machine_index))
         return assignments
 
     def _apply(self, assignments: list[TemplateAssignment], demand: TypeDemand, turn: int) -> Steps:
@@ -103,16 +103,16 @@
         for examined, assignment in enumerate(assignments, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
-            machine = self.inventory.at(assignment.tag)
+            machine = self.inventory.at(assignment.machine_index)
             if machine is None:
                 continue  # it was removed while the plan was computed
-            machine.rank, machine.in_accept_group = assignment.rank, assignment.accept
+            machine.rank, machine.in_accept_group = assignment.rank, assignment.in_accept_group
             if not assignment.changed:
                 continue
             if self.context.turn != turn:
                 # its tasks may have changed since, and nothing is to be preempted for a template
-                assignment.empty, assignment.holds = self._held(machine, demand)
-                if not assignment.may_become(assignment.config):
+                assignment.empty, assignment.tasks_by_type = self._held(machine, demand)
+                if not assignment.can_take_config(assignment.config):
                     continue
             template = [0] * demand.registered_types
             for slots, index in zip(assignment.config, demand.types, strict=True):
@@ -141,7 +141,7 @@
         return tuple(counts)
 
     @staticmethod
-    def _plan(demand: TypeDemand, pools: MachinePools) -> list[ServerDemand]:
+    def _plan(demand: TypeDemand, pools: MachinePools) -> list[PlanEntry]:
         """Return the greedy plan for tasks that run and wait, then for spare slots on the machines that are left.
 
         The paper adds the spare slots (g) to every type before it assigns machines. With g in the first round, a type
--- a/tests/scheduling/test_gang_lifecycle.py
+++ b/tests/scheduling/test_gang_lifecycle.py
@@ -115,7 +115,7 @@
     cluster.settle(term, 4)
     waiting = [cluster.accept(controller, shape="ensemble", shards=n, cpus=16.0) for n in (2, 2, 1, 1, 2, 1)]
     looked: list[str] = []
-    offers = term.scheduler.gangs.offers
+    offers = term.scheduler.gangs.candidates_on
 
     def counted(
         job: Job, machine: Machine, capacities: dict[int, tuple[int, list[GangPlacement]]], now: float
@@ -123,7 +123,7 @@
         looked.append(job.spec.id)
         return offers(job, machine, capacities, now)
 
-    monkeypatch.setattr(term.scheduler.gangs, "offers", counted)
+    monkeypatch.setattr(term.scheduler.gangs, "candidates_on", counted)
     term.scheduler.place(cluster.clock.now)
     assert len(set(looked)) <= 2
     assert all("not all slots" in term.registry.jobs[i].why_waiting for i in waiting)
--- a/tests/scheduling/test_gang_scheduling.py
+++ b/tests/scheduling/test_gang_scheduling.py
@@ -63,15 +63,15 @@
     """In an empty cluster of thousands every gang examined every machine, though the first ones would do."""
     cluster = scheduling_cluster(12, monkeypatch, WIDE_LIMIT_SETTINGS)
     scheduler = cluster.term.scheduler
-    monkeypatch.setattr(gang_scheduling, "ENOUGH", 2)
+    monkeypatch.setattr(gang_scheduling, "SUFFICIENT_CHEAPEST_SLOTS", 2)
     examined: set[int] = set()
-    offers = scheduler.gangs.offers
+    offers = scheduler.gangs.candidates_on
 
     def recorded(job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidate]:
         examined.add(machine.index)
         return offers(job, machine, table, now)
 
-    monkeypatch.setattr(scheduler.gangs, "offers", recorded)
+    monkeypatch.setattr(scheduler.gangs, "candidates_on", recorded)
     accept_gang(cluster, tasks=1, cpus=15.0)
     scheduler.place(cluster.now)
     assert len(examined) == 4  # four times as many as its tasks
--- a/tests/scheduling/test_greedy.py
+++ b/tests/scheduling/test_greedy.py
@@ -5,10 +5,10 @@
 import dataclasses
 import random
 
-from grebestand.scheduling.greedy import ServerDemand, TemplateAssignment, cra
+from grebestand.scheduling.greedy import PlanEntry, TemplateAssignment, cra
 
 
-def plain_cra(assignments: list[TemplateAssignment], plan: list[ServerDemand]) -> int:
+def plain_cra(assignments: list[TemplateAssignment], plan: list[PlanEntry]) -> int:
     """Algorithm 2 as plainly as it can be written: every entry of the plan examines every machine."""
     worst_rank = first_short = len(plan) + 1
     for assignment in assignments:
@@ -22,7 +22,9 @@
         missing = max(0, demand.count - len(configured))
         wanted_later = {later.config for later in plan[rank:] if later.pool == demand.pool}
         convertible = [
-            a for a in assignments if a.pool == demand.pool and a.rank == worst_rank and a.may_become(demand.config)
+            a
+            for a in assignments
+            if a.pool == demand.pool and a.rank == worst_rank and a.can_take_config(demand.config)
         ]
         convertible.sort(key=lambda a: (not a.empty, a.config in wanted_later))
         for assignment in convertible[:missing]:
@@ -34,11 +36,13 @@
 
 def random_assignments(rng: random.Random, configs: list[tuple[int, int]]) -> list[TemplateAssignment]:
     assignments = []
-    for tag in range(12):
+    for machine_index in range(12):
         empty = rng.random() < 0.5
         holds = () if empty else rng.choice([(), (1, 0), (0, 1), (1, 1)])
-        assignments.append(TemplateAssignment(rng.randrange(2), rng.choice(configs), empty, holds, tag=tag))
-    assignments.sort(key=lambda a: (a.empty, a.tag))
+        assignments.append(
+            TemplateAssignment(rng.randrange(2), rng.choice(configs), empty, holds, machine_index=machine_index)
+        )
+    assignments.sort(key=lambda a: (a.empty, a.machine_index))
     return assignments
 
 
@@ -48,7 +52,7 @@
     for _ in range(200):
         configs = [(rng.randrange(3), rng.randrange(3)) for _ in range(4)]
         assignments = random_assignments(rng, configs)
-        plan = [ServerDemand(rng.randrange(2), rng.choice(configs), rng.randrange(1, 6)) for _ in range(4)]
+        plan = [PlanEntry(rng.randrange(2), rng.choice(configs), rng.randrange(1, 6)) for _ in range(4)]
         plain = [dataclasses.replace(a) for a in assignments]
         assert cra(assignments, plan) == plain_cra(plain, plan)
         assert [(a.config, a.rank) for a in assignments] == [(a.config, a.rank) for a in plain]
--- a/tests/scheduling/test_pending_reasons.py
+++ b/tests/scheduling/test_pending_reasons.py
@@ -34,10 +34,10 @@
     reasons = cluster.term.scheduler.pending_reasons
     reasons._summarised_at = cluster.now
     caplog.clear()
-    reasons.tell(cluster.now)
+    reasons.log_if_due(cluster.now)
     assert not logged_events(caplog.records, "cluster_summarised")
     cluster.world.clock.now += WAIT_S
-    reasons.tell(cluster.now)
+    reasons.log_if_due(cluster.now)
     (summary,) = logged_events(caplog.records, "cluster_summarised")
     assert (summary["machines"], summary["ready"], summary["jobs_waiting"]) == (1, 1, 0)
 
--- a/tests/scheduling/test_placement_functions.py
+++ b/tests/scheduling/test_placement_functions.py
@@ -52,21 +52,21 @@
     plan = gpa([slot(15, 4.0), slot(1, 1 / 16)], [3.0, 3.0], [POOL], [4])
     assert [(share.config, share.count) for share in plan] == [(new, 3)]
     assignments = [
-        TemplateAssignment(0, old, False, tag=0),
-        TemplateAssignment(0, old, False, tag=1),
-        TemplateAssignment(0, old, True, tag=2),
-        TemplateAssignment(0, new, False, tag=3),
+        TemplateAssignment(0, old, False, machine_index=0),
+        TemplateAssignment(0, old, False, machine_index=1),
+        TemplateAssignment(0, old, True, machine_index=2),
+        TemplateAssignment(0, new, False, machine_index=3),
     ]
     first_short = cra(assignments, plan)
     assert first_short == 1  # two of three: the busy machines cannot follow
     assert [assignment.config for assignment in assignments] == [old, old, new, new]
-    assert [assignment.accept for assignment in assignments] == [False, False, True, True]
+    assert [assignment.in_accept_group for assignment in assignments] == [False, False, True, True]
     assert [assignment.changed for assignment in assignments] == [False, False, True, False]
 
 
 def test_cra_puts_machines_beyond_the_greedy_count_into_the_reject_group() -> None:
     config = (16,)
     plan = gpa([slot(1, 1.0)], [20.0], [POOL], [4])
-    assignments = [TemplateAssignment(0, config, False, tag=i) for i in range(4)]
+    assignments = [TemplateAssignment(0, config, False, machine_index=i) for i in range(4)]
     cra(assignments, plan)
-    assert [assignment.accept for assignment in assignments] == [True, True, False, False]
+    assert [assignment.in_accept_group for assignment in assignments] == [True, True, False, False]
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -21,13 +21,13 @@
     for job_id in high:
         cluster.job(job_id).wait_since -= 60.0
     examined: list[str] = []
-    eviction = scheduler.preemption.eviction
+    eviction = scheduler.preemption.find_victims
 
     def recorded(job: Job, machine: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
         examined.append(job.spec.id)
         return eviction(job, machine, tasks, now)
 
-    monkeypatch.setattr(scheduler.preemption, "eviction", recorded)
+    monkeypatch.setattr(scheduler.preemption, "find_victims", recorded)
     scheduler.place(cluster.now)
     reserved = {machine.reserved_for for machine in cluster.term.inventory.machines} - {None}
     assert len(reserved) == 4 and reserved <= set(high)  # a machine each, and no machine for two of them
--- a/tools/account.py
+++ b/tools/account.py
@@ -65,9 +65,9 @@
     (ScaleOut, ["measure"]),
     (ImageLocality, ["measure"]),
     (Migration, ["migrate"]),
-    (GangScheduling, ["place", "offers"]),
+    (GangScheduling, ["place", "candidates_on"]),
     (Placement, ["place", "_preempt_for"]),
-    (PendingReasons, ["tell"]),
+    (PendingReasons, ["log_if_due"]),
 ]
 
 
