--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -156,11 +156,11 @@
         if self._similar_is_unplaceable(job, shape) and not has_reservation and not reserves_free:
             job.why_waiting = NO_GANG_SLOTS_REASON
             return
-        turn = self.context.turn
+        turn = self.context.slice_number
         table = self._table_for(job, now)
         candidates = yield from self._find_candidates(job, schedulable, table, now)
         selection = GangSelection(candidates, self.select_shares(job, candidates))
-        if self.context.turn != turn:
+        if self.context.slice_number != turn:
             if not self._replace_outdated(job, selection, table, now):
                 job.why_waiting = "its machines changed while it was placed"
                 return
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -142,7 +142,7 @@
         if self._startable_tasks(job) <= 0:
             job.why_waiting = "team limit"
             return
-        turn = self.context.turn
+        turn = self.context.slice_number
         options = yield from self._find_options(job, with_capacity, now, has_reservation)
         options.sort(key=attrgetter("preference"))
         if job.spec.one_zone and options:
@@ -242,7 +242,7 @@
             if started_in_step >= STARTS_PER_STEP:
                 started_in_step = 0
                 yield
-            if self.context.turn != turn:
+            if self.context.slice_number != turn:
                 tasks = self._slots_still_free(job, machine, now)
                 wanted = placed + self._startable_tasks(job)
                 if job.spec.spread:
@@ -260,13 +260,13 @@
     def _start_tasks(self, job: Job, machine: Machine, count: int, now: float) -> int:
         """Start up to `count` waiting tasks of the job on a machine, and return how many were started."""
         for started in range(count):
-            fresh = job.fresh
+            fresh = job.first_unallocated
             index = job.take()
             if index is None:
                 return started
             job.started_at = now
             allocation = self.dispatch.start(job, index, machine, self.dispatch.next_attempt(), now)
-            allocation.first = job.fresh > fresh
+            allocation.first = job.first_unallocated > fresh
         return count
 
     def satisfies_constraints(self, job: Job, machine: Machine) -> bool:
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -86,15 +86,15 @@
         self._begin_pass()
         jobs_with_reservations = self._expire_reservations(now)
         schedulable = [m for m in self.inventory.machines if self.inventory.is_schedulable(m, now)]
-        turn = self.view.turn
+        turn = self.view.slice_number
         # most machines have no free capacity for any of the single tasks; those whose heartbeat frees some meanwhile
         # are filled by `fill`
         smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
         with_capacity = [m for m in schedulable if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
-            if self.view.turn != turn:
-                turn = self.view.turn
+            if self.view.slice_number != turn:
+                turn = self.view.slice_number
                 schedulable = [m for m in schedulable if self.inventory.is_schedulable(m, now)]
                 with_capacity = [m for m in schedulable if m.free[0] >= smallest_cpus]
             if self._must_wait(job, now):
