--- a/src/grebestand/scheduling/__init__.py
+++ b/src/grebestand/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Scheduling decisions: slot templates, bin packing, gangs, preemption, migration and scale out."""
+"""Scheduling decisions: slot templates, placement, gangs, preemption, migration and scale-out."""
--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -1,4 +1,4 @@
-"""Gang scheduling: all tasks of a gang start at once or none does, on the cheapest machines, with preemption."""
+"""Gang scheduling: starts all tasks of a gang at once or none, on the cheapest machines, with preemption if needed."""
 
 from __future__ import annotations
 
@@ -20,22 +20,23 @@
 
 log = logging.getLogger(__name__)
 
-#: how long a machine stays reserved for a gang: longer than stopped tasks take to save, and several passes
+#: How long a machine stays reserved for a gang: longer than several passes, and than stopped tasks take to save.
 RESERVATION_S = 20.0
-#: how long gangs avoid a machine after a failure on it: one bad machine costs the whole gang its start
+#: How long gangs avoid a machine after a failure there: one faulty machine makes the start of the whole gang fail.
 GANG_PROBATION_S = 30.0
-#: a core that idles while an image is fetched also delays its job, so it counts for more than a lost second of work
+#: Cost of a core that is idle during an image fetch, relative to a lost second of work: an idle core also delays the
+#: job.
 IDLE_CPU_WEIGHT = 2.0
-#: CPU seconds added to the cost of each task for which others are stopped: capacity that is free now starts sooner
+#: CPU seconds added to the cost of each task that needs preemption, since tasks start sooner on free capacity.
 PREEMPTION_DELAY_CPU_S = 5.0
-#: if the slowest image fetch of a gang takes more than this share of the time for which workers let tasks wait for
-#: their gang, the tasks that need no fetch start later
+#: If the slowest image fetch of a gang takes more than this share of the time for which workers hold a started task
+#: for its gang, the tasks that need no fetch are started later.
 UNEVEN_FETCH_SHARE = 0.5
-#: free slots in one zone at the lowest possible cost that are enough to choose from: the search may stop there
+#: The search for machines may end once it has found this many free slots at the lowest possible cost in one zone.
 SUFFICIENT_CHEAPEST_SLOTS = 200
-#: the same, as a multiple of the gang's tasks
+#: The search for machines also continues until such slots number this many times the gang's tasks.
 SUFFICIENT_CHEAPEST_SLOTS_PER_TASK = 4
-#: how often a choice is repaired for machines that changed during the search
+#: How many times machines that changed during the search may be replaced before the pass gives up on the gang.
 MAX_RESELECTIONS = 3
 NO_GANG_SLOTS_REASON = "not all slots are free at once, nor can they be cleared in one zone"
 
@@ -45,17 +46,17 @@
     """Slots for a gang's tasks on one machine, whatever the gang's image."""
 
     tasks: int
-    #: what has to be stopped first
+    #: Allocations to stop before the gang's tasks can start.
     victims: list[Allocation]
-    #: CPU seconds lost, for each task
+    #: CPU seconds lost per task of the gang.
     cost: float
-    #: whether the slots are free now; without victims they may still have to wait for tasks that were stopped before
+    #: Whether the slots are free now. Slots without victims may still wait for tasks that are already being stopped.
     free_now: bool = False
 
 
 @dataclass(frozen=True)
 class GangCandidate:
-    """Slots for a gang's tasks on one machine, as of a change count, with the cost of fetching the image included."""
+    """Slots for a gang's tasks on one machine, valid for one change count; the cost includes fetching the image."""
 
     machine: Machine
     change_count: int
@@ -66,7 +67,7 @@
 
 
 class GangShare(NamedTuple):
-    """How many of a gang's tasks are to start on one machine."""
+    """The number of a gang's tasks to start on one machine."""
 
     candidate: GangCandidate
     tasks: int
@@ -74,24 +75,24 @@
 
 @dataclass
 class GangSelection:
-    """The candidates that a search found, and the shares chosen from them: None if they are not enough."""
+    """The candidates that a search found, and the shares selected from them (None: the candidates do not suffice)."""
 
     candidates: list[GangCandidate]
     shares: list[GangShare] | None
 
 
-#: gangs that find the same slots: their type, whether bound to one zone, whether spread, and the team that reclaims
-#: its guarantee
+#: What determines the slots that a gang can find, whatever its size: its task type, whether it is bound to one zone,
+#: whether it is spread over zones, and the team that reclaims its guarantee (-1: none).
 GangShape = tuple[int, bool, bool, int]
-#: by machine: its change count when it was examined, and the slots it had
+#: By machine index: the change count when the machine was examined, and the placements found there.
 PlacementTable = dict[int, tuple[int, list[GangPlacement]]]
 
-#: entry of a machine that was not examined yet; real change counts are not negative
+#: Table entry of a machine that has not been examined; real change counts are not negative.
 NOT_EXAMINED: tuple[int, list[GangPlacement]] = (-1, [])
 
 
 class GangScheduling(SchedulingComponent):
-    """Starts gangs whole, or preempts other work and reserves machines for them."""
+    """Starts all tasks of a gang together, or preempts other work and reserves machines for the gang."""
 
     def __init__(
         self,
@@ -105,46 +106,49 @@
         """Build the component.
 
         Args:
-            context: what all scheduling components share.
-            images: where images are, and how long fetching them takes.
-            preemption: finds and stops work that a gang may displace.
-            placement: a job's constraints and preferences for machines.
-            gang_wait_s: how long workers let a started task wait for the rest of its gang.
+            context: The state and services that all scheduling components share.
+            images: Estimates how long fetching an image takes.
+            preemption: Finds and stops work that a gang may displace.
+            placement: Checks a job's constraints and ranks machines for it.
+            gang_wait_s: Seconds for which a worker holds a started task until the rest of its gang is ready.
         """
         super().__init__(context)
         self.images = images
         self.preemption = preemption
         self.placement = placement
         self.gang_wait_s = gang_wait_s
-        #: tasks and size of the smallest gang that this pass could not fit
+        #: By shape, the number and size of tasks of the smallest gang that this pass could not place.
         self._smallest_unplaceable: dict[GangShape, tuple[int, Resources]] = {}
-        #: borrowing teams for which the cached tables are valid
+        #: The borrowing teams for which the cached tables are valid.
         self._borrowing_teams: set[int] = set()
-        #: the overdue gang for which this pass reserves free machines
+        #: Id of the overdue gang for which this pass reserves free machines; empty if there is none.
         self._overdue_gang = ""
-        #: what was found on machines, by everything about a gang that matters but its image
+        #: Cached placements by machine. The key holds all properties of a gang that the placements depend on.
         self._tables: dict[tuple[object, ...], PlacementTable] = {}
 
     def begin_pass(self) -> None:
-        """Start a full pass."""
+        """Reset the state of the previous pass, and discard cached tables if other teams borrow now."""
         self._smallest_unplaceable = {}
         self._overdue_gang = ""
         if self.preemption.borrowing_teams != self._borrowing_teams:
             self.clear_cache()
 
     def clear_cache(self) -> None:
-        """Drop cached tables: time has passed, so that costs are higher, or other teams borrow."""
+        """Discard cached tables, because costs have grown with time or the set of borrowing teams has changed."""
         self._tables = {}
         self._borrowing_teams = set(self.preemption.borrowing_teams)
 
     def place(self, job: Job, schedulable: list[Machine], now: float, has_reservation: bool) -> Steps:
-        """Start a gang whole, or preempt other work for it, or note why it waits.
+        """Start a whole gang, preempt other work for it, or record why the gang waits.
 
         Args:
-            job: a gang.
-            schedulable: all usable machines.
-            now: seconds on the leader's clock.
-            has_reservation: whether machines are reserved for this gang.
+            job: A gang.
+            schedulable: All schedulable machines.
+            now: Seconds on the leader's clock.
+            has_reservation: Whether machines are reserved for this gang.
+
+        Yields:
+            Nothing; other work may run at each yield.
         """
         is_overdue = self.preemption.ordering.overdue(job, now, self.policy_values.begin_after_s)
         if not self._may_start(job):
@@ -156,11 +160,11 @@
         if self._similar_is_unplaceable(job, shape) and not has_reservation and not reserves_free:
             job.why_waiting = NO_GANG_SLOTS_REASON
             return
-        turn = self.context.slice_number
+        slice_number = self.context.slice_number
         table = self._table_for(job, now)
         candidates = yield from self._find_candidates(job, schedulable, table, now)
         selection = GangSelection(candidates, self.select_shares(job, candidates))
-        if self.context.slice_number != turn:
+        if self.context.slice_number != slice_number:
             if not self._replace_outdated(job, selection, table, now):
                 job.why_waiting = "its machines changed while it was placed"
                 return
@@ -178,7 +182,10 @@
             self._clear(job, selection.shares, now)
 
     def _may_start(self, job: Job) -> bool:
-        """Return whether none of the gang's tasks may run anywhere and its team's limit admits all of them."""
+        """Return whether the gang may start now; otherwise record why it waits.
+
+        None of the gang's tasks may still run anywhere, and the team's limit must admit all of them.
+        """
         if not job.live or not job.startable():
             return False
         if job.allocations:
@@ -194,39 +201,39 @@
         return True
 
     def _keep_team_limit(self, job: Job) -> None:
-        """Keep what is left of its team's limit for an overdue gang that this limit alone keeps from starting.
+        """Reserve the rest of the team's limit for an overdue gang that cannot start because of this limit.
 
-        Smaller jobs of its team would use up the limit again and again.
+        Without the reservation, smaller jobs of the same team could use up the limit indefinitely.
         """
         team = self.registry.teams[job.team]
         if not team.limit_reserved_for and job.startable() and team.headroom(job.size) < job.spec.tasks:
             team.limit_reserved_for = job.spec.id
 
     def _similar_is_unplaceable(self, job: Job, shape: GangShape) -> bool:
-        """Return whether this pass could not fit a gang of the same shape that was no larger.
+        """Return whether this pass could not place a gang of the same shape that was no larger.
 
-        Nothing within a pass frees capacity for such a gang, and each search takes milliseconds.
+        Searching again would be futile, as no capacity for the gang is freed within a pass, and takes milliseconds.
         """
         tasks, size = self._smallest_unplaceable.get(shape, (job.spec.tasks + 1, job.size))
         return job.spec.tasks >= tasks and fits(size, job.size)
 
     def _must_not_preempt_yet(self, job: Job, now: float) -> bool:
-        """Return whether a gang should go on waiting before other work is stopped for it."""
+        """Return whether a gang must wait longer before other work is stopped for it."""
         return self.preemption.must_wait(job, self.policy_values.preempt_after_s, now)
 
     def _find_candidates(
         self, job: Job, schedulable: list[Machine], table: PlacementTable, now: float
     ) -> Generator[None, None, list[GangCandidate]]:
-        """Return what machines could do for a gang; the search ends early once there is enough of the cheapest."""
+        """Return the candidates for a gang; the search ends early once it has found enough slots of the lowest cost."""
         candidates: list[GangCandidate] = []
-        #: by zone, tasks that could start now at the lowest cost there can be
+        #: By zone, the number of free slots at the lowest possible cost.
         cheapest_slots: dict[int, int] = {}
         lowest_cost = IDLE_CPU_WEIGHT * self.images.min_fetch_s(job) * job.size[0] / MICRO_UNITS
         enough = max(SUFFICIENT_CHEAPEST_SLOTS, SUFFICIENT_CHEAPEST_SLOTS_PER_TASK * job.spec.tasks)
         for examined, machine in enumerate(schedulable, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
-            # `candidates_on` looks this up as well: most machines have nothing, and are skipped here without a call
+            # `candidates_on` makes the same lookup. Most machines have no slots, and skipping them here saves the call.
             change_count, placements = table.get(machine.index, NOT_EXAMINED)
             if not placements and change_count == machine.change_count:
                 continue
@@ -239,10 +246,11 @@
         return candidates
 
     def _replace_outdated(self, job: Job, selection: GangSelection, table: PlacementTable, now: float) -> bool:
-        """Replace chosen machines that changed while others were examined.
+        """Replace selected machines that changed while the search examined others.
 
         Returns:
-            False if the choice still rests on outdated candidates after `MAX_RESELECTIONS` attempts.
+            Whether the selection is up to date: False if it still contains outdated candidates after
+            `MAX_RESELECTIONS` attempts.
         """
         for _ in range(MAX_RESELECTIONS):
             if selection.shares is None:
@@ -263,10 +271,10 @@
         return False
 
     def _clear(self, job: Job, shares: list[GangShare], now: float) -> None:
-        """Stop the victims on the chosen machines, and reserve these for the gang."""
+        """Stop the victims on the selected machines, and reserve these machines for the gang."""
         victims = [victim for candidate, _ in shares for victim in candidate.victims]
         if not all(self.preemption.may_still_displace(job, victim, now) for victim in victims):
-            self.clear_cache()  # a guarantee or a limit has changed since they were looked up
+            self.clear_cache()  # a guarantee or a limit has changed since the victims were found
             job.why_waiting = NO_GANG_SLOTS_REASON
             return
         job.why_waiting = "its slots are being cleared"
@@ -276,11 +284,12 @@
             self.preemption.displace(candidate.victims, job, now)
 
     def _reserve_free_machines(self, job: Job, candidates: list[GangCandidate], now: float) -> None:
-        """Reserve free machines for an overdue gang, in the zone where most of it fits, until it can start whole.
+        """Reserve free machines for an overdue gang until the whole gang can start.
 
-        This is done for one gang in a pass, the first in order of service, and for no more machines than it needs.
-        Nothing is stopped for it that could not be stopped anyway. Each pass selects again, so that reservations end
-        within `RESERVATION_S` if the gang starts elsewhere, is cancelled, or fits better into another zone.
+        The machines are in the zone with the most free slots for the gang, if the gang is bound to one zone. Each
+        pass does this for one gang only, the most urgent overdue one, and reserves no more machines than that gang
+        needs. No work is stopped for the reservation. Each pass selects the machines anew, so that reservations
+        expire within `RESERVATION_S` if the gang starts elsewhere, is cancelled, or fits better into another zone.
         """
         self._overdue_gang = job.spec.id
         free_by_zone: dict[int, list[GangCandidate]] = {}
@@ -302,11 +311,12 @@
         job.why_waiting = f"{reserved} of its slots are kept for it, the others are not free"
 
     def _start(self, job: Job, shares: list[GangShare], now: float) -> None:
-        """Start all tasks of a gang."""
+        """Start all tasks of a gang on the selected machines."""
         attempt = self.dispatch.next_attempt()
         free_since = max(job.wait_since, *(candidate.machine.freed_at for candidate, _ in shares))
         job.gang_start = GangStartTimeline(attempt, free_since, now)
-        # a task whose machine has the image would wait for the others, and workers end that wait after a while
+        # A task whose machine has the image would wait for tasks whose machines still fetch the image. Workers limit
+        # that wait to `gang_wait_s`, so such a task is held back if the longest fetch comes near this limit.
         fetches_s = [self.images.fetch_s(job, candidate.machine) for candidate, _ in shares]
         uneven = max(fetches_s) > UNEVEN_FETCH_SHARE * self.gang_wait_s
         index = 0
@@ -329,11 +339,14 @@
         )
 
     def machines_for(self, job: Job, now: float) -> list[Machine] | None:
-        """Return machines that could start the whole gang now without preemption, or None if there are not enough.
+        """Return machines that could start the whole gang now without preemption.
 
         Args:
-            job: a gang that is not registered here: another cluster asks.
-            now: seconds on the leader's clock.
+            job: A gang of another cluster; the gang is not in this cluster's registry.
+            now: Seconds on the leader's clock.
+
+        Returns:
+            The machines, or None if there are not enough.
         """
         candidates: list[GangCandidate] = []
         table: PlacementTable = {}
@@ -344,7 +357,7 @@
         return [candidate.machine for candidate, _ in shares] if shares is not None else None
 
     def _table_for(self, job: Job, now: float) -> PlacementTable:
-        """Return what is known of machines for gangs like this one, whatever their images."""
+        """Return the cached table of placements for gangs that are equivalent to this one except for their images."""
         max_per_machine = max((tasks_that_fit(job.size, capacity) for capacity in self.inventory.capacities), default=0)
         key = (
             job.size,
@@ -356,10 +369,17 @@
         return self._get_or_create_table(self._tables, key)
 
     def candidates_on(self, job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidate]:
-        """Return what a machine could do for a gang: slots that are free now, or that preemption would free.
+        """Return the candidates that a machine provides for a gang: free slots, and slots that preemption would free.
 
-        Both cost CPU seconds: work that is thrown away, and cores that idle while the image is fetched. A machine
-        that has the image may be worth clearing although another one is free.
+        The cost of a candidate in CPU seconds covers both work lost to preemption and cores idle during the image
+        fetch. Preempting work on a machine that has the image may therefore cost less than using a free machine
+        without the image.
+
+        Args:
+            job: The gang.
+            machine: The machine to examine.
+            table: Cached placements for gangs like this one; updated if the machine has changed.
+            now: Seconds on the leader's clock.
         """
         change_count, placements = table.get(machine.index, NOT_EXAMINED)
         if change_count != machine.change_count:
@@ -368,7 +388,7 @@
         if not placements or on_probation or not self.placement.satisfies_constraints(job, machine):
             return []
         fetch_cost = IDLE_CPU_WEIGHT * self.images.fetch_s(job, machine) * job.size[0] / MICRO_UNITS
-        if machine.slowness > SLOW_MACHINE_RATIO:  # the slowest machine sets the speed of the whole gang
+        if machine.slowness > SLOW_MACHINE_RATIO:  # the slowest machine determines the speed of the whole gang
             fetch_cost += (machine.slowness - 1.0) * self.context.run_times.run_s(job) * job.size[0] / MICRO_UNITS
         return [
             GangCandidate(machine, change_count, p.tasks, p.victims, fetch_cost + p.cost, p.free_now)
@@ -376,7 +396,7 @@
         ]
 
     def _examine(self, job: Job, machine: Machine, now: float) -> list[GangPlacement]:
-        """Return the slots that a machine has for a gang, whatever its image: free ones, and more by preemption."""
+        """Return the placements for a gang on a machine: free slots, and slots that preemption would free."""
         if self.preemption.cannot_free_enough(job, machine, self.preemption.reclaims_for(job, now) >= 0):
             return []
         placements = []
@@ -394,10 +414,14 @@
         return placements
 
     def select_shares(self, job: Job, candidates: list[GangCandidate]) -> list[GangShare] | None:
-        """Return the cheapest machines for a whole gang, in one zone or spread as its job demands.
+        """Select the cheapest machines for a whole gang, in one zone or spread over zones as the job's spec requires.
+
+        Args:
+            job: The gang.
+            candidates: All candidates found, in any order.
 
         Returns:
-            None if the candidates do not suffice.
+            The number of tasks for each selected machine, or None if the candidates do not suffice.
         """
         tasks = job.spec.tasks
         if not job.spec.one_zone:
@@ -416,7 +440,7 @@
         return best
 
     def _ranked(self, job: Job, candidates: list[GangCandidate]) -> Iterator[GangCandidate]:
-        """Yield the best candidates first. The order among equals is computed only as far as it is asked for."""
+        """Yield candidates, the best first; candidates of equal cost are sorted only when they are reached."""
 
         def cost_key(candidate: GangCandidate) -> tuple[bool, float]:
             return candidate.machine.reserved_for is None, candidate.cost
@@ -426,7 +450,7 @@
 
     @staticmethod
     def _take_shares(ranked: Iterator[GangCandidate], tasks: int, max_per_zone: int) -> list[GangShare] | None:
-        """Return shares of the first candidates that take all tasks, or None if they do not suffice."""
+        """Return shares of the highest-ranked candidates that cover all tasks, or None if there are too few."""
         missing = tasks
         shares: list[GangShare] = []
         tasks_by_zone: dict[int, int] = {}
--- a/src/grebestand/scheduling/greedy.py
+++ b/src/grebestand/scheduling/greedy.py
@@ -1,12 +1,12 @@
-"""Greedy slot templates: the algorithms GPA and CRA of the paper, over one or several pools of machines.
+"""Greedy slot templates: the algorithms GPA and CRA of the scheduling paper, for one or several pools of machines.
 
 A *configuration* (template) says how many slots of each task type a machine has. The Greedy Placement Algorithm (GPA)
 plans how many machines should have which configuration. Classification and Reassignment (CRA) matches the plan with
-the machines' present configurations, ranks the machines, and changes the configuration of empty ones. Machines up to
-the rank at which the plan first runs short form the *accept group*, which takes tasks by its templates; the others
-form the *reject group*, which takes tasks only after they have waited.
+the machines' current configurations, ranks the machines, and changes the configuration of empty ones. Machines up to
+the rank at which the plan first runs short of machines form the *accept group*, which accepts tasks according to its
+templates. The other machines form the *reject group*, which accepts tasks only after they have waited for a while.
 
-Everything here is pure: it computes plans from amounts and does not touch the cluster state.
+All functions in this module are pure: they compute plans from numbers and do not access the cluster state.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from ..cluster_state.resources import Resources, dominant_share, fits, multiply, subtract, tasks_that_fit
 from ..cluster_state.slots import Slot, SlotTemplate
 
-#: a task's share of a machine counts for at least this much, so that payoffs can be divided by it
+#: Lower bound on the share of a machine that a task takes, so that payoffs can be divided by the share.
 MIN_SHARE = 1e-9
-#: rewards that differ by less are equal but for rounding
+#: Rewards that differ by at most this much are considered equal; such differences are rounding errors.
 REWARD_TOLERANCE = 1e-9
 
 
 @dataclass(frozen=True)
 class Pool:
-    """What machines have in common that are the same for every task type."""
+    """The properties shared by a set of machines that are interchangeable for every task type."""
 
     machine_type: int
-    #: -1 where no task type is bound to a zone
+    #: Index of the zone, or -1 if no task type is bound to a zone, so that zones need not be distinguished.
     zone: int
     spot: bool
     capacity: Resources
 
     def accepts(self, slot: Slot) -> bool:
-        """Return whether tasks of a type may run on these machines and one of them fits."""
+        """Return whether a slot's task type may run on machines of this pool and one task fits on an empty machine."""
         return (
             (slot.spot or not self.spot)
             and (slot.machine_types is None or self.machine_type in slot.machine_types)
@@ -45,7 +45,7 @@
 
 @dataclass
 class PlanEntry:
-    """One entry of a plan: a configuration, and how many machines of a pool should have it."""
+    """One entry of a plan: a configuration, and the number of machines of a pool that should have it."""
 
     pool: int
     config: SlotTemplate
@@ -54,27 +54,28 @@
 
 @dataclass
 class TemplateAssignment:
-    """A machine as CRA sees it: what it has and holds, and after CRA its rank, group and new configuration."""
+    """The input and output of CRA for one machine: its configuration and tasks, and then its rank and group."""
 
     pool: int
     config: SlotTemplate
     empty: bool
-    #: its tasks by type; empty if some have no place in any configuration of these types
+    #: The number of tasks by type. The tuple is empty if the machine holds none, or if it holds tasks that no
+    #: configuration of these types covers.
     tasks_by_type: SlotTemplate = ()
-    #: 1 for machines of the plan's first entry; one more than the plan's length for machines that it does not use
+    #: Position, counted from 1, of the plan's entry that uses the machine; the plan's length plus one if none does.
     rank: int = 0
     in_accept_group: bool = False
     changed: bool = False
-    #: the machine's index, for the caller
+    #: The machine's index in the inventory, for the caller.
     machine_index: int = field(default=0)
-    #: position in the order of assignment
+    #: Position in the list of assignments passed to CRA.
     order: int = 0
 
     def can_take_config(self, config: SlotTemplate) -> bool:
-        """Return whether the machine can take over a configuration without preemption.
+        """Return whether the machine can change to a configuration without preemption.
 
-        The paper reassigns empty machines only. Nothing is preempted either where everything that the machine holds
-        has a slot in the new configuration.
+        The paper reassigns empty machines only. A machine with tasks can change without preemption too, if each of
+        its tasks has a slot in the new configuration.
         """
         return self.empty or (
             bool(self.tasks_by_type)
@@ -83,16 +84,19 @@
 
 
 def max_reward(slots: list[Slot], candidates: list[int], capacity: Resources) -> SlotTemplate:
-    """Return a configuration of high reward made of candidate types only (Definition 2.3, approximated).
+    """Return a configuration of high reward that consists of candidate types only (Definition 2.3, approximated).
 
-    The exact maximum is a knapsack problem. Here each candidate in turn is packed first, the others follow by payoff
-    for the share of the machine they take, and the best of these packings wins. Ties go to the configuration with
-    more slots of lower indices (Definition 2.2).
+    The exact maximum is a knapsack problem. This approximation builds one packing for each candidate: that candidate
+    is packed first, then the others in descending order of payoff per share of the machine. The packing with the
+    highest reward is returned. Ties go to the configuration with more slots of lower indices (Definition 2.2).
 
     Args:
-        slots: all task types.
-        candidates: indices of the types to pack.
-        capacity: of one machine.
+        slots: The slots of all task types.
+        candidates: Indices of the types to pack.
+        capacity: The capacity of one machine.
+
+    Returns:
+        The number of slots for each task type.
     """
     by_density = sorted(
         candidates, key=lambda j: (-slots[j].payoff / max(dominant_share(slots[j].size, capacity), MIN_SHARE), j)
@@ -109,7 +113,7 @@
 
 
 def _pack(slots: list[Slot], order: list[int], capacity: Resources) -> SlotTemplate:
-    """Return the configuration that results if as many slots as fit of each type are packed in order."""
+    """Return the configuration that results from packing as many slots as fit of each type, in the given order."""
     counts = [0] * len(slots)
     left = capacity
     for j in order:
@@ -126,7 +130,7 @@
 
 
 class _BestConfigurations:
-    """Computes the best configuration of pools; pools with the same capacity and types share one."""
+    """Computes the best configuration for a pool, and caches it for pools with the same capacity and types."""
 
     def __init__(self, slots: list[Slot], pools: list[Pool]) -> None:
         self._slots = slots
@@ -135,7 +139,7 @@
         self._known: dict[tuple[Resources, tuple[int, ...]], SlotTemplate] = {}
 
     def best(self, pool: int, candidates: list[int]) -> SlotTemplate:
-        """Return the configuration of the highest reward made of those candidate types that the pool takes."""
+        """Return the configuration of the highest reward that consists of candidate types that the pool accepts."""
         capacity = self._pools[pool].capacity
         types = tuple(j for j in candidates if j in self._types_by_pool[pool])
         config = self._known.get((capacity, types))
@@ -147,15 +151,18 @@
 def gpa(slots: list[Slot], targets: list[float], pools: list[Pool], sizes: list[int]) -> list[PlanEntry]:
     """Plan configurations with the Greedy Placement Algorithm (Algorithm 1), for several pools.
 
-    In each round every pool that still has machines gets the highest-reward configuration of the types that are
-    left, and the pool with the highest reward is chosen. Machines are assigned until a type reaches its target; this
-    type is then dropped.
+    In each round, the configuration of the highest reward is computed from the remaining types for every pool that
+    still has machines, and the pool with the highest reward is chosen. Machines of this pool get the configuration
+    until a type reaches its target; this type is then removed from the remaining types.
 
     Args:
-        slots: all task types.
-        targets: how many slots of each type are wanted.
-        pools: the pools of machines.
-        sizes: how many machines each pool has.
+        slots: The slots of all task types.
+        targets: The number of slots wanted of each type.
+        pools: The pools of machines.
+        sizes: The number of machines in each pool.
+
+    Returns:
+        The plan, in the order in which CRA has to process its entries.
     """
     remaining = [max(0.0, target) for target in targets]
     free_machines = list(sizes)
@@ -169,7 +176,7 @@
         config = configs[pool]
         if rewards[pool] <= 0:
             break
-        # the type that reaches its target first decides how many machines get this configuration
+        # the type that reaches its target first determines how many machines get this configuration
         used = [j for j in candidates if config[j] > 0]
         machines_needed = {j: -(-remaining[j] // config[j]) for j in used}
         first_done = min(used, key=lambda j: (machines_needed[j], j))
@@ -188,9 +195,9 @@
     """Run Classification and Reassignment (Algorithm 2): set each machine's rank, group and configuration.
 
     Args:
-        assignments: the machines in order of assignment. Of the machines with one configuration the earlier ones
-            are ranked first, and so stay in the accept group.
-        plan: the result of `gpa`.
+        assignments: The machines. Among machines with the same configuration, those earlier in the list are ranked
+            first and so are more likely to stay in the accept group. The items are modified.
+        plan: The result of `gpa`.
 
     Returns:
         The rank of the first configuration that is short of machines, or the plan's length plus one.
@@ -204,9 +211,20 @@
 
 
 def cra_steps(assignments: list[TemplateAssignment], plan: list[PlanEntry]) -> Generator[None, None, int]:
-    """Do the same as `cra`, with a yield before each entry of the plan."""
+    """Run `cra` as a generator that yields before each entry of the plan.
+
+    Args:
+        assignments: The machines, as for `cra`.
+        plan: The result of `gpa`.
+
+    Yields:
+        Nothing; other work may run at each yield.
+
+    Returns:
+        The same rank as `cra`.
+    """
     worst_rank = len(plan) + 1
-    #: by pool and configuration, the machines without a rank in order of assignment
+    #: By pool and configuration, the machines that have no rank yet, in the order of `assignments`.
     unranked: dict[int, dict[SlotTemplate, list[TemplateAssignment]]] = {}
     for order, assignment in enumerate(assignments):
         assignment.rank, assignment.changed, assignment.order = worst_rank, False, order
@@ -227,7 +245,7 @@
 
 
 def _rank_configured(groups: dict[SlotTemplate, list[TemplateAssignment]], demand: PlanEntry, rank: int) -> int:
-    """Rank the machines that have the wanted configuration already, and return how many were ranked."""
+    """Rank machines that already have the wanted configuration, and return the number of machines ranked."""
     configured = groups.get(demand.config, [])
     ranked = configured[: demand.count]
     for assignment in ranked:
@@ -243,14 +261,17 @@
     missing: int,
     wanted_later: set[SlotTemplate],
 ) -> int:
-    """Give a configuration to machines that can change without preemption, and return how many there were.
+    """Assign a configuration to machines that can change to it without preemption.
 
     Args:
-        groups: the pool's machines without a rank, by their configuration; those that change are removed.
-        config: the new configuration.
-        rank: the rank of the machines that get it.
-        missing: how many machines are to get it at most.
-        wanted_later: configurations of later entries of the plan, which are taken last.
+        groups: The pool's machines without a rank, by configuration; reassigned machines are removed.
+        config: The new configuration.
+        rank: The rank of the reassigned machines.
+        missing: The maximum number of machines to reassign.
+        wanted_later: Configurations of later plan entries; machines that have one of these are reassigned last.
+
+    Returns:
+        The number of machines reassigned.
     """
     convertible = [a for group in groups.values() for a in group if a.can_take_config(config)]
     convertible.sort(key=lambda a: (not a.empty, a.config in wanted_later, a.order))
--- a/src/grebestand/scheduling/image_locality.py
+++ b/src/grebestand/scheduling/image_locality.py
@@ -1,4 +1,4 @@
-"""Image locality: which machines have an image, where it is worth fetching, and how long a job would wait for it."""
+"""Image locality: where images are cached, where fetching an image is worthwhile, and how long a fetch takes."""
 
 from __future__ import annotations
 
@@ -6,29 +6,33 @@
 from ..cluster_state.machine import Machine
 from .scheduling_context import MACHINES_PER_STEP, SchedulingComponent, SchedulingContext, Steps
 
-#: an image is well spread if the machines that have it have this many times the CPUs that its jobs want, as they are
-#: shared with other work
+#: An image is widely cached if the machines that have the image have this many times the CPUs that its jobs request.
+#: The factor exceeds one because other work runs on these machines as well.
 WIDELY_CACHED_CPU_RATIO = 2.0
-#: a fetch that is under way has this share of the image left, on average
+#: Share of the image that a fetch under way still has to transfer, on average.
 AVERAGE_REMAINING_SHARE = 0.5
-#: fetch rate (GB/s) while the cloud's offer is not known
+#: Fetch rate assumed while no machine type of the cloud is known.
 DEFAULT_FETCH_GB_PER_S = 1.0
-#: fetch rates (GB/s) count for at least this much, so that sizes can be divided by them
+#: Lower bound on fetch rates, so that image sizes can be divided by the rate.
 MIN_FETCH_GB_PER_S = 1e-3
 
 
 class ImageLocality(SchedulingComponent):
-    """Knows which machines have which images, and what fetching an image costs."""
+    """Estimates what fetching a job's image on a machine costs, and decides whether the job should wait instead."""
 
     def __init__(self, context: SchedulingContext) -> None:
         super().__init__(context)
-        #: images whose machines had enough capacity for the demand at the last computation of targets
+        #: Images whose machines had enough capacity for the demand at the last update of targets.
         self.widely_cached: set[int] = set()
-        #: images that some machine had or fetched then
+        #: Images that some machine had cached or was fetching at the last update of targets.
         self.cached_images: set[int] = set()
 
     def measure(self) -> Steps:
-        """Find the images whose machines, shared with other work, can serve the demand for them."""
+        """Find the images that are cached, and those that are cached widely enough for the demand.
+
+        Yields:
+            Nothing; other work may run at each yield.
+        """
         demand_cpus: dict[int, int] = {}
         for job in self.registry.jobs.values():
             if job.live:
@@ -47,11 +51,16 @@
         }
 
     def worth_fetching(self, job: Job, machine: Machine, now: float) -> bool:
-        """Return whether the machine has the job's image, or should fetch it.
+        """Return whether the machine has the job's image, or should fetch the image.
+
+        Cores reserved for a task are idle during the image fetch, and concurrent fetches share the machine's rate.
+        A machine therefore fetches one image at a time, except for images that arrive before its next heartbeat. If
+        enough machines have the image already, the job waits for one of them for as long as a fetch would take.
 
-        While an image is fetched the cores are idle, and several fetches at once share the machine's rate. So a
-        machine fetches one after the other, and where enough machines have the image already, the job waits for
-        those as long as a fetch would take.
+        Args:
+            job: The job to place.
+            machine: The candidate machine.
+            now: Seconds on the leader's clock.
         """
         if job.image in machine.images or job.image in machine.image_fetches:
             return True
@@ -61,7 +70,7 @@
         return not machine.image_fetches and (job.image not in self.widely_cached or now - job.started_at >= fetch_s)
 
     def min_fetch_s(self, job: Job) -> float:
-        """Return the shortest time for which the job would wait for its image: none if some machine has it."""
+        """Return the seconds of the fastest possible fetch of the job's image; 0 if some machine has the image."""
         if job.image in self.cached_images:
             return 0.0
         rates = (kind.fetch_gb_per_s for kind in self.inventory.machine_types.values())
@@ -69,7 +78,15 @@
         return self.registry.image_gb[job.image] / max(fastest, MIN_FETCH_GB_PER_S)
 
     def fetch_s(self, job: Job, machine: Machine) -> float:
-        """Return how long the job would wait for its image on a machine; concurrent fetches share the rate."""
+        """Return how long the job would wait for its image on a machine.
+
+        Args:
+            job: The job to place.
+            machine: The candidate machine; images that it is already fetching share the fetch rate.
+
+        Returns:
+            Seconds; 0 if the machine has the image or its machine type is unknown.
+        """
         if job.image in machine.images:
             return 0.0
         kind = self.inventory.machine_types.get(machine.kind)
--- a/src/grebestand/scheduling/job_ordering.py
+++ b/src/grebestand/scheduling/job_ordering.py
@@ -1,4 +1,4 @@
-"""The order in which waiting jobs are served: guarantees, priorities, and which objectives can still be met."""
+"""The order in which waiting jobs are served: by guarantees, priorities, and objectives that can still be met."""
 
 from __future__ import annotations
 
@@ -6,33 +6,39 @@
 from ..cluster_state.run_time_estimates import RunTimeEstimates
 from ..settings.platform import Objective
 
-#: how long after its last objective can no longer be met a job moves ahead of the others of its priority
+#: A job moves ahead of other jobs of its priority once its last objective has been out of reach for this long.
 AGING_DELAY_S = 180.0
-#: a task that is stopped starts again about this much later at the earliest: it has to save, a heartbeat has to come,
-#: its image has to be fetched and its job has to be served again
+#: Minimum delay until a stopped task runs again: the task has to save, its exit has to be reported in a heartbeat, the
+#: job has to be placed again, and the image has to be fetched.
 MIN_RESTART_DELAY_S = 30.0
-#: a job that ages is served first, then those that can still meet an objective, then those that cannot
+#: Groups in order of service: jobs that have aged, jobs that can still meet an objective, and jobs that cannot.
 AGED, ON_TIME, LATE = 0, 1, 2
-#: a job's remaining work counts as if its tasks ran for at least this long, so that short estimates do not hide size
+#: Lower bound on the run time in estimates of remaining work, so that jobs with many short tasks still count as large.
 MIN_RUN_S = 1.0
 
 
 class JobOrdering:
-    """Ranks jobs by urgency, and knows which objectives apply to them."""
+    """Ranks jobs by urgency, and determines which objectives apply to each job."""
 
     def __init__(self, objectives: list[Objective], run_times: RunTimeEstimates) -> None:
+        """Build the ordering.
+
+        Args:
+            objectives: The objectives of the settings; those that do not name a job class are ignored.
+            run_times: Estimates how long a job's tasks run.
+        """
         self.run_times = run_times
-        #: by job class, the seconds after acceptance in which jobs have to be done
+        #: By job class, the seconds after acceptance within which jobs have to be done.
         self._done_within_s: dict[str, list[float]] = {}
-        #: by job class, the seconds after acceptance in which jobs have to start
+        #: By job class, the seconds after acceptance within which jobs have to start.
         self._start_within_s: dict[str, list[float]] = {}
-        #: by job class, the multiples of their own deadline in which jobs have to be done
+        #: By job class, the multiples of a job's own deadline within which the job has to be done.
         self._deadline_factors: dict[str, list[float]] = {}
         for objective in objectives:
             self._add(objective)
 
     def _add(self, objective: Objective) -> None:
-        """Take in an objective that is about the jobs of one class; the others do not concern the order."""
+        """Add an objective for the jobs of one class; other objectives do not affect the order."""
         if not objective.klass:
             return
         if objective.kind == "deadline":
@@ -43,9 +49,15 @@
             self._start_within_s.setdefault(objective.klass, []).append(objective.within_s)
 
     def due_times(self, job: Job) -> list[float]:
-        """Return when the job has to be done to meet each of its objectives, in seconds on the leader's clock.
+        """Return when the job has to be done to meet each of its objectives.
+
+        The result is cached in the job, since neither the objectives nor the job's spec ever change.
 
-        Nothing that this depends on ever changes, so it is kept with the job.
+        Args:
+            job: Any accepted job.
+
+        Returns:
+            One time for each objective, in seconds on the leader's clock.
         """
         if job.ends is not None:
             return job.ends
@@ -59,19 +71,24 @@
 
     @staticmethod
     def overdue(job: Job, now: float, begin_after_s: float) -> bool:
-        """Return whether a job was accepted more than `begin_after_s` ago and has not begun.
+        """Return whether a job was accepted more than `begin_after_s` seconds ago and has not begun.
 
-        The time of acceptance is in the job's record, so that its age survives a change of leader.
+        The time of acceptance is stored in the job's record, so that the job's age survives a change of leader.
         """
         return not job.begun and not job.done_count and now - job.accepted_at > begin_after_s
 
     def urgency(self, job: Job, now: float, begin_after_s: float) -> tuple[object, ...]:
-        """Return a sort key: guarantees first, then by priority, then by what can still meet an objective.
+        """Return a sort key: guaranteed jobs first, then by priority, then by whether an objective can still be met.
 
-        Among jobs that can, the least work goes first: when capacity does not suffice for all, this lets the most jobs
-        meet their objectives. A job too late for all of its objectives comes behind those, but it ages, and after a
-        while comes before them all, as an overdue job does: with least work first alone, the largest job would wait
-        for as long as small ones keep arriving.
+        Among jobs that can still meet an objective, the job with the least remaining work comes first, so that as many
+        jobs as possible meet their objectives when capacity is scarce. A job that is too late for all of its objectives
+        ranks behind these jobs. After `AGING_DELAY_S` such a job ranks before all others of its priority, as does an
+        overdue job. Without aging, the largest job would wait for as long as smaller jobs keep arriving.
+
+        Args:
+            job: A waiting job.
+            now: Seconds on the leader's clock.
+            begin_after_s: Seconds after which a job that has not begun is overdue.
         """
         remaining_s = self.run_times.run_s(job)
         latest_starts = [end - remaining_s for end in self.due_times(job)]
@@ -87,12 +104,13 @@
         return (not job.guaranteed, job.rank, group, value, job.accepted_at)
 
     def stop_would_miss_objective(self, job: Job, run_at: float | None, now: float) -> bool:
-        """Return whether a running task that can still meet an objective of its job would miss it if it were stopped.
+        """Return whether stopping a task would make its job miss an objective that the job can still meet.
 
         Args:
-            job: the task's job.
-            run_at: when the task began to run, if it keeps its progress; None if it would start anew.
-            now: seconds on the leader's clock.
+            job: The task's job.
+            run_at: When the task began to run, if its progress is saved; None if the task would restart from the
+                beginning.
+            now: Seconds on the leader's clock.
         """
         remaining_s = self.run_times.run_s(job)
         if run_at is not None:
--- a/src/grebestand/scheduling/migration.py
+++ b/src/grebestand/scheduling/migration.py
@@ -1,6 +1,6 @@
 """Migration: moves tasks from machines of the reject group into empty slots of their type in the accept group.
 
-Machines that are emptied in this way get a new template or are returned to the cloud.
+Machines emptied by migration get a new template or are returned to the cloud.
 """
 
 from __future__ import annotations
@@ -12,33 +12,37 @@
 from .image_locality import ImageLocality
 from .scheduling_context import SAVE_MARGIN_S, SchedulingComponent, SchedulingContext
 
-#: a task is moved only after it has run this many times as long as it takes to save: a move costs saving and fetching
-#: again, and a task that is moved over and over finishes late
+#: A task is moved only after running for this many times its saving time: each move costs a save and an image fetch,
+#: and a task that is moved too often finishes late.
 MIN_RUN_PER_SAVE = 10.0
-#: saving is taken to last at least this long
+#: Lower bound on the saving time that determines when a task may be moved.
 MIN_SAVE_S = 1.0
-#: tasks that may be on the move at a time
+#: Maximum number of tasks being stopped for migration at a time.
 MAX_CONCURRENT_MOVES = 2
-#: reason for which a task is stopped
+#: Stop reason of a task that is moved.
 MIGRATION_STOP_REASON = "migration"
 
 
 class Migration(SchedulingComponent):
-    """Stops tasks that can be moved where a slot that suits them is free."""
+    """Stops movable tasks for which a suitable slot is free on another machine."""
 
     def __init__(self, context: SchedulingContext, images: ImageLocality) -> None:
         super().__init__(context)
         self.images = images
 
     def migrate(self, now: float) -> None:
-        """Move tasks that save their progress, and services, beginning with the machine of the highest rank.
+        """Move services and tasks that save their progress, beginning with the machine of the highest rank.
 
-        A task is stopped here and takes its turn with the waiting tasks, for which the empty slot is found.
+        Migration only stops a task. The task then waits like any other, and a later pass places the task into the
+        empty slot.
+
+        Args:
+            now: Seconds on the leader's clock.
         """
         waiting_types = {job.type for job in self.registry.waiting_jobs()}
         moving = self._count_moving()
         empty_slots = self._empty_slots(now)
-        #: types and images for which no slot will do, so that the slots are searched once for each
+        #: Types and images without a suitable slot, so that the slots are searched only once for each pair.
         without_slot: set[tuple[int, int]] = set()
         for machine in self._rejected_machines(now):
             for allocation in list(machine.allocations.values()):
@@ -57,7 +61,7 @@
                 self.dispatch.stop(allocation, MIGRATION_STOP_REASON, job.spec.save_s + SAVE_MARGIN_S, now)
 
     def _count_moving(self) -> int:
-        """Return how many tasks are being stopped for a move."""
+        """Return the number of tasks that are being stopped for migration."""
         return sum(
             1
             for machine in self.inventory.machines
@@ -78,7 +82,7 @@
         return empty_slots
 
     def _rejected_machines(self, now: float) -> list[Machine]:
-        """Return the usable machines of the reject group, the highest rank first."""
+        """Return the schedulable machines of the reject group, the highest rank first."""
         rejected = [
             m
             for m in self.inventory.machines
@@ -89,7 +93,7 @@
 
     @staticmethod
     def _may_move(allocation: Allocation, now: float) -> bool:
-        """Return whether a task runs, loses little by being moved, and has run for long enough."""
+        """Return whether a task may be moved: a running service or checkpointing task that has run for long enough."""
         spec = allocation.job.spec
         movable = spec.kind is Kind.SERVICE or (spec.checkpoint_s > 0 and spec.kind is Kind.ARRAY)
         if not movable or allocation.state is not AllocationState.RUNNING or allocation.stop_reason is not None:
@@ -98,7 +102,15 @@
         return allocation.run_at is not None and now - allocation.run_at >= min_run_s
 
     def _take_slot(self, job: Job, slots: dict[Machine, int]) -> bool:
-        """Take one of the empty slots whose machine has the job's image soon, or return False if there is none."""
+        """Take an empty slot whose machine has the job's image or fetches it within a heartbeat interval.
+
+        Args:
+            job: The job of the task to move.
+            slots: The number of empty slots by machine; the slot taken is removed.
+
+        Returns:
+            Whether there was such a slot.
+        """
         target = next((m for m in slots if self.images.fetch_s(job, m) <= self.inventory.report_s), None)
         if target is None:
             return False
--- a/src/grebestand/scheduling/pending_reasons.py
+++ b/src/grebestand/scheduling/pending_reasons.py
@@ -1,4 +1,4 @@
-"""Logs a summary of the cluster and the reasons why jobs wait."""
+"""Logs a summary of the cluster's utilization and the reasons why jobs wait."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 log = logging.getLogger(__name__)
 
 
-#: reasons that are logged in one period at most: on a crowded cluster one line for each job would drown the others
+#: Maximum number of reasons logged per period: on a crowded cluster, one line per job would hide other log lines.
 MAX_REASONS_LOGGED = 30
-#: after how long a reason that has not changed is logged again
+#: Interval after which an unchanged reason is logged again.
 REPEAT_AFTER_S = 60.0
-#: a job's reason is logged once it has waited for this many periods
+#: A job's reason is logged only after the job has waited for more than this many periods.
 MIN_PERIODS_WAITED = 2
 
 
 @dataclass(frozen=True)
 class LoggedReason:
-    """The reason that was last logged for a job, and when."""
+    """The reason last logged for a job, and the time on the leader's clock when it was logged."""
 
     reason: str
     logged_at: float
@@ -36,16 +36,20 @@
 
 
 class PendingReasons(SchedulingComponent):
-    """Tells whoever reads the log how full the cluster is and why jobs wait."""
+    """Logs how much of the cluster is used, and why jobs wait, for operators."""
 
     def __init__(self, context: SchedulingContext) -> None:
         super().__init__(context)
         self._summarised_at = -math.inf
-        #: what was last logged for each job that waits
+        #: The reason last logged for each waiting job.
         self._logged: dict[Job, LoggedReason] = {}
 
     def log_if_due(self, now: float) -> None:
-        """Log a summary of the cluster and the reasons why jobs wait, once a period."""
+        """Log a summary of the cluster and the reasons why jobs wait, at most once a period.
+
+        Args:
+            now: Seconds on the leader's clock.
+        """
         if now - self._summarised_at < self.policy_values.period_s:
             return
         self._summarised_at = now
@@ -53,7 +57,7 @@
         self._log_reasons(now)
 
     def _log_summary(self, now: float) -> None:
-        """Log how many machines there are and how much of them is used."""
+        """Log the number of machines and how much of their capacity is used."""
         machines = self.inventory.machines
         cpus_by_state: dict[AllocationState, int] = {}
         for machine in machines:
@@ -76,7 +80,7 @@
         )
 
     def _log_reasons(self, now: float) -> None:
-        """Log why jobs wait: when the reason changes and again after a while, the longest unlogged first."""
+        """Log the reasons that have changed or were last logged long ago, those not logged for the longest first."""
         counts: Counter[str] = Counter()
         due: list[tuple[float, Job, str]] = []
         previously_logged, self._logged = self._logged, {}
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Placement of single tasks: full passes over all machines, and filling one machine after its heartbeat."""
+"""Placement of tasks of jobs that are not gangs: in full passes over all machines, and on one machine at a time."""
 
 from __future__ import annotations
 
@@ -18,56 +18,65 @@
 
 log = logging.getLogger(__name__)
 
-#: a worker's heartbeat names each of its tasks and has to stay below 64 KiB
+#: A worker's heartbeat names each of its tasks and must stay below 64 KiB.
 MAX_ALLOCATIONS_PER_MACHINE = 400
-#: a machine whose last task failed gets one task at a time: a full load would be lost if it failed again
+#: A machine whose last task failed gets one task at a time, since a further failure would lose all of its tasks.
 MAX_ALLOCATIONS_ON_PROBATION = 1
-#: machines that one pass clears for one job, so that a single job does not displace work all over the cluster
+#: Machines that one pass clears for one job, so that a single job does not preempt work across the whole cluster.
 MAX_MACHINES_CLEARED = 8
-#: candidates that are examined for that: some have changed since they were listed
+#: Candidates examined when machines are cleared for one job: some have changed since they were listed.
 MAX_MACHINES_EXAMINED_TO_CLEAR = 200
-#: how long a cleared machine stays reserved; its tasks have to save and to be reported as gone within this time
+#: How long a cleared machine stays reserved. Within this time its stopped tasks must save their checkpoints and exit,
+#: and a heartbeat must report the exits.
 CLEARED_RESERVATION_S = 8.0
-#: a machine that takes this many times as long as others is considered only behind them
+#: A machine whose tasks take more than this many times as long as on other machines ranks behind them.
 SLOW_MACHINE_RATIO = 1.25
-#: change count and allowance of a machine that was not examined yet; real change counts are not negative
+#: Change count and allowance of a machine that has not been examined; real change counts are not negative.
 NOT_EXAMINED = (-1, 0)
 
 
 class SlotOption(NamedTuple):
-    """Slots for a job's tasks on one machine. A tuple rather than a dataclass: a pass makes one for each machine."""
+    """Slots for a job's tasks on one machine.
 
-    #: sorts options, the best first
+    A tuple rather than a dataclass, because a pass creates one for each job and machine.
+    """
+
+    #: Sort key; the smallest is the best option.
     preference: tuple[object, ...]
     tasks: int
     machine: Machine
 
 
 class Placement(SchedulingComponent):
-    """Gives the waiting tasks of jobs that are not gangs slots on machines."""
+    """Starts waiting tasks of jobs that are not gangs on machines that have slots for them."""
 
     def __init__(self, context: SchedulingContext, images: ImageLocality, preemption: Preemption) -> None:
         super().__init__(context)
         self.images = images
         self.preemption = preemption
-        #: types with waiting tasks at the start of the last full pass
+        #: Task types with waiting tasks at the start of the last full pass.
         self.waiting_types: set[int] = set()
-        #: jobs that waited at the end of the last full pass, in order of service
+        #: Jobs that still waited at the end of the last full pass, the most urgent first.
         self._queue: list[Job] = []
-        #: CPUs (millionths) of the smallest task among them
+        #: Millionths of a CPU that the smallest task of the jobs in `_queue` needs.
         self._smallest_cpus = 0
-        #: task sizes for which this pass found no usable slot, by type, image and whether the job has aged
+        #: Task sizes for which this pass found no usable slot, by type, image and whether the job aged.
         self._sizes_without_option: dict[tuple[int, int, bool], Resources] = {}
-        #: task sizes for which no template has a slot, whatever the image, by type and whether the job has aged
+        #: Task sizes for which this pass found no slot in any template, by type and whether the job has aged.
         self._sizes_without_slot: dict[tuple[int, bool], Resources] = {}
-        #: machines where this pass found tasks to preempt, the cheapest last, by type and by the team that reclaims
-        #: its guarantee; a machine is removed when a job uses it
+        #: Machines where this pass can preempt tasks, the cheapest last, by task type and by the team that reclaims
+        #: its guarantee (-1: none). A machine is removed once a job has tried to clear it.
         self._machines_to_clear: dict[tuple[int, int], list[Machine]] = {}
-        #: how many tasks templates admit, by type and whether the job has aged: by machine, with its change count
+        #: By task type and whether the job has aged, a table by machine index: the machine's change count when it was
+        #: examined, and how many more tasks its template admits.
         self._allowances: dict[tuple[int, bool], dict[int, tuple[int, int]]] = {}
 
     def begin_pass(self) -> None:
-        """Start a full pass. Cached allowances stay valid as long as the machine's change count is the same."""
+        """Reset the state of the previous pass.
+
+        Cached allowances are kept: an allowance stays valid as long as its machine's change count is the same and the
+        set of waiting types, which limits the borrowing of spare slots, has not changed.
+        """
         waiting_types = {j.type for j in self.registry.waiting_jobs()}
         if waiting_types != self.waiting_types:
             self.clear_cache()
@@ -79,27 +88,31 @@
         """Finish a full pass.
 
         Args:
-            waiting: jobs that the pass looked at, in order of service. Capacity that heartbeats free until the next
-                pass goes to those that still wait.
+            waiting: Jobs that the pass considered, the most urgent first. Capacity that heartbeats free before the
+                next pass goes to the jobs among them that still wait.
         """
         self._queue = [j for j in waiting if not j.gang and j.waiting() > 0]
         self._smallest_cpus = min((j.size[0] for j in self._queue), default=0)
 
     def clear_cache(self) -> None:
-        """Drop cached allowances: templates have changed, or the types whose spare slots may be borrowed."""
+        """Discard cached allowances, because templates or the set of types that may lend spare slots have changed."""
         self._allowances = {}
 
     def fill(self, machine: Machine, now: float) -> None:
         """Fill the free capacity of a machine after its heartbeat, in the order of the last full pass.
 
-        With hundreds of machines a full pass at each heartbeat would take more than a whole core. Gangs, and arrays
-        whose tasks depend on where the others are, wait for the next full pass.
+        With hundreds of machines, a full pass at each heartbeat would take more than a whole core. Gangs, and arrays
+        whose tasks must share a zone or be spread over zones, wait for the next full pass.
+
+        Args:
+            machine: The machine that sent the heartbeat.
+            now: Seconds on the leader's clock.
         """
         if not self._queue or machine.free[0] < self._smallest_cpus or not machine.news:
             return
         if machine.reserved_for is not None or not self.inventory.is_schedulable(machine, now):
             return
-        # what did not fit here in the last pass fits only once something on this machine has changed
+        # A task that did not fit on this machine before fits only once the machine has changed.
         machine.news = False
         queue_outdated = False
         refused: dict[tuple[int, bool], Resources] = {}
@@ -130,25 +143,28 @@
     def place(
         self, job: Job, with_capacity: list[Machine], schedulable: list[Machine], now: float, has_reservation: bool
     ) -> Steps:
-        """Start a job's waiting tasks where there are slots, and preempt other work for the rest if it may.
+        """Start a job's waiting tasks where there are slots, and preempt other work for the rest if that is allowed.
 
         Args:
-            job: any job that is not a gang.
-            with_capacity: usable machines whose free capacity may suffice for a task.
-            schedulable: all usable machines, as candidates for preemption.
-            now: seconds on the leader's clock.
-            has_reservation: whether machines are reserved for this job.
+            job: Any job that is not a gang.
+            with_capacity: Schedulable machines whose free capacity may suffice for a task.
+            schedulable: All schedulable machines, as candidates for preemption.
+            now: Seconds on the leader's clock.
+            has_reservation: Whether machines are reserved for this job.
+
+        Yields:
+            Nothing; other work may run at each yield.
         """
         if self._startable_tasks(job) <= 0:
             job.why_waiting = "team limit"
             return
-        turn = self.context.slice_number
+        slice_number = self.context.slice_number
         options = yield from self._find_options(job, with_capacity, now, has_reservation)
         options.sort(key=attrgetter("preference"))
         if job.spec.one_zone and options:
             zone = self._zone_for(job, options)
             options = [option for option in options if option.machine.zone == zone]
-        unplaced = yield from self._start_on_options(job, options, turn, now)
+        unplaced = yield from self._start_on_options(job, options, slice_number, now)
         if unplaced > 0:
             job.why_waiting = "no slot"
             yield from self._preempt_for(job, schedulable, unplaced, now)
@@ -156,15 +172,15 @@
     def _find_options(
         self, job: Job, with_capacity: list[Machine], now: float, has_reservation: bool
     ) -> Generator[None, None, list[SlotOption]]:
-        """Return the machines that have slots for the job, in the order of `with_capacity`."""
+        """Return the options for the job's tasks, in the order of `with_capacity`."""
         options: list[SlotOption] = []
         aged = self._has_aged(job, now)
-        # templates admit types, whatever their tasks' sizes: one lookup serves all jobs of a type
+        # A template admits task types whatever the size of the tasks, so one table serves all jobs of a type.
         allowances = self._get_or_create_table(self._allowances, (job.type, aged))
         if not has_reservation and self._known_without_option(job, aged):
             return options
         any_slot = False
-        # the loop over all machines for each job: inlined lookups rather than calls, as most machines are skipped
+        # This loop visits all machines for each job and skips most of them, so lookups are inlined instead of called.
         for examined, machine in enumerate(with_capacity, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
@@ -190,7 +206,7 @@
         return options
 
     def _known_without_option(self, job: Job, aged: bool) -> bool:
-        """Return whether this pass has found no slot for a similar job whose tasks were no larger."""
+        """Return whether this pass already found no slot for a similar job with tasks of at most this size."""
         without_option = self._sizes_without_option.get((job.type, job.image, aged))
         if without_option and fits(without_option, job.size):
             return True
@@ -198,7 +214,7 @@
         return without_slot is not None and fits(without_slot, job.size)
 
     def _zone_for(self, job: Job, options: list[SlotOption]) -> int:
-        """Return the zone of a job that is bound to one: where its tasks are, or else where most of them fit."""
+        """Return the zone for a job bound to one zone: the zone of its tasks, or else the zone with the most slots."""
         occupied = next(iter(self._zone_counts(job)), None)
         if occupied is not None:
             return occupied
@@ -209,7 +225,7 @@
         return max(slots_by_zone, key=lambda zone: slots_by_zone[zone])
 
     def _zone_counts(self, job: Job) -> dict[int, int]:
-        """Return how many of the job's tasks are in each zone."""
+        """Return the number of the job's allocations by zone."""
         counts: dict[int, int] = {}
         for allocation in job.allocations.values():
             machine = self.inventory.at(allocation.machine)
@@ -218,20 +234,20 @@
         return counts
 
     def _start_on_options(
-        self, job: Job, options: list[SlotOption], turn: int, now: float
+        self, job: Job, options: list[SlotOption], slice_number: int, now: float
     ) -> Generator[None, None, int]:
         """Start waiting tasks on the options in order.
 
         Args:
-            job: the job to start tasks of.
-            options: machines with slots, the best first.
-            turn: the turn in which they were looked up; in a later one each is checked again.
-            now: seconds on the leader's clock.
+            job: The job to start tasks of.
+            options: Machines with slots, the best first.
+            slice_number: The slice in which the options were found; in a later slice each option is checked again.
+            now: Seconds on the leader's clock.
 
         Returns:
-            How many tasks could start but found no slot.
+            The number of tasks that were eligible to start but found no slot.
         """
-        # from here on the present state counts, not that of the search
+        # The zone counts and the number of startable tasks may have changed since the search began.
         zone_counts = self._zone_counts(job) if job.spec.spread else {}
         max_per_zone = -(-job.spec.tasks // 2)
         placed = started_in_step = 0
@@ -242,7 +258,7 @@
             if started_in_step >= STARTS_PER_STEP:
                 started_in_step = 0
                 yield
-            if self.context.slice_number != turn:
+            if self.context.slice_number != slice_number:
                 tasks = self._slots_still_free(job, machine, now)
                 wanted = placed + self._startable_tasks(job)
                 if job.spec.spread:
@@ -258,7 +274,7 @@
         return wanted - placed
 
     def _start_tasks(self, job: Job, machine: Machine, count: int, now: float) -> int:
-        """Start up to `count` waiting tasks of the job on a machine, and return how many were started."""
+        """Start up to `count` waiting tasks of the job on a machine, and return the number started."""
         for started in range(count):
             fresh = job.first_unallocated
             index = job.take()
@@ -270,7 +286,12 @@
         return count
 
     def satisfies_constraints(self, job: Job, machine: Machine) -> bool:
-        """Return whether the job's constraints let it run on the machine at all, whatever is free there."""
+        """Return whether the job may run on the machine, whatever capacity is free there.
+
+        Args:
+            job: The job to check.
+            machine: The machine to check the job's constraints and the machine's reservation against.
+        """
         kinds = self.registry.types[job.type].machine_types
         return (
             (job.spec.spot or not machine.spot)
@@ -281,7 +302,7 @@
         )
 
     def preference(self, job: Job, machine: Machine) -> tuple[object, ...]:
-        """Return a sort key: the machine with the smallest one is best for the job."""
+        """Return a sort key by which the machine with the smallest key is the best for the job."""
         has_own_slot = (
             machine.in_accept_group
             and job.type < len(machine.template)
@@ -289,7 +310,7 @@
         )
         heartbeats_until_fetched = int(self.images.fetch_s(job, machine) / self.inventory.report_s)
         return (
-            machine.index in job.avoid,  # a start elsewhere shows whether the job or the machine is at fault
+            machine.index in job.avoid,  # a start on another machine shows whether the job or the machine is faulty
             heartbeats_until_fetched,
             not has_own_slot,
             machine.slowness > SLOW_MACHINE_RATIO,
@@ -301,26 +322,27 @@
         )
 
     def _startable_tasks(self, job: Job) -> int:
-        """Return how many tasks may start now within the team's limit, counting those that may run anywhere."""
+        """Return how many waiting tasks of the job may start now within its team's limit."""
         team = self.registry.teams[job.team]
         if not job.live or not team.left_to(job.spec.id):
             return 0
         return min(job.startable(), team.headroom(job.size))
 
     def _has_aged(self, job: Job, now: float) -> bool:
-        """Return whether the job has waited for a period, so that machines of the reject group take it as well."""
+        """Return whether the job has waited for a full period, so that the reject group accepts its tasks as well."""
         return now - job.wait_since >= self.policy_values.period_s
 
     def _slots_still_free(self, job: Job, machine: Machine, now: float) -> int:
-        """Return how many tasks a machine takes now that was found suitable in an earlier turn."""
+        """Return how many of the job's tasks a machine that was selected in an earlier slice can still take."""
         if not self.inventory.is_schedulable(machine, now) or not self.satisfies_constraints(job, machine):
             return 0
         return self._slots_for(job, machine, now) if self.images.worth_fetching(job, machine, now) else 0
 
     def _slots_for(self, job: Job, machine: Machine, now: float) -> int:
-        """Return how many of the job's tasks the machine takes now.
+        """Return how many of the job's tasks the machine can take now.
 
-        This is the paper's rule with two additions: reserved machines take what fits, and spare slots are lent.
+        The rule is the paper's, with two additions: a machine takes whatever fits of the job that it is reserved for,
+        and spare slots may be lent to other types.
         """
         fitting = tasks_that_fit(job.size, machine.free)
         if fitting <= 0:
@@ -331,12 +353,12 @@
 
     @staticmethod
     def _max_new_tasks(machine: Machine) -> int:
-        """Return how many more tasks a machine may get, whatever its template and capacity."""
+        """Return how many more tasks a machine may get, ignoring its template and capacity."""
         limit = MAX_ALLOCATIONS_ON_PROBATION if machine.errors else MAX_ALLOCATIONS_PER_MACHINE
         return limit - len(machine.allocations)
 
     def _allowance(self, task_type: int, rank: int, aged: bool, machine: Machine) -> int:
-        """Return how many more tasks of a type the machine's template and group admit, whatever their size."""
+        """Return how many more tasks of a type the machine's template and group admit, ignoring task sizes."""
         limit = self._max_new_tasks(machine)
         if not machine.in_accept_group:
             return limit if aged or machine.rank == 0 else 0
@@ -346,8 +368,8 @@
             return min(limit, free_own_slots)
         if not self.policy_values.lend_spare:
             return 0
-        # spare slots of other types may be borrowed while none of their own tasks wait, provided that their type
-        # could take them back by preemption
+        # Spare slots of other types may be borrowed only while no tasks of those types wait, and only if those types
+        # have a higher priority, so that preemption can return the slots to them.
         for lender, slots in enumerate(machine.template):
             if slots <= 0 or lender == task_type:
                 continue
@@ -356,7 +378,7 @@
         return limit
 
     def _preempt_for(self, job: Job, schedulable: list[Machine], tasks: int, now: float) -> Steps:
-        """Preempt other work for a job's waiting tasks, if the job may displace any."""
+        """Preempt other work for `tasks` waiting tasks of a job, if the job may displace any."""
         if self.preemption.must_wait(job, self.policy_values.reclaim_after_s, now):
             return
         has_lowest_priority = job.rank == len(PRIORITIES) - 1
@@ -366,7 +388,8 @@
         reclaiming_team = self.preemption.reclaims_for(job, now)
         machines = self._machines_to_clear.get((job.type, reclaiming_team))
         if machines is None:
-            # similar jobs share one list: examining every machine for each of them is quadratic in the cluster's size
+            # Similar jobs share one list: the total cost of examining every machine for each job grows quadratically
+            # with the size of the cluster.
             machines = yield from self._rank_machines_to_clear(job, schedulable, reclaiming_team, now)
             self._machines_to_clear[job.type, reclaiming_team] = machines
         self._clear_machines(job, machines, tasks, now)
@@ -374,7 +397,7 @@
     def _rank_machines_to_clear(
         self, job: Job, schedulable: list[Machine], reclaiming_team: int, now: float
     ) -> Generator[None, None, list[Machine]]:
-        """Return the machines where preemption would free capacity for a task of the job, the cheapest last."""
+        """Return the machines where preemption would free capacity for one task of the job, the cheapest last."""
         costs: list[tuple[float, Machine]] = []
         for examined, machine in enumerate(schedulable, 1):
             if not examined % MACHINES_PER_STEP:
@@ -391,10 +414,11 @@
         """Preempt work for the job on the cheapest machines, and reserve them for it.
 
         Args:
-            job: the job that needs capacity.
-            machines: candidates, the cheapest last; those that are tried are removed.
-            tasks: how many tasks need capacity; one machine is cleared for each.
-            now: seconds on the leader's clock.
+            job: The job that needs capacity.
+            machines: Candidates, the cheapest last; each examined candidate is removed.
+            tasks: The number of tasks that need capacity; one machine is cleared for each, up to
+                `MAX_MACHINES_CLEARED`.
+            now: Seconds on the leader's clock.
         """
         to_clear = max(1, min(tasks, MAX_MACHINES_CLEARED))
         for _ in range(min(len(machines), MAX_MACHINES_EXAMINED_TO_CLEAR)):
@@ -410,10 +434,14 @@
                 self.preemption.displace(eviction[0], job, now)
 
     def _victims_for_one_task(self, job: Job, machine: Machine, now: float) -> tuple[list[Allocation], float] | None:
-        """Return what would have to stop on a machine for one task of the job, and the cost of that."""
+        """Find the tasks to preempt on a machine so that one task of the job fits.
+
+        Returns:
+            The victims and the CPU seconds that stopping them wastes, or None if preemption is impossible or useless.
+        """
         if machine.reserved_for is not None or machine.stopping_count:
             return None
-        # where the task fits already, it is the template that refuses it, and preemption does not help
+        # A task that already fits was refused because of the template, which preemption does not change.
         if fits(job.size, machine.free) or not self.satisfies_constraints(job, machine):
             return None
         eviction = self.preemption.find_victims(job, machine, 1, now)
--- a/src/grebestand/scheduling/planning.py
+++ b/src/grebestand/scheduling/planning.py
@@ -1,4 +1,4 @@
-"""What the greedy plan is computed from: the demand of each task type, and the machines in pools."""
+"""The inputs of the greedy plan: the demand of each task type, and the machines grouped in pools."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 @dataclass(frozen=True)
 class TypeDemand:
-    """How many tasks of each active type there are to place; the lists run in parallel."""
+    """The number of tasks to place for each active type; the lists are parallel."""
 
-    #: indices of the active types in the registry, the highest priority first
+    #: Indices of the active types in the registry, the highest priority first.
     types: list[int]
     slots: list[Slot]
-    #: tasks that run or wait
+    #: The number of tasks that run or wait, by type.
     needs: list[float]
-    #: the same, with the policy's spare slots for each type
+    #: `needs` plus the policy's number of spare slots for each type.
     targets: list[float]
-    #: how many types the registry had; more may be added while a plan is computed
+    #: The number of types in the registry when the demand was computed; types may be added while a plan is computed.
     registered_types: int
 
     @property
     def zoned(self) -> bool:
-        """Whether some type is bound to a zone."""
+        """Whether any type is bound to a zone."""
         return any(slot.zone is not None for slot in self.slots)
 
 
 @dataclass
 class MachinePools:
-    """The pools of machines, and how many machines each has."""
+    """The pools of machines, and the number of machines in each pool."""
 
     pools: list[Pool] = field(default_factory=list)
     sizes: list[int] = field(default_factory=list)
     _index: dict[Pool, int] = field(default_factory=dict)
 
     def add_machine(self, pool: Pool) -> int:
-        """Count one machine of a pool, and return the pool's index."""
+        """Add one machine to a pool, which is created if necessary, and return the pool's index in `pools`."""
         index = self._index.setdefault(pool, len(self.pools))
         if index == len(self.pools):
             self.pools.append(pool)
--- a/src/grebestand/scheduling/preemption.py
+++ b/src/grebestand/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which work a job may displace, what stopping it costs, and the stopping itself."""
+"""Preemption: determines which tasks a job may displace and what stopping them costs, and stops them."""
 
 from __future__ import annotations
 
@@ -16,86 +16,88 @@
 
 log = logging.getLogger(__name__)
 
-#: change count and victims of a machine that was not examined yet; real change counts are not negative
+#: Change count and victims of a machine that has not been examined; real change counts are not negative.
 NOT_EXAMINED: tuple[int, list[tuple[float, Allocation]]] = (-1, [])
-#: how many times its cost protected work counts, so that other victims are found first
+#: Factor by which the cost of stopping protected work is multiplied, so that other victims are chosen first.
 PROTECTED_WEIGHT = 3.0
-#: seconds of work that every stop is taken to lose, so that work that has only just begun is not free to stop
+#: Seconds of work added to the loss of every stop, so that a task that has only just begun is not free to stop.
 STOP_OVERHEAD_S = 1.0
-#: the same for a task that has not begun to run, on top of the time for which its cores have been idle
+#: Seconds of work added, for a task that does not run yet, to the time for which the task's cores have been idle.
 NOT_RUNNING_OVERHEAD_S = 1.0
-#: a job that has just preempted others waits this long before it preempts more: their capacity may not be free yet
+#: Minimum time between two preemptions for one job: the capacity of the first victims may not be free before.
 PREEMPTION_INTERVAL_S = 1.0
 
 
 class PreemptionCost(NamedTuple):
-    """The part of the cost of stopping a task that is the same for all tasks of its job."""
+    """The part of the cost of stopping a task that is the same for all tasks of a job."""
 
-    #: CPU seconds lost for each second of work, with all tasks of a gang counted
+    #: CPU seconds lost for each second of work; for a gang, the sum over all of its tasks.
     cpus: float
-    #: whether it saves its progress when it is stopped
+    #: Whether a task of the job saves its progress when it is stopped.
     checkpoints: bool
-    #: whether the job runs within its team's guarantee, or would miss an objective if it started anew
+    #: Whether the job runs within its team's guarantee, or would miss an objective if a task restarted from the
+    #: beginning.
     is_protected: bool
 
 
 class Preemption(SchedulingComponent):
-    """Finds and stops the work that a job may displace."""
+    """Finds and stops the tasks that a job may displace."""
 
     def __init__(self, context: SchedulingContext, ordering: JobOrdering) -> None:
         super().__init__(context)
         self.ordering = ordering
-        #: teams above their guarantee when the pass began: a guarantee is reclaimed from these only
+        #: Indices of the teams that were above their guarantee when the pass began. Only they may lose tasks to another
+        #: team that reclaims its guarantee.
         self.borrowing_teams: set[int] = set()
-        #: by machine: its change count, and its tasks with the cost of stopping each, the cheapest first
+        #: By machine index: the change count, and the tasks with the cost of stopping each, the cheapest first.
         self._victims_by_machine: dict[int, tuple[int, list[tuple[float, Allocation]]]] = {}
         self._costs_by_job: dict[Job, PreemptionCost] = {}
 
     def begin_pass(self) -> None:
-        """Start a full pass: find the teams that borrow."""
+        """Find the teams that borrow at the start of a full pass."""
         self.borrowing_teams = {index for index, team in enumerate(self.registry.teams) if team.borrows()}
 
     def clear_cache(self) -> None:
-        """Drop cached costs, which grow with time."""
+        """Discard cached costs, which grow with time."""
         self._victims_by_machine = {}
         self._costs_by_job = {}
 
     def _may_displace(self, job: Job, victim: Allocation, reclaims: bool) -> bool:
-        """Return whether a job may displace a task: one of lower priority, or one of a team that borrows.
+        """Return whether a job may displace a task of lower priority, or of a team that borrows.
 
         Args:
-            job: the job that needs capacity.
-            victim: a task of any job.
-            reclaims: whether the job may reclaim its team's guarantee now.
+            job: The job that needs capacity.
+            victim: A task of any job.
+            reclaims: Whether the job may reclaim its team's guarantee now.
         """
         other = victim.job
         if other is job or not other.live or victim.stop_reason is not None:
             return False
         if job.rank != other.rank:
-            # a guarantee never displaces work of higher priority: that would displace it in turn, and two jobs that
-            # keep stopping each other make no progress
+            # A guarantee never displaces work of higher priority. That work could displace the guaranteed job again,
+            # and two jobs that keep stopping each other make no progress.
             return job.rank < other.rank
         return (
             reclaims and not other.guaranteed and other.team != job.team and self.registry.teams[other.team].borrows()
         )
 
     def may_still_displace(self, job: Job, victim: Allocation, now: float) -> bool:
-        """Return whether a victim that was found earlier may still be displaced."""
+        """Return whether a victim that was found earlier may still be displaced by the job."""
         return victim.state is not AllocationState.GONE and self._may_displace(
             job, victim, self.reclaims_for(job, now) >= 0
         )
 
     def reclaims_for(self, job: Job, now: float) -> int:
-        """Return the index of the team whose guarantee the job may reclaim from others now, or -1."""
+        """Return the team's index if the job may reclaim its team's guarantee from other teams now, or else -1."""
         others_borrow = job.guaranteed and bool(self.borrowing_teams - {job.team})
         return job.team if others_borrow and now - job.wait_since >= self.policy_values.reclaim_after_s else -1
 
     def _ranked_victims(self, machine: Machine, now: float) -> list[tuple[float, Allocation]]:
         """Return all tasks of a machine that are not being stopped, the cheapest to stop first.
 
-        The list does not depend on the job that asks, so it is sorted once per machine: sorting it for each team that
-        reclaims its guarantee would dominate a pass on a crowded cluster. It is renewed when the machine changes, and
-        with each computation of targets since costs grow with time.
+        The list does not depend on the preempting job, so it is cached for each machine: sorting the tasks for each
+        team that reclaims its guarantee would dominate a pass on a crowded cluster. The cached list is replaced when
+        the machine changes, and at each update of targets, since costs grow with time.
         """
         change_count, victims = self._victims_by_machine.get(machine.index, NOT_EXAMINED)
         if change_count != machine.change_count:
@@ -107,11 +109,11 @@
         return victims
 
     def _cost_for_job(self, job: Job, now: float) -> PreemptionCost:
-        """Return what stopping any task of the job costs, from the cache if it is there."""
+        """Return the cached cost parameters of the job, computing them first if necessary."""
         cost = self._costs_by_job.get(job)
         if cost is None:
             tasks = job.spec.tasks if job.gang else 1
-            # a gang that was displaced before costs more, so that it is not the cheapest victim again and again
+            # Cost of a gang grows with its past preemptions, so that the same gang is not chosen every time.
             cpus = (1.0 + job.preemption_count) * tasks * max(job.size[0], 1) / MICRO_UNITS
             checkpoints = job.spec.checkpoint_s > 0
             is_protected = job.guaranteed or (
@@ -121,11 +123,11 @@
         return cost
 
     def _lost_work(self, victim: Allocation, now: float) -> float:
-        """Return the CPU seconds that stopping this task would waste, with all tasks of a gang counted."""
+        """Return the CPU seconds that stopping a task would waste; for a gang, the sum over all of its tasks."""
         job = victim.job
         cost = self._cost_for_job(job, now)
         if victim.run_at is None:
-            # its cores have been idle while its image is fetched, which would have to be fetched again elsewhere
+            # The cores were idle during the image fetch, and would be idle again during a fetch on another machine.
             seconds = NOT_RUNNING_OVERHEAD_S + now - victim.decided_at
         elif cost.checkpoints:
             seconds = job.spec.save_s + SAVE_MARGIN_S
@@ -137,10 +139,16 @@
         return (PROTECTED_WEIGHT if is_protected else 1.0) * cost.cpus * (STOP_OVERHEAD_S + seconds)
 
     def cannot_free_enough(self, job: Job, machine: Machine, reclaims: bool) -> bool:
-        """Return whether displacing all that the job may displace on a machine frees too little for one task.
+        """Return whether preemption on a machine cannot free enough CPUs for one task of the job.
 
-        This is a quick check of CPUs by priority and team, which rules out most machines. It may return False where
-        `find_victims` finds nothing, never True where it finds something.
+        This quick check, based on CPUs by priority and team, rules out most machines. The check is one-sided: it
+        may return False for a machine where `find_victims` finds no victims, but never True for one where
+        `find_victims` succeeds.
+
+        Args:
+            job: The job that needs capacity.
+            machine: The machine to check.
+            reclaims: Whether the job may reclaim its team's guarantee now.
         """
         if machine.stopping_count:
             return False
@@ -154,11 +162,17 @@
         return cpus < job.size[0]
 
     def find_victims(self, job: Job, machine: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
-        """Return the cheapest victims on a machine that free capacity for so many tasks, and their cost.
+        """Find the cheapest victims on a machine that free capacity for a number of tasks.
+
+        Args:
+            job: The job that needs capacity.
+            machine: The machine to examine.
+            tasks: The number of tasks of the job that need capacity on the machine.
+            now: Seconds on the leader's clock.
 
         Returns:
-            The victims and the CPU seconds that stopping them wastes, or None if there are not enough. There are no
-            victims if the capacity is free, or will be once tasks that are being stopped are gone.
+            The victims and the CPU seconds that stopping them wastes, or None if preemption cannot free enough. The
+            list of victims is empty if the capacity is free, or will be once tasks that are being stopped have exited.
         """
         need = multiply(job.size, tasks)
         capacity = machine.free
@@ -172,7 +186,7 @@
         for lost_work, allocation in self._ranked_victims(machine, now):
             if fits(need, capacity):
                 break
-            # the list may name tasks that have ended or were stopped since
+            # the cached list may contain tasks that have ended or have been asked to stop since it was sorted
             if allocation.state is not AllocationState.GONE and self._may_displace(job, allocation, reclaims):
                 victims.append(allocation)
                 cost += lost_work
@@ -180,7 +194,15 @@
         return (victims, cost) if fits(need, capacity) else None
 
     def displace(self, victims: list[Allocation], job: Job, now: float) -> None:
-        """Stop the victims in favour of a job; gangs are stopped whole, and tasks with checkpoints save first."""
+        """Stop the victims in favour of a job.
+
+        A gang is stopped as a whole, and tasks with checkpoints get time to save before they are killed.
+
+        Args:
+            victims: The tasks to stop.
+            job: The job that needs capacity.
+            now: Seconds on the leader's clock.
+        """
         if victims:
             names = [f"{victim.job.spec.id}/{victim.index}" for victim in victims]
             log.info(LogEvent("tasks_preempted", for_job_id=job.spec.id, tasks=names))
@@ -195,5 +217,11 @@
 
     @staticmethod
     def must_wait(job: Job, after_s: float, now: float) -> bool:
-        """Return whether the job should wait longer before any work is preempted for it."""
+        """Return whether the job must wait longer before other work is preempted for it.
+
+        Args:
+            job: The job that needs capacity.
+            after_s: Seconds that a job has to wait before its first preemption.
+            now: Seconds on the leader's clock.
+        """
         return now - job.wait_since < after_s or now - job.preempt_at < PREEMPTION_INTERVAL_S
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -1,4 +1,8 @@
-"""The scheduler: targets and templates each period, full passes over waiting jobs, and filling single machines."""
+"""The scheduler's entry points.
+
+The scheduler updates targets and slot templates once a period, runs full passes over all waiting jobs, and fills
+single machines between passes.
+"""
 
 from __future__ import annotations
 
@@ -21,9 +25,16 @@
 
 
 class Scheduler:
-    """Decides what runs where. Builds the parts that decide, and runs them in order."""
+    """Assigns tasks to machines: builds the scheduling components and runs them in order."""
 
     def __init__(self, context: SchedulingContext, objectives: list[Objective], gang_wait_s: float) -> None:
+        """Build the scheduler and its components.
+
+        Args:
+            context: The state and services that all scheduling components share.
+            objectives: The service objectives that determine the order of waiting jobs.
+            gang_wait_s: Seconds for which a worker holds a started task until the rest of its gang is ready.
+        """
         self.view = context
         self.registry = context.registry
         self.inventory = context.inventory
@@ -41,16 +52,24 @@
         self.pending_reasons = PendingReasons(context)
 
     def retarget(self, now: float, spare: bool = True) -> None:
-        """Compute targets and templates without a break."""
+        """Update targets and templates without yielding to other work.
+
+        Args:
+            now: Seconds on the leader's clock.
+            spare: Whether the leader has spare capacity, so that tasks may migrate as well.
+        """
         for _ in self.retarget_steps(now, spare):
             pass
 
     def retarget_steps(self, now: float, spare: bool = True) -> Steps:
-        """Compute targets and templates in steps.
+        """Update targets and templates in steps of bounded length.
 
         Args:
-            now: seconds on the leader's clock.
-            spare: whether the leader has time to spare, so that tasks may migrate as well.
+            now: Seconds on the leader's clock.
+            spare: Whether the leader has spare capacity, so that tasks may migrate as well.
+
+        Yields:
+            Nothing; other work may run at each yield.
         """
         self.retargeted_at = now
         self.view.policy_values = self.view.evaluate_policy()
@@ -66,16 +85,32 @@
         self.pending_reasons.log_if_due(now)
 
     def fill(self, machine: Machine, now: float) -> None:
-        """Fill the free capacity of a machine after its heartbeat."""
+        """Start waiting tasks in the free capacity of a machine after its heartbeat.
+
+        Args:
+            machine: The machine that sent the heartbeat.
+            now: Seconds on the leader's clock.
+        """
         self.placement.fill(machine, now)
 
     def place(self, now: float) -> None:
-        """Run a full pass without a break."""
+        """Run a full pass without yielding to other work.
+
+        Args:
+            now: Seconds on the leader's clock.
+        """
         for _ in self.full_pass_steps(now):
             pass
 
     def full_pass_steps(self, now: float) -> Steps:
-        """Run a full pass in steps: every waiting job, over every usable machine."""
+        """Run a full pass in steps: try to place every waiting job on the schedulable machines.
+
+        Args:
+            now: Seconds on the leader's clock.
+
+        Yields:
+            Nothing; other work may run at each yield.
+        """
         for failed in [j for j in self.registry.jobs.values() if j.avoid]:
             MachineHealth.clear_expired_failures(failed, now)
         waiting = [j for j in self.registry.waiting_jobs() if now >= j.retry_at and j.startable() > 0]
@@ -86,15 +121,15 @@
         self._begin_pass()
         jobs_with_reservations = self._expire_reservations(now)
         schedulable = [m for m in self.inventory.machines if self.inventory.is_schedulable(m, now)]
-        turn = self.view.slice_number
-        # most machines have no free capacity for any of the single tasks; those whose heartbeat frees some meanwhile
-        # are filled by `fill`
+        slice_number = self.view.slice_number
+        # Skip machines without free capacity for any waiting single task: most machines have none. `fill` covers
+        # machines whose capacity is freed by a heartbeat during the pass.
         smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
         with_capacity = [m for m in schedulable if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
-            if self.view.slice_number != turn:
-                turn = self.view.slice_number
+            if self.view.slice_number != slice_number:
+                slice_number = self.view.slice_number
                 schedulable = [m for m in schedulable if self.inventory.is_schedulable(m, now)]
                 with_capacity = [m for m in schedulable if m.free[0] >= smallest_cpus]
             if self._must_wait(job, now):
@@ -107,13 +142,13 @@
         self.placement.end_pass(waiting)
 
     def _sort_by_urgency(self, waiting: list[Job], now: float) -> None:
-        """Sort waiting jobs in the order of service."""
+        """Sort waiting jobs by urgency, the most urgent first."""
         self.registry.mark_guaranteed()
         begin_after_s = self.view.policy_values.begin_after_s
         waiting.sort(key=lambda job: self.ordering.urgency(job, now, begin_after_s))
 
     def _begin_pass(self) -> None:
-        """Reset what holds for one pass only."""
+        """Reset the state that is valid for a single pass."""
         self.preemption.begin_pass()
         self.placement.begin_pass()
         self.gangs.begin_pass()
@@ -121,9 +156,14 @@
             team.limit_reserved_for = ""
 
     def _expire_reservations(self, now: float) -> set[str]:
-        """Remove reservations that have expired or whose job needs none, and return the jobs that had any.
+        """Remove reservations that have expired or whose job no longer needs them.
+
+        Args:
+            now: Seconds on the leader's clock.
 
-        A job whose reservation has just expired is returned as well: its machines are looked up in the ordinary way.
+        Returns:
+            The ids of all jobs that had a reservation when the call began, including those whose reservation was
+            removed. Reservations for gangs of other clusters that have not expired are left out.
         """
         jobs_with_reservations: set[str] = set()
         for machine in self.inventory.machines:
@@ -138,7 +178,7 @@
         return jobs_with_reservations
 
     def _must_wait(self, job: Job, now: float) -> bool:
-        """Return whether a pass skips a job: it has changed since the pass began, or a feature vetoes it."""
+        """Return whether the pass skips a job: no longer eligible since the pass began, or vetoed by a feature."""
         if not job.live or now < job.retry_at or job.startable() <= 0:
             return True
         veto = self.view.features.veto(job, now)
--- a/src/grebestand/scheduling/template_targets.py
+++ b/src/grebestand/scheduling/template_targets.py
@@ -33,14 +33,14 @@
     def set(self, now: float) -> Steps:
         """Compute targets and the greedy plan, and set templates, ranks and groups, in steps."""
         demand = self._demand(now)
-        turn = self.context.slice_number
+        slice_number = self.context.slice_number
         pools = MachinePools()
         assignments = yield from self._assignments(demand, pools)
         yield
         plan = self._plan(demand, pools)
         yield
         yield from cra_steps(assignments, plan)
-        yield from self._apply(assignments, demand, turn)
+        yield from self._apply(assignments, demand, slice_number)
         yield
         self.scale_out.measure(demand, pools)
 
@@ -92,7 +92,7 @@
         assignments.sort(key=lambda a: (a.empty, a.machine_index))
         return assignments
 
-    def _apply(self, assignments: list[TemplateAssignment], demand: TypeDemand, turn: int) -> Steps:
+    def _apply(self, assignments: list[TemplateAssignment], demand: TypeDemand, slice_number: int) -> Steps:
         """Set each machine's rank and group, and its template where it changed.
 
         Args:
@@ -109,7 +109,7 @@
             machine.rank, machine.in_accept_group = assignment.rank, assignment.in_accept_group
             if not assignment.changed:
                 continue
-            if self.context.slice_number != turn:
+            if self.context.slice_number != slice_number:
                 # its tasks may have changed since, and nothing is to be preempted for a template
                 assignment.empty, assignment.tasks_by_type = self._held(machine, demand)
                 if not assignment.can_take_config(assignment.config):
