--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -35,7 +35,7 @@
             objectives: The service objectives that determine the order of waiting jobs.
             gang_wait_s: Seconds for which a worker holds a started task until the rest of its gang is ready.
         """
-        self.view = context
+        self.context = context
         self.registry = context.registry
         self.inventory = context.inventory
         self.retargeted_at = -math.inf
@@ -72,14 +72,14 @@
             Nothing; other work may run at each yield.
         """
         self.retargeted_at = now
-        self.view.policy_values = self.view.evaluate_policy()
+        self.context.policy_values = self.context.evaluate_policy()
         yield from self.targets.set(now)
         self.placement.clear_cache()
         self.gangs.clear_cache()
         self.preemption.clear_cache()
         yield from self.images.measure()
         yield
-        if spare and self.view.policy_values.migrate:
+        if spare and self.context.policy_values.migrate:
             self.migration.migrate(now)
             yield
         self.pending_reasons.log_if_due(now)
@@ -121,15 +121,15 @@
         self._begin_pass()
         jobs_with_reservations = self._expire_reservations(now)
         schedulable = [m for m in self.inventory.machines if self.inventory.is_schedulable(m, now)]
-        slice_number = self.view.slice_number
+        slice_number = self.context.slice_number
         # Skip machines without free capacity for any waiting single task: most machines have none. `fill` covers
         # machines whose capacity is freed by a heartbeat during the pass.
         smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
         with_capacity = [m for m in schedulable if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
-            if self.view.slice_number != slice_number:
-                slice_number = self.view.slice_number
+            if self.context.slice_number != slice_number:
+                slice_number = self.context.slice_number
                 schedulable = [m for m in schedulable if self.inventory.is_schedulable(m, now)]
                 with_capacity = [m for m in schedulable if m.free[0] >= smallest_cpus]
             if self._must_wait(job, now):
@@ -144,7 +144,7 @@
     def _sort_by_urgency(self, waiting: list[Job], now: float) -> None:
         """Sort waiting jobs by urgency, the most urgent first."""
         self.registry.mark_guaranteed()
-        begin_after_s = self.view.policy_values.begin_after_s
+        begin_after_s = self.context.policy_values.begin_after_s
         waiting.sort(key=lambda job: self.ordering.urgency(job, now, begin_after_s))
 
     def _begin_pass(self) -> None:
@@ -181,7 +181,7 @@
         """Return whether the pass skips a job: no longer eligible since the pass began, or vetoed by a feature."""
         if not job.live or now < job.retry_at or job.startable() <= 0:
             return True
-        veto = self.view.features.veto(job, now)
+        veto = self.context.features.veto(job, now)
         if veto is not None:
             job.why_waiting = veto
             return True
--- a/src/grebestand/scheduling/stragglers.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -87,7 +87,7 @@
         #: by index of the machine
         self._samples: dict[int, RunTimeSamples] = {}
 
-    def finished(self, machine: Machine, allocation: Allocation, now: float) -> None:
+    def record_run_time(self, machine: Machine, allocation: Allocation, now: float) -> None:
         """Take in the run time of a task that has completed on a machine."""
         job = allocation.job
         if job.gang or not allocation.first or allocation.run_at is None or now <= allocation.run_at:
@@ -136,7 +136,7 @@
         machine.drain_reason = DRAIN_SLOW
         self.health.evacuate(machine, now)
 
-    def forget(self) -> None:
+    def remove_deleted_machines(self) -> None:
         """Drop the samples of machines that no longer exist."""
         for index in [i for i in self._samples if self.inventory.at(i) is None]:
             del self._samples[index]
