--- a/src/grebestand/scheduling/machine_health.py
+++ b/src/grebestand/scheduling/machine_health.py
@@ -1,4 +1,4 @@
-"""Tells faulty machines from faulty jobs, and evacuates machines that are about to go."""
+"""Distinguishes faulty machines from faulty jobs, and evacuates machines that are drained or about to be reclaimed."""
 
 from __future__ import annotations
 
@@ -16,37 +16,39 @@
 
 log = logging.getLogger(__name__)
 
-#: values of `Machine.drain`: it fails what it starts, it is slow, its cloud takes it back
+#: Values of `Machine.drain_reason`: tasks fail on the machine, tasks run slowly on the machine, or the cloud reclaims
+#: the machine.
 DRAIN_FAULTY = "faulty"
 DRAIN_SLOW = "slow"
 DRAIN_RECALL = "recall"
-#: where a machine is evacuated without being drained
+#: Stop reason for the tasks of a machine that is evacuated without being drained.
 DRAIN_DEFAULT = "drain"
 
-#: failures of one job, or on one machine, that are closer together than this count as one
+#: Failures of one job, or on one machine, within this interval count as one failure.
 FAILURE_INTERVAL_S = 1.0
-#: a job that failed this often, or on this many machines, and never succeeded is most likely at fault itself
+#: A job that has failed this often, or on this many machines, and never made progress is most likely faulty itself.
 MIN_FAILURES_TO_SUSPECT_JOB = 3
-#: a machine is at fault only if tasks of at least this many jobs failed on it
+#: A machine is considered faulty only if tasks of at least this many jobs have failed there.
 MIN_FAILED_JOBS_TO_DRAIN = 2
-#: how many machines a job remembers to have failed on, and for how long
+#: How many of the machines where a job failed are recorded with the job, and for how long the job avoids them.
 MAX_AVOIDED_MACHINES = 64
 AVOID_MACHINE_S = 60.0
-#: a job that keeps failing is retried with exponential backoff: 2 ** (failures - 1) seconds, up to a limit
+#: A job that keeps failing is retried with exponential backoff: 2 ** (failures - 1) seconds, up to a limit.
 JOB_BACKOFF_BASE_S = 2.0
 MAX_JOB_BACKOFF_EXPONENT = 7
 MAX_JOB_BACKOFF_S = 30.0
-#: so is a machine that keeps failing: 2 * 2 ** failures seconds, up to a limit
+#: A machine where tasks keep failing is blocked with exponential backoff: 2 * 2 ** failures seconds, up to a limit.
 MACHINE_BACKOFF_BASE_S = 2.0
 MAX_MACHINE_BACKOFF_EXPONENT = 5
 MAX_MACHINE_BACKOFF_S = 60.0
-#: a job is no longer taken to be at fault once a task of it has run for this long, and twice as long as any that failed
+#: A job is no longer suspected to be faulty once one of its tasks has run for this long, and for `RECOVERED_FACTOR`
+#: times as long as any task that failed.
 RECOVERED_AFTER_S = 10.0
 RECOVERED_FACTOR = 2.0
 
 
 class MachineHealth:
-    """Counts failures of jobs and on machines, and gives each fewer chances as its failures mount."""
+    """Counts failures by job and by machine, and applies backoff, suspicion and draining as failures accumulate."""
 
     def __init__(
         self, inventory: MachineInventory, dispatch: Dispatch, run_times: RunTimeEstimates, sick_errors: int
@@ -54,21 +56,22 @@
         self.inventory = inventory
         self.dispatch = dispatch
         self.run_times = run_times
-        #: failures in a row after which a machine is drained
+        #: Consecutive failures after which a machine is drained.
         self.sick_errors = sick_errors
 
     def failed(self, machine: Machine, job: Job, ran_s: float, now: float) -> None:
-        """Record that a task has failed, and draw the consequences for its job and its machine.
+        """Record that a task has failed, and update the state of its job and its machine.
 
         Args:
-            machine: where the task ran.
-            job: the task's job.
-            ran_s: how many seconds it had run.
-            now: seconds on the leader's clock.
+            machine: The machine where the task ran.
+            job: The task's job.
+            ran_s: Seconds for which the task had run.
+            now: Seconds on the leader's clock.
         """
         self._record_failure_of_job(job, machine, ran_s, now)
         if not job.has_progress and not self._runs_elsewhere(job, now):
-            # whichever is at fault: while the job waits, other jobs show what the machine does with them
+            # Either the job or the machine may be faulty. While the job waits, other jobs show whether they run on the
+            # machine.
             if job.errors > 1:
                 job.retry_at = now + self._job_backoff_s(job)
             if not job.suspected_faulty and max(job.errors, len(job.avoid)) >= MIN_FAILURES_TO_SUSPECT_JOB:
@@ -85,7 +88,7 @@
 
     @staticmethod
     def _record_failure_of_job(job: Job, machine: Machine, ran_s: float, now: float) -> None:
-        """Count a failure of a job; tasks that fail together are one failure."""
+        """Count a failure of a job; tasks that fail within `FAILURE_INTERVAL_S` count as one failure."""
         job.avoid[machine.index] = now
         if len(job.avoid) > MAX_AVOIDED_MACHINES:
             job.avoid.pop(next(iter(job.avoid)))
@@ -96,10 +99,10 @@
 
     @staticmethod
     def _record_failure_of_machine(machine: Machine, job: Job, now: float) -> None:
-        """Count a failure on a machine, and block it for a while.
+        """Count a failure on a machine, and block the machine for a while.
 
-        Further failures of a job that has never succeeded do not count: a job with a mistake of its own that is
-        retried there would block the machine for longer and longer.
+        Repeated failures of a job that has never made progress are not counted. Otherwise a faulty job that is
+        retried on the machine would block the machine for longer and longer.
         """
         is_repetition = job.spec.id in machine.error_jobs and not job.has_progress
         machine.error_jobs.add(job.spec.id)
@@ -112,24 +115,24 @@
 
     @staticmethod
     def _job_backoff_s(job: Job) -> float:
-        """Return how long a job that keeps failing waits before it is retried."""
+        """Return the seconds for which a job that keeps failing waits before its next attempt."""
         return min(MAX_JOB_BACKOFF_S, JOB_BACKOFF_BASE_S ** min(job.errors - 1, MAX_JOB_BACKOFF_EXPONENT))
 
     @staticmethod
     def _has_task_running_for(job: Job, seconds: float, now: float) -> bool:
-        """Return whether some task of a job has run for longer than so many seconds."""
+        """Return whether any task of a job has been running for more than the given seconds."""
         return any(a.run_at is not None and now - a.run_at > seconds for a in job.allocations.values())
 
     @classmethod
     def _runs_elsewhere(cls, job: Job, now: float) -> bool:
-        """Return whether other tasks run for longer than those that failed: then the job is not at fault."""
+        """Return whether a task of the job runs for longer than those that failed, so that the job is not at fault."""
         return cls._has_task_running_for(job, job.fails_after_s + FAILURE_INTERVAL_S, now)
 
     def _mark_suspected_faulty(self, job: Job, now: float) -> None:
-        """Note that a job is most likely at fault itself: it failed several times and never succeeded.
+        """Mark a job that has failed several times and never made progress as most likely faulty itself.
 
-        It is retried less often and with one task, or one gang, at a time. It is never given up: machines may have
-        been at fault after all.
+        Such a job is retried less often, and with only one task or one gang at a time. The job is never abandoned,
+        since machines may turn out to be at fault.
         """
         job.suspected_faulty = True
         log.info(LogEvent("job_retries_reduced", job_id=job.spec.id, machines=len(job.avoid)))
@@ -138,9 +141,9 @@
                 self.dispatch.stop(allocation, "its job fails", 0.0, now)
 
     def _exonerate_machines(self, job: Job) -> None:
-        """Take back a job's failures from machines: it fails on any of them, so none is to blame.
+        """Remove a job's failures from the machines' records, because the job fails wherever it runs.
 
-        Otherwise a few such jobs would have healthy machines drained.
+        Otherwise a few such jobs would cause healthy machines to be drained.
         """
         for index in job.avoid:
             machine = self.inventory.at(index)
@@ -155,10 +158,14 @@
 
     @classmethod
     def clear_expired_failures(cls, job: Job, now: float) -> None:
-        """Let time heal: a job tries machines again that it failed on a while ago.
+        """Clear old failures of a job, so that the job may run again on machines where it failed a while ago.
 
-        Otherwise a job that may run on few machines would wait for ever. A job that was taken to be at fault is
-        trusted again once one of its tasks runs for longer than those that failed.
+        Otherwise a job that is restricted to few machines would wait forever. A job that is suspected to be faulty
+        keeps its failures until one of its tasks runs for longer than those that failed, which ends the suspicion.
+
+        Args:
+            job: A job with recorded failures.
+            now: Seconds on the leader's clock.
         """
         if not job.suspected_faulty:
             for index in [i for i, failed_at in job.avoid.items() if now - failed_at > AVOID_MACHINE_S]:
@@ -170,7 +177,14 @@
             job.retry_at = 0.0
 
     def evacuate(self, machine: Machine, now: float) -> None:
-        """Stop the tasks of a machine that is about to go; those that have progress to save get time for it."""
+        """Stop the tasks of a machine that is drained or about to be reclaimed.
+
+        Tasks with checkpoints get time to save, if the machine stays up for long enough.
+
+        Args:
+            machine: The machine to evacuate.
+            now: Seconds on the leader's clock.
+        """
         reason = machine.drain_reason or DRAIN_DEFAULT
         for allocation in list(machine.allocations.values()):
             job = allocation.job
@@ -186,10 +200,10 @@
                 self.dispatch.stop(allocation, reason, grace_s, now)
 
     def _may_finish(self, allocation: Allocation, machine: Machine, saves: bool, now: float) -> bool:
-        """Return whether a task of a machine that is drained is better left alone."""
+        """Return whether a task of a drained machine may keep running because it can finish there."""
         if machine.drain_reason == DRAIN_RECALL and not saves and allocation.run_at is not None:
             remaining_s = self.run_times.run_s(allocation.job) - (now - allocation.run_at)
             if remaining_s < machine.terminates_at - now:
-                return True  # it may well complete before the machine goes
-        # a machine that is faulty or slow stays until what runs there has ended
+                return True  # the task is expected to finish before the machine is reclaimed
+        # A faulty or slow machine stays up until the tasks that run there have ended.
         return machine.drain_reason in (DRAIN_FAULTY, DRAIN_SLOW) and allocation.state is AllocationState.RUNNING
--- a/src/grebestand/scheduling/policy_values.py
+++ b/src/grebestand/scheduling/policy_values.py
@@ -1,4 +1,4 @@
-"""The values that the policy's expressions have for the present state of the cluster."""
+"""Evaluates the policy's expressions for the current state of the cluster."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from ..settings.expressions import Expressions
 from ..settings.platform import Params
 
-#: value of the variable `guarantee_s` where no objective says how soon guarantees are to be met
+#: Value of the variable `guarantee_s` if no objective states within which time guarantees must be met.
 DEFAULT_GUARANTEE_S = 10.0
 
 
 @dataclass
 class PolicyValues:
-    """The values that scheduling decisions use, named as in the policy; they hold from one period to the next."""
+    """The policy's values that scheduling decisions use, named as in the policy and updated once a period."""
 
-    #: spare slots for each active task type
+    #: Spare slots for each active task type.
     g: float
-    #: reward of a slot, by priority
+    #: Reward of a slot by priority, the highest priority first.
     payoffs: tuple[float, float, float, float]
-    #: seconds between two computations of targets
+    #: Seconds between two updates of targets.
     period_s: float
-    #: seconds that a gang waits before it preempts other work
+    #: Seconds that a gang waits before other work is preempted for it.
     preempt_after_s: float
-    #: seconds that a job waits before it reclaims its team's guarantee
+    #: Seconds that a job waits before reclaiming its team's guarantee.
     reclaim_after_s: float
-    #: whether tasks with checkpoints migrate
+    #: Whether services and tasks with checkpoints migrate.
     migrate: bool
-    #: whether types may use the spare slots of others
+    #: Whether task types may use the spare slots of other types.
     lend_spare: bool
-    #: seconds after which a job that has not begun is overdue
+    #: Seconds after which a job that has not begun is overdue.
     begin_after_s: float
 
 
 class PolicyEvaluator:
-    """Evaluates the policy for the present state of the cluster."""
+    """Evaluates the policy for the current state of the cluster."""
 
     def __init__(self, policy: Expressions, params: Params, registry: JobRegistry, inventory: MachineInventory) -> None:
         self.policy = policy
@@ -46,7 +46,7 @@
         self.inventory = inventory
 
     def value(self, key: str) -> float:
-        """Return the present value of one policy entry."""
+        """Return the current value of the policy entry with the given key."""
         return self.policy.value(key, self.names())
 
     def names(self) -> dict[str, float]:
@@ -69,14 +69,14 @@
         }
 
     def _guarantee_s(self) -> float:
-        """Return within how many seconds the strictest objective wants guarantees to be met."""
+        """Return the seconds within which the strictest objective requires guarantees to be met."""
         return min(
             (o.within_s for o in self.params.objectives if o.kind == "guarantee" and o.within_s),
             default=DEFAULT_GUARANTEE_S,
         )
 
     def policy_values(self) -> PolicyValues:
-        """Return the present values of all entries that scheduling decisions use."""
+        """Return the current values of all policy entries that scheduling decisions use."""
         names = self.names()
 
         def value(key: str) -> float:
--- a/src/grebestand/scheduling/scale_out.py
+++ b/src/grebestand/scheduling/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale out and in: the machines that the greedy plan lacks, and those that it has no use for."""
+"""Scale-out and scale-in: the machines that the greedy plan lacks, and the machines that the plan does not use."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from .planning import MachinePools, TypeDemand
 from .scheduling_context import SchedulingComponent, SchedulingContext
 
-#: for the plan, each pool may grow to twice its size and by at least so many machines; enough for demand to show
+#: Minimum number of machines by which the plan may enlarge each pool. Larger pools may double, which is enough to
+#: reveal unmet demand.
 MIN_POOL_GROWTH = 40
 
 
 @dataclass(frozen=True)
 class CapacityShortage:
-    """Machines of one type that would cover what the greedy plan lacks."""
+    """A number of machines of one type that would cover the shortage of the greedy plan."""
 
     kind: int
     spot: bool
@@ -28,18 +29,22 @@
 
 
 class ScaleOut(SchedulingComponent):
-    """Compares the machines there are with those that the greedy plan would use."""
+    """Compares the existing machines with the machines that the greedy plan would use."""
 
     def __init__(self, context: SchedulingContext) -> None:
         super().__init__(context)
-        #: as of the last computation of targets; on-demand machines come before spot machines
+        #: Shortages at the last update of targets, on-demand machines before spot machines.
         self.shortages: list[CapacityShortage] = []
 
     def measure(self, demand: TypeDemand, pools: MachinePools) -> None:
-        """Compute the greedy plan as if machines could be added at will, and record what is short.
+        """Compute the greedy plan as if machines could be added freely, and record the shortage.
 
-        Machines of one pool stand in for those of another where types allow both, so that one number is counted over
-        all pools.
+        The shortage is one number over all pools, because machines of one pool can replace machines of another
+        where task types allow both.
+
+        Args:
+            demand: The demand of the active task types.
+            pools: The existing machines by pool.
         """
         rentable = self._rentable_pools(pools.pools, demand.zoned)
         candidates = pools.pools + rentable
@@ -49,7 +54,7 @@
         self.shortages = self._shortages(candidates, demand.slots, missing) if missing > 0 else []
 
     def _rentable_pools(self, pools: list[Pool], zoned: bool) -> list[Pool]:
-        """Return the pools of machines that the cloud offers and the cluster has none of."""
+        """Return the pools of machines that the cloud offers and of which the cluster has none."""
         present = {(pool.machine_type, pool.zone, pool.spot) for pool in pools}
         rentable: list[Pool] = []
         for kind, offered in self.inventory.machine_types.items():
@@ -66,7 +71,7 @@
         return rentable
 
     def _shortages(self, pools: list[Pool], slots: list[Slot], missing: int) -> list[CapacityShortage]:
-        """Return a shortage for each pool that takes some type and is still offered, on-demand machines first."""
+        """Return a shortage for each pool that accepts any type and is still offered, on-demand machines first."""
         shortages: list[CapacityShortage] = []
         for pool in sorted(pools, key=lambda pool: pool.spot):
             offered = self.inventory.machine_types.get(pool.machine_type)
@@ -77,12 +82,12 @@
         return shortages
 
     def surplus(self, keep: float, idle_s: float, now: float) -> list[Machine]:
-        """Return machines that the plan has no use for and that have been idle for a while, the idlest first.
+        """Return machines that the plan does not use and that have been idle for some time, the longest idle first.
 
         Args:
-            keep: how many idle machines are kept in any case.
-            idle_s: how many seconds a machine has to have been idle.
-            now: seconds on the leader's clock.
+            keep: The number of idle machines to keep, rounded up.
+            idle_s: Seconds for which a machine must have been idle.
+            now: Seconds on the leader's clock.
         """
         idle = [
             m
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -162,8 +162,9 @@
             now: Seconds on the leader's clock.
 
         Returns:
-            The ids of all jobs that had a reservation when the call began, including those whose reservation was
-            removed. Reservations for gangs of other clusters that have not expired are left out.
+            The ids of all jobs that had a reservation when the call began. A job whose reservation was removed is
+            included, so that the pass examines its machines again. Unexpired reservations for gangs of other
+            clusters are left out.
         """
         jobs_with_reservations: set[str] = set()
         for machine in self.inventory.machines:
--- a/src/grebestand/scheduling/scheduling_context.py
+++ b/src/grebestand/scheduling/scheduling_context.py
@@ -1,8 +1,8 @@
-"""What all parts of the scheduler share: the cluster state, the policy's values, and the rules for long computations.
+"""The state that all scheduling components share, and the rules for long computations.
 
-A computation over all machines is a generator that yields between steps of bounded length. Whoever drives it may let
-other work run in between and then begins a new *turn*. Whatever was found in an earlier turn is checked against the
-cluster state before it is acted on: heartbeats may have changed it in the meantime.
+A computation over all machines is a generator that yields between steps of bounded length. The scheduling loop runs
+several steps in one *slice*, and lets other work run between slices. Heartbeats may change the cluster state between
+slices. Results of an earlier slice are therefore checked against the current cluster state before they are applied.
 """
 
 from __future__ import annotations
@@ -19,26 +19,25 @@
 from ..features.hooks import Features
 from .policy_values import PolicyValues
 
-#: a computation that can be suspended between two steps
+#: A computation that can be suspended between two steps.
 Steps = Iterator[None]
-#: how many machines are examined, and how many tasks started, before a computation yields; both bound the time for
-#: which heartbeats and users wait
+#: How many machines are examined, and how many tasks are started, before a computation yields. Both limits bound the
+#: time for which heartbeats and user requests wait.
 MACHINES_PER_STEP = 200
 STARTS_PER_STEP = 200
-#: how many tables of findings by machine a component caches. A dozen teams that may each reclaim a guarantee need the
-#: minimum; with thousands of machines the limit on entries keeps memory bounded.
+#: How many tables with one entry per machine a component caches. The minimum serves a dozen teams that may each reclaim
+#: a guarantee. The limit on entries bounds memory on clusters with thousands of machines.
 MIN_CACHED_TABLES = 24
 MAX_CACHED_ENTRIES = 60_000
-#: a task that saves before it stops gets this much longer than saving takes, as the order itself takes time
+#: Extra time for a task to save before it is killed, since the stop command takes time to arrive.
 SAVE_MARGIN_S = 1.0
 
-
-K = TypeVar("K")
-V = TypeVar("V")
+TableKey = TypeVar("TableKey")
+TableValue = TypeVar("TableValue")
 
 
 class SchedulingContext:
-    """The state that scheduling decisions are based on, and the dispatch that carries them out."""
+    """The state that scheduling decisions are based on, and the dispatch that carries out these decisions."""
 
     def __init__(
         self,
@@ -54,16 +53,16 @@
         self.dispatch = dispatch
         self.run_times = run_times
         self.features = features
-        #: evaluates the policy for the present state of the cluster
+        #: Evaluates the policy for the current state of the cluster.
         self.evaluate_policy = policy_values
-        #: incremented whenever a suspended computation is resumed after other work has run
+        #: Number of slices run so far; incremented whenever a computation begins or resumes after other work has run.
         self.slice_number = 0
-        #: as of the last computation of targets
+        #: The policy's values at the last update of targets.
         self.policy_values = policy_values()
 
 
 class SchedulingComponent:
-    """Base of the classes that make scheduling decisions: all share one context."""
+    """Base class of the components that make scheduling decisions; all components share one context."""
 
     def __init__(self, context: SchedulingContext) -> None:
         self.context = context
@@ -73,16 +72,18 @@
 
     @property
     def policy_values(self) -> PolicyValues:
-        """The policy's values as of the last computation of targets."""
+        """The policy's values at the last update of targets."""
         return self.context.policy_values
 
     @staticmethod
     def _reserve(machine: Machine, job: Job, until: float) -> None:
-        """Reserve a machine for one job, so that until then no other job is started there."""
+        """Reserve a machine for one job, so that no other job is started there before the time `until`."""
         machine.reserved_for, machine.reserved_until = job.spec.id, until
 
-    def _get_or_create_table(self, tables: dict[K, dict[int, V]], key: K) -> dict[int, V]:
-        """Return the table cached under a key; a new one replaces the oldest if there are too many."""
+    def _get_or_create_table(
+        self, tables: dict[TableKey, dict[int, TableValue]], key: TableKey
+    ) -> dict[int, TableValue]:
+        """Return the table cached under a key; a new table replaces the oldest if there are too many."""
         table = tables.get(key)
         if table is None:
             if len(tables) >= max(MIN_CACHED_TABLES, MAX_CACHED_ENTRIES // max(1, len(self.inventory.machines))):
--- a/src/grebestand/scheduling/stragglers.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -1,10 +1,10 @@
-"""Finds machines that run slowly, and tells them from jobs that are slow everywhere.
+"""Detects slow machines (stragglers), as opposed to jobs that run slowly on every machine.
 
-The run time of each finished task of an array is compared with those of other tasks of the same job on other machines,
-so a job that is slow everywhere says nothing about any machine. The logarithms of these ratios are averaged for each
-machine. A machine counts as slow once their mean exceeds the policy's ratio by two standard errors, over enough
-samples from at least two jobs. Two kinds of tasks are left out: those that were started before may resume from a
-checkpoint, and those of gangs run as fast as the gang's slowest machine.
+The run time of each finished task of an array is divided by the median run time of tasks of the same job on other
+machines, so that a job that is slow everywhere does not affect any machine's estimate. The logarithms of these ratios
+are averaged for each machine. A machine is considered slow once the mean exceeds the logarithm of the policy's ratio by
+two standard errors, over enough samples from at least two jobs. Two kinds of tasks are excluded: restarted tasks, which
+may resume from a checkpoint, and tasks of gangs, which run as fast as the gang's slowest machine.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 log = logging.getLogger(__name__)
 
-#: tasks of the same job on other machines that a run time is compared with, and on how many machines they have to have
-#: run: fewer would make one slow machine the measure of the others
+#: Minimum number of tasks of the same job on other machines that a run time is compared with, and minimum number of
+#: machines where they ran: with fewer, one slow machine could determine the reference for the others.
 MIN_OTHER_TASKS = 6
 MIN_OTHER_MACHINES = 3
-#: run times that are remembered for each job
+#: Maximum number of run times kept for each job.
 MAX_RUN_TIMES = 48
-#: with this many samples a machine's estimate is used to prefer other machines, before it suffices to drain it
+#: Minimum number of samples before a machine's slowness affects placement; draining the machine takes more samples.
 MIN_SAMPLES_FOR_SLOWNESS = 4
-#: samples have to be of at least this many jobs before a machine is drained
+#: A machine is drained only if its samples come from at least this many jobs.
 MIN_SAMPLED_JOBS = 2
-#: the variance of fewer samples is not defined
+#: The variance of fewer samples is undefined.
 MIN_SAMPLES_FOR_VARIANCE = 2
-#: by how many standard errors the mean has to exceed the bound
+#: How many standard errors the mean must exceed the bound by.
 STANDARD_ERRORS = 2
-#: at most one in this many machines is drained for its speed at a time
+#: At most one in this many machines is drained for slowness at a time.
 MACHINES_PER_SLOW_DRAIN = 20
 
 
@@ -46,9 +46,9 @@
 
     def __init__(self) -> None:
         self.count = 0
-        #: mean of the samples, and sum of their squared differences from it
+        #: Mean of the samples, and sum of the squared differences between the samples and their mean.
         self.mean = self.squared_deviations = 0.0
-        #: the first jobs that samples came from, no more than matter
+        #: Ids of the first jobs that samples came from, at most `MIN_SAMPLED_JOBS`.
         self.jobs: set[str] = set()
 
     def add(self, value: float, job_id: str) -> None:
@@ -69,26 +69,32 @@
 
 
 class StragglerDetector:
-    """Estimates how slow each machine is, and drains those that are surely slow."""
+    """Estimates the slowness of each machine, and drains machines that are significantly slow."""
 
     def __init__(self, inventory: MachineInventory, health: MachineHealth, slow_ratio: float, samples: int) -> None:
         """Build the detector.
 
         Args:
-            inventory: all machines.
-            health: evacuates machines that are drained.
-            slow_ratio: how many times as long as others a machine has to take to be drained.
-            samples: how many samples that takes at least.
+            inventory: All machines.
+            health: Evacuates machines that are drained.
+            slow_ratio: The ratio of a machine's run times to those of other machines above which it is drained.
+            samples: The minimum number of samples before a machine is drained.
         """
         self.inventory = inventory
         self.health = health
         self.slow_ratio = slow_ratio
         self.min_samples = samples
-        #: by index of the machine
+        #: Samples by machine index.
         self._samples: dict[int, RunTimeSamples] = {}
 
     def record_run_time(self, machine: Machine, allocation: Allocation, now: float) -> None:
-        """Take in the run time of a task that has completed on a machine."""
+        """Record the run time of a completed task, and drain the machine if it is significantly slow.
+
+        Args:
+            machine: The machine where the task ran.
+            allocation: The task's allocation.
+            now: Seconds on the leader's clock.
+        """
         job = allocation.job
         if job.gang or not allocation.first or allocation.run_at is None or now <= allocation.run_at:
             return
@@ -107,18 +113,21 @@
 
     @staticmethod
     def _append_run_time(job: Job, machine: Machine, run_time_s: float) -> None:
-        """Keep a run time with its job, in place of the oldest if there are too many."""
+        """Add a run time to the job's recent run times, replacing the oldest if there are too many."""
         if len(job.runs) >= MAX_RUN_TIMES:
             job.runs.pop(0)
         job.runs.append((machine.index, run_time_s))
 
     def _is_significantly_slow(self, samples: RunTimeSamples) -> bool:
-        """Return whether a machine's samples suffice to drain it."""
+        """Return whether a machine's samples show significant slowness, so that the machine should be drained."""
         enough = samples.count >= self.min_samples and len(samples.jobs) >= MIN_SAMPLED_JOBS
         return enough and samples.significantly_above(math.log(self.slow_ratio))
 
     def _drain(self, machine: Machine, samples: RunTimeSamples, now: float) -> None:
-        """Drain a slow machine, unless too many are being drained: it is placed last until those are gone."""
+        """Drain a slow machine, unless too many slow machines are being drained already.
+
+        A slow machine that is not drained is still ranked behind others by placement.
+        """
         if machine.drain_reason is not None:
             return
         draining = sum(1 for other in self.inventory.machines if other.drain_reason == DRAIN_SLOW)
@@ -137,6 +146,6 @@
         self.health.evacuate(machine, now)
 
     def remove_deleted_machines(self) -> None:
-        """Drop the samples of machines that no longer exist."""
+        """Remove the samples of machines that no longer exist."""
         for index in [i for i in self._samples if self.inventory.at(i) is None]:
             del self._samples[index]
--- a/src/grebestand/scheduling/template_targets.py
+++ b/src/grebestand/scheduling/template_targets.py
@@ -1,6 +1,6 @@
-"""Targets, the greedy plan, and each machine's template, rank and group.
+"""Computes targets and the greedy plan, and sets each machine's template, rank and group.
 
-Templates change only where nothing has to be preempted for it.
+The template of a machine changes only if this requires no preemption.
 """
 
 from __future__ import annotations
@@ -15,23 +15,30 @@
 from .scale_out import ScaleOut
 from .scheduling_context import MACHINES_PER_STEP, SchedulingComponent, SchedulingContext, Steps
 
-#: how long a type without tasks keeps its spare slots, so that short gaps between jobs do not change templates
+#: How long a type without tasks keeps its spare slots, so that short gaps between jobs do not change templates.
 INACTIVE_TYPE_RETENTION_S = 60.0
-#: a type's payoff grows with its share of a machine, which counts for at least this much
+#: Lower bound on the share of a machine that a task takes. Payoffs are proportional to this share.
 MIN_SHARE = 1e-6
-#: capacity of a machine while none has reported its own: one CPU, one card, one gigabyte
+#: Machine capacity assumed until a machine has reported its own: one CPU, one GPU, one gigabyte of memory.
 FALLBACK_CAPACITY: Resources = (MICRO_UNITS, MICRO_UNITS, MICRO_UNITS)
 
 
 class TemplateTargets(SchedulingComponent):
-    """Computes targets each period and sets templates, ranks and groups accordingly."""
+    """Computes targets once a period, and sets templates, ranks and groups accordingly."""
 
     def __init__(self, context: SchedulingContext, scale_out: ScaleOut) -> None:
         super().__init__(context)
         self.scale_out = scale_out
 
     def set(self, now: float) -> Steps:
-        """Compute targets and the greedy plan, and set templates, ranks and groups, in steps."""
+        """Compute targets and the greedy plan, and set templates, ranks and groups, in steps.
+
+        Args:
+            now: Seconds on the leader's clock.
+
+        Yields:
+            Nothing; other work may run at each yield.
+        """
         demand = self._demand(now)
         slice_number = self.context.slice_number
         pools = MachinePools()
@@ -45,14 +52,14 @@
         self.scale_out.measure(demand, pools)
 
     def _demand(self, now: float) -> TypeDemand:
-        """Return the active types and their targets: tasks that run, tasks that wait, and the policy's spare slots."""
+        """Return the active types and their targets: running tasks, waiting tasks, and the policy's spare slots."""
         counts: dict[int, float] = {}
         for job in self.registry.jobs.values():
             if not job.live:
                 continue
             self.registry.types[job.type].seen_at = now
             team = self.registry.teams[job.team]
-            # slots are not reserved for tasks that their team's limit keeps from running
+            # no slots are planned for tasks that cannot run because of their team's limit
             waiting = min(job.wanted(), team.headroom(job.size))
             counts[job.type] = counts.get(job.type, 0) + len(job.allocations) + waiting
         registered = self.registry.types
@@ -69,12 +76,12 @@
         return TypeDemand(types=types, slots=slots, needs=needs, targets=targets, registered_types=len(registered))
 
     def _largest_capacity(self) -> Resources:
-        """Return the largest capacity of any machine, which shares are relative to."""
+        """Return the largest capacity of any machine, the reference for shares of a machine."""
         capacities = [m.capacity for m in self.inventory.machines if m.capacity != (0, 0, 0)]
         return max(capacities) if capacities else FALLBACK_CAPACITY
 
     def _assignments(self, demand: TypeDemand, pools: MachinePools) -> Generator[None, None, list[TemplateAssignment]]:
-        """Return the machines for CRA, those that hold tasks first, and add each to its pool."""
+        """Return the assignments for CRA, machines with tasks first, and add each machine to its pool."""
         members = [m for m in self.inventory.machines if self.inventory.counts(m)]
         zoned = demand.zoned
         assignments: list[TemplateAssignment] = []
@@ -83,7 +90,7 @@
                 yield
             pool = pools.add_machine(Pool(machine.kind, machine.zone if zoned else -1, machine.spot, machine.capacity))
             if not machine.template:
-                # the paper's initialisation: the template of an unconfigured machine is what it holds
+                # as in the paper, the initial template of a machine has one slot for each of its tasks
                 machine.template = self._tasks_by_type(machine, demand.registered_types)
             template = machine.template
             config = tuple(template[index] if index < len(template) else 0 for index in demand.types)
@@ -96,21 +103,22 @@
         """Set each machine's rank and group, and its template where it changed.
 
         Args:
-            assignments: the result of CRA.
-            demand: the types that its configurations are made of.
-            turn: the turn in which the machines were examined; in a later one a change of template is checked again.
+            assignments: The result of CRA.
+            demand: The types that the configurations consist of.
+            slice_number: The slice in which the machines were examined. In a later slice, each change of a template
+                is checked again.
         """
         for examined, assignment in enumerate(assignments, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
             machine = self.inventory.at(assignment.machine_index)
             if machine is None:
-                continue  # it was removed while the plan was computed
+                continue  # the machine was removed while the plan was computed
             machine.rank, machine.in_accept_group = assignment.rank, assignment.in_accept_group
             if not assignment.changed:
                 continue
             if self.context.slice_number != slice_number:
-                # its tasks may have changed since, and nothing is to be preempted for a template
+                # the machine's tasks may have changed, and a new template must not require preemption
                 assignment.empty, assignment.tasks_by_type = self._held(machine, demand)
                 if not assignment.can_take_config(assignment.config):
                     continue
@@ -120,9 +128,10 @@
             machine.template = tuple(template)
 
     def _held(self, machine: Machine, demand: TypeDemand) -> tuple[bool, SlotTemplate]:
-        """Return whether a machine is empty, and its tasks by active type.
+        """Return whether a machine is empty, and the number of its tasks by active type.
 
-        The tasks are left out if some are of inactive types or the machine is reserved: its template must not change.
+        The tuple of tasks is empty if any task is of an inactive type or the machine is reserved, so that the
+        machine's template does not change.
         """
         if machine.reserved_for is not None:
             return False, ()
@@ -134,7 +143,7 @@
 
     @staticmethod
     def _tasks_by_type(machine: Machine, registered_types: int) -> SlotTemplate:
-        """Return how many tasks of each registered type a machine holds."""
+        """Return the number of tasks of each registered type on a machine."""
         counts = [0] * registered_types
         for index, count in machine.slots.items():
             counts[index] = count
@@ -142,11 +151,11 @@
 
     @staticmethod
     def _plan(demand: TypeDemand, pools: MachinePools) -> list[PlanEntry]:
-        """Return the greedy plan for tasks that run and wait, then for spare slots on the machines that are left.
+        """Return the greedy plan, first for running and waiting tasks, then for spare slots on the remaining machines.
 
-        The paper adds the spare slots (g) to every type before it assigns machines. With g in the first round, a type
-        that comes first could take every machine for spare slots while tasks of another with the same payoff wait for
-        ever.
+        The paper adds the spare slots (g) to every type before assigning machines. If g were included in the first
+        round, the type that comes first could occupy every machine with spare slots, while tasks of another type with
+        the same payoff wait forever.
         """
         plan = gpa(demand.slots, demand.needs, pools.pools, pools.sizes)
         machines_left = list(pools.sizes)
