--- a/src/grebestand/scheduling/machine_health.py
+++ b/src/grebestand/scheduling/machine_health.py
@@ -59,7 +59,7 @@
         #: Consecutive failures after which a machine is drained.
         self.sick_errors = sick_errors
 
-    def failed(self, machine: Machine, job: Job, ran_s: float, now: float) -> None:
+    def record_failure(self, machine: Machine, job: Job, ran_s: float, now: float) -> None:
         """Record that a task has failed, and update the state of its job and its machine.
 
         Args:
--- a/src/grebestand/scheduling/scale_out.py
+++ b/src/grebestand/scheduling/scale_out.py
@@ -22,7 +22,7 @@
 class CapacityShortage:
     """A number of machines of one type that would cover the shortage of the greedy plan."""
 
-    kind: int
+    machine_type: int
     spot: bool
     count: int
     zones: tuple[int, ...]
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -38,7 +38,7 @@
         self.context = context
         self.registry = context.registry
         self.inventory = context.inventory
-        self.retargeted_at = -math.inf
+        self.targets_updated_at = -math.inf
         self.ordering = JobOrdering(objectives, context.run_times)
         self.images = ImageLocality(context)
         self.preemption = Preemption(context, self.ordering)
@@ -51,17 +51,17 @@
         self.migration = Migration(context, self.images)
         self.pending_reasons = PendingReasons(context)
 
-    def retarget(self, now: float, spare: bool = True) -> None:
+    def update_targets(self, now: float, spare: bool = True) -> None:
         """Update targets and templates without yielding to other work.
 
         Args:
             now: Seconds on the leader's clock.
             spare: Whether the leader has spare capacity, so that tasks may migrate as well.
         """
-        for _ in self.retarget_steps(now, spare):
+        for _ in self.update_targets_steps(now, spare):
             pass
 
-    def retarget_steps(self, now: float, spare: bool = True) -> Steps:
+    def update_targets_steps(self, now: float, spare: bool = True) -> Steps:
         """Update targets and templates in steps of bounded length.
 
         Args:
@@ -71,7 +71,7 @@
         Yields:
             Nothing; other work may run at each yield.
         """
-        self.retargeted_at = now
+        self.targets_updated_at = now
         self.context.policy_values = self.context.evaluate_policy()
         yield from self.targets.set(now)
         self.placement.clear_cache()
