--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -153,7 +153,7 @@
         is_overdue = self.preemption.ordering.overdue(job, now, self.policy_values.begin_after_s)
         if not self._may_start(job):
             if is_overdue:
-                self._keep_team_limit(job)
+                self._reserve_team_limit(job)
             return
         reserves_free = is_overdue and not self._overdue_gang
         shape = job.type, job.spec.one_zone, job.spec.spread, self.preemption.reclaims_for(job, now)
@@ -200,7 +200,7 @@
             return False
         return True
 
-    def _keep_team_limit(self, job: Job) -> None:
+    def _reserve_team_limit(self, job: Job) -> None:
         """Reserve the rest of the team's limit for an overdue gang that cannot start because of this limit.
 
         Without the reservation, smaller jobs of the same team could use up the limit indefinitely.
--- a/src/grebestand/scheduling/image_locality.py
+++ b/src/grebestand/scheduling/image_locality.py
@@ -27,7 +27,7 @@
         #: Images that some machine had cached or was fetching at the last update of targets.
         self.cached_images: set[int] = set()
 
-    def measure(self) -> Steps:
+    def update(self) -> Steps:
         """Find the images that are cached, and those that are cached widely enough for the demand.
 
         Yields:
--- a/src/grebestand/scheduling/machine_health.py
+++ b/src/grebestand/scheduling/machine_health.py
@@ -34,7 +34,7 @@
 MAX_AVOIDED_MACHINES = 64
 AVOID_MACHINE_S = 60.0
 #: A job that keeps failing is retried with exponential backoff: 2 ** (failures - 1) seconds, up to a limit.
-JOB_BACKOFF_BASE_S = 2.0
+JOB_BACKOFF_BASE = 2.0
 MAX_JOB_BACKOFF_EXPONENT = 7
 MAX_JOB_BACKOFF_S = 30.0
 #: A machine where tasks keep failing is blocked with exponential backoff: 2 * 2 ** failures seconds, up to a limit.
@@ -51,13 +51,13 @@
     """Counts failures by job and by machine, and applies backoff, suspicion and draining as failures accumulate."""
 
     def __init__(
-        self, inventory: MachineInventory, dispatch: Dispatch, run_times: RunTimeEstimates, sick_errors: int
+        self, inventory: MachineInventory, dispatch: Dispatch, run_times: RunTimeEstimates, drain_after_failures: int
     ) -> None:
         self.inventory = inventory
         self.dispatch = dispatch
         self.run_times = run_times
         #: Consecutive failures after which a machine is drained.
-        self.sick_errors = sick_errors
+        self.drain_after_failures = drain_after_failures
 
     def record_failure(self, machine: Machine, job: Job, ran_s: float, now: float) -> None:
         """Record that a task has failed, and update the state of its job and its machine.
@@ -80,7 +80,7 @@
                 self._exonerate_machines(job)
                 return
         self._record_failure_of_machine(machine, job, now)
-        is_faulty = machine.errors >= self.sick_errors and len(machine.error_jobs) >= MIN_FAILED_JOBS_TO_DRAIN
+        is_faulty = machine.errors >= self.drain_after_failures and len(machine.error_jobs) >= MIN_FAILED_JOBS_TO_DRAIN
         if machine.drain_reason is None and is_faulty:
             log.warning(LogEvent("machine_drained", machine=machine.name, reason=DRAIN_FAULTY, failures=machine.errors))
             machine.drain_reason = DRAIN_FAULTY
@@ -116,7 +116,7 @@
     @staticmethod
     def _job_backoff_s(job: Job) -> float:
         """Return the seconds for which a job that keeps failing waits before its next attempt."""
-        return min(MAX_JOB_BACKOFF_S, JOB_BACKOFF_BASE_S ** min(job.errors - 1, MAX_JOB_BACKOFF_EXPONENT))
+        return min(MAX_JOB_BACKOFF_S, JOB_BACKOFF_BASE ** min(job.errors - 1, MAX_JOB_BACKOFF_EXPONENT))
 
     @staticmethod
     def _has_task_running_for(job: Job, seconds: float, now: float) -> bool:
--- a/src/grebestand/scheduling/scale_out.py
+++ b/src/grebestand/scheduling/scale_out.py
@@ -36,7 +36,7 @@
         #: Shortages at the last update of targets, on-demand machines before spot machines.
         self.shortages: list[CapacityShortage] = []
 
-    def measure(self, demand: TypeDemand, pools: MachinePools) -> None:
+    def update_shortages(self, demand: TypeDemand, pools: MachinePools) -> None:
         """Compute the greedy plan as if machines could be added freely, and record the shortage.
 
         The shortage is one number over all pools, because machines of one pool can replace machines of another
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -73,11 +73,11 @@
         """
         self.targets_updated_at = now
         self.context.policy_values = self.context.evaluate_policy()
-        yield from self.targets.set(now)
+        yield from self.targets.update(now)
         self.placement.clear_cache()
         self.gangs.clear_cache()
         self.preemption.clear_cache()
-        yield from self.images.measure()
+        yield from self.images.update()
         yield
         if spare and self.context.policy_values.migrate:
             self.migration.migrate(now)
--- a/src/grebestand/scheduling/template_targets.py
+++ b/src/grebestand/scheduling/template_targets.py
@@ -30,7 +30,7 @@
         super().__init__(context)
         self.scale_out = scale_out
 
-    def set(self, now: float) -> Steps:
+    def update(self, now: float) -> Steps:
         """Compute targets and the greedy plan, and set templates, ranks and groups, in steps.
 
         Args:
@@ -49,7 +49,7 @@
         yield from cra_steps(assignments, plan)
         yield from self._apply(assignments, demand, slice_number)
         yield
-        self.scale_out.measure(demand, pools)
+        self.scale_out.update_shortages(demand, pools)
 
     def _demand(self, now: float) -> TypeDemand:
         """Return the active types and their targets: running tasks, waiting tasks, and the policy's spare slots."""
