--- a/tests/scheduling/test_cached_findings.py
+++ b/tests/scheduling/test_cached_findings.py
@@ -1,4 +1,4 @@
-"""What placement and preemption cache from one pass to the next."""
+"""The results that placement and preemption cache between passes stay valid."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
 from grebestand.wire.workers import ExitReason
 
-#: fewer comparisons would say little
+#: Minimum number of comparisons for the test to be meaningful.
 MIN_COMPARISONS = 500
 
 
 def compare_allowances(term: Term) -> int:
-    """Compare each valid cached allowance with a fresh one, and return how many there were."""
+    """Compare each valid cached allowance with a newly computed one, and return the number of comparisons."""
     placement = term.scheduler.placement
     compared = 0
     for (task_type, aged), allowances in placement._allowances.items():
@@ -27,7 +27,7 @@
 
 
 def compare_victims(term: Term) -> int:
-    """Compare each valid cached list of victims with its machine, and return how many there were."""
+    """Compare each valid cached list of victims with the machine's tasks, and return the number of comparisons."""
     compared = 0
     for index, (change_count, victims) in term.scheduler.preemption._victims_by_machine.items():
         machine = term.inventory.at(index)
@@ -40,8 +40,11 @@
 
 
 def test_cached_findings_equal_fresh_ones() -> None:
-    """Passes cache what templates admit and what machines hold by cost, by the machine's change count. A change that
-    was not counted would start tasks where a template has no slot, or stop the wrong ones."""
+    """Guards against a change to a machine that does not raise its change count.
+
+    Cached allowances and victims are valid for one change count. After a change that is not counted, tasks would start
+    where the template has no slot, or the wrong tasks would be preempted.
+    """
     rng = random.Random(5)
     world = InMemoryCluster(rules="rent = false\ntype_bound = 6\n")
     controller = InMemoryController(world, "node-0")
--- a/tests/scheduling/test_failing_jobs_and_machines.py
+++ b/tests/scheduling/test_failing_jobs_and_machines.py
@@ -1,4 +1,4 @@
-"""Failures of tasks: those of faulty jobs are told from those of faulty machines."""
+"""Task failures: faulty jobs are distinguished from faulty machines."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 def test_failing_jobs_drain_no_machine_and_are_retried_within_bounds() -> None:
-    """Three of them on one machine had it drained; each held back its own retry for two minutes."""
+    """Guards against draining healthy machines because of faulty jobs, and against overly long backoff.
+
+    Three faulty jobs on one machine used to cause the machine to be drained, and delayed each retry by two minutes.
+    """
     cluster, controller, term = start_cluster(4)
     failing = {cluster.accept(controller, shards=12, cpus=0.5) for _ in range(3)}
     tried: dict[str, list[float]] = {job_id: [] for job_id in failing}
@@ -23,9 +26,9 @@
     end = cluster.clock.now
     for times in tried.values():
         assert end - times[-1] < 40.0 and len([at for at in times if at > end - 60.0]) <= 4
-    good = cluster.accept(controller, shards=4)
+    healthy_job = cluster.accept(controller, shards=4)
     cluster.settle(term, 3)
-    assert sum(task.startswith(good) for worker in cluster.workers.values() for task in worker.running()) == 4
+    assert sum(task.startswith(healthy_job) for worker in cluster.workers.values() for task in worker.running()) == 4
 
 
 def test_failing_job_gets_all_tasks_back_soon_after_one_runs() -> None:
--- a/tests/scheduling/test_gang_lifecycle.py
+++ b/tests/scheduling/test_gang_lifecycle.py
@@ -1,4 +1,4 @@
-"""Gangs: when they start, and how they start again."""
+"""The lifecycle of gangs: when a gang starts, and how it restarts."""
 
 from __future__ import annotations
 
@@ -40,7 +40,10 @@
 
 
 def test_gang_waits_for_stopped_tasks_to_exit() -> None:
-    """Room that is being cleared is not free: starting into it was refused and broke the gang."""
+    """Guards against starting a gang on capacity whose stopped tasks have not exited.
+
+    The worker refuses such a start, which breaks the gang.
+    """
     cluster, controller, term, (worker,) = start_cluster(1)
     cluster.accept(controller, shards=8, cpus=2.0, rank="best_effort", markS=10.0, stowS=5.0)
     cluster.settle(term, 8)
@@ -48,7 +51,7 @@
     assert low
     gang = cluster.accept(controller, shape="ensemble", shards=1, cpus=15.0)
     term.scheduling_loop.step(cluster.clock.now)
-    cluster.clock.now += 2.0  # told to stop, but still saving
+    cluster.clock.now += 2.0  # the tasks have received the stop command and are still saving
     for task in low:
         worker.tasks[task].state = TaskPhase.SAVING
     term.machine_reconciliation.apply_direct_answer(term.inventory.by_name[worker.name], worker.report(), (1, 0))
@@ -62,7 +65,11 @@
 
 
 def test_gang_member_with_image_starts_when_all_others_have_it() -> None:
-    """It waited for mates that fetched for longer than `gang_wait_s`, and the whole gang began again each time."""
+    """Guards against a gang that restarts forever while some of its machines fetch the image.
+
+    A task on a machine with the image used to wait for the other tasks from the start. If their fetches took longer
+    than `gang_wait_s`, the wait timed out and the whole gang restarted.
+    """
     cluster, controller, term, workers = start_cluster(2)
     first = cluster.accept(controller, shards=1, cpus=15.0, cargo="big", pullGb=40.0)
     cluster.settle(term, 3)
@@ -96,7 +103,7 @@
     (task,) = fast.tasks
     fast.finish(task, ExitReason.ALONE)
     cluster.settle(term, 3)
-    assert len(slow.running()) == 1 and not fast.running()  # nothing starts while a task of the old attempt is there
+    assert len(slow.running()) == 1 and not fast.running()  # no task starts until the old attempt's task has exited
     (status,) = slow.tasks.values()
     old = status.attempt
     status.state = TaskPhase.WAITING
@@ -108,26 +115,30 @@
 def test_only_smallest_of_similar_gangs_searches_for_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On a day with a zone cut off thirty gangs waited, and each pass looked at every machine for each of them."""
+    """Guards against examining every machine for every waiting gang in each pass.
+
+    With a zone unreachable, thirty gangs waited in one run. The pass need not search for a gang that is no smaller
+    than one that it could not place.
+    """
     cluster, controller, term, (worker, _other) = start_cluster(2)
     for _ in range(2):
         cluster.accept(controller, shape="ensemble", shards=1, cpus=16.0)
     cluster.settle(term, 4)
     waiting = [cluster.accept(controller, shape="ensemble", shards=n, cpus=16.0) for n in (2, 2, 1, 1, 2, 1)]
-    looked: list[str] = []
-    offers = term.scheduler.gangs.candidates_on
+    searched_for: list[str] = []
+    candidates_on = term.scheduler.gangs.candidates_on
 
-    def counted(
-        job: Job, machine: Machine, capacities: dict[int, tuple[int, list[GangPlacement]]], now: float
+    def recorded(
+        job: Job, machine: Machine, table: dict[int, tuple[int, list[GangPlacement]]], now: float
     ) -> list[GangCandidate]:
-        looked.append(job.spec.id)
-        return offers(job, machine, capacities, now)
+        searched_for.append(job.spec.id)
+        return candidates_on(job, machine, table, now)
 
-    monkeypatch.setattr(term.scheduler.gangs, "candidates_on", counted)
+    monkeypatch.setattr(term.scheduler.gangs, "candidates_on", recorded)
     term.scheduler.place(cluster.clock.now)
-    assert len(set(looked)) <= 2
+    assert len(set(searched_for)) <= 2
     assert all("not all slots" in term.registry.jobs[i].why_waiting for i in waiting)
-    # room for one: the next pass finds it
+    # the freed capacity suffices for one gang, which the next pass starts
     worker.finish(worker.running()[0])
     cluster.settle(term, 6)
     assert sum(1 for i in waiting if term.registry.jobs[i].allocations) == 1
--- a/tests/scheduling/test_gang_scheduling.py
+++ b/tests/scheduling/test_gang_scheduling.py
@@ -1,4 +1,4 @@
-"""Gang scheduling: what changes during a search, when a search ends, and what the log says of a start."""
+"""Gang scheduling: changes during a search, early end of a search, and the log event of a start."""
 
 from __future__ import annotations
 
@@ -20,11 +20,15 @@
 
 
 def test_gang_does_not_start_on_machine_that_became_suspect_during_search(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A pass over 5000 machines lets heartbeats in between; a decision from before is checked when it is applied."""
+    """Guards against starting a gang on the basis of outdated results.
+
+    Heartbeats are handled between the slices of a pass over 5000 machines, so selected machines may have changed
+    before the start.
+    """
     cluster = scheduling_cluster(3, monkeypatch)
     job_id = accept_gang(cluster, tasks=2)
     steps = cluster.term.scheduler.full_pass_steps(cluster.now)
-    advance(steps, 4)  # the job, and all three machines have been examined
+    advance(steps, 4)  # one step for the job and one for each of the three machines
     first = cluster.machine(cluster.workers[0])
     cluster.term.inventory.move(first, MachineState.SUSPECT, cluster.now)
     cluster.begin_turn()
@@ -60,21 +64,24 @@
 
 
 def test_search_for_gang_ends_once_there_is_enough_to_choose_from(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In an empty cluster of thousands every gang examined every machine, though the first ones would do."""
+    """Guards against examining every machine although the first ones suffice.
+
+    In an empty cluster of thousands of machines, this would cost milliseconds for each gang.
+    """
     cluster = scheduling_cluster(12, monkeypatch, WIDE_LIMIT_SETTINGS)
     scheduler = cluster.term.scheduler
     monkeypatch.setattr(gang_scheduling, "SUFFICIENT_CHEAPEST_SLOTS", 2)
     examined: set[int] = set()
-    offers = scheduler.gangs.candidates_on
+    candidates_on = scheduler.gangs.candidates_on
 
     def recorded(job: Job, machine: Machine, table: PlacementTable, now: float) -> list[GangCandidate]:
         examined.add(machine.index)
-        return offers(job, machine, table, now)
+        return candidates_on(job, machine, table, now)
 
     monkeypatch.setattr(scheduler.gangs, "candidates_on", recorded)
     accept_gang(cluster, tasks=1, cpus=15.0)
     scheduler.place(cluster.now)
-    assert len(examined) == 4  # four times as many as its tasks
+    assert len(examined) == 4  # `SUFFICIENT_CHEAPEST_SLOTS_PER_TASK` machines for the only task
     accept_gang(cluster, tasks=9, cpus=15.0)
     scheduler.place(cluster.now)
     jobs = cluster.term.registry.jobs.values()
--- a/tests/scheduling/test_greedy.py
+++ b/tests/scheduling/test_greedy.py
@@ -1,4 +1,4 @@
-"""Classification and Reassignment (CRA) against a plain reading of the paper's algorithm."""
+"""Classification and Reassignment (CRA), compared with a direct implementation of the paper's algorithm."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from grebestand.scheduling.greedy import PlanEntry, TemplateAssignment, cra
 
 
-def plain_cra(assignments: list[TemplateAssignment], plan: list[PlanEntry]) -> int:
-    """Algorithm 2 as plainly as it can be written: every entry of the plan examines every machine."""
+def reference_cra(assignments: list[TemplateAssignment], plan: list[PlanEntry]) -> int:
+    """Run Algorithm 2 in its simplest form, which examines every machine for every entry of the plan."""
     worst_rank = first_short = len(plan) + 1
     for assignment in assignments:
         assignment.rank = worst_rank
@@ -46,13 +46,13 @@
     return assignments
 
 
-def test_cra_by_groups_takes_same_machines_as_plain_algorithm() -> None:
-    """Grouped by configuration it no longer examines every machine for every entry of the plan."""
+def test_cra_by_groups_takes_same_machines_as_reference() -> None:
+    """CRA groups machines by configuration for speed, which must not change the result."""
     rng = random.Random(5)
     for _ in range(200):
         configs = [(rng.randrange(3), rng.randrange(3)) for _ in range(4)]
         assignments = random_assignments(rng, configs)
         plan = [PlanEntry(rng.randrange(2), rng.choice(configs), rng.randrange(1, 6)) for _ in range(4)]
-        plain = [dataclasses.replace(a) for a in assignments]
-        assert cra(assignments, plan) == plain_cra(plain, plan)
-        assert [(a.config, a.rank) for a in assignments] == [(a.config, a.rank) for a in plain]
+        reference = [dataclasses.replace(a) for a in assignments]
+        assert cra(assignments, plan) == reference_cra(reference, plan)
+        assert [(a.config, a.rank) for a in assignments] == [(a.config, a.rank) for a in reference]
--- a/tests/scheduling/test_large_job_starvation.py
+++ b/tests/scheduling/test_large_job_starvation.py
@@ -1,4 +1,4 @@
-"""Large jobs begin although small ones of their priority go on arriving."""
+"""Large jobs begin although small jobs of the same priority keep arriving."""
 
 from __future__ import annotations
 
@@ -12,16 +12,26 @@
 
 
 def wait_of_large_job(
-    kind: str, large: Mapping[str, object], small: Mapping[str, object], failover_at: int = 0
+    shape: str, large: Mapping[str, object], small: Mapping[str, object], failover_at: int = 0
 ) -> float | None:
-    """Return how long a large job waits among small ones of its priority, in seconds; None if it does not begin."""
+    """Run a large job among small jobs of the same priority.
+
+    Args:
+        shape: The shape of all jobs.
+        large: The fields of the large job's submission.
+        small: The fields of each small job's submission.
+        failover_at: Second at which another controller takes over the lead; 0 for none.
+
+    Returns:
+        Seconds for which the large job waited, or None if it did not begin within 300 s.
+    """
     cluster, controller, term = start_cluster(4)
     ends: dict[str, float] = {}
     for second in range(300):
         if second % 4 == 0:
-            cluster.accept(controller, shape=kind, **small)
+            cluster.accept(controller, shape=shape, **small)
         if second == 12:
-            job_id = cluster.accept(controller, shape=kind, **large)
+            job_id = cluster.accept(controller, shape=shape, **large)
         if second == failover_at and failover_at:
             cluster.clock.now += 13.0
             controller = InMemoryController(cluster, "node-1")
@@ -41,10 +51,14 @@
 
 
 def test_largest_gang_begins_among_small_gangs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Least work first, and whole or not at all: one machine after the other went to the next small gang."""
+    """Guards against starvation of a large gang.
+
+    A gang starts only as a whole, and the gang with the least work comes first. Without aging, each machine that
+    becomes free goes to the next small gang.
+    """
     waited = wait_of_large_job("ensemble", *LARGE_GANG)
     assert waited is not None and waited < 240.0
-    monkeypatch.setattr(JobOrdering, "overdue", lambda *_: False)  # broken on purpose
+    monkeypatch.setattr(JobOrdering, "overdue", lambda *_: False)  # without aging the gang starves
     assert wait_of_large_job("ensemble", *LARGE_GANG) is None
 
 
--- a/tests/scheduling/test_pending_reasons.py
+++ b/tests/scheduling/test_pending_reasons.py
@@ -1,4 +1,4 @@
-"""What the log says of jobs that wait."""
+"""Log events about waiting jobs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from grebestand.scheduling import pending_reasons
 from support.scheduling_cluster import SchedulingCluster, logged_events, scheduling_cluster
 
-#: longer than jobs have to wait before their reasons are logged, and than a period
+#: Longer than a period, and than jobs have to wait before their reasons are logged.
 WAIT_S = 300.0
 
 
@@ -20,7 +20,7 @@
 
 
 def accept_jobs(cluster: SchedulingCluster, count: int) -> list[str]:
-    """Accept jobs and let them wait for a while, without a pass that would place them."""
+    """Accept jobs and advance the clock, without a pass that would place the jobs."""
     job_ids = [cluster.world.accept(cluster.controller) for _ in range(count)]
     cluster.world.clock.now += WAIT_S
     return job_ids
@@ -71,7 +71,7 @@
     reasons._log_reasons(cluster.now)
     assert logged_job_ids(caplog) == job_ids[:2]
     assert logged_events(caplog.records, "jobs_waiting") == [{"jobs": 3, "reasons": "3 no slot"}]
-    # the one that was left out comes first
+    # the job whose reason was not logged comes first
     caplog.clear()
     reasons._log_reasons(cluster.now)
     assert logged_job_ids(caplog) == job_ids[2:]
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -12,7 +12,10 @@
 
 
 def test_team_limit_counts_tasks_that_started_between_two_steps(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The limit is read again for each machine: filling a machine after its heartbeat may have used it up."""
+    """Guards against exceeding a team's limit.
+
+    Between two steps of a pass, filling a machine after its heartbeat may use up the limit.
+    """
     cluster = scheduling_cluster(3, monkeypatch, SETTINGS.replace("cpus_max = 16.0", "cpus_max = 32.0"))
     scheduler = cluster.term.scheduler
     monkeypatch.setattr(placement, "STARTS_PER_STEP", 1)
@@ -25,15 +28,18 @@
     scheduler.placement._start_tasks(cluster.job(other_id), cluster.machine(cluster.workers[2]), 12, cluster.now)
     cluster.begin_turn()
     finish(steps)
-    # 16 + 12 of 32 CPUs were used when it was resumed: enough for one more task of four
+    # 16 + 12 of 32 CPUs were used when the pass was resumed, so one more task of 4 CPUs fits
     assert [len(cluster.job(i).allocations) for i in (job_id, other_id)] == [5, 12]
 
 
 def test_heartbeat_without_changes_does_not_fill_machine_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With 1500 jobs waiting each heartbeat looked at all of them, though nothing on its machine had changed."""
+    """Guards against examining all waiting jobs at each heartbeat.
+
+    With 1500 waiting jobs this is expensive, and useless if nothing on the machine has changed.
+    """
     cluster = scheduling_cluster(1, monkeypatch)
     world, term, (worker,) = cluster.world, cluster.term, cluster.workers
-    # memory for two, and CPUs for three more
+    # the machine has memory for two tasks, and CPUs for three more
     world.accept(cluster.controller, shards=100, cpus=3.0, ramGb=30.0)
     world.settle(term, 6)
     examined: list[str] = []
--- a/tests/scheduling/test_placement_functions.py
+++ b/tests/scheduling/test_placement_functions.py
@@ -1,4 +1,4 @@
-"""The pure functions of placement: the best configuration of a machine, and the plans of GPA and CRA."""
+"""The pure functions of the greedy algorithms: the best configuration of a machine, GPA and CRA."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def slot(cpus: float, payoff: float, **more: object) -> Slot:
-    """A slot with as many gigabytes as processors."""
+    """Return a slot with as many gigabytes of memory as CPUs."""
     return Slot((int(cpus * MICRO_UNITS), 0, int(cpus * MICRO_UNITS)), payoff, **more)  # type: ignore[arg-type]
 
 
@@ -23,14 +23,14 @@
 
 
 def test_best_configuration_may_do_without_the_highest_payoff() -> None:
-    # 9 + 7 beats what comes first by payoff alone
+    # the second and third types together have a higher reward than the type with the highest payoff
     assert max_reward([slot(10, 10.0), slot(9, 8.0), slot(7, 6.0)], [0, 1, 2], CAPACITY) == (0, 1, 1)
 
 
 def test_gpa_gives_machines_until_a_type_is_satisfied() -> None:
     slots = [slot(15, 4.0), slot(1, 1 / 16)]
     plan = gpa(slots, [3.0, 40.0], [POOL], [10])
-    # three machines for the dear type, each with one small slot beside it; then the rest of the small ones
+    # three machines for the large type, each with one small slot as well, and then the remaining small slots
     assert [(share.config, share.count) for share in plan] == [((1, 1), 3), ((0, 16), 3)]
 
 
@@ -58,7 +58,7 @@
         TemplateAssignment(0, new, False, machine_index=3),
     ]
     first_short = cra(assignments, plan)
-    assert first_short == 1  # two of three: the busy machines cannot follow
+    assert first_short == 1  # two of three machines have the configuration; machines with tasks cannot be reconfigured
     assert [assignment.config for assignment in assignments] == [old, old, new, new]
     assert [assignment.in_accept_group for assignment in assignments] == [False, False, True, True]
     assert [assignment.changed for assignment in assignments] == [False, False, True, False]
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -10,14 +10,18 @@
 
 
 def test_similar_jobs_share_one_list_of_machines_to_clear(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each of 80 jobs that may displace lower work once examined every machine for it in every pass."""
+    """Guards against examining every machine for every waiting job in each pass.
+
+    Jobs of the same type that may preempt the same tasks share one list of machines. Without sharing, each of 80
+    waiting jobs examined every machine.
+    """
     cluster = scheduling_cluster(4, monkeypatch)
     world, scheduler = cluster.world, cluster.term.scheduler
     world.accept(cluster.controller, shards=64, cpus=1.0, ramGb=0.1, rank="best_effort")
     world.settle(cluster.term, 5)
     assert sum(len(worker.running()) for worker in cluster.workers) == 64
     high = [world.accept(cluster.controller, cpus=2.0, crew="red", rank="high") for _ in range(6)]
-    world.clock.now += 30.0  # they wait for a while before they preempt, and no longer
+    world.clock.now += 30.0  # longer than the minimum wait before a preemption
     for job_id in high:
         cluster.job(job_id).wait_since -= 60.0
     examined: list[str] = []
@@ -30,5 +34,5 @@
     monkeypatch.setattr(scheduler.preemption, "find_victims", recorded)
     scheduler.place(cluster.now)
     reserved = {machine.reserved_for for machine in cluster.term.inventory.machines} - {None}
-    assert len(reserved) == 4 and reserved <= set(high)  # a machine each, and no machine for two of them
-    assert len(examined) <= 8  # once for each of the four machines, and once more when it is used
+    assert len(reserved) == 4 and reserved <= set(high)  # each machine is reserved for a different job
+    assert len(examined) <= 8  # once for the list and once when the machine is cleared, for each of four machines
--- a/tests/scheduling/test_preemption_rules.py
+++ b/tests/scheduling/test_preemption_rules.py
@@ -1,4 +1,4 @@
-"""What may be preempted, and for whom."""
+"""Which tasks may be preempted, and for which jobs."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def test_guarantee_does_not_preempt_higher_priority() -> None:
-    """Guards against a gang and a guaranteed array that stopped each other in turns."""
+    """Guards against a gang and a guaranteed array that repeatedly preempt each other."""
     cluster, controller, term, (worker,) = start_cluster(1)
     gang = cluster.accept(controller, shape="ensemble", shards=1, cpus=15.0, rank="standard")
     cluster.settle(term, 3)
@@ -31,13 +31,17 @@
 
 
 def test_guarantee_reclaims_from_same_priority_only_after_delay() -> None:
-    """Gangs within their guarantee stopped others' gangs at once, some nine times, often while they fetched."""
+    """Guards against repeated preemption for guarantees.
+
+    Without the delay, gangs within a guarantee stopped other gangs at once, some of them nine times, and often while
+    the other gangs were still fetching images.
+    """
     cluster, controller, term, (worker,) = start_cluster(1)
     borrower = cluster.accept(controller, shape="ensemble", shards=1, cpus=15.0)
     cluster.settle(term, 3)
     owner = cluster.accept(controller, shape="ensemble", shards=1, cpus=8.0, crew="red")
-    reclaim = term.scheduler.context.policy_values.reclaim_after_s
-    assert reclaim > 3.0
+    reclaim_after_s = term.scheduler.context.policy_values.reclaim_after_s
+    assert reclaim_after_s > 3.0
     cluster.settle(term, 2)
     assert worker.running() == [f"{borrower}/0"]
     cluster.settle(term, 10)
--- a/tests/scheduling/test_scheduling_slices.py
+++ b/tests/scheduling/test_scheduling_slices.py
@@ -1,4 +1,4 @@
-"""The scheduling loop runs computations in slices, so that heartbeats are answered in between."""
+"""The scheduling loop runs computations in slices, and heartbeats are answered between slices."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 def slow_down_passes(cluster: SchedulingCluster, monkeypatch: pytest.MonkeyPatch, step_s: float) -> None:
-    """Make each step of a pass take so many seconds."""
+    """Make each step of a pass take `step_s` seconds on the cluster's clock."""
     full_pass_steps = cluster.term.scheduler.full_pass_steps
 
-    def slow_passing(now: float) -> Steps:
+    def slow_pass_steps(now: float) -> Steps:
         for _ in full_pass_steps(now):
             cluster.world.clock.now += step_s
             yield
 
-    monkeypatch.setattr(cluster.term.scheduler, "full_pass_steps", slow_passing)
+    monkeypatch.setattr(cluster.term.scheduler, "full_pass_steps", slow_pass_steps)
 
 
 def accept_gang(cluster: SchedulingCluster) -> str:
-    """Accept a gang for all machines, and make sure that the next computation is the pass that places it."""
+    """Accept a gang that needs all machines, and make sure that the next computation is a full pass."""
     job_id = cluster.world.accept(cluster.controller, shape="ensemble", shards=3, cpus=16.0)
     cluster.world.clock.now += 1.0
     cluster.term.scheduling_loop.next_targets_at = cluster.now + 100.0
@@ -30,7 +30,10 @@
 
 
 def test_long_pass_runs_in_slices_with_heartbeats_answered_in_between(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One pass over 5000 machines once occupied the leader for seconds, and nobody was answered meanwhile."""
+    """Guards against a pass that blocks the leader.
+
+    A pass over 5000 machines takes seconds. Run in one piece, no heartbeat or request is answered meanwhile.
+    """
     step_s = 0.03
     cluster = scheduling_cluster(3, monkeypatch)
     loop = cluster.term.scheduling_loop
@@ -45,7 +48,7 @@
         loop.run_slice()
         assert cluster.now - slice_began < SLICE_S + step_s
     assert len(cluster.job(job_id).allocations) == 3
-    # a change that came with the heartbeat in between brings another pass; the pass's own starts do not
+    # a change reported by a heartbeat between slices triggers another pass; the starts of the pass itself do not
     loop.next_pass_at = cluster.now
     assert not cluster.term.registry.changed
 
--- a/tests/scheduling/test_stragglers.py
+++ b/tests/scheduling/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Slow machines: their estimates, and what becomes of them."""
+"""Slow machines: their estimated slowness, draining and return."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from support.scheduling_cluster import WIDE_LIMIT_SETTINGS, SchedulingCluster, logged_events, scheduling_cluster
 
 JOBS = 6
-#: the job that takes ten times as long on every machine
+#: Number of the job that takes ten times as long on every machine.
 SLOW_JOB = 1
 
 
@@ -22,9 +22,9 @@
 
 @pytest.fixture
 def cluster(monkeypatch: pytest.MonkeyPatch) -> SchedulingCluster:
-    """A cluster that has run several jobs: the last machine's tasks take twice as long as their job's others.
+    """Return a cluster that has run several jobs, whose tasks take twice as long on the last machine as on the others.
 
-    One of the jobs is slow on every machine, which says nothing about any of them.
+    One of the jobs is slow on every machine, which must not affect any machine's estimate.
     """
     cluster = scheduling_cluster(6, monkeypatch, WIDE_LIMIT_SETTINGS)
     world, term = cluster.world, cluster.term
--- a/tests/scheduling/test_team_without_guarantee.py
+++ b/tests/scheduling/test_team_without_guarantee.py
@@ -1,4 +1,4 @@
-"""A team without a guarantee and a limit uses what is free."""
+"""A team without a guarantee and without a limit uses free capacity."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def test_team_without_guarantee_gets_what_is_free() -> None:
-    """`cpus_max = 0` was read as "may use nothing", and every submission of a guest team answered 422."""
+    """Guards against reading `cpus_max = 0` as a limit of zero instead of no limit.
+
+    Every submission of such a team was then refused with status 422.
+    """
     guest = '[[params.teams]]\nname = "guest"\ncpus = 0.0\ncpus_max = 0.0\n\n[[params.teams]]'
     cluster = InMemoryCluster(SETTINGS.replace("[[params.teams]]", guest, 1))
     worker = cluster.worker("n-000000")
--- a/tests/scheduling/test_template_targets.py
+++ b/tests/scheduling/test_template_targets.py
@@ -1,4 +1,4 @@
-"""Templates that are set after other work has run in between."""
+"""Templates that are set after other work has run between two slices of the computation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def test_machine_filled_during_planning_keeps_its_template(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing is preempted for a template, so one made for an empty machine does not suit one that no longer is."""
+    """Guards against a template that would require preemption.
+
+    A template computed for an empty machine must not be set once the machine has received tasks.
+    """
     cluster = scheduling_cluster(1, monkeypatch)
     scheduler = cluster.term.scheduler
     first_id = cluster.world.accept(cluster.controller, shards=4, cpus=3.0, rank="best_effort")
@@ -17,7 +20,7 @@
     template_before = machine.template
     cluster.world.accept(cluster.controller, shards=9, cpus=7.0)
     steps = scheduler.update_targets_steps(cluster.now)
-    advance(steps, 3)  # the plan is made: a template with two slots of the second type
+    advance(steps, 3)  # the plan now contains a template with two slots of the second type
     for index in range(4):
         cluster.term.dispatch.start(cluster.job(first_id), index, machine, 9, cluster.now)
     cluster.begin_turn()
