--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -34,7 +34,8 @@
 UNEVEN_FETCH_SHARE = 0.5
 #: The search for machines may end once it has found this many free slots at the lowest possible cost in one zone.
 SUFFICIENT_CHEAPEST_SLOTS = 200
-#: The search for machines also continues until such slots number this many times the gang's tasks.
+#: The search for machines continues until the free slots at the lowest possible cost in one zone number at least this
+#: many times the gang's tasks.
 SUFFICIENT_CHEAPEST_SLOTS_PER_TASK = 4
 #: How many times machines that changed during the search may be replaced before the pass gives up on the gang.
 MAX_RESELECTIONS = 3
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -29,7 +29,7 @@
 #: How long a cleared machine stays reserved. Within this time its stopped tasks must save their checkpoints and exit,
 #: and a heartbeat must report the exits.
 CLEARED_RESERVATION_S = 8.0
-#: A machine whose tasks take more than this many times as long as on other machines ranks behind them.
+#: A machine whose tasks take more than this many times as long as on other machines ranks behind other machines.
 SLOW_MACHINE_RATIO = 1.25
 #: Change count and allowance of a machine that has not been examined; real change counts are not negative.
 NOT_EXAMINED = (-1, 0)
@@ -65,7 +65,7 @@
         #: Task sizes for which this pass found no slot in any template, by type and whether the job has aged.
         self._sizes_without_slot: dict[tuple[int, bool], Resources] = {}
         #: Machines where this pass can preempt tasks, the cheapest last, by task type and by the team that reclaims
-        #: its guarantee (-1: none). A machine is removed once a job has tried to clear it.
+        #: its guarantee (-1: none). A machine is removed once a job has tried to clear that machine.
         self._machines_to_clear: dict[tuple[int, int], list[Machine]] = {}
         #: By task type and whether the job has aged, a table by machine index: the machine's change count when it was
         #: examined, and how many more tasks its template admits.
--- a/src/grebestand/scheduling/preemption.py
+++ b/src/grebestand/scheduling/preemption.py
@@ -46,8 +46,8 @@
     def __init__(self, context: SchedulingContext, ordering: JobOrdering) -> None:
         super().__init__(context)
         self.ordering = ordering
-        #: Indices of the teams that were above their guarantee when the pass began. Only they may lose tasks to another
-        #: team that reclaims its guarantee.
+        #: Indices of the teams that were above their guarantee when the pass began. Only tasks of these teams may be
+        #: preempted by another team that reclaims its guarantee.
         self.borrowing_teams: set[int] = set()
         #: By machine index: the change count, and the tasks with the cost of stopping each, the cheapest first.
         self._victims_by_machine: dict[int, tuple[int, list[tuple[float, Allocation]]]] = {}
--- a/tests/scheduling/test_gang_lifecycle.py
+++ b/tests/scheduling/test_gang_lifecycle.py
@@ -117,8 +117,8 @@
 ) -> None:
     """Guards against examining every machine for every waiting gang in each pass.
 
-    With a zone unreachable, thirty gangs waited in one run. The pass need not search for a gang that is no smaller
-    than one that it could not place.
+    With a zone unreachable, thirty gangs waited in one run. A pass that could not place a gang need not search for
+    another one of at least the same size.
     """
     cluster, controller, term, (worker, _other) = start_cluster(2)
     for _ in range(2):
--- a/tests/scheduling/test_scheduling_slices.py
+++ b/tests/scheduling/test_scheduling_slices.py
@@ -32,7 +32,7 @@
 def test_long_pass_runs_in_slices_with_heartbeats_answered_in_between(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a pass that blocks the leader.
 
-    A pass over 5000 machines takes seconds. Run in one piece, no heartbeat or request is answered meanwhile.
+    A pass over 5000 machines takes seconds, and without slices no heartbeat or request is answered during that time.
     """
     step_s = 0.03
     cluster = scheduling_cluster(3, monkeypatch)
