--- a/tools/account.py
+++ b/tools/account.py
@@ -60,14 +60,14 @@
     (SchedulingLoop, ["step", "run_slice"]),
     (MachineReconciliation, ["check"]),
     (StatusBroadcast, ["cached_images"]),
-    (Scheduler, ["full_pass_steps", "retarget_steps", "fill"]),
-    (TemplateTargets, ["set"]),
-    (ScaleOut, ["measure"]),
-    (ImageLocality, ["measure"]),
+    (Scheduler, ["full_pass_steps", "update_targets_steps", "fill"]),
+    (TemplateTargets, ["update"]),
+    (ScaleOut, ["update_shortages"]),
+    (ImageLocality, ["update"]),
     (Migration, ["migrate"]),
-    (GangScheduling, ["place", "offers"]),
+    (GangScheduling, ["place", "candidates_on"]),
     (Placement, ["place", "_preempt_for"]),
-    (PendingReasons, ["tell"]),
+    (PendingReasons, ["log_if_due"]),
 ]
 
 
