--- a/src/grebestand/cluster_state/__init__.py
+++ b/src/grebestand/cluster_state/__init__.py
@@ -1,1 +1,1 @@
-"""State of the cluster in memory: jobs, tasks, machines, teams and allocations. No I/O and no decisions."""
+"""In-memory state of the cluster: jobs, tasks, machines, teams and allocations. Does no I/O and no scheduling."""
--- a/src/grebestand/cluster_state/dispatch.py
+++ b/src/grebestand/cluster_state/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: what has been decided to start and to stop, and is still to be sent to the workers."""
+"""Dispatch of scheduling decisions: allocations to start or to stop for which commands have to be sent."""
 
 from __future__ import annotations
 
@@ -8,31 +8,42 @@
 from .machine import Machine
 from .machine_inventory import MachineInventory
 
-#: How many attempts a leader can number under one token before the numbers would run into those of the next token.
+#: Number of attempt numbers reserved for each fencing token. A leader that used more would reuse the numbers of the
+#: next leader.
 ATTEMPTS_PER_TOKEN = 1 << 24
 
 
 class Dispatch:
-    """Starts and stops allocations, and collects what has to be sent or recorded for them."""
+    """Starts and stops allocations, and collects the machines to notify and the jobs to record for them."""
 
     def __init__(self, registry: JobRegistry, inventory: MachineInventory, token: int) -> None:
         self.registry = registry
         self.inventory = inventory
-        #: Fencing token of this term.
+        #: Fencing token of the current term.
         self.token = token
-        #: Indices of machines with a stop that should not wait for the next heartbeat.
+        #: Indices of machines to notify directly of a stop, rather than in the response to their next heartbeat.
         self.urgent: set[int] = set()
-        #: By id, jobs with queued allocations that their durable grant does not cover yet.
+        #: Jobs with queued allocations that their durable grant does not include yet, by job id.
         self.to_cover: dict[str, Job] = {}
         self._attempts = 0
 
     def next_attempt(self) -> int:
-        """Return a number that no other attempt of any leader has: the token never repeats, nor does the count."""
+        """Return an attempt number that is unique across all leaders, since fencing tokens are never reused."""
         self._attempts += 1
         return self.token * ATTEMPTS_PER_TOKEN + self._attempts
 
     def start(self, job: Job, index: int, machine: Machine, attempt: int, now: float) -> Allocation:
-        """Open an allocation for a task on a machine; the start command goes with a response to its heartbeats."""
+        """Create an allocation for a task on a machine.
+
+        The start command is sent in a response to a heartbeat of the machine.
+
+        Args:
+            job: The job.
+            index: The index of the task in the job.
+            machine: The machine.
+            attempt: The attempt number.
+            now: The current time, in seconds.
+        """
         allocation = self.registry.open_allocation(job, index, machine.index, attempt, now)
         allocation.epoch = machine.epoch
         self.inventory.add_allocation(machine, allocation)
@@ -40,14 +51,15 @@
             self.to_cover[job.spec.id] = job
         return allocation
 
-    def stop(self, allocation: Allocation, why: str, grace: float, now: float) -> None:
-        """Ask for the end of a task; what was never sent is released at once.
+    def stop(self, allocation: Allocation, reason: str, grace_s: float, now: float) -> None:
+        """Request the stop of a task; an allocation that was never sent to its machine is released at once.
 
         Args:
             allocation: The task's allocation.
-            why: The reason, for logs and users.
-            grace: Seconds in which the task may save a checkpoint. A later request counts only with a shorter grace.
-            now: The present time, in seconds.
+            reason: The reason, for logs and users.
+            grace_s: Seconds that the task has to save a checkpoint. A repeated request has an effect only if its grace
+                period is shorter.
+            now: The current time, in seconds.
         """
         machine = self.inventory.at(allocation.machine)
         if machine is None or allocation.state is AllocationState.GONE:
@@ -55,20 +67,20 @@
         if allocation.state is AllocationState.QUEUED:
             self.inventory.release(machine, allocation, now)
             return
-        if allocation.stop_reason is not None and grace >= allocation.grace:
+        if allocation.stop_reason is not None and grace_s >= allocation.grace:
             return
         if allocation.stop_reason is None:
             machine.record_stop_request()
-        allocation.request_stop(why, grace)
+        allocation.request_stop(reason, grace_s)
         self.urgent.add(machine.index)
 
-    def stop_job(self, job: Job, why: str, grace: float, now: float) -> None:
-        """Ask for the end of all tasks of a job."""
+    def stop_job(self, job: Job, reason: str, grace_s: float, now: float) -> None:
+        """Request the stop of all tasks of a job."""
         for allocation in list(job.allocations.values()):
-            self.stop(allocation, why, grace, now)
+            self.stop(allocation, reason, grace_s, now)
 
     def cancel(self, job: Job, now: float) -> None:
-        """Apply a committed cancellation: nothing more of the job starts, and what runs is stopped."""
+        """Apply a committed cancellation: no further task of the job starts, and its running tasks are stopped."""
         if job.state in (JobState.DONE, JobState.CANCELLED):
             return
         self.registry.move_job(job, JobState.CANCELLED, now)
--- a/src/grebestand/cluster_state/interning.py
+++ b/src/grebestand/cluster_state/interning.py
@@ -1,10 +1,10 @@
-"""Interning: names from messages and settings are mapped to small indices, which the cluster state uses throughout."""
+"""Interning of names from messages and settings as small indices, which the cluster state uses instead of strings."""
 
 from __future__ import annotations
 
 
 class InternTable:
-    """Gives each name the next free index, counted from 0, and maps both ways."""
+    """Two-way mapping between names and indices, which are assigned in ascending order from 0."""
 
     def __init__(self, names: list[str] | None = None) -> None:
         self._index: dict[str, int] = {}
@@ -13,7 +13,7 @@
             self.index(name)
 
     def index(self, name: str) -> int:
-        """Return the index of a name, which is added if it is new."""
+        """Return the index of a name, and add the name if it is new."""
         found = self._index.get(name)
         if found is None:
             found = self._index[name] = len(self._names)
@@ -25,13 +25,13 @@
         return self._index.get(name)
 
     def name(self, index: int) -> str:
-        """Return the name that has this index.
+        """Return the name with the given index.
 
         Raises:
-            IndexError: No name has it.
+            IndexError: No name has the index.
         """
         return self._names[index]
 
     def __len__(self) -> int:
-        """Return how many names there are."""
+        """Return the number of names."""
         return len(self._names)
--- a/src/grebestand/cluster_state/job_registry.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -1,4 +1,4 @@
-"""The registry of live jobs and their teams, and the only functions that change a job's or an allocation's state."""
+"""The registry of live jobs and their teams. Only its methods change the state of a job or an allocation."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from .task_types import COARSE_STEPS_PER_OCTAVE, STEPS_PER_OCTAVE, TaskType, TypeRules, size_buckets
 from .teams import TeamUsage, effective_limit
 
-#: How many task types are kept apart unless the policy says otherwise; the greedy plan's cost grows with their number.
+#: Default maximum number of task types. The cost of the greedy plan grows with their number.
 DEFAULT_TYPE_BOUND = 24
-#: How many tasks' results one progress record holds until the store's limit on values is known.
+#: Number of tasks whose results one progress record holds, until the state service's limit on values is known.
 DEFAULT_CHUNK_BITS = 16384
 
 
 class JobRegistry:
-    """All live jobs, their teams, and the tables of names that they refer to by index.
+    """All live jobs, their teams, and the tables of names that jobs and machines refer to by index.
 
-    Times are in seconds of the leader's clock.
+    All times are in seconds of the leader's clock.
     """
 
     def __init__(self, teams: list[Team], zones: list[str]) -> None:
@@ -38,22 +38,23 @@
         self.zones = InternTable(list(zones))
         self.machine_types = InternTable()
         self.images = InternTable()
-        #: Gigabytes of each image.
+        #: Size of each image in gigabytes, by image index.
         self.image_gb: list[float] = []
-        #: By id.
+        #: Live jobs, and finished ones that still have allocations, by job id.
         self.jobs: dict[str, Job] = {}
-        #: Jobs all of whose tasks are done, until their final record is committed.
+        #: Jobs in state CLOSING by job id: all tasks are done, and the final record is not committed yet.
         self.finishing: dict[str, Job] = {}
-        #: Indices of recorded machines not reconciled since the failover, shared by all jobs whose tasks may be on any.
+        #: Indices of recorded machines that have not been reconciled since the failover. All jobs whose tasks may be on
+        #: any machine share this set as their `possible_holders`.
         self.unreconciled_machines: set[int] = set()
-        #: By machine, the jobs that name it among their possible holders.
+        #: Jobs whose own set of possible holders includes a machine, by machine index.
         self._jobs_by_possible_holder: dict[int, list[Job]] = {}
         self.types: list[TaskType] = []
-        #: Index of the task type by the key of a job; several keys may share one.
+        #: Index of the task type by classification key; several keys may map to one type.
         self._type_index: dict[tuple[object, ...], int] = {}
         self.type_bound = DEFAULT_TYPE_BOUND
         self.chunk_bits = DEFAULT_CHUNK_BITS
-        #: Something changed since the scheduler last looked; and a job arrived since then.
+        #: Whether anything has changed, and whether a job has been added, since the scheduler's last pass.
         self.changed = False
         self.arrived = False
 
@@ -63,13 +64,13 @@
         """Add an accepted job.
 
         Args:
-            spec: What was submitted.
-            version: The store's revision of its live record.
-            accepted_at: When it was accepted.
-            now: The present time.
+            spec: The job as it was submitted.
+            version: The revision of the job's live record in the state service.
+            accepted_at: When the job was accepted.
+            now: The current time.
         """
         team = self.team_names.find(spec.team)
-        if team is None:  # a team that the settings no longer name: nothing of it may run
+        if team is None:  # the team was removed from the settings, so its jobs may not run
             team = self.team_names.index(spec.team)
             self.teams.append(TeamUsage(spec.team, (0, 0), (0, 0)))
         job = Job(spec, version, accepted_at, team)
@@ -82,14 +83,14 @@
         return job
 
     def image(self, name: str, gigabytes: float) -> int:
-        """Return the index of an image; its size is taken from whoever names it first."""
+        """Return the index of an image, which is added if it is new; later calls do not change the size."""
         index = self.images.index(name)
         if index == len(self.image_gb):
             self.image_gb.append(gigabytes)
         return index
 
     def move_job(self, job: Job, new: JobState, now: float) -> None:
-        """Change a job's state; no other function does.
+        """Change the state of a job. No other function may do so.
 
         Raises:
             IllegalTransitionError: The state machine does not allow this change.
@@ -106,7 +107,7 @@
         self.changed = True
 
     def drop_if_settled(self, job: Job) -> bool:
-        """Drop a job that is over and has no allocation left; return whether it was dropped."""
+        """Remove a job that is over and has no allocation left, and return whether the job was removed."""
         if job.state in (JobState.DONE, JobState.CANCELLED) and not job.allocations:
             self.jobs.pop(job.spec.id, None)
             return True
@@ -119,7 +120,10 @@
                 yield job
 
     def mark_guaranteed(self) -> None:
-        """Mark the jobs that their team's guarantee covers together with the team's earlier unfinished jobs."""
+        """Mark the jobs that their team's guarantee covers.
+
+        A guarantee is used up in the order in which the team's unfinished jobs were accepted.
+        """
         needed_by_team: dict[int, list[int]] = {}
         for job in sorted(self.jobs.values(), key=lambda j: (j.accepted_at, j.spec.id)):
             if not job.live:
@@ -134,10 +138,10 @@
     # task types -------------------------------------------------------------------------------------------
 
     def classify(self, job: Job, now: float) -> int:
-        """Return the index of the job's task type, which is made if there is none that fits.
+        """Return the index of the job's task type, and create the type if there is none for such jobs.
 
-        Types beyond `type_bound` would make the greedy plan expensive. From then on a job shares the smallest larger
-        type, or else one whose sizes are bucketed more coarsely.
+        Once there are `max_task_types`, a job is assigned to the smallest existing type that is large enough, or else
+        to a type with coarser size buckets, since the cost of the greedy plan grows with the number of types.
         """
         spec = job.spec
         machine_types = (
@@ -159,7 +163,7 @@
         return found
 
     def _smallest_larger_type(self, rules: TypeRules, job: Job) -> int | None:
-        """Return the index of the smallest type with these rules that is at least of the job's size in everything."""
+        """Return the index of the smallest type with these rules whose slots are large enough for the job's tasks."""
         larger = [
             (task_type.size, index)
             for index, task_type in enumerate(self.types)
@@ -170,7 +174,7 @@
     # results ----------------------------------------------------------------------------------------------
 
     def mark_done(self, job: Job, index: int, now: float) -> None:
-        """Record that a task is done, though not durably yet."""
+        """Record that a task is done; its result is not durable yet."""
         if job.is_done(index):
             return
         job.done[index >> 3] |= 1 << (index & 7)
@@ -179,19 +183,19 @@
         self.changed = True
 
     def load_done(self, job: Job, offset: int, bits: bytes) -> None:
-        """Record results read back from the store, which are done and durable.
+        """Mark tasks as done and durable, as read from a progress record in the state service.
 
         Args:
             job: The job.
-            offset: The byte of `Job.done` that the bits begin at.
-            bits: One bit for each task, the lowest bit of a byte first.
+            offset: The index of the byte of `Job.done_bits` at which the record begins.
+            bits: One bit for each task, beginning with the lowest bit of each byte.
         """
         end = min(len(job.done), offset + len(bits))
         for i in range(offset, end):
             job.done[i] |= bits[i - offset]
             job.durable[i] |= bits[i - offset]
         tail_bits = job.spec.tasks & 7
-        if tail_bits:  # bits past the last task mean nothing
+        if tail_bits:  # the last byte may have bits beyond the last task
             job.done[-1] &= (1 << tail_bits) - 1
             job.durable[-1] &= (1 << tail_bits) - 1
         job.done_count = int.from_bytes(job.done, "little").bit_count()
@@ -199,7 +203,15 @@
     # allocations ------------------------------------------------------------------------------------------
 
     def open_allocation(self, job: Job, index: int, machine: int, attempt: int, now: float) -> Allocation:
-        """Open an allocation for a task that has none, and count it for its team; `machine` is an index."""
+        """Create an allocation for a task, and add the task's resources to the usage of its team.
+
+        Args:
+            job: The job.
+            index: The index of a task of the job that has no allocation.
+            machine: The index of the machine.
+            attempt: The attempt number.
+            now: The current time.
+        """
         allocation = Allocation(job, index, machine, attempt, now)
         assert index not in job.allocations, f"{job.spec.id}/{index} has an allocation already"
         job.allocations[index] = allocation
@@ -212,7 +224,9 @@
         return allocation
 
     def move_allocation(self, allocation: Allocation, new: AllocationState, now: float) -> None:
-        """Change an allocation's state; no other function does. One that is gone no longer counts for its team.
+        """Change the state of an allocation. No other function may do so.
+
+        An allocation that changes to GONE is removed from its job and from the usage of its team.
 
         Raises:
             IllegalTransitionError: The state machine does not allow this change.
@@ -241,17 +255,19 @@
 
     # possible holders -------------------------------------------------------------------------------------
 
-    def add_possible_holders(self, job: Job, machines: set[int] | None, hi: int) -> None:
-        """Record where an earlier leader may have started tasks of a job, which wait until that is known.
+    def add_possible_holders(self, job: Job, machines: set[int] | None, end_index: int) -> None:
+        """Record on which machines tasks of a job that an earlier leader started may run.
+
+        The tasks are not started again before these machines are reconciled.
 
         Args:
             job: The job.
-            machines: Indices of the machines; None for any that is on record.
-            hi: Only tasks below this index may have been started.
+            machines: Indices of the machines; None for all recorded machines.
+            end_index: Only tasks with an index below this one may have been started.
         """
-        job.unseen_below = job.first_unallocated = hi
-        # Jobs that may be anywhere share one set: with one each, a failover with thousands of machines and jobs would
-        # hold millions of entries.
+        job.unseen_below = job.first_unallocated = end_index
+        # Jobs whose tasks may be on any machine share one set. With a set for each job, a failover with thousands of
+        # machines and jobs would create millions of entries.
         job.possible_holders = self.unreconciled_machines if machines is None else machines
         for machine in machines or ():
             self._jobs_by_possible_holder.setdefault(machine, []).append(job)
@@ -259,25 +275,25 @@
             self._release_unseen(job)
 
     def clear_possible_holder(self, machine: int) -> list[Job]:
-        """Record that a machine is reconciled, and return the jobs that have no possible holder left."""
-        settled = []
+        """Record that a machine is reconciled, and return the jobs that now have no possible holder left."""
+        released = []
         if machine in self.unreconciled_machines:
             self.unreconciled_machines.discard(machine)
             if not self.unreconciled_machines:
-                settled += [job for job in self.jobs.values() if job.possible_holders is self.unreconciled_machines]
+                released += [job for job in self.jobs.values() if job.possible_holders is self.unreconciled_machines]
         for job in self._jobs_by_possible_holder.pop(machine, ()):
             job.possible_holders.discard(machine)
             if not job.possible_holders:
-                settled.append(job)
-        for job in settled:
+                released.append(job)
+        for job in released:
             self._release_unseen(job)
-        return settled
+        return released
 
     def _release_unseen(self, job: Job) -> None:
-        """Have the tasks that no machine holds wait like others."""
+        """Let the tasks wait for placement that none of the possible holders has reported."""
         job.possible_holders = set()
         unseen = range(job.unseen_below)
-        # added to what was returned meanwhile; `Job.take` passes over what is listed twice
+        # appended, as tasks may have been returned meanwhile; `Job.take_waiting_task` skips indices listed twice
         job.returned += [i for i in reversed(unseen) if not job.is_done(i) and i not in job.allocations]
         job.unseen_below = 0
         self.changed = True
--- a/src/grebestand/cluster_state/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -1,4 +1,4 @@
-"""A live job, and its allocations: the machines where its tasks may be."""
+"""Live jobs, and allocations: the attempts of their tasks on machines."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from ..wire.remote_assignment import RemoteAssignment
 from .resources import task_resources
 
-#: Value of `Allocation.sent_sequence` while the start command has to be sent again; no heartbeat has this sequence.
+#: Value of `Allocation.sent_sequence` while the start command has to be resent; sequence numbers are never negative.
 START_LOST = -1
-#: Value of `Allocation.reported_sequence` before any heartbeat has named the task.
+#: Value of `Allocation.reported_sequence` until a heartbeat lists the task.
 NOT_REPORTED = -1
 
 
 class Allocation:
     """One attempt of a task on one machine.
 
-    It counts against every limit until it is known to be gone. All times are in seconds of the leader's clock.
+    An allocation counts against all limits until the attempt is known to have ended, since the task may still run. All
+    times are in seconds of the leader's clock.
     """
 
     __slots__ = (
@@ -45,32 +46,33 @@
 
     def __init__(self, job: Job, index: int, machine: int, attempt: int, now: float) -> None:
         self.job = job
-        #: The task's index in its job.
+        #: Index of the task in the job.
         self.index = index
-        #: The task's name in heartbeats and commands.
+        #: Name of the task in heartbeats and commands.
         self.name = task_name(job.spec.id, index)
-        #: The machine's index in the inventory.
+        #: Index of the machine in the inventory.
         self.machine = machine
         self.attempt = attempt
         self.state = AllocationState.QUEUED
-        #: The worker's epoch that the allocation belongs to: it ends with that epoch.
+        #: The worker's epoch that the allocation belongs to. The worker kills its tasks when an epoch ends.
         self.epoch = 0
-        #: Epoch and sequence of the heartbeat whose response carried the start command.
+        #: Epoch and sequence number of the heartbeat whose response carried the start command.
         self.sent_epoch = 0
         self.sent_sequence = 0
-        #: Sequence of the newest heartbeat of the epoch that named the task.
+        #: Sequence number of the newest heartbeat that listed the task.
         self.reported_sequence = NOT_REPORTED
-        #: When it was decided.
+        #: When the scheduler placed the task.
         self.decided_at = now
-        #: The task had no allocation before, so it runs from its beginning.
+        #: Whether the task had no allocation before, so that it does not resume from a checkpoint.
         self.first = False
-        #: Not to be sent before the other tasks of its gang have their image.
+        #: Whether the start command is held back until the machines of the gang's other tasks have the image.
         self.held = False
-        #: Its gang is broken; it stays until its machine has fetched the image, for the gang's next attempt.
+        #: Whether the gang's attempt has failed and the allocation stays only until its machine has fetched the image,
+        #: for the gang's next attempt.
         self.keeps_fetching = False
-        #: When the task was first seen to run.
+        #: When a heartbeat first reported the task as running.
         self.run_at: float | None = None
-        #: Why it has been asked to stop, and with how many seconds for a checkpoint.
+        #: Why the task is to stop (None: no stop is requested), and how many seconds it has to save a checkpoint.
         self.stop_reason: str | None = None
         self.grace = 0.0
         self.stop_sent_at = -math.inf
@@ -78,44 +80,55 @@
         self.start_sent_at = math.inf
 
     def record_start_command(self, epoch: int, sequence: int, now: float) -> None:
-        """Record that the response to this heartbeat of the machine carries the start command."""
+        """Record that the response to a heartbeat of the machine carries the start command.
+
+        Args:
+            epoch: The epoch of the heartbeat.
+            sequence: The sequence number of the heartbeat.
+            now: The current time, in seconds.
+        """
         self.epoch = self.sent_epoch = epoch
         self.sent_sequence = sequence
         self.start_sent_at = now
 
     def request_stop(self, reason: str, grace_s: float) -> None:
-        """Record that the task is to stop, and how many seconds it has for a checkpoint."""
+        """Record why the task is to stop, and how many seconds it has to save a checkpoint."""
         self.stop_reason, self.grace = reason, grace_s
 
     def record_lost_start(self) -> None:
-        """Record that the start command did not arrive, so that the next response carries it again."""
+        """Record that the start command did not reach the worker, so that the next response carries it again."""
         self.sent_sequence = START_LOST
 
 
 class GangStartTimeline:
-    """When the last task of a gang's attempt reached each stage of its start, in seconds of the leader's clock."""
+    """When the last task of a gang's attempt reached each stage of its start, in seconds of the leader's clock.
+
+    The times are used only to log how long each stage took.
+    """
 
     __slots__ = ("attempt", "covered", "placed", "reported", "room", "sent")
 
     def __init__(self, attempt: int, room: float, placed: float) -> None:
-        """Begin with a placement.
+        """Create the timeline of a gang that has just been placed.
 
         Args:
-            attempt: The attempt of all the gang's allocations.
-            room: Since when the capacity for the whole gang may have been free.
+            attempt: The attempt number shared by all allocations of the gang.
+            room: The earliest time from which the capacity for the whole gang may have been free.
             placed: When the gang was placed.
         """
         self.attempt = attempt
         self.room = room
-        #: Placed; covered by a durable grant; start command sent; first named in a heartbeat.
+        #: When the gang was placed, its grant became durable, the last start command was sent, and the last task was
+        #: first reported by a heartbeat.
         self.placed = self.covered = self.sent = self.reported = placed
 
 
 class Job:
     """A live job.
 
-    Only tasks with an allocation cost an object; the others are bits (`done`, `durable`), a cursor (`fresh`) and a list
-    (`returned`). All times are in seconds of the leader's clock.
+    To save memory with large arrays, only tasks with an allocation have an object. The others are represented by bits
+    (`done_bits`, `durable_bits`), a cursor (`first_unallocated`) and a list (`requeued_tasks`). All times are in
+    seconds of the leader's clock.
     """
 
     __slots__ = (
@@ -167,91 +180,97 @@
     )  # fmt: skip
 
     def __init__(self, spec: JobSpec, version: int, accepted_at: float, team: int) -> None:
-        """Begin without allocations and results.
+        """Create a job without allocations and results.
 
         Args:
-            spec: What was submitted.
-            version: The store's revision of the job's live record.
+            spec: The job as it was submitted.
+            version: The revision of the job's live record in the state service.
             accepted_at: When the job was accepted.
-            team: The team's index in the registry.
+            team: The index of the job's team in `JobRegistry.teams`.
         """
         self.spec = spec
         self.version = version
         self.accepted_at = accepted_at
-        #: Once it is cancelled: machines that still have a task of it are answered until then, so that their lease ends
-        #: in time.
+        #: For a cancelled job: the time after which machines that still hold a task of the job get no responses. Their
+        #: leases then expire, and with them the tasks, before the cancellation's deadline.
         self.may_answer_until = math.inf
         self.team = team
-        #: What one task takes.
+        #: Resources of one task.
         self.size = task_resources(spec)
-        #: The rank of its priority, the highest being 0.
+        #: Rank of the job's priority; 0 is the highest.
         self.rank = PRIORITIES.index(spec.priority)
-        #: Indices in the registry: its task type, its zone (-1: any) and its image.
+        #: Indices of the job's task type, zone (-1: any) and image in the registry's tables.
         self.type = -1
         self.zone = -1
         self.image = -1
         self.state = JobState.WAITING
-        #: Whether it is WAITING or ACTIVE; kept beside the state, since every pass asks it of every job many times.
+        #: Whether the state is WAITING or ACTIVE; cached, since each scheduling pass reads it many times for each job.
         self.live = True
-        #: One bit for each task: whether it is done, and whether its result is durable.
+        #: One bit for each task: whether the task is done, and whether its result is stored in the state service.
         self.done = bytearray((spec.tasks + 7) // 8)
         self.durable = bytearray((spec.tasks + 7) // 8)
         self.done_count = 0
-        #: By chunk of `done`, since when it has results that are not durable.
+        #: Since when a chunk of `done_bits` has had results that are not durable, by the chunk's index.
         self.unsaved_chunks: dict[int, float] = {}
-        #: By task index.
+        #: Allocations by task index.
         self.allocations: dict[int, Allocation] = {}
-        #: Tasks from this index on have never had an allocation.
+        #: Index of the first task that has never had an allocation; neither have the tasks after it.
         self.first_unallocated = 0
-        #: Tasks below `fresh` that have lost their allocation; an index may be listed twice, or be stale.
+        #: Indices below `first_unallocated` of tasks whose allocation ended. An index may be listed twice, and the task
+        #: may be done or allocated again by now.
         self.returned: list[int] = []
-        #: Machine index and run time in seconds of the tasks that finished last.
+        #: Machine index and run time in seconds of the most recently finished tasks.
         self.runs: list[tuple[int, float]] = []
-        #: Of a gang that was placed and does not run as a whole yet.
+        #: The start of a gang that was placed and of which not all tasks run yet; otherwise None.
         self.gang_start: GangStartTimeline | None = None
-        #: The cluster named in its live record, and how many of its tasks run there.
+        #: The assignment to another cluster from the job's live record, and the number of tasks that run there.
         self.abroad: RemoteAssignment | None = None
         self.abroad_running = 0
-        #: Another cluster runs it or may come to run it: nothing of it may start here.
+        #: Whether another cluster runs the job or may yet accept it. No task of the job may start here meanwhile.
         self.runs_remotely = False
-        #: It is another cluster's, and that has not asked about it lately: nothing more of it starts meanwhile.
+        #: Whether the job belongs to another cluster, and whether that cluster has not asked about the job lately. No
+        #: further task of the job starts while the other cluster is silent.
         self.guest = False
         self.origin_silent = False
-        #: In how many rounds tasks of it have failed, when last, and after how long at the most, in seconds.
+        #: Number of rounds in which tasks of the job have failed, the time of the last failure, and the longest run
+        #: time before a failure, in seconds.
         self.errors = 0
         self.failed_at = -math.inf
         self.fails_after_s = 0.0
-        #: It fails wherever it is started: one task, or one gang, of it is tried at a time.
+        #: Whether the job fails on whichever machine it is started. Only one of its tasks, or the gang, is then tried
+        #: at a time.
         self.suspected_faulty = False
-        #: A task of it was completed, or has saved a checkpoint.
+        #: Whether any task of the job was completed or saved a checkpoint.
         self.has_progress = False
-        #: How often the whole gang was preempted.
+        #: Number of preemptions of the whole gang.
         self.preemption_count = 0
-        #: Machines where it failed, by index, and when.
+        #: When the job failed on a machine, by machine index.
         self.avoid: dict[int, float] = {}
-        #: None of it is placed before then.
+        #: No task of the job is placed before this time.
         self.retry_at = 0.0
-        #: Its durable grant: machines (None: any) that tasks below `granted_below` may have been started on.
+        #: The durable grant: tasks with an index below `granted_tasks_below` may have been started on these machines
+        #: (None: on any). After a failover the next leader looks for the job's tasks there.
         self.granted: set[int] | None = set()
         self.granted_below = 0
-        #: Unreconciled machines that may hold tasks started by an earlier leader; such tasks are below `unseen_below`.
+        #: Indices of unreconciled machines that may run tasks started by an earlier leader; such tasks have an index
+        #: below `unseen_tasks_below`.
         self.possible_holders: set[int] = set()
         self.unseen_below = 0
-        #: Whether its team's guarantee covers it.
+        #: Whether the guarantee of the job's team covers the job.
         self.guaranteed = False
         self.wait_since = accepted_at
-        #: When it has to be done to meet its objectives, once that has been looked up.
+        #: When the job has to be done to meet each of its objectives; None until computed.
         self.ends: list[float] | None = None
-        #: When a task of it last got an allocation.
+        #: When a task of the job last got an allocation.
         self.started_at = accepted_at
         self.preempt_at = -math.inf
-        #: For users: why its tasks wait.
+        #: Why tasks of the job wait, as shown to users.
         self.why_waiting = ""
-        #: Its start has been logged.
+        #: Whether the start of the job has been logged.
         self.begun = False
 
     def record_progress(self) -> None:
-        """Record that work of the job was kept, which shows that it can run."""
+        """Record that a task was completed or saved a checkpoint, which shows that the job is not faulty."""
         self.has_progress = True
         self.suspected_faulty = False
 
@@ -265,29 +284,32 @@
 
     @property
     def gang(self) -> bool:
-        """Whether all its tasks have to run at once."""
+        """Whether all tasks of the job have to run at the same time."""
         return self.spec.kind is Kind.GANG
 
     def unfinished(self) -> int:
-        """Return how many tasks are not done."""
+        """Return the number of tasks that are not done."""
         return self.spec.tasks - self.done_count
 
     def waiting(self) -> int:
-        """Return how many tasks are not done and have no allocation."""
+        """Return the number of tasks that are not done and have no allocation.
+
+        Returns 0 while no task may start, since the job is over, runs in another cluster or belongs to a silent one.
+        """
         if not self.live or self.runs_remotely or self.origin_silent:
             return 0
         return max(0, self.spec.tasks - self.done_count - len(self.allocations))
 
     def wanted(self) -> int:
-        """Return for how many waiting tasks capacity should be found."""
+        """Return the number of waiting tasks that the scheduler should find capacity for."""
         return min(self.waiting(), 1) if self.suspected_faulty and not self.gang else self.waiting()
 
     def startable(self) -> int:
-        """Return how many waiting tasks are known to run nowhere.
+        """Return the number of waiting tasks that are known not to run on any machine.
 
-        After a failover, only tasks that an earlier leader may have started wait for reconciliation; those that were
-        seen since, or that no grant covers, do not. Where the zones of a job's other tasks matter, all of them wait:
-        an unseen task may be in any zone.
+        After a failover, tasks that an earlier leader may have started cannot be placed until the possible holders are
+        reconciled. Tasks that were reported since, or that no grant covers, can. If the placement of a task depends on
+        the zones of the job's other tasks, no task can be placed, since an unreported task may run in any zone.
         """
         if self.suspected_faulty and not self.gang and self.allocations:
             return 0
@@ -300,15 +322,18 @@
         return min(startable, 1) if self.suspected_faulty else startable
 
     def covers(self, allocation: Allocation) -> bool:
-        """Return whether the durable grant tells a later leader that this task may be on that machine."""
+        """Return whether the durable grant includes the allocation, so that a later leader looks for the task there."""
         return allocation.index < self.granted_below and (self.granted is None or allocation.machine in self.granted)
 
     def running(self) -> int:
-        """Return how many tasks run, here and in another cluster."""
+        """Return the number of running tasks, in this cluster and in another one."""
         return self.abroad_running + sum(1 for a in self.allocations.values() if a.state is AllocationState.RUNNING)
 
     def take(self) -> int | None:
-        """Remove and return the next waiting task; the caller opens an allocation for it at once."""
+        """Remove and return the index of the next waiting task, or None if no task waits.
+
+        The caller has to open an allocation for the task at once.
+        """
         while self.returned:
             index = self.returned.pop()
             if not self.is_done(index) and index not in self.allocations:
--- a/src/grebestand/cluster_state/machine.py
+++ b/src/grebestand/cluster_state/machine.py
@@ -1,4 +1,4 @@
-"""One machine: what is known of it, what runs there and what may be placed there."""
+"""A machine of the cluster: its capacity, its allocations, its cached images and the liveness of its worker."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from .resources import NO_RESOURCES, Resources, add, subtract
 from .slots import SlotTemplate
 
-#: How many heartbeats a machine may have sent in one life beyond the last that was heard. Too low, and a delayed
-#: heartbeat of that life would pass for a present one.
+#: Upper bound on the heartbeats that a worker process sent after the last one received from it. With a lower bound, a
+#: delayed heartbeat of a worker process that has restarted since could be mistaken for a current one.
 UNHEARD_HEARTBEATS = 40
 
 
 class Machine:
     """A machine as the leader knows it. All times are in seconds of the leader's clock.
 
-    Its state and reception change in `MachineInventory` only.
+    Only `MachineInventory` may change `state` and `reception`.
     """
 
     __slots__ = (
@@ -73,92 +73,107 @@
     )  # fmt: skip
 
     def __init__(self, index: int, name: str, addr: str, kind: int, zone: int, spot: bool, now: float) -> None:
-        """Begin as a new machine without tasks; `index` is its own, `kind` and `zone` are those of the registry."""
+        """Create a machine in state NEW without allocations.
+
+        Args:
+            index: The index of the machine in the inventory.
+            name: The name under which the provider and the worker's heartbeats refer to the machine.
+            addr: Host and port of the machine's worker.
+            kind: The index of the machine type in `JobRegistry.machine_types`.
+            zone: The index of the zone in `JobRegistry.zones`.
+            spot: Whether the provider may reclaim the machine.
+            now: The current time, in seconds.
+        """
         self.index = index
         self.name = name
-        #: Host and port of its worker.
+        #: Host and port of the machine's worker.
         self.addr = addr
         self.kind = kind
         self.zone = zone
-        #: Whether the provider may reclaim it.
+        #: Whether the provider may reclaim the machine.
         self.spot = spot
         self.capacity: Resources = NO_RESOURCES
         self.used: Resources = NO_RESOURCES
         self.free: Resources = NO_RESOURCES
-        #: How many allocations there are of each task type.
+        #: Number of allocations on the machine by task type index.
         self.slots: dict[int, int] = {}
-        #: By the task's name in heartbeats.
+        #: Allocations on the machine by task name.
         self.allocations: dict[str, Allocation] = {}
-        #: Millionths of a CPU that tasks of each priority take, the highest first.
+        #: CPUs allocated to the tasks of each priority, in millionths of a CPU; the highest priority comes first.
         self.rank_cpus = [0] * len(PRIORITIES)
-        #: The same by priority and team.
+        #: CPUs allocated by priority rank and team index, in millionths of a CPU.
         self.team_cpus: dict[tuple[int, int], int] = {}
-        #: How many allocations have been asked to stop.
+        #: Number of allocations with a requested stop.
         self.stopping_count = 0
         self.state = MachineState.NEW
-        #: Whether it has a durable record.
+        #: Whether the state service holds a record of the machine.
         self.recorded = False
-        #: Its first heartbeat carried no token.
+        #: Whether the first heartbeat of the machine carried no token, so that its worker knew of no term yet.
         self.has_seen_no_term = False
-        #: Of the newest heartbeat; the token is the highest that it has been shown to know.
+        #: Epoch and sequence number of the newest heartbeat, and the highest fencing token that the worker has
+        #: acknowledged.
         self.epoch = 0
         self.sequence = 0
         self.token = 0
-        #: Epoch and sequence up to which it may have counted in its previous life: a heartbeat that is not above them
-        #: may be a delayed copy from then.
+        #: Upper bound of the epoch and sequence number that the worker reached before its last restart. A heartbeat
+        #: that is not above the bound may be a delayed copy from before the restart.
         self.previous_epoch_end = (0, 0)
         self.last_heard_at = -math.inf
-        #: When a response that renews its lease may last have left: its lease ends one lease after that at the latest.
+        #: The latest time at which a response that renews the machine's lease may have been sent. The lease expires at
+        #: most one lease duration later.
         self.last_response_at = now
-        #: Whether responses reach it, as far as is known.
+        #: Whether responses are known to reach the worker.
         self.reception = Reception.REACHABLE
-        #: Since when it has been unreachable, or since its latest epoch began meanwhile.
+        #: When the machine became unreachable, or when the newest epoch since then was first seen.
         self.unreachable_since = math.inf
-        #: The latest epoch in which it was heard since then.
+        #: The newest epoch in the heartbeats received since the machine became unreachable.
         self.unreachable_epoch = 0
-        #: How many heartbeats in a row went on as if the response before had not arrived.
+        #: Number of consecutive heartbeats that do not reflect the response to the heartbeat before them.
         self.missed_responses = 0
-        #: When it was last queried directly.
+        #: When the leader last sent the worker a direct query.
         self.asked_at = -math.inf
-        #: The slots that the greedy plan gives it, and its rank there.
+        #: The slots that the greedy plan assigns to the machine, and the machine's rank in the plan.
         self.template: SlotTemplate = ()
         self.rank = 0
         self.in_accept_group = False
-        #: The job that it is reserved for, if any.
+        #: Id of the job that the machine is reserved for, if any.
         self.reserved_for: str | None = None
         self.reserved_until = -math.inf
-        #: It is given no tasks before then.
+        #: No tasks are placed on the machine before this time.
         self.blocked_until = -math.inf
-        #: How many failures of tasks in a row speak against it, when the last was, and of which jobs.
+        #: Number of consecutive task failures that count against the machine, the time of the last one, and the ids of
+        #: the jobs whose tasks failed.
         self.errors = 0
         self.error_at = -math.inf
         self.error_jobs: set[str] = set()
-        #: Why it is drained, if it is.
+        #: Why the machine is being drained; None if it is not.
         self.drain_reason: str | None = None
-        #: When the provider takes it back.
+        #: When the provider reclaims the machine; infinite unless the provider has announced it.
         self.terminates_at = math.inf
-        #: Gigabytes of each image in its cache, the least recently used first.
+        #: Size in gigabytes of each cached image by image index, the least recently used first.
         self.images: OrderedDict[int, float] = OrderedDict()
-        #: Images that it fetches, or will once it is told to start, and how many allocations wait for each.
+        #: Number of allocations that wait for an image, by image index. The worker fetches such an image now, or once
+        #: it receives the start command.
         self.image_fetches: dict[int, int] = {}
-        #: Since when it has had no allocation.
+        #: When the machine last became free of allocations.
         self.empty_since = now
-        #: How many times as long as others it takes for the same tasks, as far as is known.
+        #: Estimated run time of tasks on this machine, as a multiple of their run time on other machines.
         self.slowness = 1.0
-        #: When an allocation last ended here.
+        #: When an allocation on the machine last ended.
         self.freed_at = -math.inf
-        #: Rises whenever its allocations, what is stopped of them, its images or its state change.
+        #: Incremented when the machine's allocations, their requested stops, its images, its state or its reception
+        #: change, so that results computed for the machine can be cached by this number.
         self.change_count = 0
-        #: Its free capacity or its images have changed since a heartbeat last tried to place tasks here.
+        #: Whether the free capacity or the images have changed since a heartbeat last tried to place tasks here.
         self.news = True
 
     def set_capacity(self, capacity: Resources) -> None:
-        """Set what the machine has in all, once its type is known."""
+        """Set the total capacity, once the machine type is known."""
         self.capacity = capacity
         self.free = subtract(capacity, self.used)
 
     def add_allocation(self, allocation: Allocation) -> None:
-        """Count an allocation that was opened on this machine."""
+        """Add an allocation that was opened on this machine to the machine's usage."""
         job = allocation.job
         self.used = add(self.used, job.size)
         self.free = subtract(self.capacity, self.used)
@@ -172,7 +187,7 @@
         self.allocations[allocation.name] = allocation
 
     def remove_allocation(self, allocation: Allocation, now: float) -> None:
-        """Free what an allocation of this machine counted, as it ends."""
+        """Remove an allocation that has ended, and free its resources."""
         job = allocation.job
         self.used = subtract(self.used, job.size)
         self.free = subtract(self.capacity, self.used)
@@ -188,9 +203,9 @@
         if job.image in self.image_fetches:
             self.image_fetches[job.image] -= 1
             if not self.image_fetches[job.image]:
-                del self.image_fetches[job.image]  # nothing waits for it any more, so the worker gives up the fetch
+                del self.image_fetches[job.image]  # no task waits for the image, so the worker aborts the fetch
         elif job.image in self.images:
-            self.images.move_to_end(job.image)  # used until now
+            self.images.move_to_end(job.image)  # the ended task has just used the image
         if allocation.stop_reason is not None:
             self.stopping_count -= 1
         del self.allocations[allocation.name]
@@ -198,14 +213,19 @@
             self.empty_since = now
 
     def record_stop_request(self) -> None:
-        """Record that one of its allocations has been asked to stop."""
+        """Record that the stop of one of the machine's allocations was requested."""
         self.stopping_count += 1
         self.change_count += 1
 
     def record_image(self, image: int, gigabytes: float, cache_gb: float) -> None:
-        """Record that the machine has an image.
+        """Record that the machine has an image, and drop the images that its worker evicts in return.
 
-        Workers keep the most recently used images up to the size of their cache; this mirrors which they drop.
+        Workers evict the least recently used images that no task uses, once their cache is full.
+
+        Args:
+            image: The index of the image.
+            gigabytes: The size of the image.
+            cache_gb: The capacity of the worker's image cache, in gigabytes.
         """
         self.image_fetches.pop(image, None)
         self.news = True
@@ -225,19 +245,27 @@
 
         Args:
             heartbeat: The heartbeat.
-            acknowledged_token: The highest token that a heartbeat of the worker has shown it to know.
-            now: The present time, in seconds.
+            acknowledged_token: The highest fencing token that the worker has acknowledged in a heartbeat.
+            now: The current time, in seconds.
         """
         self.addr = heartbeat.addr
         self.epoch, self.sequence, self.token = heartbeat.epoch, heartbeat.sequence, acknowledged_token
         self.last_heard_at = now
 
     def close_previous_epoch(self) -> None:
-        """Record that what was heard so far is of a previous life of the machine, which may have counted on unheard."""
+        """Record that all heartbeats so far are from before a restart of the worker.
+
+        Heartbeats sent before the restart and not received yet may have sequence numbers up to `UNHEARD_HEARTBEATS`
+        higher than the last one received.
+        """
         self.previous_epoch_end = max(self.previous_epoch_end, (self.epoch, self.sequence + UNHEARD_HEARTBEATS))
 
     def record_restart(self, epoch: int) -> None:
-        """Record that the worker counts anew from `epoch` on, so that its next heartbeat is newer than any before."""
+        """Record a restart of the worker, whose epochs and sequence numbers start over.
+
+        Args:
+            epoch: The worker's epoch after the restart. Its next heartbeat counts as newer than all before.
+        """
         self.close_previous_epoch()
         for allocation in self.allocations.values():
             allocation.epoch = epoch
@@ -245,22 +273,22 @@
         self.epoch = self.sequence = self.token = 0
 
     def record_epoch_while_unreachable(self, epoch: int, now: float) -> None:
-        """Record that an unreachable machine has begun another epoch: a lease of it ended before `now`."""
+        """Record that an unreachable machine is in a later epoch, so that its lease expired before `now`."""
         self.unreachable_epoch, self.unreachable_since = epoch, now
 
     def record_success(self) -> None:
-        """Record that a task was completed here, which clears the machine of suspected faults."""
+        """Record that a task was completed on this machine, and reset the failures that count against the machine."""
         self.errors = 0
         self.error_jobs.clear()
 
     def block_until(self, until: float) -> None:
-        """Give the machine no tasks until then, or longer if it is blocked for longer already."""
+        """Keep the scheduler from placing tasks on the machine until the given time; an existing later end stays."""
         self.blocked_until = max(self.blocked_until, until)
 
     def reserve(self, job_id: str, until: float) -> None:
-        """Reserve the machine for a job."""
+        """Reserve the machine for a job until the given time."""
         self.reserved_for, self.reserved_until = job_id, until
 
     def slots_used(self, task_type: int) -> int:
-        """Return how many allocations of a task type are here."""
+        """Return the number of allocations of a task type on this machine."""
         return self.slots.get(task_type, 0)
--- a/src/grebestand/cluster_state/machine_inventory.py
+++ b/src/grebestand/cluster_state/machine_inventory.py
@@ -1,4 +1,4 @@
-"""The inventory of all machines, and the only functions that change a machine's state or reception."""
+"""The inventory of all machines. Only its methods change the state or the reception of a machine."""
 
 from __future__ import annotations
 
@@ -23,65 +23,69 @@
 
 log = logging.getLogger(__name__)
 
-#: What a team may use, in millionths, on machines whose capacity is not known: more than any limit.
+#: Assumed usage of each team on unreconciled machines if the capacity of any of them is not known, in millionths of a
+#: CPU or GPU. Above every limit, so that no team with a limit starts tasks.
 UNKNOWN_USAGE = 1 << 60
-#: A deleted machine is remembered for this many leases, so that a delayed heartbeat does not bring it back.
+#: How long a deleted machine is remembered, as a multiple of the lease duration, so that a delayed heartbeat does not
+#: add the machine again.
 DELETED_MEMORY_LEASES = 6.0
-#: So many deleted machines are remembered, which bounds the memory that this takes.
+#: Maximum number of deleted machines that are remembered, to bound memory use.
 MAX_DELETED_REMEMBERED = 4000
-#: With a longer gap between two searches for silent machines, this controller stood still, and heartbeats may wait to
-#: be read.
+#: A longer gap between two checks for silent machines, in seconds, shows that this controller was paused. Heartbeats
+#: received meanwhile may not have been read yet.
 MAX_OBSERVATION_GAP_S = 4.0
-#: A machine that has not been heard for this many heartbeat intervals is silent: two lost ones, and a little delay.
+#: A machine without a heartbeat for this many intervals is silent. Tolerates two lost heartbeats and a short delay.
 SILENT_AFTER_INTERVALS = 2.2
-#: After this many missed responses in a row a machine's reception is suspected; one is lost now and then.
+#: Number of consecutive missed responses after which a machine's reception is suspected. Single responses are lost
+#: occasionally.
 MISSED_RESPONSES_BEFORE_SUSPICION = 2
 
 
 class MachineInventory:
-    """All machines, their types, and what the leader has to find out about them.
+    """All machines, their types, and the machines that the leader still has to query or reconcile.
 
-    Times are in seconds of the leader's clock.
+    All times are in seconds of the leader's clock.
     """
 
     def __init__(self, registry: JobRegistry, lease_s: float, report_s: float) -> None:
-        """Begin without machines.
+        """Create an inventory without machines.
 
         Args:
-            registry: The jobs whose allocations the machines hold.
-            lease_s: How long a worker keeps its tasks without a response, in seconds.
+            registry: The registry of the jobs whose tasks run on the machines.
+            lease_s: How long a worker keeps its tasks running without a response, in seconds.
             report_s: The interval of heartbeats, in seconds.
         """
         self.registry = registry
         self.machines: list[Machine] = []
         self.by_name: dict[str, Machine] = {}
-        #: By the type's index in the registry.
+        #: Machine types by their index in the registry.
         self.machine_types: dict[int, MachineType] = {}
-        #: Capacity of each machine type.
+        #: Capacities of all machine types.
         self.capacities: list[Resources] = []
         self.lease_s = lease_s
         self.report_s = report_s
-        #: Jobs that machines are reserved for and that are not in the registry: other clusters' gangs that may come.
+        #: Ids of other clusters' gangs that machines are reserved for and that are not in the registry yet.
         self.reserved_for_remote: set[str] = set()
-        #: Indices of machines to be queried directly: what they report, or do not, has to be explained.
+        #: Indices of machines to query directly, since their heartbeats contradict what the leader knows of them.
         self.to_query: set[int] = set()
-        #: Indices of machines reconciled since the leader last looked.
+        #: Indices of machines reconciled since the leader last processed this list.
         self.newly_reconciled: list[int] = []
-        #: When the provider deleted a machine, by name: what still arrives under the name is a delayed copy.
+        #: When the provider deleted a machine, by machine name. Later heartbeats with the name are delayed copies.
         self._deleted_at: dict[str, float] = {}
-        #: When silent machines were last searched for, and since when this has gone on without a gap.
+        #: When silent machines were last checked for, and since when the checks have run without a long gap.
         self._observed_at = self._observing_since = -math.inf
         self._by_index: dict[int, Machine] = {}
         self._next_index = 0
         self.unreconciled_count = 0
-        #: Of the unreconciled machines: how many have no known capacity, and millionths of CPUs and GPUs of the others.
+        #: Number of unreconciled machines without a known capacity, and the total capacity of the other unreconciled
+        #: machines in millionths of a CPU and of a GPU.
         self._unreconciled_unmeasured = 0
         self._unreconciled_capacity = [0, 0]
 
     # machines ---------------------------------------------------------------------------------------------
 
     def learn_types(self, types: list[MachineType]) -> None:
-        """Take the machine types that the provider offers, and with them the capacity of all machines."""
+        """Record the machine types that the provider offers, and set the capacity of all machines accordingly."""
         for machine_type in types:
             self.machine_types[self.registry.machine_types.index(machine_type.name)] = machine_type
         self.capacities = [machine_capacity(machine_type) for machine_type in self.machine_types.values()]
@@ -92,7 +96,18 @@
     def add(
         self, name: str, addr: str, kind: str, zone: str, spot: bool, now: float, recorded: bool = False
     ) -> Machine:
-        """Add a machine: new, or unreconciled if it is on record, as it may hold tasks of an earlier leader."""
+        """Add a machine.
+
+        Args:
+            name: The name of the machine.
+            addr: Host and port of the machine's worker.
+            kind: The name of the machine type.
+            zone: The name of the zone.
+            spot: Whether the provider may reclaim the machine.
+            now: The current time, in seconds.
+            recorded: Whether the state service holds a record of the machine. Such a machine is unreconciled, as it
+                may run tasks started by an earlier leader.
+        """
         type_index = self.registry.machine_types.index(kind)
         zone_index = self.registry.zones.index(zone)
         machine = Machine(self._next_index, name, addr, type_index, zone_index, spot, now)
@@ -106,15 +121,15 @@
         return machine
 
     def at(self, index: int) -> Machine | None:
-        """Return the machine with this index, unless it is gone."""
+        """Return the machine with this index, or None if the machine is gone."""
         return self._by_index.get(index)
 
     def was_deleted(self, name: str, now: float) -> bool:
-        """Return whether the provider has deleted the machine a short time ago."""
+        """Return whether the provider has deleted the machine within the last `DELETED_MEMORY_LEASES` leases."""
         return now - self._deleted_at.get(name, -math.inf) < DELETED_MEMORY_LEASES * self.lease_s
 
     def counts(self, machine: Machine) -> bool:
-        """Return whether a machine's template counts in the plan, even if it may not be given tasks right now."""
+        """Return whether the greedy plan includes the machine, even if no tasks may be placed there right now."""
         present = (
             machine.state in (MachineState.READY, MachineState.SUSPECT)
             and machine.reception is not Reception.UNREACHABLE
@@ -122,7 +137,7 @@
         return present and machine.recorded and machine.drain_reason is None and any(machine.capacity)
 
     def is_schedulable(self, machine: Machine, now: float) -> bool:
-        """Return whether a machine may be given tasks now."""
+        """Return whether tasks may be placed on the machine now."""
         return (
             machine.state is MachineState.READY
             and machine.reception is Reception.REACHABLE
@@ -145,9 +160,9 @@
     # state and reception ----------------------------------------------------------------------------------
 
     def move(self, machine: Machine, new: MachineState, now: float) -> None:
-        """Change a machine's state; no other function does.
+        """Change the state of a machine. No other function may do so.
 
-        A machine whose lease has expired, or that is gone, holds nothing.
+        All allocations of a machine end once its lease has expired or the machine is gone.
 
         Raises:
             IllegalTransitionError: The state machine does not allow this change.
@@ -172,7 +187,7 @@
         self.registry.changed = True
 
     def _release_queued(self, machine: Machine, now: float) -> None:
-        """Release what was decided and never sent, so that nobody else can have it."""
+        """Release the allocations that were never sent, so that their tasks can be placed on other machines."""
         queued = [a for a in machine.allocations.values() if a.state is AllocationState.QUEUED]
         for allocation in queued:
             self.release(machine, allocation, now)
@@ -186,7 +201,13 @@
             del self._deleted_at[next(iter(self._deleted_at))]
 
     def change_reception(self, machine: Machine, new: Reception, reason: str, now: float) -> None:
-        """Change what is known of a machine's reception of responses; no other function does.
+        """Change whether responses are known to reach a machine. No other function may do so.
+
+        Args:
+            machine: The machine.
+            new: The new reception.
+            reason: The evidence for the change, for the log.
+            now: The current time.
 
         Raises:
             IllegalTransitionError: The state machine does not allow this change.
@@ -207,13 +228,13 @@
             log.info(LogEvent("machine_reception_changed", machine=machine.name, from_=old, to=new, reason=reason))
 
     def record_missed_response(self, machine: Machine, reason: str, now: float, weight: int = 1) -> None:
-        """Record a heartbeat that goes on as if the response to the one before had not arrived.
+        """Record a heartbeat which shows that the worker did not receive an earlier response.
 
         Args:
             machine: The machine.
-            reason: What shows it, for the log.
-            now: The present time.
-            weight: For how many missed responses it counts.
+            reason: The evidence for the missed response, for the log.
+            now: The current time.
+            weight: The number of missed responses that the heartbeat counts as.
         """
         machine.missed_responses += weight
         if machine.missed_responses >= MISSED_RESPONSES_BEFORE_SUSPICION and machine.reception is Reception.REACHABLE:
@@ -222,9 +243,10 @@
             self.to_query.add(machine.index)
 
     def confirm_reception(self, machine: Machine, now: float) -> None:
-        """Record that a machine does what the responses to its heartbeats said.
+        """Record that the commands in responses to a machine's heartbeats took effect.
 
-        For an unreachable machine this is no evidence of the present: only a direct answer or an outlived lease is.
+        An unreachable machine stays unreachable, since the commands may have arrived before its responses were lost.
+        Only the answer to a direct query, or an epoch that lasts longer than a lease, shows that it is reachable again.
         """
         if machine.reception is not Reception.UNREACHABLE:
             machine.missed_responses = 0
@@ -233,34 +255,34 @@
     # allocations ------------------------------------------------------------------------------------------
 
     def add_allocation(self, machine: Machine, allocation: Allocation) -> None:
-        """Count an allocation that the registry has opened on this machine."""
+        """Add an allocation that the registry has opened to the usage of its machine."""
         machine.add_allocation(allocation)
 
     def release(self, machine: Machine, allocation: Allocation, now: float) -> None:
-        """End an allocation that is known to be gone, and free what it counted."""
+        """Remove an allocation whose task is known not to run any more, and free its resources."""
         machine.remove_allocation(allocation, now)
         self.registry.move_allocation(allocation, AllocationState.GONE, now)
-        self.registry.drop_if_settled(allocation.job)  # also where a lease or a deletion ended its last task
+        self.registry.drop_if_settled(allocation.job)  # a job that is over may have lost its last allocation
 
     def release_all(self, machine: Machine, now: float) -> None:
-        """End all allocations of a machine."""
+        """Remove all allocations of a machine, whose tasks are known not to run any more."""
         for allocation in list(machine.allocations.values()):
             self.release(machine, allocation, now)
 
     # leases -----------------------------------------------------------------------------------------------
 
     def lease_expired(self, machine: Machine, now: float) -> bool:
-        """Return whether the worker has killed its tasks by its own clock, at the latest.
+        """Return whether the machine's lease has expired even by the slowest clock, so that its tasks are killed.
 
-        Its lease runs from when it sent the heartbeat that was answered last, which was before that response left here.
-        That its heartbeats go on arriving shows nothing of that: responses may not reach it.
+        The worker measures its lease from when it sent the heartbeat that was answered last, which is before the leader
+        sent that response. Heartbeats received since then do not extend the lease: responses may not reach the worker.
         """
         return now - machine.last_response_at > self.lease_s * (1 + 2 * MAX_CLOCK_DRIFT) + CLOCK_MARGIN_S
 
     def detect_silent_machines(self, now: float) -> list[Machine]:
-        """Suspect the machines that have fallen silent, and return those whose lease has just expired.
+        """Move silent machines to SUSPECT, and return the machines whose lease has just expired.
 
-        While this controller stood still it read no heartbeats, so silence counts from when it goes on.
+        A controller that was paused has read no heartbeats meanwhile, so silence is measured from the end of the pause.
         """
         if now - self._observed_at > MAX_OBSERVATION_GAP_S:
             self._observing_since = now
@@ -285,14 +307,15 @@
     # unreconciled machines --------------------------------------------------------------------------------
 
     def unreconciled(self) -> list[Machine]:
-        """Return the machines whose state is not known since the failover."""
+        """Return the machines that have not been reconciled since the failover."""
         return [machine for machine in self.machines if machine.state is MachineState.UNRECONCILED]
 
     def count_unreconciled(self) -> None:
-        """Count what unreconciled machines may run, which each team's limit has to allow for.
+        """Recompute how much unreconciled machines may run, which counts against the limit of every team.
 
-        Each may run anything up to its capacity, and any amount if its capacity is not known yet: a leader begins
-        before it has read the machine types, and a machine that counted as nothing could put a team over its limit.
+        A machine may run tasks up to its capacity. If the capacity of any machine is not known, the usage is assumed to
+        be above all limits: a leader starts before it has read the machine types, and a machine that did not count
+        could put a team over its limit.
         """
         unreconciled = self.unreconciled()
         self.unreconciled_count = len(unreconciled)
@@ -304,7 +327,7 @@
         self._set_unknown_usage()
 
     def _count_reconciled(self, machine: Machine) -> None:
-        """Count one unreconciled machine fewer; to count all anew each time would be quadratic in their number."""
+        """Subtract one reconciled machine; a recount for each of them would be quadratic in their number."""
         self.unreconciled_count -= 1
         self._unreconciled_unmeasured -= machine.capacity == NO_RESOURCES
         self._unreconciled_capacity[0] -= machine.capacity[0]
--- a/src/grebestand/cluster_state/resources.py
+++ b/src/grebestand/cluster_state/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of CPUs, GPUs and memory as integers, so that adding and removing tasks never drifts."""
+"""Amounts of CPUs, GPUs and memory, as integers so that sums do not drift as tasks come and go."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from ..wire.cloud import MachineType
 from ..wire.jobs import JobSpec
 
-#: Millionths of a CPU, of a GPU and of a gigabyte of memory.
+#: CPUs, GPUs and gigabytes of memory, each in millionths.
 Resources = tuple[int, int, int]
 NO_RESOURCES: Resources = (0, 0, 0)
 MICRO_UNITS = 1_000_000
-#: Decimals of an amount in millionths that are significant: without rounding to them, the error of a binary fraction
-#: such as 0.1 would count as one millionth more.
+#: Decimal places to which an amount in millionths is rounded before it is rounded up or down to an integer. Otherwise
+#: the representation error of a binary fraction such as 0.1 could change the result by one millionth.
 SIGNIFICANT_DECIMALS = 3
 
 
 def fits(need: Resources, capacity: Resources) -> bool:
-    """Return whether the capacity holds what is needed of every resource."""
+    """Return whether the capacity is sufficient for every resource."""
     return need[0] <= capacity[0] and need[1] <= capacity[1] and need[2] <= capacity[2]
 
 
@@ -32,14 +32,14 @@
 
 
 def multiply(amount: Resources, factor: int) -> Resources:
-    """Return an amount taken several times."""
+    """Return an amount multiplied by a factor."""
     return (amount[0] * factor, amount[1] * factor, amount[2] * factor)
 
 
 def tasks_that_fit(need: Resources, capacity: Resources) -> int:
-    """Return how many tasks of this size the capacity holds; 0 if they need nothing at all."""
+    """Return how many tasks of this size fit into the capacity; 0 for tasks that need no resources."""
     count = -1
-    # written out for the three of them: it is asked for every machine, and a loop takes more than twice as long
+    # unrolled, as this runs for every machine and a loop over the three resources takes more than twice as long
     if need[0] > 0:
         count = capacity[0] // need[0]
         if count <= 0:
@@ -60,22 +60,22 @@
 
 
 def to_micro_rounded_up(amount: float) -> int:
-    """Return an amount that is needed in millionths."""
+    """Convert a required amount to millionths, rounded up."""
     return math.ceil(round(amount * MICRO_UNITS, SIGNIFICANT_DECIMALS))
 
 
 def to_micro_rounded_down(amount: float) -> int:
-    """Return an amount that is offered in millionths."""
+    """Convert an available amount to millionths, rounded down."""
     return math.floor(round(amount * MICRO_UNITS, SIGNIFICANT_DECIMALS))
 
 
 def task_resources(spec: JobSpec) -> Resources:
-    """Return what one task of a job takes."""
+    """Return the resources that one task of a job requires."""
     return (to_micro_rounded_up(spec.cpus), to_micro_rounded_up(spec.gpus), to_micro_rounded_up(spec.memory_gb))
 
 
 def machine_capacity(machine_type: MachineType) -> Resources:
-    """Return what a machine of this type offers."""
+    """Return the resources of a machine of this type."""
     return (
         to_micro_rounded_down(machine_type.cpus),
         to_micro_rounded_down(machine_type.gpus),
@@ -84,7 +84,8 @@
 
 
 def dominant_share(size: Resources, capacity: Resources) -> float:
-    """Return the largest part of the capacity that one task takes of any resource, between 0 and 1 if it fits."""
+    """Return a task's largest fraction of the capacity over all resources, between 0 and 1 if the task fits."""
     return max(
-        (need / offer for need, offer in zip(size, capacity, strict=True) if need > 0 and offer > 0), default=0.0
+        (need / available for need, available in zip(size, capacity, strict=True) if need > 0 and available > 0),
+        default=0.0,
     )
--- a/src/grebestand/cluster_state/run_time_estimates.py
+++ b/src/grebestand/cluster_state/run_time_estimates.py
@@ -1,30 +1,36 @@
-"""Estimates of run times, learned from the tasks that have finished."""
+"""Run time estimates, corrected by the observed run times of finished tasks."""
 
 from __future__ import annotations
 
 from .jobs import Job
 
-#: Bounds of one task's ratio, so that a single one far off its estimate does not spoil that of its class.
+#: Bounds of the ratio of run time to estimate of one task, so that a single outlier does not distort the average of its
+#: class.
 MIN_RATIO, MAX_RATIO = 0.1, 10.0
-#: Weight of the newest task in the moving average: the last twenty or so count.
+#: Weight of the newest task in the moving average, so that about the last twenty tasks matter.
 NEWEST_WEIGHT = 0.05
-#: The ratio of a class of which no task has finished yet.
+#: Ratio for a job class without finished tasks.
 UNKNOWN_RATIO = 1.0
 
 
 class RunTimeEstimates:
-    """How long tasks of each class run, as a multiple of what their owners estimate."""
+    """Run times of the tasks of each job class, as a multiple of their owners' estimates."""
 
     def __init__(self) -> None:
-        #: Moving average of run time over estimate, by class.
+        #: Moving average of the ratio of run time to estimate, by job class.
         self.ratio: dict[str, float] = {}
 
     def learn(self, job: Job, seconds: float) -> None:
-        """Learn from a finished task of a job, which ran for so many seconds and has an estimate."""
+        """Update the average of a job's class with a finished task.
+
+        Args:
+            job: The job, which has an estimate.
+            seconds: The run time of the task.
+        """
         ratio = min(MAX_RATIO, max(MIN_RATIO, seconds / job.spec.estimate_s))
         average = self.ratio.get(job.spec.klass, UNKNOWN_RATIO)
         self.ratio[job.spec.klass] = average + NEWEST_WEIGHT * (ratio - average)
 
     def run_s(self, job: Job) -> float:
-        """Return for how many seconds a task of the job is expected to run."""
+        """Return the expected run time of a task of the job, in seconds."""
         return job.spec.estimate_s * self.ratio.get(job.spec.klass, UNKNOWN_RATIO)
--- a/src/grebestand/cluster_state/slots.py
+++ b/src/grebestand/cluster_state/slots.py
@@ -1,4 +1,4 @@
-"""Slots: what the greedy plan knows of a task type, and templates, which count the slots of a machine by type."""
+"""Slots, which represent a task type in the greedy plan, and templates: the slots of one machine by task type."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from .resources import Resources
 
-#: How many slots of each task type a machine is to have, by the type's index.
+#: Number of slots that a machine provides for each task type, by task type index.
 SlotTemplate = tuple[int, ...]
 
 
 @dataclass(frozen=True)
 class Slot:
-    """What the greedy plan knows of a task type."""
+    """Capacity for one task of a task type, as the greedy plan sees it."""
 
     size: Resources
-    #: The value of one task, by which the plan prefers one type to another.
+    #: Value of running one task; the plan prefers types with a higher value.
     payoff: float
-    #: Whether spot machines will do.
+    #: Whether tasks of the type may run on spot machines.
     spot: bool = True
-    #: Indices of the allowed machine types and zone; None: any.
+    #: Indices of the allowed machine types, and index of the required zone; None: any.
     machine_types: frozenset[int] | None = None
     zone: int | None = None
--- a/src/grebestand/heartbeats/__init__.py
+++ b/src/grebestand/heartbeats/__init__.py
@@ -1,1 +1,1 @@
-"""Reconciliation of workers' heartbeats with the cluster state, and the commands they are answered with."""
+"""Reconciliation of workers' heartbeats with the cluster state, and the commands in the responses."""
--- a/src/grebestand/heartbeats/commands.py
+++ b/src/grebestand/heartbeats/commands.py
@@ -1,4 +1,4 @@
-"""Commands to workers: what the response to a heartbeat, or a direct message, has a worker start, stop or forget."""
+"""Commands that tell a worker to start, stop or forget tasks, sent in heartbeat responses or direct messages."""
 
 from __future__ import annotations
 
@@ -10,32 +10,34 @@
 from ..wire.jobs import MalformedError, split_task
 from ..wire.workers import Command, ExitReason, Heartbeat, TaskPhase, TaskStatus
 
-#: A response, and a heartbeat that lists what was started, may have 64 KiB; this keeps both well below.
+#: Maximum number of commands in a response. Keeps the response, and the heartbeat that lists the started tasks, well
+#: below their maximum size of 64 KiB.
 MAX_COMMANDS = 300
 
-#: States of a gang's task before its machine has the image.
+#: States of an allocation in which its machine may not have the image yet.
 _BEFORE_IMAGE = (AllocationState.QUEUED, AllocationState.SENT, AllocationState.FETCHING)
 
 
 class CommandBuilder:
-    """Derives commands from the cluster state and marks the allocations that they start or stop as sent."""
+    """Derives commands from the cluster state, and records for each allocation that its command is sent."""
 
     def __init__(self, registry: JobRegistry, sketches: DurationSketches) -> None:
         self.registry = registry
         self.sketches = sketches
 
     def commands(self, machine: Machine, heartbeat: Heartbeat, now: float, starts: bool = True) -> list[Command]:
-        """Return the commands of the response to a machine's newest heartbeat.
+        """Return the commands for the response to a machine's newest heartbeat.
 
-        Start commands are sent in such responses only, and only to machines that are on record.
+        Start commands are sent only in such responses, and only to machines with a durable record.
 
         Args:
-            machine: The machine, reconciled with the heartbeat.
-            heartbeat: The heartbeat that is answered.
-            now: The present time, in seconds.
+            machine: The machine, which has been reconciled with the heartbeat.
+            heartbeat: The heartbeat that the response answers.
+            now: The current time, in seconds.
             starts: Whether tasks may start now; otherwise queued allocations wait for the next heartbeat.
         """
-        # stops come first, since this response renews the lease of what they stop; a forgotten task may start again
+        # Stop commands come first, so that `MAX_COMMANDS` never drops them in favour of others: the response renews the
+        # lease under which the tasks run. Forget commands precede start commands, as a forgotten task may start again.
         commands = self.unwanted_stops(heartbeat, machine)
         if machine.stopping_count:
             self._add_requested_stops(machine, commands, now)
@@ -48,32 +50,32 @@
         return commands
 
     def unwanted_stops(self, heartbeat: Heartbeat, machine: Machine | None = None) -> list[Command]:
-        """Return stop commands for the listed tasks that must not go on.
+        """Return stop commands for the tasks in a heartbeat that must not keep running.
 
-        These are the tasks of jobs that are over, however old the heartbeat is: whatever an earlier leader started was
-        live when this one read the records, or is over.
+        The tasks of jobs that are over are stopped however old the heartbeat is. A task of an unknown job is stopped
+        too: any job whose tasks an earlier leader started was live when this leader read the records, or is over.
 
         Args:
             heartbeat: The heartbeat that lists the tasks.
-            machine: Given if the heartbeat says how its machine is now; then all that has no allocation there, such as
-                second copies and other attempts, is stopped as well.
+            machine: The machine if the heartbeat shows its current state, else None. With a machine, tasks without an
+                allocation on the machine, such as duplicates and other attempts, are stopped as well.
         """
         stops = []
         for status in heartbeat.tasks:
             if status.state is TaskPhase.EXITED:
                 continue
             job = self.registry.jobs.get(status.task.rpartition("/")[0])
-            unwanted_stops = job is None or job.state in (JobState.DONE, JobState.CANCELLED)
-            if not unwanted_stops and machine is not None:
+            is_unwanted = job is None or job.state in (JobState.DONE, JobState.CANCELLED)
+            if not is_unwanted and machine is not None:
                 allocation = machine.allocations.get(status.task)
-                unwanted_stops = allocation is None or allocation.attempt != status.attempt
-            if unwanted_stops:
+                is_unwanted = allocation is None or allocation.attempt != status.attempt
+            if is_unwanted:
                 stops.append(Command("stop", status.task, status.attempt, 0.0))
         return stops[:MAX_COMMANDS]
 
     @staticmethod
     def needs_grant(machine: Machine) -> bool:
-        """Return whether a durable grant must be widened before all that is queued for this machine may be sent."""
+        """Return whether the machine has a queued allocation that its job's durable grant does not include yet."""
         return any(
             allocation.state is AllocationState.QUEUED and not allocation.job.covers(allocation)
             for allocation in machine.allocations.values()
@@ -81,7 +83,7 @@
 
     @staticmethod
     def requested_stops(machine: Machine) -> list[Command]:
-        """Return a stop command for every allocation of the machine that has been asked to stop."""
+        """Return a stop command for each allocation of the machine with a requested stop."""
         return [
             Command("stop", allocation.name, allocation.attempt, allocation.grace)
             for allocation in machine.allocations.values()
@@ -90,10 +92,10 @@
 
     @staticmethod
     def _add_requested_stops(machine: Machine, commands: list[Command], now: float) -> None:
-        """Add the stops that were requested and are not among the commands, and record that they are sent.
+        """Add the requested stops that are missing from the commands, and record that they are sent.
 
-        They are repeated until the task is gone: a repeat with the same grace changes nothing, and only a grace of 0
-        cuts a checkpoint short.
+        Stop commands are repeated until the task is gone. A repeated command with the same grace period has no effect,
+        and only a grace period of 0 interrupts a checkpoint.
         """
         stopped = {(command.task, command.attempt) for command in commands}
         for allocation in machine.allocations.values():
@@ -104,25 +106,25 @@
             allocation.stop_sent_at = now
 
     def _add_starts(self, machine: Machine, heartbeat: Heartbeat, commands: list[Command], now: float) -> None:
-        """Add start commands for what is queued, or was lost on the way, up to `MAX_COMMANDS` commands."""
+        """Add start commands for queued allocations and lost start commands, up to `MAX_COMMANDS` commands in all."""
         for allocation in machine.allocations.values():
             if len(commands) >= MAX_COMMANDS:
                 break
-            # written out, since it runs for every task of every heartbeat, and nearly all have started
+            # inlined, since this runs for each task of each heartbeat, and nearly all tasks have started already
             if allocation.stop_reason is not None or not (
                 allocation.state is AllocationState.QUEUED
                 or (allocation.state is AllocationState.SENT and allocation.sent_sequence == START_LOST)
             ):
                 continue
             if not allocation.job.covers(allocation):
-                continue  # a later leader would not know where to look for it
+                continue  # after a failover, the next leader would not know that the machine may run the task
             if allocation.held and self._waits_for_images(allocation.job):
                 continue
             self._record_start(machine, allocation, heartbeat, now)
             commands.append(Command("start", allocation.name, allocation.attempt))
 
     def _record_start(self, machine: Machine, allocation: Allocation, heartbeat: Heartbeat, now: float) -> None:
-        """Record that the response to this heartbeat starts the allocation, and how long its parts took."""
+        """Record that the response to a heartbeat carries the allocation's start command, and the delays until then."""
         self.registry.move_allocation(allocation, AllocationState.SENT, now)
         allocation.record_start_command(heartbeat.epoch, heartbeat.sequence, now)
         job = allocation.job
@@ -133,18 +135,21 @@
 
     @staticmethod
     def _waits_for_images(job: Job) -> bool:
-        """Return whether others of the gang still wait for their image, so that one more task would only wait too."""
+        """Return whether any task of the gang that is not held back still lacks its image.
+
+        A held-back task that started now would only wait for the other tasks.
+        """
         return any(not allocation.held and allocation.state in _BEFORE_IMAGE for allocation in job.allocations.values())
 
     def _may_forget(self, status: TaskStatus) -> bool:
         """Return whether a worker may forget a task that has exited.
 
-        A result is forgotten only once it is durable: until then the heartbeat is the only record of it.
+        A worker has to report a result until it is durable, since there is no other record of the result before.
         """
         try:
             job_id, index = split_task(status.task)
         except MalformedError:
-            return False  # the name is no task's, so it was not sent by a leader
+            return False  # no leader starts a task with a malformed name
         job = self.registry.jobs.get(job_id)
         if job is None or status.why is not ExitReason.DONE or index >= job.spec.tasks:
             return True
--- a/src/grebestand/heartbeats/reconciliation.py
+++ b/src/grebestand/heartbeats/reconciliation.py
@@ -1,7 +1,8 @@
-"""Reconciliation of heartbeats with the cluster state: which of them say how their machine is now.
+"""Reconciliation of heartbeats with the cluster state: which heartbeats show the current state of their machine.
 
-Heartbeats may be lost, delayed, duplicated or overtaken, and may come from before a failover. This module decides what
-a heartbeat is evidence of; `task_reconciliation` applies what it says of tasks. The argument is in docs/design.md.
+Heartbeats may be lost, delayed, duplicated or reordered, and may have been sent before a failover. This module decides
+what a heartbeat is evidence of; `task_reconciliation` applies the task states in the heartbeat. The reasoning is
+explained in docs/design.md.
 """
 
 from __future__ import annotations
@@ -29,30 +30,33 @@
 
 log = logging.getLogger(__name__)
 
-#: A worker drops a response after 4 s, and a direct question may wait 3 s for its answer. Only an answer that comes
-#: later than both together after a start command shows that the command never arrived.
+#: Time after which a start command that the answer to a direct query does not reflect is lost, in seconds. A worker
+#: discards a response after 4 s, and a direct query may wait 3 s for the answer, so an earlier answer may have been
+#: sent before the start command arrived.
 START_COMMAND_LOST_AFTER_S = 8.0
-#: Nothing but responses renews a lease, so an epoch that lasts for this many leases shows that responses arrive. More
-#: than one lease, since the first heartbeat of an epoch may be seen late.
+#: An epoch that lasts for this many lease durations shows that responses arrive, since only responses renew a lease.
+#: Above 1, since the first heartbeat of an epoch may be received late.
 RESPONSES_ARRIVE_AFTER_LEASES = 1.4
-#: Value of `Machine.drain` once the provider has announced that it reclaims the machine.
+#: Value of `Machine.drain_reason` once the provider has announced that it reclaims the machine.
 RECLAIMED = "recall"
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What a heartbeat that says how its machine is now can show."""
+    """Properties of a heartbeat that decide what tasks missing from it show."""
 
-    #: It answers a direct question, so it is no delayed copy, but may overtake a response.
+    #: Whether the heartbeat answers a direct query. Such a heartbeat is not a delayed copy, but it may have been sent
+    #: before the last response arrived.
     solicited: bool
-    #: It can't be of a previous life of the machine.
+    #: Whether the heartbeat is certain to be from after the worker's last restart.
     proven: bool
-    #: The machine had been silent before: it may be trying other controllers, as no response reaches it.
+    #: Whether the machine was silent before the heartbeat. Its worker may be trying other controllers, since it
+    #: receives no responses.
     rarely_heard: bool
 
 
 class HeartbeatReconciler:
-    """Applies heartbeats to the cluster state, each as far as it is evidence of the present."""
+    """Applies heartbeats to the cluster state, as far as each is evidence of the current state of its machine."""
 
     def __init__(
         self,
@@ -69,25 +73,24 @@
         self.health = health
         self.sketches = sketches
         self.tasks = TaskReconciler(registry, inventory, dispatch, run_times, health, stragglers)
-        #: Fencing token of this term.
+        #: Fencing token of the current term.
         self.token = dispatch.token
 
     def read(self, heartbeat: Heartbeat, now: float, solicited: bool) -> Machine | None:
         """Reconcile one heartbeat with the cluster state.
 
-        A task's result never changes, so it counts from any heartbeat. All else is taken only from one that is newer
-        than any before and carries this term's token: its worker sent it after a response of this term, so no command
-        of an earlier leader can take effect behind it.
+        Results of tasks are accepted from any heartbeat, since they never change. Everything else is accepted only from
+        a heartbeat that is newer than all before and carries the token of the current term. The worker sent such a
+        heartbeat after it received a response of this term, so it no longer accepts commands of an earlier leader.
 
         Args:
-            heartbeat: The heartbeat, checked for form.
-            now: The present time, in seconds.
-            solicited: Whether it is the answer to a question that this leader asked the worker directly, so that it
-                cannot be a delayed copy.
+            heartbeat: The heartbeat, which has been validated.
+            now: The current time, in seconds.
+            solicited: Whether the heartbeat answers a direct query of this leader, so that it cannot be a delayed copy.
 
         Returns:
-            The machine, or None if the heartbeat shows nothing of how its machine is now. A machine that does not know
-            of this term yet is returned as well, to be answered.
+            The machine if the heartbeat is to be answered: the heartbeat shows the machine's current state, or the
+            worker does not know the current term yet. None otherwise.
         """
         machine = self._find_or_add(heartbeat, now)
         if machine is None:
@@ -98,7 +101,7 @@
         if not newer or not current_term or not self._is_consistent(machine, heartbeat, solicited, now):
             self.tasks.apply_results(machine, heartbeat, now)
             return self._handle_unusable(machine, heartbeat, newer, current_term, now)
-        # a heartbeat within the counts of the machine's previous life may be a delayed copy from then
+        # a heartbeat that is not above the counts reached before the last restart may be a delayed copy from then
         proven = solicited or (epoch, sequence) > machine.previous_epoch_end
         if not proven and machine.epoch and epoch != machine.epoch:
             self.tasks.apply_results(machine, heartbeat, now)
@@ -125,10 +128,15 @@
         return machine
 
     def restarted(self, machine: Machine, epoch: int, now: float) -> None:
-        """Record that a worker counts its heartbeats anew, from `epoch` on.
+        """Record that a worker has restarted, so that its epochs and sequence numbers start over.
 
-        The answer that showed this follows, and says what is on the machine. What looked like a restart may have been a
-        copy of its previous life; then commands just sent may still take effect, so no allocation ends here.
+        The caller reconciles the answer that showed the restart afterwards, which lists the tasks on the machine. No
+        allocation ends before: if the worker has not restarted after all, commands just sent may still take effect.
+
+        Args:
+            machine: The machine.
+            epoch: The worker's epoch after the restart.
+            now: The current time, in seconds.
         """
         log.info(LogEvent("machine_restarted", machine=machine.name, epoch=epoch))
         machine.record_restart(epoch)
@@ -136,7 +144,10 @@
     # evidence ---------------------------------------------------------------------------------------------
 
     def _find_or_add(self, heartbeat: Heartbeat, now: float) -> Machine | None:
-        """Return the heartbeat's machine; None if it was deleted, as the heartbeat was then sent before."""
+        """Return the machine of a heartbeat, and add an unknown machine to the inventory.
+
+        Returns None for a deleted machine, whose heartbeat must be a delayed copy from before the deletion.
+        """
         machine = self.inventory.by_name.get(heartbeat.machine)
         if machine is not None:
             return machine
@@ -150,31 +161,33 @@
         return machine
 
     def _is_consistent(self, machine: Machine, heartbeat: Heartbeat, solicited: bool, now: float) -> bool:
-        """Return whether a new heartbeat of this term fits what is known of its machine; if not, it is queried."""
+        """Return whether a newer heartbeat of the current term is consistent with what is known of its machine."""
         if solicited:
-            self.inventory.change_reception(machine, Reception.REACHABLE, "it answered a direct question", now)
+            self.inventory.change_reception(machine, Reception.REACHABLE, "the worker answered a direct query", now)
             return True
         if machine.reception is Reception.UNREACHABLE:
-            # that its heartbeats arrive says nothing of whether responses do
+            # heartbeats that arrive do not show that responses reach the worker
             return self._has_outlived_lease(machine, heartbeat, now)
         if machine.state is MachineState.LEASE_EXPIRED and heartbeat.epoch <= machine.epoch:
-            return False  # an expired lease begins a later epoch, so this was sent before
+            return False  # sent before the lease expired, as the worker then begins a later epoch
         if heartbeat.epoch > machine.epoch and (machine.epoch or machine.state is MachineState.LEASE_EXPIRED):
             return self._accept_ended_lease(machine, now)
         return True
 
     def _accept_ended_lease(self, machine: Machine, now: float) -> bool:
-        """Return whether a later epoch shows that the lease ended, rather than an earlier life of the machine.
+        """Return whether a heartbeat with a later epoch shows that the machine's lease expired.
 
-        The worker was away, or its heartbeats arrive and responses do not. In the latter case they come rarely, as it
-        tries one controller after the other; in between its lease expires here, and each heartbeat would have it used
-        again, so this counts as enough missed responses for suspicion.
+        The alternative is a delayed heartbeat from before a restart of the worker. An expired lease also makes the
+        machine's reception suspected at once: a worker that receives no responses tries one controller after the other,
+        so its heartbeats arrive here rarely. Its lease expires in between, and each heartbeat would otherwise make the
+        machine available for tasks again.
         """
         self.inventory.record_missed_response(
-            machine, "it began a new epoch: its lease expired", now, MISSED_RESPONSES_BEFORE_SUSPICION
+            machine, "the worker began a new epoch, so its lease expired", now, MISSED_RESPONSES_BEFORE_SUSPICION
         )
-        # Answered within a lease, either the response was lost, or this is a copy of an earlier life whose epochs are
-        # not known here. Accepted, the copy would end running tasks and start them a second time.
+        # If the machine was answered within the last lease, either that response was lost, or this heartbeat is a
+        # delayed copy from before a restart, with epochs that this leader has not seen. Accepting a delayed copy would
+        # end the allocations of running tasks and start the tasks a second time.
         answered_within_lease = machine.state is not MachineState.LEASE_EXPIRED and not self.inventory.lease_expired(
             machine, now
         )
@@ -183,8 +196,9 @@
     def _has_outlived_lease(self, machine: Machine, heartbeat: Heartbeat, now: float) -> bool:
         """Return whether an unreachable machine has stayed in one epoch for longer than its lease.
 
-        Once its lease has expired it holds nothing and is answered again. If the responses arrive, no further lease
-        expires; so it is known to be reachable even where it cannot be queried directly.
+        Once the lease of an unreachable machine has expired, no tasks run there, and its heartbeats are answered again.
+        If the responses arrive, they renew the lease and the epoch does not change. The machine thus becomes reachable
+        again even if direct queries cannot reach its worker.
         """
         if machine.state is not MachineState.LEASE_EXPIRED or heartbeat.epoch < machine.unreachable_epoch:
             return False
@@ -193,51 +207,60 @@
         if now - machine.unreachable_since <= RESPONSES_ARRIVE_AFTER_LEASES * self.inventory.lease_s:
             return False
         self.inventory.change_reception(
-            machine, Reception.REACHABLE, "its epoch outlived its lease, which responses renew", now
+            machine, Reception.REACHABLE, "the epoch lasted longer than a lease, so responses arrive", now
         )
         return True
 
     def _handle_unusable(
         self, machine: Machine, heartbeat: Heartbeat, newer: bool, current_term: bool, now: float
     ) -> Machine | None:
-        """Handle a heartbeat that does not say how its machine is now; return the machine if it is to be answered."""
+        """Handle a heartbeat that does not show the current state of its machine.
+
+        Returns:
+            The machine if the heartbeat is to be answered, else None.
+        """
         if newer and not current_term:
             if machine.token != self.token:
-                # it does not know of this term yet: the response tells it, and its next heartbeat is evidence
+                # The worker does not know the current term yet. The response carries the new token, so that the next
+                # heartbeat shows the current state of the machine.
                 if machine.epoch:
-                    self.inventory.record_missed_response(machine, "its heartbeats carry an older token", now)
+                    self.inventory.record_missed_response(machine, "heartbeats carry an older token", now)
                 machine.record_heartbeat(heartbeat, machine.token, now)
                 return machine
-            # within one life counts only rise, and so does the token: this is another life
+            # the worker has acknowledged the current token, which a worker forgets only by a restart
             machine.close_previous_epoch()
-        # a delayed copy, or a worker that counts anew: only its answer to a question asked now tells which
+        # a delayed copy, or a heartbeat from after a restart: only the answer to a direct query shows which
         self.inventory.to_query.add(machine.index)
         return None
 
     @staticmethod
     def _runs_unknown_tasks(machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Return whether something runs there that has no allocation: of a job that is over, or a second copy.
+        """Return whether a task without an allocation runs on the machine, of a job that is over or as a duplicate.
 
-        It was cancelled while there was no leader, or completed elsewhere, and is told to stop; no record says whose it
-        was. Until it is gone, the machine counts in full against every team, like one that has not been heard:
-        otherwise tasks of the same team could start beside it and exceed the team's limit.
+        The job was cancelled while there was no leader, or the task completed elsewhere. The task receives a stop
+        command, but no record shows which team it belongs to. Until the task is gone, the machine stays unreconciled
+        and its whole capacity counts against every team's limit. Otherwise other tasks of the same team could start and
+        exceed the limit.
         """
         return any(
             status.state is not TaskPhase.EXITED and status.task not in machine.allocations
             for status in heartbeat.tasks
         )
 
-    # what follows -----------------------------------------------------------------------------------------
+    # effects ----------------------------------------------------------------------------------------------
 
     def _record_sign_of_life(self, machine: Machine, now: float) -> None:
-        """Change the state of a machine that is not ready and has been heard."""
+        """Change the state of a machine that is not READY and has sent a valid heartbeat."""
         if machine.state is MachineState.LEASE_EXPIRED:
             self.inventory.move(machine, MachineState.READY if machine.recorded else MachineState.NEW, now)
         elif machine.state is MachineState.SUSPECT or (machine.state is MachineState.NEW and machine.recorded):
             self.inventory.move(machine, MachineState.READY, now)
 
     def _end_allocations_before(self, machine: Machine, epoch: int, now: float) -> None:
-        """End what was sent in earlier epochs: the lease ended in between, and the worker killed all its tasks."""
+        """End the allocations that were sent in earlier epochs.
+
+        The machine's lease expired between the epochs, so the worker has killed all its tasks.
+        """
         for allocation in [a for a in machine.allocations.values() if a.epoch < epoch]:
             if allocation.state is AllocationState.QUEUED:
                 allocation.epoch = epoch
@@ -245,9 +268,9 @@
                 self.tasks.end_allocation(machine, allocation, "lease ended", now)
 
     def _apply_task_states(self, machine: Machine, heartbeat: Heartbeat, now: float) -> list[Allocation]:
-        """Apply the reported state of each task, and return the allocations that were sent and are not reported."""
+        """Apply the reported state of each task, and return the sent allocations that the heartbeat does not list."""
         allocations, sequence = machine.allocations, heartbeat.sequence
-        # Written out, since it runs for every task of every heartbeat: nearly all are known and in the state they were.
+        # Inlined, since this runs for each task of each heartbeat, and nearly all tasks are known and unchanged.
         for status in heartbeat.tasks:
             allocation = allocations.get(status.task)
             if allocation is None or allocation.attempt != status.attempt or status.state is TaskPhase.EXITED:
@@ -270,11 +293,19 @@
         evidence: Evidence,
         now: float,
     ) -> None:
-        """Handle allocations that were sent to a machine and are not in its heartbeat."""
+        """Handle allocations that were sent to a machine and that its heartbeat does not list.
+
+        Args:
+            machine: The machine.
+            heartbeat: The heartbeat.
+            absent: The allocations that the heartbeat does not list.
+            evidence: Properties of the heartbeat that decide what the missing tasks show.
+            now: The current time, in seconds.
+        """
         start_lost = False
         for allocation in absent:
             if allocation.state is AllocationState.GONE:
-                continue  # ended together with another task of its gang
+                continue  # ended in this loop, together with another task of the gang
             if allocation.state is AllocationState.SENT:
                 if not self._start_was_lost(allocation, heartbeat, evidence.solicited, now):
                     continue
@@ -287,7 +318,7 @@
                 reason = "never started" if allocation.state is AllocationState.SENT else "vanished"
                 self.tasks.end_allocation(machine, allocation, reason, now)
             else:
-                # a delayed heartbeat of its previous life would not list it either
+                # the heartbeat may be a delayed copy from before a restart, when the task had not started yet
                 self.inventory.to_query.add(machine.index)
         if start_lost:
             missed = MISSED_RESPONSES_BEFORE_SUSPICION if evidence.rarely_heard else 1
@@ -295,23 +326,24 @@
 
     @staticmethod
     def _start_was_lost(allocation: Allocation, heartbeat: Heartbeat, solicited: bool, now: float) -> bool:
-        """Return whether a heartbeat without this allocation shows that its start command never arrived.
+        """Return whether a heartbeat that does not list an allocation shows that its start command was lost.
 
-        The answer to a direct question may overtake the response that carries the command, so it counts only once that
-        response can no longer arrive.
+        The answer to a direct query may be sent before the response with the start command arrives, so the answer is
+        evidence only once that response can no longer arrive.
         """
         if solicited:
             return now - allocation.start_sent_at > START_COMMAND_LOST_AFTER_S
         return (heartbeat.epoch, heartbeat.sequence) > (allocation.sent_epoch, allocation.sent_sequence)
 
     def _reconcile_machine(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Record that an unreconciled machine's state is known, unless unknown tasks run there."""
-        self.inventory.confirm_reception(machine, now)  # only a response of this term can have carried its token
+        """Move an unreconciled machine to READY, unless tasks without an allocation run there."""
+        # the worker can have received the current token only with a response of this term
+        self.inventory.confirm_reception(machine, now)
         if not self._runs_unknown_tasks(machine, heartbeat):
             self.inventory.move(machine, MachineState.READY, now)
 
     def _begin_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
-        """Stop what is on a machine that the provider has announced to reclaim."""
+        """Stop the tasks on a machine after the provider has announced to reclaim it in `notice_s` seconds."""
         log.info(LogEvent("machine_reclaim_announced", machine=machine.name, notice_s=notice_s))
         machine.drain_reason = RECLAIMED
         machine.terminates_at = now + notice_s
--- a/src/grebestand/heartbeats/task_reconciliation.py
+++ b/src/grebestand/heartbeats/task_reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciliation of what heartbeats say of tasks with their jobs and allocations."""
+"""Reconciliation of the task states in heartbeats with jobs and allocations."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 log = logging.getLogger(__name__)
 
-#: The allocation state that each reported phase of a task stands for; an exited task has none.
+#: Allocation state for each task phase in heartbeats. An exited task has no state, since its allocation ends.
 REPORTED_STATES = {
     TaskPhase.FETCHING: AllocationState.FETCHING,
     TaskPhase.WAITING: AllocationState.WAITING,
     TaskPhase.RUNNING: AllocationState.RUNNING,
     TaskPhase.SAVING: AllocationState.SAVING,
 }
-#: How long a gang's machines stay reserved for its next attempt while an image is still being fetched, in seconds: time
-#: for the slowest fetch to end and for the gang to be placed again.
+#: How long a gang's machines stay reserved for its next attempt while images are still being fetched, in seconds.
+#: Allows for the slowest fetch to finish and for the gang to be placed again.
 RESERVED_WHILE_FETCHING_S = 45.0
-#: A job that a worker does not know is not started again for this many heartbeat intervals, so that not every machine
-#: refuses it in the meantime.
+#: Number of heartbeat intervals before a job that a worker rejected as unknown is started again, so that the job is not
+#: rejected by one machine after the other meanwhile.
 UNKNOWN_JOB_INTERVALS = 2
 
 
 class TaskReconciler:
-    """Applies the task states and results of heartbeats, and what follows from them for jobs."""
+    """Applies the task states and results in heartbeats to allocations, jobs and gangs."""
 
     def __init__(
         self,
@@ -54,20 +54,20 @@
         self.stragglers = stragglers
 
     def apply_results(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Record the tasks that are done. However old the heartbeat is, they stay so."""
+        """Record the tasks that are done. Their results are valid however old the heartbeat is."""
         for status in heartbeat.tasks:
             if status.state is TaskPhase.EXITED and status.why is ExitReason.DONE:
                 self.apply_exited_or_unknown(machine, status, now)
 
     def apply_exited_or_unknown(self, machine: Machine, status: TaskStatus, now: float) -> None:
-        """Apply the status of a task that has exited, or that this leader has not started there."""
+        """Apply the status of a task that has exited, or that has no matching allocation on the machine."""
         try:
             job_id, index = split_task(status.task)
         except MalformedError:
-            return  # the name is no task's
+            return  # not a task name
         job = self.registry.jobs.get(job_id)
         if job is None or index >= job.spec.tasks:
-            return  # `CommandBuilder` has the worker stop it
+            return  # `CommandBuilder` sends a stop command for the task
         if status.state is TaskPhase.EXITED:
             allocation = machine.allocations.get(status.task)
             if allocation is not None and allocation.attempt != status.attempt:
@@ -82,7 +82,7 @@
             self.apply_state(machine, allocation, REPORTED_STATES[status.state], now)
 
     def apply_state(self, machine: Machine, allocation: Allocation, state: AllocationState, now: float) -> None:
-        """Apply a reported state that differs from the allocation's."""
+        """Apply a reported state that differs from the state of the allocation."""
         job = allocation.job
         if allocation.state is AllocationState.SENT:
             self.inventory.confirm_reception(machine, now)
@@ -110,7 +110,7 @@
     # states -----------------------------------------------------------------------------------------------
 
     def _adopt(self, machine: Machine, job: Job, index: int, attempt: int, now: float) -> Allocation:
-        """Return a new allocation for a running task that an earlier leader started: it goes on."""
+        """Return a new allocation for a task that an earlier leader started and that keeps running."""
         allocation = self.registry.open_allocation(job, index, machine.index, attempt, now)
         allocation.epoch = machine.epoch
         self.inventory.add_allocation(machine, allocation)
@@ -120,7 +120,7 @@
 
     @staticmethod
     def _log_job_start(job: Job, now: float) -> None:
-        """Log once when a job began: an array with its first task, a gang when all run."""
+        """Log the start of a job once: of an array with its first task, of a gang once all its tasks run."""
         if not job.begun and (not job.gang or job.done_count or job.running() == job.spec.tasks):
             job.begun = True
             log.info(
@@ -135,7 +135,7 @@
 
     @staticmethod
     def _record_gang_stage(job: Job, timeline: GangStartTimeline, state: AllocationState, now: float) -> None:
-        """Record how far a gang's start has come; once all its tasks run, log how long each stage took."""
+        """Record the stage that a gang's start has reached; once all its tasks run, log how long each stage took."""
         if state is AllocationState.FETCHING:
             timeline.reported = now
         elif state is AllocationState.RUNNING and job.running() == job.spec.tasks:
@@ -159,7 +159,15 @@
     def _apply_completion(
         self, machine: Machine, job: Job, index: int, allocation: Allocation | None, now: float
     ) -> None:
-        """Record that a task is done; `allocation` is the attempt that did it, if it is known."""
+        """Record that a task is done.
+
+        Args:
+            machine: The machine that the task ran on.
+            job: The job.
+            index: The index of the task.
+            allocation: The allocation of the attempt that completed the task, if it is known.
+            now: The current time, in seconds.
+        """
         if allocation is not None:
             if allocation.run_at is not None and job.spec.estimate_s > 0:
                 self.run_times.learn(job, now - allocation.run_at)
@@ -169,7 +177,7 @@
         self._mark_done(job, index, now)
 
     def _mark_done(self, job: Job, index: int, now: float) -> None:
-        """Mark a task of a live job done, or a whole gang, which completes together."""
+        """Mark a task of a live job as done, or all tasks of a gang, which complete together."""
         if not job.live:
             return
         if job.spec.kind is Kind.GANG:
@@ -185,30 +193,30 @@
     def _apply_failure(
         self, machine: Machine, job: Job, allocation: Allocation, status: TaskStatus, now: float
     ) -> None:
-        """End the allocation of a task that exited without being done, and act on the reason."""
+        """End the allocation of a task that exited without being done, and handle the exit reason."""
         reason = status.why
         if reason is ExitReason.ERROR:
             ran_s = now - allocation.run_at if allocation.run_at is not None else 0.0
             self.health.record_failure(machine, job, ran_s, now)
         elif reason is ExitReason.NO_ROOM:
-            # the machine holds something that is not counted here: try again after the next heartbeats
+            # tasks that the leader does not know of use the machine's capacity, so wait for the next heartbeat
             machine.block_until(now + self.inventory.report_s)
         elif reason is ExitReason.UNKNOWN:
             job.retry_at = max(job.retry_at, now + UNKNOWN_JOB_INTERVALS * self.inventory.report_s)
         elif reason is ExitReason.STOPPED and status.saved:
             job.record_progress()
         if reason in (ExitReason.BUSY, ExitReason.NO_ROOM, ExitReason.UNKNOWN, ExitReason.ALONE):
-            # BUSY: another attempt is on this very machine; the heartbeat lists it, and it is adopted
+            # BUSY: the machine runs another attempt of the task, which its heartbeat lists and which is adopted
             log.info(LogEvent("task_start_failed", task=status.task, machine=machine.name, reason=reason.name.lower()))
         self.end_allocation(machine, allocation, reason.value if reason else "exited", now)
 
     # gangs ------------------------------------------------------------------------------------------------
 
     def _stop_rest_of_gang(self, machine: Machine, ended: Allocation, reason: str, now: float) -> None:
-        """Stop the other tasks of a gang that has lost one.
+        """Stop the other tasks of a gang after one of its tasks has ended without being done.
 
-        Their progress since the last checkpoint is lost in any case, and no task may start again before all are gone.
-        A stop that is under way, with its grace for a checkpoint, goes on as it is.
+        The progress of the other tasks since the last checkpoint is lost in any case, and the gang cannot start again
+        before all of them are gone. A stop requested earlier keeps its grace period for a checkpoint.
         """
         for other in list(ended.job.allocations.values()):
             if other.attempt != ended.attempt:
@@ -217,10 +225,11 @@
                 self.dispatch.stop(other, "gang broken", 0.0, now)
 
     def _keep_fetching(self, machine: Machine, allocation: Allocation, reason: str, now: float) -> bool:
-        """Return whether a task goes on fetching its image for the next attempt of a gang that waited in vain.
+        """Return whether a task keeps fetching its image after its gang has timed out waiting for all tasks.
 
-        A machine gives up a fetch that no task waits for. Without this, a gang whose slowest fetch takes longer than
-        `gang_wait_s` after the fastest would preempt and begin anew with every attempt, and never start.
+        If so, the machines stay reserved for the gang's next attempt. A worker aborts a fetch that no task waits for.
+        If all fetches were aborted, a gang whose slowest fetch ends more than `gang_wait_s` after its fastest would
+        preempt other tasks and restart its fetches with each attempt, and would never start.
         """
         if reason != ExitReason.ALONE.value or allocation.state is not AllocationState.FETCHING:
             return False
--- a/src/grebestand/state_machines.py
+++ b/src/grebestand/state_machines.py
@@ -1,7 +1,7 @@
 """Explicit state machines: named states, the allowed transitions, and the error for any other transition.
 
-Each state machine has one function that changes the state. It calls `check_transition`, so that a transition which the
-tables below do not list is an error of the program and is never made.
+Each state machine has one function that changes its state. The function calls `check_transition`, so that a transition
+that is missing from the tables in this module raises an error instead of being made.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class IllegalTransitionError(GrebestandError, RuntimeError):
-    """The program tried a transition that its own table does not allow.
+    """A transition was attempted that the table of the state machine does not allow, which is a bug.
 
     Attributes:
-        subject: whose state was to be changed.
-        old: the present state.
-        new: the state that was asked for.
+        subject: The name of the object whose state was to change.
+        old: The current state.
+        new: The requested state.
     """
 
     def __init__(self, subject: str, old: Enum, new: Enum) -> None:
@@ -34,30 +34,31 @@
     """Check that a transition is allowed.
 
     Args:
-        allowed: the states that may follow each state.
-        old: the present state.
-        new: the state that is to follow.
-        subject: whose state it is, for the error's text.
+        allowed: The states that may follow each state.
+        old: The current state.
+        new: The requested state.
+        subject: The name of the object that has the state, for the error message.
 
     Raises:
-        IllegalTransitionError: the table does not allow the transition.
+        IllegalTransitionError: The table does not allow the transition.
     """
     if new not in allowed[old]:
         raise IllegalTransitionError(subject, old, new)
 
 
 class AllocationState(Enum):
-    """One attempt of one task on one machine, as far as the leader knows."""
+    """State of one attempt of a task on one machine, as known to the leader."""
 
-    QUEUED = auto()  # decided and not sent yet: nobody else knows of it
-    SENT = auto()  # sent with a heartbeat response; the next newer heartbeat confirms it
+    QUEUED = auto()  # placed; the start command has not been sent, so the worker does not know of the task
+    SENT = auto()  # the start command was sent with a heartbeat response; the next newer heartbeat confirms its arrival
     FETCHING = auto()  # the machine fetches the image
-    WAITING = auto()  # the task waits for the others of its gang
+    WAITING = auto()  # the task waits for the other tasks of its gang
     RUNNING = auto()
-    SAVING = auto()  # the task was told to stop and saves its checkpoint
-    GONE = auto()  # it exited, its lease expired, or it certainly never started
+    SAVING = auto()  # the task received a stop command and saves its checkpoint
+    GONE = auto()  # the task exited, its lease expired, or the start command is known never to have arrived
 
 
+#: States that a heartbeat may report for a task that has not exited.
 _ON_MACHINE = frozenset(
     {AllocationState.FETCHING, AllocationState.WAITING, AllocationState.RUNNING, AllocationState.SAVING}
 )
@@ -75,13 +76,13 @@
 
 
 class JobState(Enum):
-    """A job, from its acceptance until its final record is committed."""
+    """State of a job, from its acceptance until its final record is committed."""
 
-    WAITING = auto()  # no task is allocated
-    ACTIVE = auto()  # some task is allocated
+    WAITING = auto()  # no task has an allocation
+    ACTIVE = auto()  # at least one task has an allocation
     CLOSING = auto()  # all tasks are done; the final record is not committed yet
     DONE = auto()  # the final record is committed
-    CANCELLED = auto()  # the final record was committed by whichever controller was asked to cancel
+    CANCELLED = auto()  # the controller that received the cancellation request has committed the final record
 
 
 JOB_TRANSITIONS: dict[JobState, frozenset[JobState]] = {
@@ -94,14 +95,14 @@
 
 
 class MachineState(Enum):
-    """What a leader knows of a machine."""
+    """State of a machine, as known to the leader."""
 
-    NEW = auto()  # sends heartbeats and has no durable record yet: gets no tasks
-    UNRECONCILED = auto()  # recorded; may run tasks that this leader does not know of
+    NEW = auto()  # sends heartbeats and has no durable record yet, so no tasks are placed there
+    UNRECONCILED = auto()  # has a durable record and may run tasks that this leader does not know of
     READY = auto()
-    SUSPECT = auto()  # silent for longer than a heartbeat should take
-    LEASE_EXPIRED = auto()  # silent for longer than its lease: whatever it ran is gone
-    GONE = auto()  # deleted by the cloud
+    SUSPECT = auto()  # several heartbeats are missing, or responses do not reach the machine
+    LEASE_EXPIRED = auto()  # no response has renewed the lease in time, so the worker has killed all its tasks
+    GONE = auto()  # deleted by the provider
 
 
 MACHINE_TRANSITIONS: dict[MachineState, frozenset[MachineState]] = {
@@ -115,11 +116,11 @@
 
 
 class Reception(Enum):
-    """Whether what is sent to a machine arrives there, as far as the leader knows."""
+    """Whether the leader's messages reach a machine, as known to the leader."""
 
     REACHABLE = auto()
-    SUSPECTED = auto()  # its heartbeats ignore the answers: it is to be queried directly
-    UNREACHABLE = auto()  # it does not answer queries either: its lease runs out, and it gets no tasks until it answers
+    SUSPECTED = auto()  # the machine's heartbeats do not reflect the responses, so it has to be queried directly
+    UNREACHABLE = auto()  # direct queries failed too: the machine's lease is left to expire, and no tasks are placed
 
 
 RECEPTION_TRANSITIONS: dict[Reception, frozenset[Reception]] = {
@@ -130,13 +131,13 @@
 
 
 class LeaderState(Enum):
-    """What a controller is in the election of the leader."""
+    """State of a controller in leader election."""
 
     FOLLOWING = auto()
-    LOADING = auto()  # won the key; reads the records, then answers workers; starts nothing yet
+    LOADING = auto()  # holds the leader key; reads the records, then responds to workers, but starts no tasks yet
     LEADING = auto()
-    PAUSED = auto()  # may not act, as its lease or its knowledge is too old; resumes if the key is still its own
-    RESIGNED = auto()  # gave up the key on purpose; waits before it campaigns again
+    PAUSED = auto()  # may not act, as its lease or its data is too old; resumes if it still holds the leader key
+    RESIGNED = auto()  # released the leader key voluntarily; waits before it campaigns again
 
 
 LEADER_TRANSITIONS: dict[LeaderState, frozenset[LeaderState]] = {
@@ -153,10 +154,10 @@
 
 
 class AssignmentMode(Enum):
-    """Who answers workers' heartbeats."""
+    """Which controllers accept heartbeats from workers."""
 
-    LEADER_ONLY = auto()  # the others redirect workers to the leader
-    EVERY_CONTROLLER = auto()  # the others keep workers too, and forward their heartbeats
+    LEADER_ONLY = auto()  # followers redirect workers to the leader
+    EVERY_CONTROLLER = auto()  # followers accept heartbeats as well, and forward them to the leader
 
 
 ASSIGNMENT_MODE_TRANSITIONS: dict[AssignmentMode, frozenset[AssignmentMode]] = {
@@ -169,7 +170,7 @@
     """Whether a controller forwards heartbeats to the leader."""
 
     OPEN = auto()
-    RESTING = auto()  # the leader has not answered for a while: workers are redirected to it
+    RESTING = auto()  # the leader did not respond for some time, so workers are redirected to it
 
 
 FORWARDER_TRANSITIONS: dict[ForwarderState, frozenset[ForwarderState]] = {
@@ -179,11 +180,11 @@
 
 
 class LoadState(Enum):
-    """How far a controller is behind; a higher value is worse."""
+    """How overloaded a controller is; a higher value is worse."""
 
     NORMAL = 0
-    STRAINED = 1  # its loops are late: it omits work that only improves results
-    OVERLOADED = 2  # users would notice: most polls are rejected as well
+    STRAINED = 1  # the controller's loops run late, so it skips optional work that only improves results
+    OVERLOADED = 2  # delays are noticeable to users, so the controller also rejects most polls
 
 
 LOAD_TRANSITIONS: dict[LoadState, frozenset[LoadState]] = {
@@ -194,11 +195,11 @@
 
 
 class LinkState(Enum):
-    """What a controller knows of one of its own network links."""
+    """State of one of a controller's network links."""
 
     UP = auto()
-    SUSPECT = auto()  # nothing was received for a while, or the first requests have failed
-    DOWN = auto()  # everything has failed for long enough to act on it
+    SUSPECT = auto()  # nothing was received for some time, or the first requests have failed
+    DOWN = auto()  # all requests have failed for long enough that the controller acts on the failure
 
 
 LINK_TRANSITIONS: dict[LinkState, frozenset[LinkState]] = {
--- a/tests/heartbeats/test_heartbeat_evidence.py
+++ b/tests/heartbeats/test_heartbeat_evidence.py
@@ -1,4 +1,4 @@
-"""What a heartbeat is evidence of: delayed copies, restarts, results, tokens, and what follows for jobs."""
+"""Which heartbeats are evidence of the current state of a machine: delayed copies, restarts, results and tokens."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 def test_delayed_heartbeat_revives_neither_deleted_nor_expired_machine() -> None:
-    """A copy of a deleted machine's report had it on record again, with its tasks, and given new ones."""
+    """A delayed heartbeat of a deleted machine must not add the machine again, which would bring back its tasks."""
     cluster, controller, term = start_cluster()
     deleted, expired = cluster.workers.values()
     job_id = cluster.accept(controller, shards=20)
     cluster.settle(term, 2)
     held_tasks = set(deleted.running()) | set(expired.running())
-    delayed_heartbeats = [deleted.report(), expired.report()]  # sent, and not delivered yet
+    delayed_heartbeats = [deleted.report(), expired.report()]  # sent and not delivered yet
     deleted.reachable = expired.reachable = False
     del cluster.workers[deleted.name]
     term.deprovisioning._remove([deleted.name])
@@ -55,7 +55,10 @@
 
 
 def test_delayed_heartbeat_of_earlier_term_reconciles_nothing() -> None:
-    """A copy from an earlier term put a task on a machine where it was no more; where it really ran it was stopped."""
+    """A delayed heartbeat of an earlier term must not add a task to a machine that the task has left since.
+
+    Otherwise the task would be stopped on the machine where it runs.
+    """
     cluster, controller, term = start_cluster()
     first, second = cluster.workers.values()
     job_id = cluster.accept(controller, shards=1)
@@ -69,18 +72,21 @@
     cluster.clock.now += 13.0
     next_controller = InMemoryController(cluster, "node-1")
     next_term = next_controller.lead()
-    # of a machine that was deleted before this term began
+    # a delayed heartbeat of a machine that was deleted before the new term began
     from_unknown_machine = msgspec.structs.replace(delayed, machine="n-000777", addr="n-000777:1")
     for report in (delayed, from_unknown_machine):
         next_term.handle_heartbeat(report)
-    any_heard = next_term.heartbeat_handler.heard_in_term
+    any_accepted = next_term.heartbeat_handler.heard_in_term
     cluster.settle(next_term, 3)
-    assert not any_heard and "n-000777" not in cluster.records("machines/")
+    assert not any_accepted and "n-000777" not in cluster.records("machines/")
     assert holder.running() == [f"{job_id}/0"] and not other.running() and (moved or holder.started)
 
 
 def test_new_machine_gets_tasks_with_its_second_heartbeat() -> None:
-    """Recorded only after it had echoed the token, it got its first tasks with the third, a report interval later."""
+    """A machine must get a durable record before it acknowledges the token.
+
+    Otherwise it would get its first tasks with its third heartbeat, one heartbeat interval later.
+    """
     cluster, controller, term = start_cluster(1)
     cluster.accept(controller, shards=40)
     worker = cluster.worker("n-000009")
@@ -103,7 +109,10 @@
 
 
 def test_token_that_no_leader_had_does_not_end_the_term() -> None:
-    """Any worker that reported a higher token ended the term at once, again and again if it went on."""
+    """A worker that reports a higher token than any leader has had must not end the term.
+
+    The leader pauses and verifies its lease once, and then ignores the invalid token.
+    """
     cluster, _controller, term = start_cluster(1)
     (worker,) = cluster.workers.values()
     worker.token = 1 << 50
@@ -114,7 +123,10 @@
 
 
 def test_unreachable_machine_does_not_block_jobs_after_failover() -> None:
-    """It reported an older token for ever, which proves nothing, and each report put off the end of its lease."""
+    """Heartbeats with an older token must not extend the lease of a machine that receives no responses.
+
+    Otherwise the machine would never be reconciled, and jobs whose tasks it may run would wait forever.
+    """
     cluster, controller, term = start_cluster()
     unreachable, _other = cluster.workers.values()
     job_id = cluster.accept(controller, shards=32)
@@ -130,16 +142,19 @@
     assert next_term.machine_reconciliation.proved and not next_term.registry.jobs[job_id].possible_holders
 
 
-@pytest.mark.parametrize("counts_anew", [True, False])
-def test_restarted_worker_is_reconciled_within_seconds(counts_anew: bool) -> None:
-    """One that counts anew sent what looked like old copies for ever; its tasks were started after a lease."""
+@pytest.mark.parametrize("counts_start_over", [True, False])
+def test_restarted_worker_is_reconciled_within_seconds(counts_start_over: bool) -> None:
+    """Heartbeats of a worker whose counts start over must not be taken for delayed copies.
+
+    Otherwise the worker's tasks would be started again only after its lease had expired.
+    """
     cluster, controller, term = start_cluster(1)
     (worker,) = cluster.workers.values()
     job_id = cluster.accept(controller, shards=4)
     cluster.settle(term, 3)
     worker.tasks.clear()
-    if counts_anew:
+    if counts_start_over:
         worker.epoch, worker.sequence, worker.token = 1, 0, 0
     cluster.settle(term, 5)
     assert sorted(worker.running()) == [f"{job_id}/{i}" for i in range(4)]
-    assert len(worker.started) == 8  # each once again, neither never nor twice
+    assert len(worker.started) == 8  # each of the 4 tasks was started exactly once more
--- a/tests/heartbeats/test_heartbeat_handling.py
+++ b/tests/heartbeats/test_heartbeat_handling.py
@@ -1,4 +1,4 @@
-"""Single heartbeats: what they change, and what they are answered."""
+"""Handling of single heartbeats: their effect on the cluster state, and the responses to them."""
 
 from __future__ import annotations
 
@@ -31,13 +31,18 @@
 
 
 def test_lost_start_is_resent_with_same_attempt() -> None:
-    """Only a newer check-in proves that a start was lost; a direct report may overtake the response."""
+    """Only a newer heartbeat shows that a start command was lost.
+
+    The answer to a direct query may be sent before the response with the start command arrives.
+    """
     cluster, controller, term, (worker,) = start_cluster(1)
     job_id = cluster.accept(controller)
     cluster.handle_heartbeat(term, worker, lose=True)
     allocation = term.registry.jobs[job_id].allocations[0]
     assert allocation.state is AllocationState.SENT
-    assert job_id in cluster.records("grants/")  # known to any later leader before it was sent
+    assert job_id in cluster.records(
+        "grants/"
+    )  # durable before the start command is sent, so that a later leader knows of the task
     term.machine_reconciliation.apply_direct_answer(term.inventory.by_name[worker.name], worker.report(), (1, 0))
     assert allocation.sent_sequence > 0
     cluster.handle_heartbeat(term, worker)
@@ -51,7 +56,7 @@
     assert isinstance(in_flight, HeartbeatResponse) and in_flight.commands
     InMemoryController(cluster, "node-1").users.cancel(job_id)
     term.job_watch.watch()
-    assert term.registry.teams[1].used[0] > 0  # it may be there: it still counts
+    assert term.registry.teams[1].used[0] > 0  # the start command may still arrive, so the task counts
     worker.obey(in_flight)
     assert worker.running()
     cluster.settle(term, 3)
@@ -100,7 +105,7 @@
 
 
 def test_unchanged_heartbeat_splits_no_names_and_moves_no_allocation(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hundreds of reports a second name the same tasks again and again; each task once cost two splits and a name."""
+    """A heartbeat without changes must cause no work for each task, as the leader handles hundreds per second."""
     cluster, controller, term, (worker,) = start_cluster(1)
     cluster.accept(controller, shards=16)
     cluster.settle(term, 4)
@@ -130,7 +135,10 @@
 
 
 def test_response_is_dropped_if_authority_ends_while_it_is_built(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The clock is looked at once more just before an answer leaves; its starts are sent again with a later one."""
+    """A leader must check its lease again just before it sends a response.
+
+    The start commands of a dropped response are sent again later.
+    """
     cluster, controller, term, (worker,) = start_cluster(1)
     api = HeartbeatApi("node-0", controller.election, lambda: term)
     job_id = cluster.accept(controller)
@@ -146,7 +154,7 @@
     assert controller.election.state is LeaderState.PAUSED
     monkeypatch.undo()
     assert term.registry.jobs[job_id].allocations[0].state is AllocationState.SENT and not worker.started
-    # the leader lease has expired by now: another term begins, and the task runs once
+    # the leader lease has expired by now, so another controller leads, and the task is started once
     _successor, new_term = fail_over(cluster, "node-1")
     cluster.settle(new_term, 6)
     assert [task for task, _ in worker.started] == [f"{job_id}/0"]
--- a/tests/heartbeats/test_machine_reception.py
+++ b/tests/heartbeats/test_machine_reception.py
@@ -1,4 +1,4 @@
-"""Machines that responses do not reach, and controllers that stood still."""
+"""Machines that receive no responses, and controllers that were paused."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 def test_unreachable_machine_gets_no_tasks_until_it_is_reachable() -> None:
-    """Its reports kept it alive in the books: what was placed there waited for ever, being told again and again."""
+    """Heartbeats of a machine that receives no responses must not keep it available for tasks.
+
+    Otherwise tasks placed there would wait forever, while their start commands are sent again and again.
+    """
     cluster, controller, term = start_cluster()
     unreachable, _other = cluster.workers.values()
     make_unreachable(unreachable)
@@ -18,9 +21,9 @@
     machine = term.inventory.by_name[unreachable.name]
     assert reception_and_state(machine) == (Reception.UNREACHABLE, MachineState.SUSPECT)
     assert not term.inventory.counts(machine)
-    assert term.handle_heartbeat(unreachable.report()) is None  # no answer that could renew its lease
+    assert term.handle_heartbeat(unreachable.report()) is None  # no response, which could renew the machine's lease
     allocations = term.registry.jobs[job_id].allocations.values()
-    assert any(allocation.machine == machine.index for allocation in allocations)  # they count until its lease is over
+    assert any(allocation.machine == machine.index for allocation in allocations)  # counted until the lease expires
     for _ in range(25):
         cluster.settle(term, 1)
         term.handle_heartbeat(unreachable.report())
@@ -34,18 +37,21 @@
 
 
 def test_epoch_that_outlives_its_lease_shows_a_reachable_machine() -> None:
-    """A filter that refuses the leader's own connections would have kept a machine that hears unused for ever."""
+    """A machine that receives responses must become reachable again even if direct queries cannot connect to it.
+
+    Otherwise a firewall that rejects the leader's connections would keep the machine unused forever.
+    """
     cluster, controller, term = start_cluster(1)
     (worker,) = cluster.workers.values()
     machine = term.inventory.by_name[worker.name]
     term.inventory.change_reception(machine, Reception.SUSPECTED, "test", cluster.clock.now)
     term.inventory.change_reception(machine, Reception.UNREACHABLE, "test", cluster.clock.now)
     cluster.accept(controller)
-    worker.reachable = False  # for questions; its reports and their answers go on
+    worker.reachable = False  # for direct queries; heartbeats and their responses still arrive
     states = set()
     for second in range(90):
         if second == 22:
-            worker.lapse()  # it was not answered for a lease
+            worker.lapse()  # the worker has received no response for a lease
         response = term.handle_heartbeat(worker.report())
         if response is not None:
             worker.obey(response)
@@ -65,10 +71,10 @@
     assert unreachable.running() and controller.users.cancel(job_id).status == 200
     for second in range(45):
         if second == 20:
-            unreachable.lapse()  # it has not been answered for a lease
+            unreachable.lapse()  # the worker has received no response for a lease
         cluster.settle(term, 1)
         if second % 3 == 0:
-            term.handle_heartbeat(unreachable.report())  # lost on the way back
+            term.handle_heartbeat(unreachable.report())  # the response is lost
     machine = term.inventory.by_name[unreachable.name]
     assert not unreachable.running() and not machine.allocations and job_id not in term.registry.jobs
     assert term.settings.params.workers.cancel_s >= 45.0
@@ -90,6 +96,6 @@
     cluster, controller, term = start_cluster(1)
     cluster.accept(controller, shards=4)
     cluster.settle(term, 3)
-    cluster.clock.now += 10.0  # within its leader lease
+    cluster.clock.now += 10.0  # shorter than the leader lease
     term.inventory.detect_silent_machines(cluster.clock.now)
     assert [machine.state for machine in term.inventory.machines] == [MachineState.READY]
--- a/tests/heartbeats/test_task_failures.py
+++ b/tests/heartbeats/test_task_failures.py
@@ -1,4 +1,4 @@
-"""Failed tasks: whether the machine or the job is to blame."""
+"""Failed tasks: whether the failures are attributed to the machine or to the job."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 def test_faulty_machine_is_drained_and_healthy_one_is_not() -> None:
     cluster, controller, term, (faulty, healthy) = start_cluster()
-    for i in range(80):
-        if i % 4 == 0 and i < 60:
+    for second in range(80):
+        if second % 4 == 0 and second < 60:
             cluster.accept(controller, shards=8)
         cluster.settle(term, 1)
         for worker in (faulty, healthy):
