--- a/src/grebestand/cluster_state/dispatch.py
+++ b/src/grebestand/cluster_state/dispatch.py
@@ -22,12 +22,12 @@
         #: Fencing token of the current term.
         self.token = token
         #: Indices of machines to notify directly of a stop, rather than in the response to their next heartbeat.
-        self.urgent: set[int] = set()
+        self.urgent_machines: set[int] = set()
         #: Jobs with queued allocations that their durable grant does not include yet, by job id.
-        self.to_cover: dict[str, Job] = {}
+        self.jobs_awaiting_grant: dict[str, Job] = {}
         self._attempts = 0
 
-    def next_attempt(self) -> int:
+    def next_attempt_number(self) -> int:
         """Return an attempt number that is unique across all leaders, since fencing tokens are never reused."""
         self._attempts += 1
         return self.token * ATTEMPTS_PER_TOKEN + self._attempts
@@ -47,8 +47,8 @@
         allocation = self.registry.open_allocation(job, index, machine.index, attempt, now)
         allocation.epoch = machine.epoch
         self.inventory.add_allocation(machine, allocation)
-        if not job.covers(allocation):
-            self.to_cover[job.spec.id] = job
+        if not job.grant_covers(allocation):
+            self.jobs_awaiting_grant[job.spec.id] = job
         return allocation
 
     def stop(self, allocation: Allocation, reason: str, grace_s: float, now: float) -> None:
@@ -61,18 +61,18 @@
                 period is shorter.
             now: The current time, in seconds.
         """
-        machine = self.inventory.at(allocation.machine)
+        machine = self.inventory.find_by_index(allocation.machine_index)
         if machine is None or allocation.state is AllocationState.GONE:
             return
         if allocation.state is AllocationState.QUEUED:
             self.inventory.release(machine, allocation, now)
             return
-        if allocation.stop_reason is not None and grace_s >= allocation.grace:
+        if allocation.stop_reason is not None and grace_s >= allocation.stop_grace_s:
             return
         if allocation.stop_reason is None:
             machine.record_stop_request()
         allocation.request_stop(reason, grace_s)
-        self.urgent.add(machine.index)
+        self.urgent_machines.add(machine.index)
 
     def stop_job(self, job: Job, reason: str, grace_s: float, now: float) -> None:
         """Request the stop of all tasks of a job."""
@@ -83,6 +83,6 @@
         """Apply a committed cancellation: no further task of the job starts, and its running tasks are stopped."""
         if job.state in (JobState.DONE, JobState.CANCELLED):
             return
-        self.registry.move_job(job, JobState.CANCELLED, now)
+        self.registry.change_job_state(job, JobState.CANCELLED, now)
         self.stop_job(job, "cancelled", 0.0, now)
-        self.registry.drop_if_settled(job)
+        self.registry.remove_if_over(job)
--- a/src/grebestand/cluster_state/interning.py
+++ b/src/grebestand/cluster_state/interning.py
@@ -10,9 +10,9 @@
         self._index: dict[str, int] = {}
         self._names: list[str] = []
         for name in names or []:
-            self.index(name)
+            self.intern(name)
 
-    def index(self, name: str) -> int:
+    def intern(self, name: str) -> int:
         """Return the index of a name, and add the name if it is new."""
         found = self._index.get(name)
         if found is None:
--- a/src/grebestand/cluster_state/job_registry.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -14,7 +14,7 @@
 from .teams import TeamUsage, effective_limit
 
 #: Default maximum number of task types. The cost of the greedy plan grows with their number.
-DEFAULT_TYPE_BOUND = 24
+DEFAULT_MAX_TASK_TYPES = 24
 #: Number of tasks whose results one progress record holds, until the state service's limit on values is known.
 DEFAULT_CHUNK_BITS = 16384
 
@@ -43,24 +43,24 @@
         #: Live jobs, and finished ones that still have allocations, by job id.
         self.jobs: dict[str, Job] = {}
         #: Jobs in state CLOSING by job id: all tasks are done, and the final record is not committed yet.
-        self.finishing: dict[str, Job] = {}
+        self.closing_jobs: dict[str, Job] = {}
         #: Indices of recorded machines that have not been reconciled since the failover. All jobs whose tasks may be on
         #: any machine share this set as their `possible_holders`.
         self.unreconciled_machines: set[int] = set()
         #: Jobs whose own set of possible holders includes a machine, by machine index.
         self._jobs_by_possible_holder: dict[int, list[Job]] = {}
-        self.types: list[TaskType] = []
+        self.task_types: list[TaskType] = []
         #: Index of the task type by classification key; several keys may map to one type.
         self._type_index: dict[tuple[object, ...], int] = {}
-        self.type_bound = DEFAULT_TYPE_BOUND
+        self.max_task_types = DEFAULT_MAX_TASK_TYPES
         self.chunk_bits = DEFAULT_CHUNK_BITS
         #: Whether anything has changed, and whether a job has been added, since the scheduler's last pass.
-        self.changed = False
-        self.arrived = False
+        self.changed_since_scheduling = False
+        self.job_added_since_scheduling = False
 
     # jobs -------------------------------------------------------------------------------------------------
 
-    def add(self, spec: JobSpec, version: int, accepted_at: float, now: float) -> Job:
+    def add_job(self, spec: JobSpec, version: int, accepted_at: float, now: float) -> Job:
         """Add an accepted job.
 
         Args:
@@ -71,25 +71,25 @@
         """
         team = self.team_names.find(spec.team)
         if team is None:  # the team was removed from the settings, so its jobs may not run
-            team = self.team_names.index(spec.team)
+            team = self.team_names.intern(spec.team)
             self.teams.append(TeamUsage(spec.team, (0, 0), (0, 0)))
         job = Job(spec, version, accepted_at, team)
-        job.zone = self.zones.index(spec.zone) if spec.zone else -1
-        job.image = self.image(spec.image, spec.image_gb)
-        job.type = self.classify(job, now)
-        job.wait_since = job.started_at = now
+        job.zone_index = self.zones.intern(spec.zone) if spec.zone else -1
+        job.image_index = self.image_index(spec.image, spec.image_gb)
+        job.type_index = self.classify(job, now)
+        job.waiting_since = job.last_allocation_at = now
         self.jobs[spec.id] = job
-        self.changed = self.arrived = True
+        self.changed_since_scheduling = self.job_added_since_scheduling = True
         return job
 
-    def image(self, name: str, gigabytes: float) -> int:
+    def image_index(self, name: str, gigabytes: float) -> int:
         """Return the index of an image, which is added if it is new; later calls do not change the size."""
-        index = self.images.index(name)
+        index = self.images.intern(name)
         if index == len(self.image_gb):
             self.image_gb.append(gigabytes)
         return index
 
-    def move_job(self, job: Job, new: JobState, now: float) -> None:
+    def change_job_state(self, job: Job, new: JobState, now: float) -> None:
         """Change the state of a job. No other function may do so.
 
         Raises:
@@ -99,14 +99,14 @@
             return
         check_transition(JOB_TRANSITIONS, job.state, new, job.spec.id)
         job.state = new
-        job.live = new is JobState.WAITING or new is JobState.ACTIVE
+        job.is_live = new is JobState.WAITING or new is JobState.ACTIVE
         if new is JobState.WAITING:
-            job.wait_since = now
+            job.waiting_since = now
         elif new is JobState.CLOSING:
-            self.finishing[job.spec.id] = job
-        self.changed = True
+            self.closing_jobs[job.spec.id] = job
+        self.changed_since_scheduling = True
 
-    def drop_if_settled(self, job: Job) -> bool:
+    def remove_if_over(self, job: Job) -> bool:
         """Remove a job that is over and has no allocation left, and return whether the job was removed."""
         if job.state in (JobState.DONE, JobState.CANCELLED) and not job.allocations:
             self.jobs.pop(job.spec.id, None)
@@ -116,7 +116,7 @@
     def waiting_jobs(self) -> Iterator[Job]:
         """Yield the live jobs that have waiting tasks."""
         for job in self.jobs.values():
-            if job.live and job.waiting() > 0:
+            if job.is_live and job.waiting_count() > 0:
                 yield job
 
     def mark_guaranteed(self) -> None:
@@ -126,14 +126,14 @@
         """
         needed_by_team: dict[int, list[int]] = {}
         for job in sorted(self.jobs.values(), key=lambda j: (j.accepted_at, j.spec.id)):
-            if not job.live:
+            if not job.is_live:
                 continue
-            guaranteed = self.teams[job.team].guaranteed
-            needed = needed_by_team.setdefault(job.team, [0, 0])
-            unfinished = job.unfinished()
-            needed[0] += unfinished * job.size[0]
-            needed[1] += unfinished * job.size[1]
-            job.guaranteed = needed[0] <= guaranteed[0] and needed[1] <= guaranteed[1]
+            guaranteed = self.teams[job.team_index].guaranteed
+            needed = needed_by_team.setdefault(job.team_index, [0, 0])
+            unfinished = job.unfinished_count()
+            needed[0] += unfinished * job.task_size[0]
+            needed[1] += unfinished * job.task_size[1]
+            job.within_guarantee = needed[0] <= guaranteed[0] and needed[1] <= guaranteed[1]
 
     # task types -------------------------------------------------------------------------------------------
 
@@ -145,29 +145,29 @@
         """
         spec = job.spec
         machine_types = (
-            frozenset(self.machine_types.index(name) for name in spec.types) if spec.types is not None else None
+            frozenset(self.machine_types.intern(name) for name in spec.types) if spec.types is not None else None
         )
-        zone = job.zone if job.zone >= 0 else None
+        zone = job.zone_index if job.zone_index >= 0 else None
         rules: TypeRules = (spec.priority, spec.spot, machine_types, zone)
-        key: tuple[object, ...] = (*rules, *size_buckets(job.size, STEPS_PER_OCTAVE))
+        key: tuple[object, ...] = (*rules, *size_buckets(job.task_size, STEPS_PER_OCTAVE))
         found = self._type_index.get(key)
-        if found is None and len(self.types) >= self.type_bound:
+        if found is None and len(self.task_types) >= self.max_task_types:
             found = self._smallest_larger_type(rules, job)
             if found is None:
-                key = (*rules, "coarse", *size_buckets(job.size, COARSE_STEPS_PER_OCTAVE))
+                key = (*rules, "coarse", *size_buckets(job.task_size, COARSE_STEPS_PER_OCTAVE))
                 found = self._type_index.get(key)
         if found is None:
-            found = self._type_index[key] = len(self.types)
-            self.types.append(TaskType(key, job.rank, job.size, spec.spot, machine_types, zone, now))
-        self.types[found].record_job(job.size, now)
+            found = self._type_index[key] = len(self.task_types)
+            self.task_types.append(TaskType(key, job.priority_rank, job.task_size, spec.spot, machine_types, zone, now))
+        self.task_types[found].record_job(job.task_size, now)
         return found
 
     def _smallest_larger_type(self, rules: TypeRules, job: Job) -> int | None:
         """Return the index of the smallest type with these rules whose slots are large enough for the job's tasks."""
         larger = [
             (task_type.size, index)
-            for index, task_type in enumerate(self.types)
-            if task_type.rules == rules and all(a <= b for a, b in zip(job.size, task_type.size, strict=True))
+            for index, task_type in enumerate(self.task_types)
+            if task_type.rules == rules and all(a <= b for a, b in zip(job.task_size, task_type.size, strict=True))
         ]
         return min(larger)[1] if larger else None
 
@@ -177,12 +177,12 @@
         """Record that a task is done; its result is not durable yet."""
         if job.is_done(index):
             return
-        job.done[index >> 3] |= 1 << (index & 7)
+        job.done_bits[index >> 3] |= 1 << (index & 7)
         job.done_count += 1
         job.record_progress()
-        self.changed = True
+        self.changed_since_scheduling = True
 
-    def load_done(self, job: Job, offset: int, bits: bytes) -> None:
+    def restore_done_bits(self, job: Job, offset: int, bits: bytes) -> None:
         """Mark tasks as done and durable, as read from a progress record in the state service.
 
         Args:
@@ -190,15 +190,15 @@
             offset: The index of the byte of `Job.done_bits` at which the record begins.
             bits: One bit for each task, beginning with the lowest bit of each byte.
         """
-        end = min(len(job.done), offset + len(bits))
+        end = min(len(job.done_bits), offset + len(bits))
         for i in range(offset, end):
-            job.done[i] |= bits[i - offset]
-            job.durable[i] |= bits[i - offset]
+            job.done_bits[i] |= bits[i - offset]
+            job.durable_bits[i] |= bits[i - offset]
         tail_bits = job.spec.tasks & 7
         if tail_bits:  # the last byte may have bits beyond the last task
-            job.done[-1] &= (1 << tail_bits) - 1
-            job.durable[-1] &= (1 << tail_bits) - 1
-        job.done_count = int.from_bytes(job.done, "little").bit_count()
+            job.done_bits[-1] &= (1 << tail_bits) - 1
+            job.durable_bits[-1] &= (1 << tail_bits) - 1
+        job.done_count = int.from_bytes(job.done_bits, "little").bit_count()
 
     # allocations ------------------------------------------------------------------------------------------
 
@@ -215,15 +215,15 @@
         allocation = Allocation(job, index, machine, attempt, now)
         assert index not in job.allocations, f"{job.spec.id}/{index} has an allocation already"
         job.allocations[index] = allocation
-        used = self.teams[job.team].used
-        used[0] += job.size[0]
-        used[1] += job.size[1]
+        used = self.teams[job.team_index].used
+        used[0] += job.task_size[0]
+        used[1] += job.task_size[1]
         if job.state is JobState.WAITING:
-            self.move_job(job, JobState.ACTIVE, now)
-        self.changed = True
+            self.change_job_state(job, JobState.ACTIVE, now)
+        self.changed_since_scheduling = True
         return allocation
 
-    def move_allocation(self, allocation: Allocation, new: AllocationState, now: float) -> None:
+    def change_allocation_state(self, allocation: Allocation, new: AllocationState, now: float) -> None:
         """Change the state of an allocation. No other function may do so.
 
         An allocation that changes to GONE is removed from its job and from the usage of its team.
@@ -234,24 +234,24 @@
         old = allocation.state
         if old is new and new is not AllocationState.SENT:
             return
-        check_transition(ALLOCATION_TRANSITIONS, old, new, f"{allocation.job.spec.id}/{allocation.index}")
+        check_transition(ALLOCATION_TRANSITIONS, old, new, f"{allocation.job.spec.id}/{allocation.task_index}")
         allocation.state = new
-        if new is AllocationState.RUNNING and allocation.run_at is None:
-            allocation.run_at = now
+        if new is AllocationState.RUNNING and allocation.running_since is None:
+            allocation.running_since = now
         if new is AllocationState.GONE:
             self._remove_allocation(allocation, now)
 
     def _remove_allocation(self, allocation: Allocation, now: float) -> None:
         job = allocation.job
-        del job.allocations[allocation.index]
-        used = self.teams[job.team].used
-        used[0] -= job.size[0]
-        used[1] -= job.size[1]
-        if not job.is_done(allocation.index):
-            job.returned.append(allocation.index)
+        del job.allocations[allocation.task_index]
+        used = self.teams[job.team_index].used
+        used[0] -= job.task_size[0]
+        used[1] -= job.task_size[1]
+        if not job.is_done(allocation.task_index):
+            job.requeued_tasks.append(allocation.task_index)
         if not job.allocations and job.state is JobState.ACTIVE:
-            self.move_job(job, JobState.WAITING, now)
-        self.changed = True
+            self.change_job_state(job, JobState.WAITING, now)
+        self.changed_since_scheduling = True
 
     # possible holders -------------------------------------------------------------------------------------
 
@@ -265,7 +265,7 @@
             machines: Indices of the machines; None for all recorded machines.
             end_index: Only tasks with an index below this one may have been started.
         """
-        job.unseen_below = job.first_unallocated = end_index
+        job.unseen_tasks_below = job.first_unallocated = end_index
         # Jobs whose tasks may be on any machine share one set. With a set for each job, a failover with thousands of
         # machines and jobs would create millions of entries.
         job.possible_holders = self.unreconciled_machines if machines is None else machines
@@ -292,8 +292,8 @@
     def _release_unseen(self, job: Job) -> None:
         """Let the tasks wait for placement that none of the possible holders has reported."""
         job.possible_holders = set()
-        unseen = range(job.unseen_below)
+        unseen = range(job.unseen_tasks_below)
         # appended, as tasks may have been returned meanwhile; `Job.take_waiting_task` skips indices listed twice
-        job.returned += [i for i in reversed(unseen) if not job.is_done(i) and i not in job.allocations]
-        job.unseen_below = 0
-        self.changed = True
+        job.requeued_tasks += [i for i in reversed(unseen) if not job.is_done(i) and i not in job.allocations]
+        job.unseen_tasks_below = 0
+        self.changed_since_scheduling = True
--- a/src/grebestand/cluster_state/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -26,32 +26,32 @@
         "attempt",
         "decided_at",
         "epoch",
-        "first",
-        "grace",
-        "held",
-        "index",
+        "held_for_gang_images",
+        "is_first_attempt",
         "job",
         "keeps_fetching",
-        "machine",
+        "machine_index",
         "name",
         "reported_sequence",
-        "run_at",
+        "running_since",
         "sent_epoch",
         "sent_sequence",
         "start_sent_at",
         "state",
+        "stop_grace_s",
         "stop_reason",
         "stop_sent_at",
+        "task_index",
     )  # fmt: skip
 
     def __init__(self, job: Job, index: int, machine: int, attempt: int, now: float) -> None:
         self.job = job
         #: Index of the task in the job.
-        self.index = index
+        self.task_index = index
         #: Name of the task in heartbeats and commands.
         self.name = task_name(job.spec.id, index)
         #: Index of the machine in the inventory.
-        self.machine = machine
+        self.machine_index = machine
         self.attempt = attempt
         self.state = AllocationState.QUEUED
         #: The worker's epoch that the allocation belongs to. The worker kills its tasks when an epoch ends.
@@ -64,17 +64,17 @@
         #: When the scheduler placed the task.
         self.decided_at = now
         #: Whether the task had no allocation before, so that it does not resume from a checkpoint.
-        self.first = False
+        self.is_first_attempt = False
         #: Whether the start command is held back until the machines of the gang's other tasks have the image.
-        self.held = False
+        self.held_for_gang_images = False
         #: Whether the gang's attempt has failed and the allocation stays only until its machine has fetched the image,
         #: for the gang's next attempt.
         self.keeps_fetching = False
         #: When a heartbeat first reported the task as running.
-        self.run_at: float | None = None
+        self.running_since: float | None = None
         #: Why the task is to stop (None: no stop is requested), and how many seconds it has to save a checkpoint.
         self.stop_reason: str | None = None
-        self.grace = 0.0
+        self.stop_grace_s = 0.0
         self.stop_sent_at = -math.inf
         #: When a response last carried the start command.
         self.start_sent_at = math.inf
@@ -93,7 +93,7 @@
 
     def request_stop(self, reason: str, grace_s: float) -> None:
         """Record why the task is to stop, and how many seconds it has to save a checkpoint."""
-        self.stop_reason, self.grace = reason, grace_s
+        self.stop_reason, self.stop_grace_s = reason, grace_s
 
     def record_lost_start(self) -> None:
         """Record that the start command did not reach the worker, so that the next response carries it again."""
@@ -106,7 +106,7 @@
     The times are used only to log how long each stage took.
     """
 
-    __slots__ = ("attempt", "covered", "placed", "reported", "room", "sent")
+    __slots__ = ("attempt", "capacity_free_since", "grant_durable_at", "placed_at", "reported_at", "start_sent_at")
 
     def __init__(self, attempt: int, room: float, placed: float) -> None:
         """Create the timeline of a gang that has just been placed.
@@ -117,10 +117,10 @@
             placed: When the gang was placed.
         """
         self.attempt = attempt
-        self.room = room
+        self.capacity_free_since = room
         #: When the gang was placed, its grant became durable, the last start command was sent, and the last task was
         #: first reported by a heartbeat.
-        self.placed = self.covered = self.sent = self.reported = placed
+        self.placed_at = self.grant_durable_at = self.start_sent_at = self.reported_at = placed
 
 
 class Job:
@@ -132,51 +132,51 @@
     """
 
     __slots__ = (
-        "abroad",
-        "abroad_running",
         "accepted_at",
         "allocations",
-        "avoid",
-        "begun",
-        "done",
+        "avoided_machines",
+        "done_bits",
         "done_count",
-        "durable",
-        "ends",
-        "errors",
-        "failed_at",
-        "fails_after_s",
+        "durable_bits",
+        "failed_rounds",
         "first_unallocated",
-        "gang_start",
-        "granted",
-        "granted_below",
-        "guaranteed",
-        "guest",
+        "gang_start_timeline",
+        "granted_machines",
+        "granted_tasks_below",
         "has_progress",
-        "image",
-        "live",
+        "image_index",
+        "is_guest",
+        "is_live",
+        "last_allocation_at",
+        "last_failed_at",
+        "last_preempted_others_at",
+        "max_run_before_failure_s",
         "may_answer_until",
+        "objective_deadlines",
         "origin_silent",
+        "pending_reason",
         "possible_holders",
-        "preempt_at",
         "preemption_count",
-        "rank",
+        "priority_rank",
+        "recent_run_times",
+        "record_revision",
+        "remote_assignment",
+        "remote_running_count",
+        "requeued_tasks",
         "retry_at",
-        "returned",
-        "runs",
         "runs_remotely",
-        "size",
         "spec",
-        "started_at",
+        "start_logged",
         "state",
         "suspected_faulty",
-        "team",
-        "type",
+        "task_size",
+        "team_index",
+        "type_index",
         "unsaved_chunks",
-        "unseen_below",
-        "version",
-        "wait_since",
-        "why_waiting",
-        "zone",
+        "unseen_tasks_below",
+        "waiting_since",
+        "within_guarantee",
+        "zone_index",
     )  # fmt: skip
 
     def __init__(self, spec: JobSpec, version: int, accepted_at: float, team: int) -> None:
@@ -189,26 +189,26 @@
             team: The index of the job's team in `JobRegistry.teams`.
         """
         self.spec = spec
-        self.version = version
+        self.record_revision = version
         self.accepted_at = accepted_at
         #: For a cancelled job: the time after which machines that still hold a task of the job get no responses. Their
         #: leases then expire, and with them the tasks, before the cancellation's deadline.
         self.may_answer_until = math.inf
-        self.team = team
+        self.team_index = team
         #: Resources of one task.
-        self.size = task_resources(spec)
+        self.task_size = task_resources(spec)
         #: Rank of the job's priority; 0 is the highest.
-        self.rank = PRIORITIES.index(spec.priority)
+        self.priority_rank = PRIORITIES.index(spec.priority)
         #: Indices of the job's task type, zone (-1: any) and image in the registry's tables.
-        self.type = -1
-        self.zone = -1
-        self.image = -1
+        self.type_index = -1
+        self.zone_index = -1
+        self.image_index = -1
         self.state = JobState.WAITING
         #: Whether the state is WAITING or ACTIVE; cached, since each scheduling pass reads it many times for each job.
-        self.live = True
+        self.is_live = True
         #: One bit for each task: whether the task is done, and whether its result is stored in the state service.
-        self.done = bytearray((spec.tasks + 7) // 8)
-        self.durable = bytearray((spec.tasks + 7) // 8)
+        self.done_bits = bytearray((spec.tasks + 7) // 8)
+        self.durable_bits = bytearray((spec.tasks + 7) // 8)
         self.done_count = 0
         #: Since when a chunk of `done_bits` has had results that are not durable, by the chunk's index.
         self.unsaved_chunks: dict[int, float] = {}
@@ -218,25 +218,25 @@
         self.first_unallocated = 0
         #: Indices below `first_unallocated` of tasks whose allocation ended. An index may be listed twice, and the task
         #: may be done or allocated again by now.
-        self.returned: list[int] = []
+        self.requeued_tasks: list[int] = []
         #: Machine index and run time in seconds of the most recently finished tasks.
-        self.runs: list[tuple[int, float]] = []
+        self.recent_run_times: list[tuple[int, float]] = []
         #: The start of a gang that was placed and of which not all tasks run yet; otherwise None.
-        self.gang_start: GangStartTimeline | None = None
+        self.gang_start_timeline: GangStartTimeline | None = None
         #: The assignment to another cluster from the job's live record, and the number of tasks that run there.
-        self.abroad: RemoteAssignment | None = None
-        self.abroad_running = 0
+        self.remote_assignment: RemoteAssignment | None = None
+        self.remote_running_count = 0
         #: Whether another cluster runs the job or may yet accept it. No task of the job may start here meanwhile.
         self.runs_remotely = False
         #: Whether the job belongs to another cluster, and whether that cluster has not asked about the job lately. No
         #: further task of the job starts while the other cluster is silent.
-        self.guest = False
+        self.is_guest = False
         self.origin_silent = False
         #: Number of rounds in which tasks of the job have failed, the time of the last failure, and the longest run
         #: time before a failure, in seconds.
-        self.errors = 0
-        self.failed_at = -math.inf
-        self.fails_after_s = 0.0
+        self.failed_rounds = 0
+        self.last_failed_at = -math.inf
+        self.max_run_before_failure_s = 0.0
         #: Whether the job fails on whichever machine it is started. Only one of its tasks, or the gang, is then tried
         #: at a time.
         self.suspected_faulty = False
@@ -245,29 +245,29 @@
         #: Number of preemptions of the whole gang.
         self.preemption_count = 0
         #: When the job failed on a machine, by machine index.
-        self.avoid: dict[int, float] = {}
+        self.avoided_machines: dict[int, float] = {}
         #: No task of the job is placed before this time.
         self.retry_at = 0.0
         #: The durable grant: tasks with an index below `granted_tasks_below` may have been started on these machines
         #: (None: on any). After a failover the next leader looks for the job's tasks there.
-        self.granted: set[int] | None = set()
-        self.granted_below = 0
+        self.granted_machines: set[int] | None = set()
+        self.granted_tasks_below = 0
         #: Indices of unreconciled machines that may run tasks started by an earlier leader; such tasks have an index
         #: below `unseen_tasks_below`.
         self.possible_holders: set[int] = set()
-        self.unseen_below = 0
+        self.unseen_tasks_below = 0
         #: Whether the guarantee of the job's team covers the job.
-        self.guaranteed = False
-        self.wait_since = accepted_at
+        self.within_guarantee = False
+        self.waiting_since = accepted_at
         #: When the job has to be done to meet each of its objectives; None until computed.
-        self.ends: list[float] | None = None
+        self.objective_deadlines: list[float] | None = None
         #: When a task of the job last got an allocation.
-        self.started_at = accepted_at
-        self.preempt_at = -math.inf
+        self.last_allocation_at = accepted_at
+        self.last_preempted_others_at = -math.inf
         #: Why tasks of the job wait, as shown to users.
-        self.why_waiting = ""
+        self.pending_reason = ""
         #: Whether the start of the job has been logged.
-        self.begun = False
+        self.start_logged = False
 
     def record_progress(self) -> None:
         """Record that a task was completed or saved a checkpoint, which shows that the job is not faulty."""
@@ -276,66 +276,70 @@
 
     def is_done(self, index: int) -> bool:
         """Return whether a task is done."""
-        return bool(self.done[index >> 3] >> (index & 7) & 1)
+        return bool(self.done_bits[index >> 3] >> (index & 7) & 1)
 
     def is_durable(self, index: int) -> bool:
         """Return whether a task is done and its result is durable."""
-        return bool(self.durable[index >> 3] >> (index & 7) & 1)
+        return bool(self.durable_bits[index >> 3] >> (index & 7) & 1)
 
     @property
-    def gang(self) -> bool:
+    def is_gang(self) -> bool:
         """Whether all tasks of the job have to run at the same time."""
         return self.spec.kind is Kind.GANG
 
-    def unfinished(self) -> int:
+    def unfinished_count(self) -> int:
         """Return the number of tasks that are not done."""
         return self.spec.tasks - self.done_count
 
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Return the number of tasks that are not done and have no allocation.
 
         Returns 0 while no task may start, since the job is over, runs in another cluster or belongs to a silent one.
         """
-        if not self.live or self.runs_remotely or self.origin_silent:
+        if not self.is_live or self.runs_remotely or self.origin_silent:
             return 0
         return max(0, self.spec.tasks - self.done_count - len(self.allocations))
 
-    def wanted(self) -> int:
+    def wanted_count(self) -> int:
         """Return the number of waiting tasks that the scheduler should find capacity for."""
-        return min(self.waiting(), 1) if self.suspected_faulty and not self.gang else self.waiting()
+        return min(self.waiting_count(), 1) if self.suspected_faulty and not self.is_gang else self.waiting_count()
 
-    def startable(self) -> int:
+    def startable_count(self) -> int:
         """Return the number of waiting tasks that are known not to run on any machine.
 
         After a failover, tasks that an earlier leader may have started cannot be placed until the possible holders are
         reconciled. Tasks that were reported since, or that no grant covers, can. If the placement of a task depends on
         the zones of the job's other tasks, no task can be placed, since an unreported task may run in any zone.
         """
-        if self.suspected_faulty and not self.gang and self.allocations:
+        if self.suspected_faulty and not self.is_gang and self.allocations:
             return 0
-        if not self.possible_holders or not self.live:
-            return self.wanted()
-        if self.gang or self.spec.one_zone or self.spec.spread:
+        if not self.possible_holders or not self.is_live:
+            return self.wanted_count()
+        if self.is_gang or self.spec.one_zone or self.spec.spread:
             return 0
-        returned = sum(1 for i in set(self.returned) if not self.is_done(i) and i not in self.allocations)
+        returned = sum(1 for i in set(self.requeued_tasks) if not self.is_done(i) and i not in self.allocations)
         startable = returned + self.spec.tasks - self.first_unallocated
         return min(startable, 1) if self.suspected_faulty else startable
 
-    def covers(self, allocation: Allocation) -> bool:
+    def grant_covers(self, allocation: Allocation) -> bool:
         """Return whether the durable grant includes the allocation, so that a later leader looks for the task there."""
-        return allocation.index < self.granted_below and (self.granted is None or allocation.machine in self.granted)
+        return allocation.task_index < self.granted_tasks_below and (
+            self.granted_machines is None or allocation.machine_index in self.granted_machines
+        )
 
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Return the number of running tasks, in this cluster and in another one."""
-        return self.abroad_running + sum(1 for a in self.allocations.values() if a.state is AllocationState.RUNNING)
+        return self.remote_running_count + sum(
+            1 for a in self.allocations.values() if a.state is AllocationState.RUNNING
+        )
 
-    def take(self) -> int | None:
+    def take_waiting_task(self) -> int | None:
         """Remove and return the index of the next waiting task, or None if no task waits.
 
         The caller has to open an allocation for the task at once.
         """
-        while self.returned:
-            index = self.returned.pop()
+        while self.requeued_tasks:
+            index = self.requeued_tasks.pop()
             if not self.is_done(index) and index not in self.allocations:
                 return index
         while self.first_unallocated < self.spec.tasks:
--- a/src/grebestand/cluster_state/machine.py
+++ b/src/grebestand/cluster_state/machine.py
@@ -14,7 +14,7 @@
 
 #: Upper bound on the heartbeats that a worker process sent after the last one received from it. With a lower bound, a
 #: delayed heartbeat of a worker process that has restarted since could be mistaken for a current one.
-UNHEARD_HEARTBEATS = 40
+MAX_UNSEEN_HEARTBEATS = 40
 
 
 class Machine:
@@ -26,50 +26,50 @@
     __slots__ = (
         "addr",
         "allocations",
-        "asked_at",
         "blocked_until",
         "capacity",
         "change_count",
+        "consecutive_failures",
         "drain_reason",
         "empty_since",
         "epoch",
-        "error_at",
-        "error_jobs",
-        "errors",
+        "failed_job_ids",
         "free",
         "freed_at",
-        "has_seen_no_term",
         "image_fetches",
         "images",
         "in_accept_group",
         "index",
-        "kind",
+        "joined_without_token",
+        "last_failure_at",
         "last_heard_at",
+        "last_queried_at",
         "last_response_at",
+        "micro_cpus_by_rank",
+        "micro_cpus_by_rank_and_team",
         "missed_responses",
         "name",
-        "news",
-        "previous_epoch_end",
-        "rank",
-        "rank_cpus",
+        "needs_placement_attempt",
+        "pre_restart_bound",
+        "rank_in_plan",
         "reception",
         "recorded",
         "reserved_for",
         "reserved_until",
         "sequence",
-        "slots",
+        "slot_template",
+        "slots_by_type",
         "slowness",
         "spot",
         "state",
         "stopping_count",
-        "team_cpus",
-        "template",
         "terminates_at",
         "token",
+        "type_index",
         "unreachable_epoch",
         "unreachable_since",
         "used",
-        "zone",
+        "zone_index",
     )  # fmt: skip
 
     def __init__(self, index: int, name: str, addr: str, kind: int, zone: int, spot: bool, now: float) -> None:
@@ -88,28 +88,28 @@
         self.name = name
         #: Host and port of the machine's worker.
         self.addr = addr
-        self.kind = kind
-        self.zone = zone
+        self.type_index = kind
+        self.zone_index = zone
         #: Whether the provider may reclaim the machine.
         self.spot = spot
         self.capacity: Resources = NO_RESOURCES
         self.used: Resources = NO_RESOURCES
         self.free: Resources = NO_RESOURCES
         #: Number of allocations on the machine by task type index.
-        self.slots: dict[int, int] = {}
+        self.slots_by_type: dict[int, int] = {}
         #: Allocations on the machine by task name.
         self.allocations: dict[str, Allocation] = {}
         #: CPUs allocated to the tasks of each priority, in millionths of a CPU; the highest priority comes first.
-        self.rank_cpus = [0] * len(PRIORITIES)
+        self.micro_cpus_by_rank = [0] * len(PRIORITIES)
         #: CPUs allocated by priority rank and team index, in millionths of a CPU.
-        self.team_cpus: dict[tuple[int, int], int] = {}
+        self.micro_cpus_by_rank_and_team: dict[tuple[int, int], int] = {}
         #: Number of allocations with a requested stop.
         self.stopping_count = 0
         self.state = MachineState.NEW
         #: Whether the state service holds a record of the machine.
         self.recorded = False
         #: Whether the first heartbeat of the machine carried no token, so that its worker knew of no term yet.
-        self.has_seen_no_term = False
+        self.joined_without_token = False
         #: Epoch and sequence number of the newest heartbeat, and the highest fencing token that the worker has
         #: acknowledged.
         self.epoch = 0
@@ -117,7 +117,7 @@
         self.token = 0
         #: Upper bound of the epoch and sequence number that the worker reached before its last restart. A heartbeat
         #: that is not above the bound may be a delayed copy from before the restart.
-        self.previous_epoch_end = (0, 0)
+        self.pre_restart_bound = (0, 0)
         self.last_heard_at = -math.inf
         #: The latest time at which a response that renews the machine's lease may have been sent. The lease expires at
         #: most one lease duration later.
@@ -131,10 +131,10 @@
         #: Number of consecutive heartbeats that do not reflect the response to the heartbeat before them.
         self.missed_responses = 0
         #: When the leader last sent the worker a direct query.
-        self.asked_at = -math.inf
+        self.last_queried_at = -math.inf
         #: The slots that the greedy plan assigns to the machine, and the machine's rank in the plan.
-        self.template: SlotTemplate = ()
-        self.rank = 0
+        self.slot_template: SlotTemplate = ()
+        self.rank_in_plan = 0
         self.in_accept_group = False
         #: Id of the job that the machine is reserved for, if any.
         self.reserved_for: str | None = None
@@ -143,9 +143,9 @@
         self.blocked_until = -math.inf
         #: Number of consecutive task failures that count against the machine, the time of the last one, and the ids of
         #: the jobs whose tasks failed.
-        self.errors = 0
-        self.error_at = -math.inf
-        self.error_jobs: set[str] = set()
+        self.consecutive_failures = 0
+        self.last_failure_at = -math.inf
+        self.failed_job_ids: set[str] = set()
         #: Why the machine is being drained; None if it is not.
         self.drain_reason: str | None = None
         #: When the provider reclaims the machine; infinite unless the provider has announced it.
@@ -165,7 +165,7 @@
         #: change, so that results computed for the machine can be cached by this number.
         self.change_count = 0
         #: Whether the free capacity or the images have changed since a heartbeat last tried to place tasks here.
-        self.news = True
+        self.needs_placement_attempt = True
 
     def set_capacity(self, capacity: Resources) -> None:
         """Set the total capacity, once the machine type is known."""
@@ -175,37 +175,39 @@
     def add_allocation(self, allocation: Allocation) -> None:
         """Add an allocation that was opened on this machine to the machine's usage."""
         job = allocation.job
-        self.used = add(self.used, job.size)
+        self.used = add(self.used, job.task_size)
         self.free = subtract(self.capacity, self.used)
-        self.slots[job.type] = self.slots.get(job.type, 0) + 1
-        self.rank_cpus[job.rank] += job.size[0]
-        rank_and_team = job.rank, job.team
-        self.team_cpus[rank_and_team] = self.team_cpus.get(rank_and_team, 0) + job.size[0]
+        self.slots_by_type[job.type_index] = self.slots_by_type.get(job.type_index, 0) + 1
+        self.micro_cpus_by_rank[job.priority_rank] += job.task_size[0]
+        rank_and_team = job.priority_rank, job.team_index
+        self.micro_cpus_by_rank_and_team[rank_and_team] = (
+            self.micro_cpus_by_rank_and_team.get(rank_and_team, 0) + job.task_size[0]
+        )
         self.change_count += 1
-        if job.image not in self.images:
-            self.image_fetches[job.image] = self.image_fetches.get(job.image, 0) + 1
+        if job.image_index not in self.images:
+            self.image_fetches[job.image_index] = self.image_fetches.get(job.image_index, 0) + 1
         self.allocations[allocation.name] = allocation
 
     def remove_allocation(self, allocation: Allocation, now: float) -> None:
         """Remove an allocation that has ended, and free its resources."""
         job = allocation.job
-        self.used = subtract(self.used, job.size)
+        self.used = subtract(self.used, job.task_size)
         self.free = subtract(self.capacity, self.used)
-        self.slots[job.type] -= 1
+        self.slots_by_type[job.type_index] -= 1
         self.freed_at = now
-        self.rank_cpus[job.rank] -= job.size[0]
-        rank_and_team = job.rank, job.team
-        self.team_cpus[rank_and_team] -= job.size[0]
-        if not self.team_cpus[rank_and_team]:
-            del self.team_cpus[rank_and_team]
+        self.micro_cpus_by_rank[job.priority_rank] -= job.task_size[0]
+        rank_and_team = job.priority_rank, job.team_index
+        self.micro_cpus_by_rank_and_team[rank_and_team] -= job.task_size[0]
+        if not self.micro_cpus_by_rank_and_team[rank_and_team]:
+            del self.micro_cpus_by_rank_and_team[rank_and_team]
         self.change_count += 1
-        self.news = True
-        if job.image in self.image_fetches:
-            self.image_fetches[job.image] -= 1
-            if not self.image_fetches[job.image]:
-                del self.image_fetches[job.image]  # no task waits for the image, so the worker aborts the fetch
-        elif job.image in self.images:
-            self.images.move_to_end(job.image)  # the ended task has just used the image
+        self.needs_placement_attempt = True
+        if job.image_index in self.image_fetches:
+            self.image_fetches[job.image_index] -= 1
+            if not self.image_fetches[job.image_index]:
+                del self.image_fetches[job.image_index]  # no task waits for the image, so the worker aborts the fetch
+        elif job.image_index in self.images:
+            self.images.move_to_end(job.image_index)  # the ended task has just used the image
         if allocation.stop_reason is not None:
             self.stopping_count -= 1
         del self.allocations[allocation.name]
@@ -228,13 +230,13 @@
             cache_gb: The capacity of the worker's image cache, in gigabytes.
         """
         self.image_fetches.pop(image, None)
-        self.news = True
+        self.needs_placement_attempt = True
         self.change_count += 1
         self.images[image] = gigabytes
         self.images.move_to_end(image)
         if sum(self.images.values()) <= cache_gb:
             return
-        in_use = {allocation.job.image for allocation in self.allocations.values()}
+        in_use = {allocation.job.image_index for allocation in self.allocations.values()}
         for unused in [cached for cached in self.images if cached not in in_use and cached != image]:
             del self.images[unused]
             if sum(self.images.values()) <= cache_gb:
@@ -252,13 +254,13 @@
         self.epoch, self.sequence, self.token = heartbeat.epoch, heartbeat.sequence, acknowledged_token
         self.last_heard_at = now
 
-    def close_previous_epoch(self) -> None:
+    def update_pre_restart_bound(self) -> None:
         """Record that all heartbeats so far are from before a restart of the worker.
 
         Heartbeats sent before the restart and not received yet may have sequence numbers up to `UNHEARD_HEARTBEATS`
         higher than the last one received.
         """
-        self.previous_epoch_end = max(self.previous_epoch_end, (self.epoch, self.sequence + UNHEARD_HEARTBEATS))
+        self.pre_restart_bound = max(self.pre_restart_bound, (self.epoch, self.sequence + MAX_UNSEEN_HEARTBEATS))
 
     def record_restart(self, epoch: int) -> None:
         """Record a restart of the worker, whose epochs and sequence numbers start over.
@@ -266,7 +268,7 @@
         Args:
             epoch: The worker's epoch after the restart. Its next heartbeat counts as newer than all before.
         """
-        self.close_previous_epoch()
+        self.update_pre_restart_bound()
         for allocation in self.allocations.values():
             allocation.epoch = epoch
             allocation.sent_epoch = allocation.sent_sequence = 0
@@ -278,8 +280,8 @@
 
     def record_success(self) -> None:
         """Record that a task was completed on this machine, and reset the failures that count against the machine."""
-        self.errors = 0
-        self.error_jobs.clear()
+        self.consecutive_failures = 0
+        self.failed_job_ids.clear()
 
     def block_until(self, until: float) -> None:
         """Keep the scheduler from placing tasks on the machine until the given time; an existing later end stays."""
@@ -291,4 +293,4 @@
 
     def slots_used(self, task_type: int) -> int:
         """Return the number of allocations of a task type on this machine."""
-        return self.slots.get(task_type, 0)
+        return self.slots_by_type.get(task_type, 0)
--- a/src/grebestand/cluster_state/machine_inventory.py
+++ b/src/grebestand/cluster_state/machine_inventory.py
@@ -63,7 +63,7 @@
         #: Capacities of all machine types.
         self.capacities: list[Resources] = []
         self.lease_s = lease_s
-        self.report_s = report_s
+        self.heartbeat_interval_s = report_s
         #: Ids of other clusters' gangs that machines are reserved for and that are not in the registry yet.
         self.reserved_for_remote: set[str] = set()
         #: Indices of machines to query directly, since their heartbeats contradict what the leader knows of them.
@@ -84,16 +84,16 @@
 
     # machines ---------------------------------------------------------------------------------------------
 
-    def learn_types(self, types: list[MachineType]) -> None:
+    def set_machine_types(self, types: list[MachineType]) -> None:
         """Record the machine types that the provider offers, and set the capacity of all machines accordingly."""
         for machine_type in types:
-            self.machine_types[self.registry.machine_types.index(machine_type.name)] = machine_type
+            self.machine_types[self.registry.machine_types.intern(machine_type.name)] = machine_type
         self.capacities = [machine_capacity(machine_type) for machine_type in self.machine_types.values()]
         for machine in self.by_name.values():
             self._measure(machine)
         self.count_unreconciled()
 
-    def add(
+    def add_machine(
         self, name: str, addr: str, kind: str, zone: str, spot: bool, now: float, recorded: bool = False
     ) -> Machine:
         """Add a machine.
@@ -108,8 +108,8 @@
             recorded: Whether the state service holds a record of the machine. Such a machine is unreconciled, as it
                 may run tasks started by an earlier leader.
         """
-        type_index = self.registry.machine_types.index(kind)
-        zone_index = self.registry.zones.index(zone)
+        type_index = self.registry.machine_types.intern(kind)
+        zone_index = self.registry.zones.intern(zone)
         machine = Machine(self._next_index, name, addr, type_index, zone_index, spot, now)
         self._by_index[self._next_index] = machine
         self._next_index += 1
@@ -120,7 +120,7 @@
         self.by_name[name] = machine
         return machine
 
-    def at(self, index: int) -> Machine | None:
+    def find_by_index(self, index: int) -> Machine | None:
         """Return the machine with this index, or None if the machine is gone."""
         return self._by_index.get(index)
 
@@ -128,7 +128,7 @@
         """Return whether the provider has deleted the machine within the last `DELETED_MEMORY_LEASES` leases."""
         return now - self._deleted_at.get(name, -math.inf) < DELETED_MEMORY_LEASES * self.lease_s
 
-    def counts(self, machine: Machine) -> bool:
+    def counts_in_plan(self, machine: Machine) -> bool:
         """Return whether the greedy plan includes the machine, even if no tasks may be placed there right now."""
         present = (
             machine.state in (MachineState.READY, MachineState.SUSPECT)
@@ -147,19 +147,19 @@
             and machine.capacity != NO_RESOURCES
         )
 
-    def note_image(self, machine: Machine, image: int, gigabytes: float) -> None:
+    def record_image(self, machine: Machine, image: int, gigabytes: float) -> None:
         """Record that a machine has an image."""
-        machine_type = self.machine_types.get(machine.kind)
+        machine_type = self.machine_types.get(machine.type_index)
         machine.record_image(image, gigabytes, machine_type.cache_gb if machine_type else 0.0)
 
     def _measure(self, machine: Machine) -> None:
-        machine_type = self.machine_types.get(machine.kind)
+        machine_type = self.machine_types.get(machine.type_index)
         if machine_type is not None:
             machine.set_capacity(machine_capacity(machine_type))
 
     # state and reception ----------------------------------------------------------------------------------
 
-    def move(self, machine: Machine, new: MachineState, now: float) -> None:
+    def change_state(self, machine: Machine, new: MachineState, now: float) -> None:
         """Change the state of a machine. No other function may do so.
 
         All allocations of a machine end once its lease has expired or the machine is gone.
@@ -176,7 +176,7 @@
             self.release_all(machine, now)
             machine.reserved_for = None
         elif new is MachineState.READY:
-            machine.news = True
+            machine.needs_placement_attempt = True
         elif new is MachineState.SUSPECT:
             self._release_queued(machine, now)
         if new is MachineState.GONE:
@@ -184,7 +184,7 @@
         if old is MachineState.UNRECONCILED:
             self._count_reconciled(machine)
             self.newly_reconciled.append(machine.index)
-        self.registry.changed = True
+        self.registry.changed_since_scheduling = True
 
     def _release_queued(self, machine: Machine, now: float) -> None:
         """Release the allocations that were never sent, so that their tasks can be placed on other machines."""
@@ -220,10 +220,10 @@
         machine.unreachable_since = now if new is Reception.UNREACHABLE else math.inf
         if new is Reception.REACHABLE:
             machine.missed_responses = 0
-            machine.news = True
+            machine.needs_placement_attempt = True
         elif new is Reception.UNREACHABLE and machine.state is MachineState.READY:
-            self.move(machine, MachineState.SUSPECT, now)
-        self.registry.changed = True
+            self.change_state(machine, MachineState.SUSPECT, now)
+        self.registry.changed_since_scheduling = True
         if Reception.UNREACHABLE in (old, new):
             log.info(LogEvent("machine_reception_changed", machine=machine.name, from_=old, to=new, reason=reason))
 
@@ -261,8 +261,8 @@
     def release(self, machine: Machine, allocation: Allocation, now: float) -> None:
         """Remove an allocation whose task is known not to run any more, and free its resources."""
         machine.remove_allocation(allocation, now)
-        self.registry.move_allocation(allocation, AllocationState.GONE, now)
-        self.registry.drop_if_settled(allocation.job)  # a job that is over may have lost its last allocation
+        self.registry.change_allocation_state(allocation, AllocationState.GONE, now)
+        self.registry.remove_if_over(allocation.job)  # a job that is over may have lost its last allocation
 
     def release_all(self, machine: Machine, now: float) -> None:
         """Remove all allocations of a machine, whose tasks are known not to run any more."""
@@ -271,7 +271,7 @@
 
     # leases -----------------------------------------------------------------------------------------------
 
-    def lease_expired(self, machine: Machine, now: float) -> bool:
+    def has_lease_expired(self, machine: Machine, now: float) -> bool:
         """Return whether the machine's lease has expired even by the slowest clock, so that its tasks are killed.
 
         The worker measures its lease from when it sent the heartbeat that was answered last, which is before the leader
@@ -287,26 +287,26 @@
         if now - self._observed_at > MAX_OBSERVATION_GAP_S:
             self._observing_since = now
         self._observed_at = now
-        silent_after_s = SILENT_AFTER_INTERVALS * self.report_s
+        silent_after_s = SILENT_AFTER_INTERVALS * self.heartbeat_interval_s
         expired = []
         for machine in list(self.machines):
             if (
                 machine.state is MachineState.READY
                 and now - max(machine.last_heard_at, self._observing_since) > silent_after_s
             ):
-                self.move(machine, MachineState.SUSPECT, now)
+                self.change_state(machine, MachineState.SUSPECT, now)
             if machine.state in (
                 MachineState.SUSPECT,
                 MachineState.UNRECONCILED,
                 MachineState.NEW,
-            ) and self.lease_expired(machine, now):
-                self.move(machine, MachineState.LEASE_EXPIRED, now)
+            ) and self.has_lease_expired(machine, now):
+                self.change_state(machine, MachineState.LEASE_EXPIRED, now)
                 expired.append(machine)
         return expired
 
     # unreconciled machines --------------------------------------------------------------------------------
 
-    def unreconciled(self) -> list[Machine]:
+    def unreconciled_machines(self) -> list[Machine]:
         """Return the machines that have not been reconciled since the failover."""
         return [machine for machine in self.machines if machine.state is MachineState.UNRECONCILED]
 
@@ -317,7 +317,7 @@
         be above all limits: a leader starts before it has read the machine types, and a machine that did not count
         could put a team over its limit.
         """
-        unreconciled = self.unreconciled()
+        unreconciled = self.unreconciled_machines()
         self.unreconciled_count = len(unreconciled)
         self._unreconciled_unmeasured = sum(1 for machine in unreconciled if machine.capacity == NO_RESOURCES)
         self._unreconciled_capacity = [
@@ -336,6 +336,6 @@
 
     def _set_unknown_usage(self) -> None:
         for team in self.registry.teams:
-            team.unknown = (
+            team.unreconciled_usage = (
                 [UNKNOWN_USAGE, UNKNOWN_USAGE] if self._unreconciled_unmeasured else list(self._unreconciled_capacity)
             )
--- a/src/grebestand/cluster_state/run_time_estimates.py
+++ b/src/grebestand/cluster_state/run_time_estimates.py
@@ -18,9 +18,9 @@
 
     def __init__(self) -> None:
         #: Moving average of the ratio of run time to estimate, by job class.
-        self.ratio: dict[str, float] = {}
+        self.ratio_by_class: dict[str, float] = {}
 
-    def learn(self, job: Job, seconds: float) -> None:
+    def record_run_time(self, job: Job, seconds: float) -> None:
         """Update the average of a job's class with a finished task.
 
         Args:
@@ -28,9 +28,9 @@
             seconds: The run time of the task.
         """
         ratio = min(MAX_RATIO, max(MIN_RATIO, seconds / job.spec.estimate_s))
-        average = self.ratio.get(job.spec.klass, UNKNOWN_RATIO)
-        self.ratio[job.spec.klass] = average + NEWEST_WEIGHT * (ratio - average)
+        average = self.ratio_by_class.get(job.spec.klass, UNKNOWN_RATIO)
+        self.ratio_by_class[job.spec.klass] = average + NEWEST_WEIGHT * (ratio - average)
 
-    def run_s(self, job: Job) -> float:
+    def expected_run_s(self, job: Job) -> float:
         """Return the expected run time of a task of the job, in seconds."""
-        return job.spec.estimate_s * self.ratio.get(job.spec.klass, UNKNOWN_RATIO)
+        return job.spec.estimate_s * self.ratio_by_class.get(job.spec.klass, UNKNOWN_RATIO)
--- a/src/grebestand/cluster_state/slots.py
+++ b/src/grebestand/cluster_state/slots.py
@@ -18,7 +18,7 @@
     #: Value of running one task; the plan prefers types with a higher value.
     payoff: float
     #: Whether tasks of the type may run on spot machines.
-    spot: bool = True
+    spot_allowed: bool = True
     #: Indices of the allowed machine types, and index of the required zone; None: any.
     machine_types: frozenset[int] | None = None
     zone: int | None = None
--- a/src/grebestand/cluster_state/task_types.py
+++ b/src/grebestand/cluster_state/task_types.py
@@ -30,13 +30,13 @@
 
     #: The rules, followed by the size buckets.
     key: tuple[object, ...]
-    rank: int
+    priority_rank: int
     size: Resources
-    spot: bool
+    spot_allowed: bool
     machine_types: frozenset[int] | None
     zone: int | None
     #: When a job of this type was last added or included in the demand of a plan, in seconds of the leader's clock.
-    seen_at: float
+    last_seen_at: float
 
     @property
     def rules(self) -> TypeRules:
@@ -46,7 +46,7 @@
     def record_job(self, size: Resources, now: float) -> None:
         """Record that a job with tasks of the given size was assigned to this type."""
         self.size = (max(self.size[0], size[0]), max(self.size[1], size[1]), max(self.size[2], size[2]))
-        self.seen_at = now
+        self.last_seen_at = now
 
     def slot(self, payoff: float) -> Slot:
         """Return the slot that represents this type in the greedy plan.
@@ -54,7 +54,7 @@
         Args:
             payoff: The value of running one task of this type.
         """
-        return Slot(self.size, payoff, self.spot, self.machine_types, self.zone)
+        return Slot(self.size, payoff, self.spot_allowed, self.machine_types, self.zone)
 
 
 def size_buckets(size: Resources, steps_per_octave: float) -> tuple[int, ...]:
--- a/src/grebestand/cluster_state/teams.py
+++ b/src/grebestand/cluster_state/teams.py
@@ -34,16 +34,16 @@
     #: Resources of all allocations of the team.
     used: list[int] = field(default_factory=lambda: [0, 0])
     #: Upper bound of the resources used by tasks of the team on unreconciled machines, which are not known yet.
-    unknown: list[int] = field(default_factory=lambda: [0, 0])
+    unreconciled_usage: list[int] = field(default_factory=lambda: [0, 0])
     #: Id of an overdue gang that waits for the team's limit, if any. No other job of the team starts tasks meanwhile,
     #: so that the remaining usage becomes sufficient for the gang.
     limit_reserved_for: str = ""
 
-    def left_to(self, job_id: str) -> bool:
+    def may_use_remaining_limit(self, job_id: str) -> bool:
         """Return whether the job with this id may use what remains of the team's limit."""
         return not self.limit_reserved_for or self.limit_reserved_for == job_id
 
-    def borrows(self) -> bool:
+    def exceeds_guarantee(self) -> bool:
         """Return whether the team's usage exceeds its guarantee."""
         return self.used[0] > self.guaranteed[0] or self.used[1] > self.guaranteed[1]
 
@@ -54,7 +54,7 @@
         """
         allowed = [
             (limit - used - unknown) // need
-            for need, used, unknown, limit in zip(size[:2], self.used, self.unknown, self.limit, strict=True)
+            for need, used, unknown, limit in zip(size[:2], self.used, self.unreconciled_usage, self.limit, strict=True)
             if need > 0 and limit < UNLIMITED
         ]
         return max(0, min(allowed)) if allowed else UNLIMITED_TASKS
--- a/src/grebestand/controller/job_counts.py
+++ b/src/grebestand/controller/job_counts.py
@@ -19,4 +19,4 @@
         if term is None:
             return self.peer_api.leader_counts.get(job_id, (0, 0))
         job = term.registry.jobs.get(job_id)
-        return (job.done_count, job.running()) if job is not None else (0, 0)
+        return (job.done_count, job.running_count()) if job is not None else (0, 0)
--- a/src/grebestand/controller/machine_type_refresh.py
+++ b/src/grebestand/controller/machine_type_refresh.py
@@ -34,7 +34,7 @@
         while True:
             if self.catalog.refresh(record=self.election.state is LeaderState.LEADING):
                 if self.current_term.term is not None:
-                    self.current_term.term.inventory.learn_types(self.catalog.types or [])
+                    self.current_term.term.inventory.set_machine_types(self.catalog.types or [])
                 gevent.sleep(REFRESH_INTERVAL_S + REFRESH_JITTER_S * self.rng.random())
             else:
                 gevent.sleep(FIRST_RETRY_S + self.rng.random() if self.catalog.types is None else RETRY_S)
--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -188,8 +188,8 @@
         """Query unreconciled machines and send urgent stops, each in a greenlet of its own: workers may hang."""
         for machine in term.machine_reconciliation.to_query(now):
             gevent.spawn(term.machine_reconciliation.ask, machine)
-        urgent, term.dispatch.urgent = term.dispatch.urgent, set()
+        urgent, term.dispatch.urgent_machines = term.dispatch.urgent_machines, set()
         for index in urgent:
-            ready = term.inventory.at(index)
+            ready = term.inventory.find_by_index(index)
             if ready is not None and ready.state is MachineState.READY:
                 gevent.spawn(term.machine_reconciliation.send_stops, ready)
--- a/src/grebestand/federation/assignment_records.py
+++ b/src/grebestand/federation/assignment_records.py
@@ -28,13 +28,13 @@
         """Set or clear the assignment in the live record and in the job; return False if the record has changed."""
         key = live_key(job.spec.id)
         accepted_at = self.term.wall() - (self.term.clock() - job.accepted_at)
-        record = LiveJobRecord(job.spec, accepted_at, assignment, job.guest)
+        record = LiveJobRecord(job.spec, accepted_at, assignment, job.is_guest)
         change = put(key, msgspec.to_builtins(record))
-        version, failed = self.term.writer.commit([version_is(key, job.version)], [change], Urgency.ACCEPT)
+        version, failed = self.term.writer.commit([version_is(key, job.record_revision)], [change], Urgency.ACCEPT)
         if failed:
             return False
-        job.version = version
-        job.abroad = assignment
+        job.record_revision = version
+        job.remote_assignment = assignment
         return True
 
     def reread(self, job: Job) -> bool:
@@ -43,14 +43,16 @@
         if found is None:
             return False
         record = msgspec.convert(found.value, LiveJobRecord)
-        job.version, job.abroad = found.version, record.abroad
+        job.record_revision, job.remote_assignment = found.version, record.abroad
         return True
 
     def write_cancellation(self, job: Job) -> bool:
         """Replace the live record by that of a cancelled job; return False if the live record has changed."""
         job_id = job.spec.id
         record = CompletedJobRecord(JobStatus.CANCELLED, 0)
-        _, failed = self.term.writer.commit(*completion_transaction(job_id, job.version, record), Urgency.ACCEPT)
+        _, failed = self.term.writer.commit(
+            *completion_transaction(job_id, job.record_revision, record), Urgency.ACCEPT
+        )
         if failed:
             return False
         self.term.completed_jobs.remember(job_id, record)
--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -214,8 +214,8 @@
         if now - self._zone_loads_at >= LOADS_VALID_S:
             self._zone_loads_at = now
             self._zone_loads = self._measure_zone_loads()
-        if job.zone >= 0:
-            return self._zone_loads.get(job.zone, 1.0)
+        if job.zone_index >= 0:
+            return self._zone_loads.get(job.zone_index, 1.0)
         return min(self._zone_loads.values(), default=1.0)
 
     def _measure_zone_loads(self) -> dict[int, float]:
@@ -223,8 +223,8 @@
         used: dict[int, int] = {}
         capacity: dict[int, int] = {}
         for machine in self.term.inventory.machines:
-            used[machine.zone] = used.get(machine.zone, 0) + machine.used[0]
-            capacity[machine.zone] = capacity.get(machine.zone, 0) + machine.capacity[0]
+            used[machine.zone_index] = used.get(machine.zone_index, 0) + machine.used[0]
+            capacity[machine.zone_index] = capacity.get(machine.zone_index, 0) + machine.capacity[0]
         return {zone: used[zone] / cpus for zone, cpus in capacity.items() if cpus}
 
     def prefer(self, job: Job, capacity: FreeCapacity, age_s: float) -> float:
--- a/src/grebestand/federation/free_capacity.py
+++ b/src/grebestand/federation/free_capacity.py
@@ -38,7 +38,7 @@
 def _price_per_cpu_hour(term: Term, machines: list[Machine]) -> float:
     """Return the average price of a CPU for an hour; 0 without machines of known kinds."""
     all_kinds = term.inventory.machine_types
-    kinds = [all_kinds[machine.kind] for machine in machines if machine.kind in all_kinds]
+    kinds = [all_kinds[machine.type_index] for machine in machines if machine.type_index in all_kinds]
     cpus = sum(kind.cpus for kind in kinds)
     # paired by position, which is exact only while every machine's kind is known; the price is a hint for others
     pairs = zip(kinds, machines, strict=False)
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -135,7 +135,7 @@
             job = term.registry.jobs.get(record.job)
             if job is not None:
                 # home's operators may have declared this cluster lost meanwhile: it starts when home asks about it
-                job.guest = job.origin_silent = True
+                job.is_guest = job.origin_silent = True
 
     # messages ---------------------------------------------------------------------------------------------
 
@@ -174,7 +174,7 @@
         registry = self.term.registry
         team = registry.team_names.find(self.limits.team)
         job = self._guest_job(request.spec, now)
-        if team is None or registry.teams[team].headroom(job.size) < request.spec.tasks:
+        if team is None or registry.teams[team].headroom(job.task_size) < request.spec.tasks:
             return Rejection("the guests' limit is used up")
         machines = self.term.scheduler.gangs.machines_for(job, now)
         if machines is None:
@@ -220,9 +220,9 @@
             priority=max(spec.priority, self.limits.priority, key=PRIORITIES.index),
         )
         registry = self.term.registry
-        job = Job(guest_spec, 0, now, registry.team_names.index(guest_spec.team))
-        job.image = registry.image(guest_spec.image, guest_spec.image_gb)
-        job.type = registry.classify(job, now)
+        job = Job(guest_spec, 0, now, registry.team_names.intern(guest_spec.team))
+        job.image_index = registry.image_index(guest_spec.image, guest_spec.image_gb)
+        job.type_index = registry.classify(job, now)
         return job
 
     def _commit(self, commit: Commit) -> Reply:
@@ -278,14 +278,14 @@
         job = self.term.registry.jobs.get(record.job)
         if job is not None and job.origin_silent:
             job.origin_silent = False
-            self.term.registry.changed = True
+            self.term.registry.changed_since_scheduling = True
         return self._status(record)
 
     def _status(self, record: GuestRecord) -> Reply:
         """Return a guest's status by the registry, and by the stored record once the job has ended."""
         job = self.term.registry.jobs.get(record.job)
-        if job is not None and job.live:
-            return Running(job.running())
+        if job is not None and job.is_live:
+            return Running(job.running_count())
         done = self._ended_as_done(record)
         if done is None:
             return UncertainReply("its end is being recorded")
@@ -347,7 +347,7 @@
         self.reservations.release_expired(now)
         for record in list(self.records.values()):
             job = self.term.registry.jobs.get(record.job)
-            if job is not None and job.live:
+            if job is not None and job.is_live:
                 self._pause_if_home_is_silent(record, job, now)
                 self._give_back_if_without_capacity(record, job, now)
 
@@ -357,9 +357,9 @@
             log.info(LogEvent("guest_home_silent", job_id=record.ref, home=record.home))
 
     def _give_back_if_without_capacity(self, record: GuestRecord, job: Job, now: float) -> None:
-        if job.allocations or job.origin_silent or job.startable() != job.spec.tasks:
+        if job.allocations or job.origin_silent or job.startable_count() != job.spec.tasks:
             return
-        wait_s = now - job.wait_since
+        wait_s = now - job.waiting_since
         if wait_s <= self.limits.give_back_s:
             return
         log.info(LogEvent("guest_returned", job_id=record.ref, home=record.home, reason="no capacity", wait_s=wait_s))
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -115,8 +115,8 @@
 
     def _resume(self) -> None:
         for job in self.term.registry.jobs.values():
-            if job.abroad is not None:
-                gang = self.gangs[job.spec.id] = RemoteGang(job, assignment=job.abroad)
+            if job.remote_assignment is not None:
+                gang = self.gangs[job.spec.id] = RemoteGang(job, assignment=job.remote_assignment)
                 # whether the commit was ever sent is not on record: it is sent again, which is idempotent
                 self.move(gang, HomeState.COMMITTED, "on record")
 
@@ -135,10 +135,10 @@
         gang.state = new
         job.runs_remotely = new in AWAY_STATES
         if new is HomeState.WAITING:
-            gang.assignment = job.abroad = None
-            job.abroad_running = 0
+            gang.assignment = job.remote_assignment = None
+            job.remote_running_count = 0
             gang.next_step_at = self.term.clock() + self._offer_pause_s(gang)
-            self.term.registry.changed = True
+            self.term.registry.changed_since_scheduling = True
         elif new is HomeState.OVER:
             self.gangs.pop(job_id, None)
 
@@ -195,11 +195,11 @@
 
     def _advance_by_state(self, gang: RemoteGang) -> None:
         job = gang.job
-        if gang.state in (HomeState.COMMITTED, HomeState.ABROAD) and job.abroad is None and job.live:
+        if gang.state in (HomeState.COMMITTED, HomeState.ABROAD) and job.remote_assignment is None and job.is_live:
             self.move(gang, HomeState.RETURNING, "settled by its operators")
             self.move(gang, HomeState.WAITING, "settled by its operators")
             self.settled.read()
-        elif not job.live and gang.state in (HomeState.WAITING, HomeState.OFFERED):
+        elif not job.is_live and gang.state in (HomeState.WAITING, HomeState.OFFERED):
             self._release(gang)
             self.move(gang, HomeState.OVER, "it is over at home")
         elif gang.state is HomeState.DECIDING:
@@ -261,7 +261,7 @@
         """Assign the gang to one cluster, unless it can start at home by now."""
         job = gang.job
         chosen = next(iter(gang.reservations), None)
-        if chosen is None or job.allocations or not job.live or job.startable() != job.spec.tasks:
+        if chosen is None or job.allocations or not job.is_live or job.startable_count() != job.spec.tasks:
             self._release(gang)
             self.move(gang, HomeState.WAITING, "no capacity elsewhere" if chosen is None else "it starts at home")
             return
@@ -292,10 +292,10 @@
         """Adopt a live record that differs: a user's cancellation came first, or an earlier write was made."""
         if not self.records.reread(gang.job):
             self.move(gang, HomeState.OVER, "it was cancelled first")
-        elif gang.job.abroad is None:
+        elif gang.job.remote_assignment is None:
             self.move(gang, HomeState.WAITING, "on record")
         else:
-            gang.assignment = gang.job.abroad
+            gang.assignment = gang.job.remote_assignment
             if gang.state is HomeState.DECIDING:
                 self.move(gang, HomeState.COMMITTED, "on record")
 
@@ -330,7 +330,7 @@
         reply = self.remotes.ask(cluster, message)
         self._record_certainty(gang, reply)
         if isinstance(reply, Running):
-            gang.job.abroad_running = reply.running
+            gang.job.remote_running_count = reply.running
             if gang.state is HomeState.COMMITTED:
                 self.move(gang, HomeState.ABROAD, f"{cluster.name} runs it")
         elif isinstance(reply, Ended | Rejection):
@@ -368,8 +368,8 @@
         now = self.term.clock()
         for index in range(job.spec.tasks):
             self.term.registry.mark_done(job, index, now)
-        if job.live:
-            self.term.registry.move_job(job, JobState.CLOSING, now)
+        if job.is_live:
+            self.term.registry.change_job_state(job, JobState.CLOSING, now)
         self.move(gang, HomeState.OVER, "done")
 
     def _cancel(self, gang: RemoteGang) -> None:
@@ -384,7 +384,7 @@
         """Let the others remove their records of reservations that home's live records no longer name."""
         for ended in list(self._ended_reservations):
             job = self.term.registry.jobs.get(ended.job_id)
-            if job is not None and job.abroad is not None:
+            if job is not None and job.remote_assignment is not None:
                 continue  # its end is not on record yet
             self._ended_reservations.remove(ended)
             cluster = self.remotes.by_name.get(ended.cluster)
--- a/src/grebestand/federation/offering.py
+++ b/src/grebestand/federation/offering.py
@@ -43,13 +43,13 @@
     def eligible(self, job: Job, now: float) -> bool:
         """Return whether a gang may be offered: it waits whole at home, for longer than the operators' expression."""
         return (
-            job.gang
-            and job.live
+            job.is_gang
+            and job.is_live
             and not job.runs_remotely
-            and not job.guest
+            and not job.is_guest
             and job.spec.zone is None
             and not job.allocations
-            and job.startable() == job.spec.tasks
+            and job.startable_count() == job.spec.tasks
             and now - job.accepted_at >= self.limits.overflow_after_s(job, now)
         )
 
--- a/src/grebestand/federation/reservations.py
+++ b/src/grebestand/federation/reservations.py
@@ -88,7 +88,7 @@
             for machine in reservation.machines:
                 if machine.reserved_for == reservation.job:
                     machine.reserved_for = None
-            self.term.registry.changed = True
+            self.term.registry.changed_since_scheduling = True
 
     def release_expired(self, now: float) -> None:
         """Release the reservations whose time is over, except those whose gang is being taken in."""
--- a/src/grebestand/heartbeats/commands.py
+++ b/src/grebestand/heartbeats/commands.py
@@ -25,7 +25,7 @@
         self.registry = registry
         self.sketches = sketches
 
-    def commands(self, machine: Machine, heartbeat: Heartbeat, now: float, starts: bool = True) -> list[Command]:
+    def build_commands(self, machine: Machine, heartbeat: Heartbeat, now: float, starts: bool = True) -> list[Command]:
         """Return the commands for the response to a machine's newest heartbeat.
 
         Start commands are sent only in such responses, and only to machines with a durable record.
@@ -77,7 +77,7 @@
     def needs_grant(machine: Machine) -> bool:
         """Return whether the machine has a queued allocation that its job's durable grant does not include yet."""
         return any(
-            allocation.state is AllocationState.QUEUED and not allocation.job.covers(allocation)
+            allocation.state is AllocationState.QUEUED and not allocation.job.grant_covers(allocation)
             for allocation in machine.allocations.values()
         )
 
@@ -85,7 +85,7 @@
     def requested_stops(machine: Machine) -> list[Command]:
         """Return a stop command for each allocation of the machine with a requested stop."""
         return [
-            Command("stop", allocation.name, allocation.attempt, allocation.grace)
+            Command("stop", allocation.name, allocation.attempt, allocation.stop_grace_s)
             for allocation in machine.allocations.values()
             if allocation.stop_reason is not None
         ]
@@ -102,7 +102,7 @@
             if allocation.stop_reason is None:
                 continue
             if (allocation.name, allocation.attempt) not in stopped:
-                commands.append(Command("stop", allocation.name, allocation.attempt, allocation.grace))
+                commands.append(Command("stop", allocation.name, allocation.attempt, allocation.stop_grace_s))
             allocation.stop_sent_at = now
 
     def _add_starts(self, machine: Machine, heartbeat: Heartbeat, commands: list[Command], now: float) -> None:
@@ -116,22 +116,22 @@
                 or (allocation.state is AllocationState.SENT and allocation.sent_sequence == START_LOST)
             ):
                 continue
-            if not allocation.job.covers(allocation):
+            if not allocation.job.grant_covers(allocation):
                 continue  # after a failover, the next leader would not know that the machine may run the task
-            if allocation.held and self._waits_for_images(allocation.job):
+            if allocation.held_for_gang_images and self._waits_for_images(allocation.job):
                 continue
             self._record_start(machine, allocation, heartbeat, now)
             commands.append(Command("start", allocation.name, allocation.attempt))
 
     def _record_start(self, machine: Machine, allocation: Allocation, heartbeat: Heartbeat, now: float) -> None:
         """Record that the response to a heartbeat carries the allocation's start command, and the delays until then."""
-        self.registry.move_allocation(allocation, AllocationState.SENT, now)
+        self.registry.change_allocation_state(allocation, AllocationState.SENT, now)
         allocation.record_start_command(heartbeat.epoch, heartbeat.sequence, now)
         job = allocation.job
         self.sketches.add("room to start", now - max(machine.freed_at, job.accepted_at))
         self.sketches.add("decision to start", now - allocation.decided_at)
-        if job.gang_start is not None:
-            job.gang_start.sent = now
+        if job.gang_start_timeline is not None:
+            job.gang_start_timeline.start_sent_at = now
 
     @staticmethod
     def _waits_for_images(job: Job) -> bool:
@@ -139,7 +139,10 @@
 
         A held-back task that started now would only wait for the other tasks.
         """
-        return any(not allocation.held and allocation.state in _BEFORE_IMAGE for allocation in job.allocations.values())
+        return any(
+            not allocation.held_for_gang_images and allocation.state in _BEFORE_IMAGE
+            for allocation in job.allocations.values()
+        )
 
     def _may_forget(self, status: TaskStatus) -> bool:
         """Return whether a worker may forget a task that has exited.
--- a/src/grebestand/heartbeats/reconciliation.py
+++ b/src/grebestand/heartbeats/reconciliation.py
@@ -49,10 +49,10 @@
     #: before the last response arrived.
     solicited: bool
     #: Whether the heartbeat is certain to be from after the worker's last restart.
-    proven: bool
+    proven_current: bool
     #: Whether the machine was silent before the heartbeat. Its worker may be trying other controllers, since it
     #: receives no responses.
-    rarely_heard: bool
+    was_silent: bool
 
 
 class HeartbeatReconciler:
@@ -76,7 +76,7 @@
         #: Fencing token of the current term.
         self.token = dispatch.token
 
-    def read(self, heartbeat: Heartbeat, now: float, solicited: bool) -> Machine | None:
+    def reconcile(self, heartbeat: Heartbeat, now: float, solicited: bool) -> Machine | None:
         """Reconcile one heartbeat with the cluster state.
 
         Results of tasks are accepted from any heartbeat, since they never change. Everything else is accepted only from
@@ -102,7 +102,7 @@
             self.tasks.apply_results(machine, heartbeat, now)
             return self._handle_unusable(machine, heartbeat, newer, current_term, now)
         # a heartbeat that is not above the counts reached before the last restart may be a delayed copy from then
-        proven = solicited or (epoch, sequence) > machine.previous_epoch_end
+        proven = solicited or (epoch, sequence) > machine.pre_restart_bound
         if not proven and machine.epoch and epoch != machine.epoch:
             self.tasks.apply_results(machine, heartbeat, now)
             self.inventory.to_query.add(machine.index)
@@ -116,10 +116,10 @@
         if machine.state is not MachineState.READY:
             self._record_sign_of_life(machine, now)
         if not solicited and silence_s < self.inventory.lease_s:
-            self.sketches.add("late report", silence_s - self.inventory.report_s)
+            self.sketches.add("late report", silence_s - self.inventory.heartbeat_interval_s)
         absent = self._apply_task_states(machine, heartbeat, now)
         if absent:
-            rarely_heard = silence_s > SILENT_AFTER_INTERVALS * self.inventory.report_s
+            rarely_heard = silence_s > SILENT_AFTER_INTERVALS * self.inventory.heartbeat_interval_s
             self._handle_absent(machine, heartbeat, absent, Evidence(solicited, proven, rarely_heard), now)
         if machine.state is MachineState.UNRECONCILED:
             self._reconcile_machine(machine, heartbeat, now)
@@ -127,7 +127,7 @@
             self._begin_reclaim(machine, heartbeat.notice_s, now)
         return machine
 
-    def restarted(self, machine: Machine, epoch: int, now: float) -> None:
+    def record_worker_restart(self, machine: Machine, epoch: int, now: float) -> None:
         """Record that a worker has restarted, so that its epochs and sequence numbers start over.
 
         The caller reconciles the answer that showed the restart afterwards, which lists the tasks on the machine. No
@@ -153,10 +153,10 @@
             return machine
         if self.inventory.was_deleted(heartbeat.machine, now):
             return None
-        machine = self.inventory.add(
+        machine = self.inventory.add_machine(
             heartbeat.machine, heartbeat.addr, heartbeat.type, heartbeat.zone, heartbeat.spot, now
         )
-        machine.has_seen_no_term = not heartbeat.token
+        machine.joined_without_token = not heartbeat.token
         log.info(LogEvent("machine_discovered", machine=machine.name, type=heartbeat.type, zone=heartbeat.zone))
         return machine
 
@@ -188,8 +188,8 @@
         # If the machine was answered within the last lease, either that response was lost, or this heartbeat is a
         # delayed copy from before a restart, with epochs that this leader has not seen. Accepting a delayed copy would
         # end the allocations of running tasks and start the tasks a second time.
-        answered_within_lease = machine.state is not MachineState.LEASE_EXPIRED and not self.inventory.lease_expired(
-            machine, now
+        answered_within_lease = (
+            machine.state is not MachineState.LEASE_EXPIRED and not self.inventory.has_lease_expired(machine, now)
         )
         return not (machine.allocations and answered_within_lease)
 
@@ -228,7 +228,7 @@
                 machine.record_heartbeat(heartbeat, machine.token, now)
                 return machine
             # the worker has acknowledged the current token, which a worker forgets only by a restart
-            machine.close_previous_epoch()
+            machine.update_pre_restart_bound()
         # a delayed copy, or a heartbeat from after a restart: only the answer to a direct query shows which
         self.inventory.to_query.add(machine.index)
         return None
@@ -252,9 +252,9 @@
     def _record_sign_of_life(self, machine: Machine, now: float) -> None:
         """Change the state of a machine that is not READY and has sent a valid heartbeat."""
         if machine.state is MachineState.LEASE_EXPIRED:
-            self.inventory.move(machine, MachineState.READY if machine.recorded else MachineState.NEW, now)
+            self.inventory.change_state(machine, MachineState.READY if machine.recorded else MachineState.NEW, now)
         elif machine.state is MachineState.SUSPECT or (machine.state is MachineState.NEW and machine.recorded):
-            self.inventory.move(machine, MachineState.READY, now)
+            self.inventory.change_state(machine, MachineState.READY, now)
 
     def _end_allocations_before(self, machine: Machine, epoch: int, now: float) -> None:
         """End the allocations that were sent in earlier epochs.
@@ -310,18 +310,18 @@
                 if not self._start_was_lost(allocation, heartbeat, evidence.solicited, now):
                     continue
                 start_lost = True
-                if allocation.stop_reason is None and allocation.job.live:
-                    self.registry.move_allocation(allocation, AllocationState.SENT, now)
+                if allocation.stop_reason is None and allocation.job.is_live:
+                    self.registry.change_allocation_state(allocation, AllocationState.SENT, now)
                     allocation.record_lost_start()
                     continue
-            if evidence.proven:
+            if evidence.proven_current:
                 reason = "never started" if allocation.state is AllocationState.SENT else "vanished"
                 self.tasks.end_allocation(machine, allocation, reason, now)
             else:
                 # the heartbeat may be a delayed copy from before a restart, when the task had not started yet
                 self.inventory.to_query.add(machine.index)
         if start_lost:
-            missed = MISSED_RESPONSES_BEFORE_SUSPICION if evidence.rarely_heard else 1
+            missed = MISSED_RESPONSES_BEFORE_SUSPICION if evidence.was_silent else 1
             self.inventory.record_missed_response(machine, "start commands had no effect", now, missed)
 
     @staticmethod
@@ -340,7 +340,7 @@
         # the worker can have received the current token only with a response of this term
         self.inventory.confirm_reception(machine, now)
         if not self._runs_unknown_tasks(machine, heartbeat):
-            self.inventory.move(machine, MachineState.READY, now)
+            self.inventory.change_state(machine, MachineState.READY, now)
 
     def _begin_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
         """Stop the tasks on a machine after the provider has announced to reclaim it in `notice_s` seconds."""
--- a/src/grebestand/heartbeats/task_reconciliation.py
+++ b/src/grebestand/heartbeats/task_reconciliation.py
@@ -76,7 +76,7 @@
                 self._apply_completion(machine, job, index, allocation, now)
             elif allocation is not None:
                 self._apply_failure(machine, job, allocation, status, now)
-        elif index not in job.allocations and job.live and not job.is_done(index):
+        elif index not in job.allocations and job.is_live and not job.is_done(index):
             allocation = self._adopt(machine, job, index, status.attempt, now)
             allocation.reported_sequence = machine.sequence
             self.apply_state(machine, allocation, REPORTED_STATES[status.state], now)
@@ -86,14 +86,14 @@
         job = allocation.job
         if allocation.state is AllocationState.SENT:
             self.inventory.confirm_reception(machine, now)
-        self.registry.move_allocation(allocation, state, now)
-        timeline = job.gang_start
+        self.registry.change_allocation_state(allocation, state, now)
+        timeline = job.gang_start_timeline
         if timeline is not None and timeline.attempt == allocation.attempt:
             self._record_gang_stage(job, timeline, state, now)
         if state is AllocationState.RUNNING:
             self._log_job_start(job, now)
         if state is not AllocationState.FETCHING:
-            self.inventory.note_image(machine, job.image, job.spec.image_gb)
+            self.inventory.record_image(machine, job.image_index, job.spec.image_gb)
             if allocation.keeps_fetching:
                 self.dispatch.stop(allocation, "gang broken", 0.0, now)
 
@@ -104,7 +104,7 @@
             log.debug(LogEvent("allocation_ended", task=allocation.name, machine=machine.name, reason=reason))
         was_queued = allocation.state is AllocationState.QUEUED
         self.inventory.release(machine, allocation, now)
-        if job.gang and job.live and not was_queued and job.allocations:
+        if job.is_gang and job.is_live and not was_queued and job.allocations:
             self._stop_rest_of_gang(machine, allocation, reason, now)
 
     # states -----------------------------------------------------------------------------------------------
@@ -121,8 +121,8 @@
     @staticmethod
     def _log_job_start(job: Job, now: float) -> None:
         """Log the start of a job once: of an array with its first task, of a gang once all its tasks run."""
-        if not job.begun and (not job.gang or job.done_count or job.running() == job.spec.tasks):
-            job.begun = True
+        if not job.start_logged and (not job.is_gang or job.done_count or job.running_count() == job.spec.tasks):
+            job.start_logged = True
             log.info(
                 LogEvent(
                     "job_started",
@@ -137,19 +137,19 @@
     def _record_gang_stage(job: Job, timeline: GangStartTimeline, state: AllocationState, now: float) -> None:
         """Record the stage that a gang's start has reached; once all its tasks run, log how long each stage took."""
         if state is AllocationState.FETCHING:
-            timeline.reported = now
-        elif state is AllocationState.RUNNING and job.running() == job.spec.tasks:
-            job.gang_start = None
-            reported = max(timeline.reported, timeline.sent)
+            timeline.reported_at = now
+        elif state is AllocationState.RUNNING and job.running_count() == job.spec.tasks:
+            job.gang_start_timeline = None
+            reported = max(timeline.reported_at, timeline.start_sent_at)
             log.info(
                 LogEvent(
                     "gang_started",
                     job_id=job.spec.id,
                     tasks=job.spec.tasks,
-                    placement_s=timeline.placed - timeline.room,
-                    grant_s=timeline.covered - timeline.placed,
-                    dispatch_s=timeline.sent - max(timeline.covered, timeline.placed),
-                    heartbeat_s=reported - timeline.sent,
+                    placement_s=timeline.placed_at - timeline.capacity_free_since,
+                    grant_s=timeline.grant_durable_at - timeline.placed_at,
+                    dispatch_s=timeline.start_sent_at - max(timeline.grant_durable_at, timeline.placed_at),
+                    heartbeat_s=reported - timeline.start_sent_at,
                     image_s=now - reported,
                 )
             )
@@ -169,8 +169,8 @@
             now: The current time, in seconds.
         """
         if allocation is not None:
-            if allocation.run_at is not None and job.spec.estimate_s > 0:
-                self.run_times.learn(job, now - allocation.run_at)
+            if allocation.running_since is not None and job.spec.estimate_s > 0:
+                self.run_times.record_run_time(job, now - allocation.running_since)
             self.stragglers.record_run_time(machine, allocation, now)
             self.inventory.release(machine, allocation, now)
         machine.record_success()
@@ -178,7 +178,7 @@
 
     def _mark_done(self, job: Job, index: int, now: float) -> None:
         """Mark a task of a live job as done, or all tasks of a gang, which complete together."""
-        if not job.live:
+        if not job.is_live:
             return
         if job.spec.kind is Kind.GANG:
             for gang_index in range(job.spec.tasks):
@@ -187,8 +187,8 @@
             self.registry.mark_done(job, index, now)
             job.unsaved_chunks.setdefault(index // self.registry.chunk_bits, now)
         self._log_job_start(job, now)
-        if job.unfinished() == 0:
-            self.registry.move_job(job, JobState.CLOSING, now)
+        if job.unfinished_count() == 0:
+            self.registry.change_job_state(job, JobState.CLOSING, now)
 
     def _apply_failure(
         self, machine: Machine, job: Job, allocation: Allocation, status: TaskStatus, now: float
@@ -196,13 +196,13 @@
         """End the allocation of a task that exited without being done, and handle the exit reason."""
         reason = status.why
         if reason is ExitReason.ERROR:
-            ran_s = now - allocation.run_at if allocation.run_at is not None else 0.0
+            ran_s = now - allocation.running_since if allocation.running_since is not None else 0.0
             self.health.record_failure(machine, job, ran_s, now)
         elif reason is ExitReason.NO_ROOM:
             # tasks that the leader does not know of use the machine's capacity, so wait for the next heartbeat
-            machine.block_until(now + self.inventory.report_s)
+            machine.block_until(now + self.inventory.heartbeat_interval_s)
         elif reason is ExitReason.UNKNOWN:
-            job.retry_at = max(job.retry_at, now + UNKNOWN_JOB_INTERVALS * self.inventory.report_s)
+            job.retry_at = max(job.retry_at, now + UNKNOWN_JOB_INTERVALS * self.inventory.heartbeat_interval_s)
         elif reason is ExitReason.STOPPED and status.saved:
             job.record_progress()
         if reason in (ExitReason.BUSY, ExitReason.NO_ROOM, ExitReason.UNKNOWN, ExitReason.ALONE):
@@ -234,7 +234,7 @@
         if reason != ExitReason.ALONE.value or allocation.state is not AllocationState.FETCHING:
             return False
         allocation.keeps_fetching = True
-        for needed in (machine, self.inventory.at(allocation.machine)):
+        for needed in (machine, self.inventory.find_by_index(allocation.machine_index)):
             if needed is not None and needed.reserved_for is None:
                 needed.reserve(allocation.job.spec.id, now + RESERVED_WHILE_FETCHING_S)
         return True
--- a/src/grebestand/leader/deprovisioning.py
+++ b/src/grebestand/leader/deprovisioning.py
@@ -160,7 +160,7 @@
             machine = self.inventory.by_name.get(name)
             if machine is not None:
                 self.machine_records.pages.drop(name, soon=True)
-                self.inventory.move(machine, MachineState.GONE, now)
+                self.inventory.change_state(machine, MachineState.GONE, now)
             self._missing_lists.pop(name, None)
         self.machine_reconciliation.check(now)
         log.info(LogEvent("machines_returned", machines=names))
--- a/src/grebestand/leader/durable_grants.py
+++ b/src/grebestand/leader/durable_grants.py
@@ -77,13 +77,13 @@
 
         A machine without a record was deleted, and a job without a grant was never started.
         """
-        job.granted_below = record.hi
+        job.granted_tasks_below = record.hi
         holders: set[int] | None = None
-        job.granted = None
+        job.granted_machines = None
         if record.machines is not None:
             named = (self.inventory.by_name.get(name) for name in record.machines)
             holders = {machine.index for machine in named if machine is not None}
-            job.granted = set(holders)
+            job.granted_machines = set(holders)
         self.registry.add_possible_holders(job, holders, min(record.hi, job.spec.tasks))
 
     def write(self) -> None:
@@ -100,11 +100,11 @@
             StoreError: the store could not be reached; the jobs are kept for the next write.
         """
         with self._write_lock:
-            jobs, self.dispatch.to_cover = self.dispatch.to_cover, {}
+            jobs, self.dispatch.jobs_awaiting_grant = self.dispatch.jobs_awaiting_grant, {}
             due = [
                 job
                 for job in jobs.values()
-                if job.live and any(not job.covers(allocation) for allocation in job.allocations.values())
+                if job.is_live and any(not job.grant_covers(allocation) for allocation in job.allocations.values())
             ]
             updates = [self._widened(job) for job in due]
             if not updates:
@@ -114,7 +114,7 @@
             try:
                 self.pages.save(Urgency.ACCEPT)
             except BaseException:
-                self.dispatch.to_cover.update(jobs)
+                self.dispatch.jobs_awaiting_grant.update(jobs)
                 raise
             now = self.clock()
             for job, record, machines in updates:
@@ -122,13 +122,13 @@
 
     @staticmethod
     def _record_written(job: Job, record: GrantRecord, machines: set[int], now: float) -> None:
-        if job.gang_start is not None:
-            job.gang_start.covered = now
-        job.granted_below = max(job.granted_below, record.hi)
-        if record.machines is None or job.granted is None:
-            job.granted = None
+        if job.gang_start_timeline is not None:
+            job.gang_start_timeline.grant_durable_at = now
+        job.granted_tasks_below = max(job.granted_tasks_below, record.hi)
+        if record.machines is None or job.granted_machines is None:
+            job.granted_machines = None
         else:
-            job.granted |= machines
+            job.granted_machines |= machines
 
     def conserve_writes(self) -> None:
         """Grant arrays whole for a while, as more important records wait for the rate limit of writes."""
@@ -136,7 +136,7 @@
 
     def cover(self) -> None:
         """Write grants ahead of the heartbeats that fetch the starts, so that no worker has to wait."""
-        if self.dispatch.to_cover:
+        if self.dispatch.jobs_awaiting_grant:
             self.covering().join()
 
     def covering(self) -> gevent.Greenlet:
@@ -149,25 +149,30 @@
         try:
             self.write()
         except (StoreError, FencedError) as error:
-            # the jobs stay in `dispatch.to_cover`, and their starts wait for the next write
+            # the jobs stay in `dispatch.jobs_awaiting_grant`, and their starts wait for the next write
             log.info(LogEvent("grant_write_failed", error=error))
 
     def _widened(self, job: Job) -> GrantUpdate:
         """Return a job's grant, widened for its queued tasks."""
-        if not job.gang and self.clock() < self._whole_until:
+        if not job.is_gang and self.clock() < self._whole_until:
             return GrantUpdate(job, GrantRecord(job.spec.tasks, None), set())
-        queued = [allocation for allocation in job.allocations.values() if not job.covers(allocation)]
-        machines = {allocation.machine for allocation in queued} | (job.granted or set())
-        granted_below = max([job.granted_below, *(allocation.index + 1 for allocation in queued)])
-        if granted_below > job.granted_below:
+        queued = [allocation for allocation in job.allocations.values() if not job.grant_covers(allocation)]
+        machines = {allocation.machine_index for allocation in queued} | (job.granted_machines or set())
+        granted_below = max([job.granted_tasks_below, *(allocation.task_index + 1 for allocation in queued)])
+        if granted_below > job.granted_tasks_below:
             granted_below = min(
                 job.spec.tasks, granted_below + max(MIN_GRANTED_AHEAD, granted_below // GRANTED_AHEAD_SHARE)
             )
-        if job.granted and not job.gang and len(machines) > MAX_NAMED_MACHINES:
+        if job.granted_machines and not job.is_gang and len(machines) > MAX_NAMED_MACHINES:
             # tasks of a wide array reach ever more machines, each of which would cost a write
             return GrantUpdate(job, GrantRecord(granted_below, None), set())
-        known = [machine for machine in (self.inventory.at(index) for index in machines) if machine is not None]
+        known = [
+            machine for machine in (self.inventory.find_by_index(index) for index in machines) if machine is not None
+        ]
         record = GrantRecord(granted_below, sorted(machine.name for machine in known))
-        if job.granted is None or len(msgspec.json.encode(record)) > self.writer.value_bytes // MAX_VALUE_SHARE:
+        if (
+            job.granted_machines is None
+            or len(msgspec.json.encode(record)) > self.writer.value_bytes // MAX_VALUE_SHARE
+        ):
             record.machines = None
         return GrantUpdate(job, record, {machine.index for machine in known})
--- a/src/grebestand/leader/heartbeat_handler.py
+++ b/src/grebestand/leader/heartbeat_handler.py
@@ -111,7 +111,7 @@
             return None
         self.validate(heartbeat)
         now = self.clock()
-        machine = self.context.reconciler.read(heartbeat, now, solicited=False)
+        machine = self.context.reconciler.reconcile(heartbeat, now, solicited=False)
         if self._must_not_renew(machine or self.inventory.by_name.get(heartbeat.machine), now):
             return None
         if machine is None:
@@ -149,7 +149,9 @@
         starts = self._may_start()
         # a heartbeat with an older token may be incomplete or outdated: only stops of unwanted tasks follow from it
         current = machine.token == self.token
-        commands = builder.commands(machine, heartbeat, now, starts) if current else builder.unwanted_stops(heartbeat)
+        commands = (
+            builder.build_commands(machine, heartbeat, now, starts) if current else builder.unwanted_stops(heartbeat)
+        )
         machine.last_response_at = now
         return HeartbeatResponse(self.token, commands)
 
--- a/src/grebestand/leader/job_audit.py
+++ b/src/grebestand/leader/job_audit.py
@@ -61,7 +61,7 @@
         now = self.clock()
         quiet = []
         for job in list(self.registry.jobs.values()):
-            if job.live:
+            if job.is_live:
                 self._check_job(job, now)
                 if self._is_quiet(job, now):
                     quiet.append(job)
@@ -81,8 +81,8 @@
 
     @staticmethod
     def _is_quiet(job: Job, now: float) -> bool:
-        quiet_s = now - max(job.started_at, job.wait_since)
-        return quiet_s > QUIET_S and not job.possible_holders and job.waiting() > 0
+        quiet_s = now - max(job.last_allocation_at, job.waiting_since)
+        return quiet_s > QUIET_S and not job.possible_holders and job.waiting_count() > 0
 
     def _check_job(self, job: Job, now: float) -> None:
         for allocation in list(job.allocations.values()):
@@ -96,15 +96,17 @@
             job.possible_holders.discard(index)
 
     def _check_allocation(self, job: Job, allocation: Allocation, now: float) -> None:
-        machine = self.inventory.at(allocation.machine)
+        machine = self.inventory.find_by_index(allocation.machine_index)
         if machine is None:
-            self._log_defect(job, f"task {allocation.index} is allocated to a machine that is gone")
-            self.registry.move_allocation(allocation, AllocationState.GONE, now)
+            self._log_defect(job, f"task {allocation.task_index} is allocated to a machine that is gone")
+            self.registry.change_allocation_state(allocation, AllocationState.GONE, now)
         elif allocation.name not in machine.allocations:
-            self._log_defect(job, f"{machine.name} lacks the allocation of task {allocation.index}")
+            self._log_defect(job, f"{machine.name} lacks the allocation of task {allocation.task_index}")
             self.inventory.add_allocation(machine, allocation)  # the next heartbeat says whether the task is there
         elif machine.state is MachineState.LEASE_EXPIRED:
-            self._log_defect(job, f"task {allocation.index} is allocated to {machine.name}, whose lease has expired")
+            self._log_defect(
+                job, f"task {allocation.task_index} is allocated to {machine.name}, whose lease has expired"
+            )
             self.inventory.release(machine, allocation, now)
         elif (
             allocation.state in (AllocationState.QUEUED, AllocationState.SENT)
@@ -113,16 +115,16 @@
             self.inventory.to_query.add(machine.index)  # only the machine itself can explain it
 
     def _is_unreconciled(self, index: int) -> bool:
-        machine = self.inventory.at(index)
+        machine = self.inventory.find_by_index(index)
         return machine is not None and machine.state is MachineState.UNRECONCILED
 
     def _check_waiting_tasks(self, job: Job) -> None:
         """Check that every waiting task is either listed as returned or beyond the cursor of fresh tasks."""
-        if job.gang:
+        if job.is_gang:
             return  # allocated as a whole, by its number of tasks
         returned = {
             index
-            for index in job.returned
+            for index in job.requeued_tasks
             if index < job.first_unallocated and not job.is_done(index) and index not in job.allocations
         }
         fresh = sum(
@@ -130,14 +132,14 @@
             for index in range(job.first_unallocated, job.spec.tasks)
             if not job.is_done(index) and index not in job.allocations
         )
-        if len(returned) + fresh < job.waiting():
+        if len(returned) + fresh < job.waiting_count():
             self._log_defect(job, "some of its waiting tasks are not listed")
             seen = range(job.first_unallocated)
             # the last one is taken first, so that the order of tasks is kept
-            job.returned = [
+            job.requeued_tasks = [
                 index for index in reversed(seen) if not job.is_done(index) and index not in job.allocations
             ]
-            self.registry.changed = True
+            self.registry.changed_since_scheduling = True
 
     # against the records ----------------------------------------------------------------------------------
 
@@ -154,7 +156,9 @@
         if missing:
             # most likely cancelled between the last answer of the watch and this page
             self.job_watch.catch_up()
-            missing = [job_id for job_id in missing if job_id in self.registry.jobs and self.registry.jobs[job_id].live]
+            missing = [
+                job_id for job_id in missing if job_id in self.registry.jobs and self.registry.jobs[job_id].is_live
+            ]
         for job_id in (unknown + missing)[:MAX_RECORDS_REREAD]:
             self._read_again(job_id)
 
@@ -172,8 +176,8 @@
         return [
             job_id
             for job_id, job in self.registry.jobs.items()
-            if job.live
-            and job.version <= known_to_both
+            if job.is_live
+            and job.record_revision <= known_to_both
             and after < live_key(job_id) <= up_to
             and live_key(job_id) not in listed
         ]
@@ -184,7 +188,7 @@
         now = self.clock()
         job = self.registry.jobs.get(job_id)
         if found is None:
-            if job is not None and job.live:
+            if job is not None and job.is_live:
                 self._log_defect(job, "it has no record any more")
                 self.job_watch.removed(job_id, now)
             return
@@ -204,6 +208,6 @@
         have to be reconciled first.
         """
         job.retry_at = now + DELAY_LEASES * self.inventory.lease_s
-        unreconciled = {machine.index for machine in self.inventory.unreconciled()}
+        unreconciled = {machine.index for machine in self.inventory.unreconciled_machines()}
         if unreconciled:
             self.registry.add_possible_holders(job, unreconciled, job.spec.tasks)
--- a/src/grebestand/leader/job_completion.py
+++ b/src/grebestand/leader/job_completion.py
@@ -50,7 +50,7 @@
             FencedError: this term may not write any more.
             StoreError: the store could not be reached; the remaining jobs are completed by the next call.
         """
-        for job in list(self.registry.finishing.values()):
+        for job in list(self.registry.closing_jobs.values()):
             self._complete(job)
 
     def _complete(self, job: Job) -> None:
@@ -58,11 +58,11 @@
         now = self.clock()
         if job.state is JobState.CLOSING:
             done = record.state is JobStatus.DONE
-            self.registry.move_job(job, JobState.DONE if done else JobState.CANCELLED, now)
+            self.registry.change_job_state(job, JobState.DONE if done else JobState.CANCELLED, now)
         self.completed_jobs.remember(job.spec.id, record)
-        self.registry.finishing.pop(job.spec.id, None)
+        self.registry.closing_jobs.pop(job.spec.id, None)
         self.drop_records(job)
-        self.registry.drop_if_settled(job)
+        self.registry.remove_if_over(job)
         self._log_completion(job, record, now - job.accepted_at)
 
     def _commit(self, job: Job) -> CompletedJobRecord:
@@ -74,7 +74,7 @@
         """
         job_id = job.spec.id
         record = CompletedJobRecord(JobStatus.DONE, job.spec.tasks)
-        conditions, changes = completion_transaction(job_id, job.version, record)
+        conditions, changes = completion_transaction(job_id, job.record_revision, record)
         for hook in self.features.close:
             changes += hook(job, record)
         began = self.clock()
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -51,17 +51,17 @@
             # after its user was told that it is cancelled
             return
         age_s = min(max(0.0, self.context.wall() - record.at), MAX_JOB_AGE_S)
-        job = self.registry.add(record.spec, version, now - age_s, now)
-        job.wait_since = now
-        job.guest = record.guest
+        job = self.registry.add_job(record.spec, version, now - age_s, now)
+        job.waiting_since = now
+        job.is_guest = record.guest
         if record.abroad is not None:
-            job.abroad, job.runs_remotely = record.abroad, True
+            job.remote_assignment, job.runs_remotely = record.abroad, True
 
     def _update(self, job: Job, record: LiveJobRecord, version: int) -> None:
         """Bring a job back from another cluster, by this leader's own change or as operators gave that cluster up."""
-        if job.abroad is not None and record.abroad is None and version > job.version:
-            job.version, job.abroad, job.runs_remotely = version, None, False
-            self.registry.changed = True
+        if job.remote_assignment is not None and record.abroad is None and version > job.record_revision:
+            job.record_revision, job.remote_assignment, job.runs_remotely = version, None, False
+            self.registry.changed_since_scheduling = True
 
     def watch(self) -> None:
         """Apply changes of the live records, waiting for some as long as the cancellation horizon permits.
@@ -107,7 +107,7 @@
     def removed(self, job_id: str, now: float) -> None:
         """Apply the removal of a live record: whoever removed it has cancelled the job."""
         job = self.registry.jobs.get(job_id)
-        if job is None or not job.live:
+        if job is None or not job.is_live:
             return  # known already, or CLOSING: this leader's own commit, or one whose failure tells what happened
         log.info(LogEvent("job_cancelled", job_id=job_id))
         # it was live at the horizon, so no user was told before then that it is cancelled
@@ -150,7 +150,7 @@
         removed = [
             job_id
             for job_id, job in self.registry.jobs.items()
-            if job.live and job_id not in live and job.version <= self.watched
+            if job.is_live and job_id not in live and job.record_revision <= self.watched
         ]
         for job_id in removed:
             self.removed(job_id, now)
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -62,24 +62,24 @@
             return
         self.proved = True
         log.info(LogEvent("machines_reconciled", token=self.token, after_s=now - self.context.started_at))
-        self.registry.changed = True
+        self.registry.changed_since_scheduling = True
 
     def _stop_incomplete_gang(self, job: Job, now: float) -> None:
         """Stop a gang of which some tasks run nowhere: the others would wait for them in vain."""
-        if job.gang and job.live and job.allocations and len(job.allocations) < job.spec.tasks:
+        if job.is_gang and job.is_live and job.allocations and len(job.allocations) < job.spec.tasks:
             self.dispatch.stop_job(job, "gang incomplete after takeover", 0.0, now)
 
     def to_query(self, now: float) -> list[Machine]:
         """Return the machines to query now: unreconciled ones, and those whose heartbeats are contradictory."""
         inventory = self.inventory
         wanted, inventory.to_query = inventory.to_query, set()
-        due = inventory.unreconciled()
+        due = inventory.unreconciled_machines()
         due += [m for m in inventory.machines if m.reception is not Reception.REACHABLE or m.index in wanted]
         free_queries = max(0, MOST_ASKED - len(self.queries_under_way))
         ready = [
             m
             for m in dict.fromkeys(due)
-            if m.index not in self.queries_under_way and now - m.asked_at >= QUERY_INTERVAL_S
+            if m.index not in self.queries_under_way and now - m.last_queried_at >= QUERY_INTERVAL_S
         ]
         chosen = ready[:free_queries]
         inventory.to_query = wanted - {m.index for m in chosen}
@@ -93,7 +93,7 @@
         if machine.index in self.queries_under_way:
             return
         self.queries_under_way.add(machine.index)
-        machine.asked_at = self.clock()
+        machine.last_queried_at = self.clock()
         try:
             self._query(machine)
         finally:
@@ -151,8 +151,8 @@
             return
         if (heartbeat.epoch, heartbeat.sequence) <= known:
             # it was made after the request, so it is no late copy: the worker has restarted its counters
-            self.context.reconciler.restarted(machine, heartbeat.epoch, now)
-        self.context.reconciler.read(heartbeat, now, solicited=True)
+            self.context.reconciler.record_worker_restart(machine, heartbeat.epoch, now)
+        self.context.reconciler.reconcile(heartbeat, now, solicited=True)
         self.check(now)
 
     def send_stops(self, machine: Machine) -> None:
--- a/src/grebestand/leader/machine_records.py
+++ b/src/grebestand/leader/machine_records.py
@@ -27,7 +27,7 @@
         for name, value in self.pages.load(self.writer.store.pairs(self.pages.prefix)):
             if name not in self.inventory.by_name:
                 record = msgspec.convert(value, MachineRecord)
-                self.inventory.add(name, record.addr, record.type, record.zone, record.spot, now, recorded=True)
+                self.inventory.add_machine(name, record.addr, record.type, record.zone, record.spot, now, recorded=True)
         self.registry.unreconciled_machines = {machine.index for machine in self.inventory.machines}
 
     def record(self) -> None:
@@ -47,7 +47,7 @@
                 continue  # deleted during the write, and its record was dropped
             machine.recorded = True
             if machine.state is MachineState.NEW and machine.token == self.token:
-                self.inventory.move(machine, MachineState.READY, now)
+                self.inventory.change_state(machine, MachineState.READY, now)
 
     def _should_record(self, machine: Machine) -> bool:
         """Return whether a machine is new and certain to exist.
@@ -57,13 +57,13 @@
         """
         if machine.recorded or machine.state is not MachineState.NEW:
             return False
-        return machine.has_seen_no_term or machine.token == self.token
+        return machine.joined_without_token or machine.token == self.token
 
     def _record_of(self, machine: Machine) -> MachineRecord:
         registry = self.registry
         return MachineRecord(
-            type=registry.machine_types.name(machine.kind),
-            zone=registry.zones.name(machine.zone),
+            type=registry.machine_types.name(machine.type_index),
+            zone=registry.zones.name(machine.zone_index),
             spot=machine.spot,
             addr=machine.addr,
         )
--- a/src/grebestand/leader/provisioning.py
+++ b/src/grebestand/leader/provisioning.py
@@ -186,7 +186,7 @@
         late = [machine for machine in pending.values() if self.boots.is_late(machine, now)]
         late_by_zone: dict[int, int] = {}
         for machine in late:
-            zone = self.registry.zones.index(machine.zone)
+            zone = self.registry.zones.intern(machine.zone)
             late_by_zone[zone] = late_by_zone.get(zone, 0) + 1
         replaced = min(len(late), max(MIN_REPLACED, len(pending) // REPLACED_SHARE))
         return ExpectedMachines(len(pending) - replaced, late_by_zone)
@@ -234,8 +234,8 @@
     def _machines_by_zone(self, zones: tuple[int, ...]) -> dict[int, int]:
         counts = dict.fromkeys(zones, 0)
         for machine in self.inventory.machines:
-            if machine.zone in counts:
-                counts[machine.zone] += 1
+            if machine.zone_index in counts:
+                counts[machine.zone_index] += 1
         return counts
 
     def _rent_under(self, name: str, record: RentalRecord) -> None:
@@ -272,7 +272,7 @@
     def _record_outcome(self, record: RentalRecord, rented: int, now: float) -> None:
         """Back off from a pool that gave fewer machines than were asked for."""
         pool = PoolKey(
-            self.registry.machine_types.index(record.type), self.registry.zones.index(record.zone), record.spot
+            self.registry.machine_types.intern(record.type), self.registry.zones.intern(record.zone), record.spot
         )
         if rented < record.count:
             refusals = self.refusals[pool] = min(self.refusals.get(pool, 0) + 1, MAX_COUNTED_REFUSALS)
--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -66,12 +66,14 @@
         registry = self.registry
         since = now - self.scheduler.retargeted_at
         # the greedy algorithm updates at every arrival; here an arrival brings the next update forward
-        due = since >= self.scheduler.context.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
+        due = since >= self.scheduler.context.policy_values.period_s or (
+            registry.job_added_since_scheduling and since >= ARRIVAL_GAP_S
+        )
         if due and now >= self.next_targets_at:
-            registry.arrived = False
+            registry.job_added_since_scheduling = False
             self._begin(self._compute_targets(now), self._finish_targets)
-        if not self.busy and registry.changed and now >= self.next_pass_at:
-            registry.changed = False
+        if not self.busy and registry.changed_since_scheduling and now >= self.next_pass_at:
+            registry.changed_since_scheduling = False
             self._begin(self.scheduler.full_pass_steps(now), self._finish_pass)
 
     def _compute_targets(self, now: float) -> Steps:
@@ -94,7 +96,7 @@
             return
         self.scheduler.context.slice_number += 1
         # what the computation itself changes is no reason for another one; what others change between slices is
-        changed = self.registry.changed
+        changed = self.registry.changed_since_scheduling
         slice_began_at = self.clock()
         unfinished = False
         try:
@@ -105,7 +107,7 @@
         finally:
             if not unfinished:
                 self._work = None
-            self.registry.changed = changed
+            self.registry.changed_since_scheduling = changed
             took_s = self.clock() - slice_began_at
             self._spent_s += took_s
             self.context.sketches.add("stretch", took_s)
@@ -118,7 +120,7 @@
             self._durations_logged_at = self.clock()
             self.context.stragglers.remove_deleted_machines()
             log.info(LogEvent("durations_measured", durations=self.context.sketches.tell()))
-        self.registry.changed = True
+        self.registry.changed_since_scheduling = True
 
     def _finish_pass(self) -> None:
         self.context.sketches.add("pass", self._spent_s)
--- a/src/grebestand/leader/status_broadcast.py
+++ b/src/grebestand/leader/status_broadcast.py
@@ -34,9 +34,9 @@
         if now - self._counted_at >= MAX_COUNTS_AGE_S:
             self._counted_at = now
             self._counts = {
-                job_id: (job.done_count, job.running())
+                job_id: (job.done_count, job.running_count())
                 for job_id, job in self.registry.jobs.items()
-                if job.allocations or job.done_count or job.abroad_running
+                if job.allocations or job.done_count or job.remote_running_count
             }
         return self._counts
 
@@ -48,7 +48,7 @@
             machine = rng.choice(machines)
             if machine.state is not MachineState.READY:
                 continue
-            addresses = by_zone.setdefault(machine.zone, [])
+            addresses = by_zone.setdefault(machine.zone_index, [])
             if len(addresses) < MAX_SAMPLES_PER_ZONE:
                 addresses.append(machine.addr)
         one_of_each_zone = itertools.zip_longest(*by_zone.values())
@@ -66,9 +66,9 @@
 
     def learn_images(self, cached: CachedImages) -> None:
         """Adopt what an earlier leader knew of cached images, as heartbeats do not list them."""
-        indices = [self.registry.image(name, gb) for name, gb in zip(cached.names, cached.gigabytes, strict=True)]
+        indices = [self.registry.image_index(name, gb) for name, gb in zip(cached.names, cached.gigabytes, strict=True)]
         for name, image_positions in cached.machines.items():
             machine = self.inventory.by_name.get(name)
             if machine is not None:
                 for position in image_positions:
-                    self.inventory.note_image(machine, indices[position], cached.gigabytes[position])
+                    self.inventory.record_image(machine, indices[position], cached.gigabytes[position])
--- a/src/grebestand/leader/task_progress.py
+++ b/src/grebestand/leader/task_progress.py
@@ -43,7 +43,7 @@
             if job is None:
                 orphans.add(name)
             else:
-                self.registry.load_done(job, int(chunk) * self._chunk_bytes(), base64.b64decode(value))
+                self.registry.restore_done_bits(job, int(chunk) * self._chunk_bytes(), base64.b64decode(value))
         for name in orphans:
             self.pages.drop(name, soon=False)
 
@@ -73,11 +73,11 @@
         chunk_bytes = self._chunk_bytes()
         chunks: list[_DirtyChunk] = []
         for job in self.registry.jobs.values():
-            if not job.unsaved_chunks or not job.live:
+            if not job.unsaved_chunks or not job.is_live:
                 continue
             for number, since in job.unsaved_chunks.items():
                 if now - since >= PROGRESS_AGE_S:
-                    bits = bytes(job.done[number * chunk_bytes : (number + 1) * chunk_bytes])
+                    bits = bytes(job.done_bits[number * chunk_bytes : (number + 1) * chunk_bytes])
                     self.pages.put(f"{job.spec.id}/{number}", base64.b64encode(bits).decode("ascii"))
                     chunks.append(_DirtyChunk(since, job, number, bits))
         return chunks
@@ -86,8 +86,8 @@
         job = chunk.job
         offset = chunk.number * self._chunk_bytes()
         for i, byte in enumerate(chunk.bits):
-            job.durable[offset + i] |= byte
-        unchanged = job.done[offset : offset + len(chunk.bits)] == chunk.bits
+            job.durable_bits[offset + i] |= byte
+        unchanged = job.done_bits[offset : offset + len(chunk.bits)] == chunk.bits
         if unchanged and job.unsaved_chunks.get(chunk.number) == chunk.since:
             job.unsaved_chunks.pop(chunk.number, None)
         else:
--- a/src/grebestand/leader/term.py
+++ b/src/grebestand/leader/term.py
@@ -142,7 +142,7 @@
         now = self.clock()
         types = self.machine_types()
         if types:
-            self.inventory.learn_types(types)
+            self.inventory.set_machine_types(types)
         self.machine_records.load(now)
         self.job_watch.read_all(now)
         self.progress.load()
@@ -165,8 +165,8 @@
     def _close_finished_jobs(self, now: float) -> None:
         """Start the completion of jobs whose tasks were all done when the earlier leader ended."""
         for job in list(self.registry.jobs.values()):
-            if job.unfinished() == 0:
-                self.registry.move_job(job, JobState.CLOSING, now)
+            if job.unfinished_count() == 0:
+                self.registry.change_job_state(job, JobState.CLOSING, now)
 
     def _load_feature_records(self) -> None:
         for record in self.features.records:
@@ -219,7 +219,7 @@
             types = self.machine_types()
             if types is None:
                 return
-            self.inventory.learn_types(types)
+            self.inventory.set_machine_types(types)
         self.provisioning.replay()
         self.deprovisioning.read_list()
         self.deprovisioning.return_idle()
--- a/src/grebestand/leader/term_context.py
+++ b/src/grebestand/leader/term_context.py
@@ -64,7 +64,7 @@
         self.inventory = MachineInventory(self.registry, params.workers.lease_s, params.workers.report_s)
         self.dispatch = Dispatch(self.registry, self.inventory, self.token)
         self.policy_evaluator = PolicyEvaluator(environment.policy, params, self.registry, self.inventory)
-        self.registry.type_bound = int(self.policy_evaluator.value("type_bound"))
+        self.registry.max_task_types = int(self.policy_evaluator.value("type_bound"))
         self.registry.chunk_bits = 8 * _chunk_bytes(writer.value_bytes)
         run_times = RunTimeEstimates()
         scheduling_context = SchedulingContext(
--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -152,9 +152,9 @@
                 self._keep_team_limit(job)
             return
         reserves_free = is_overdue and not self._overdue_gang
-        shape = job.type, job.spec.one_zone, job.spec.spread, self.preemption.reclaims_for(job, now)
+        shape = job.type_index, job.spec.one_zone, job.spec.spread, self.preemption.reclaims_for(job, now)
         if self._similar_was_refused(job, shape) and not has_reserved and not reserves_free:
-            job.why_waiting = GANG_DOES_NOT_FIT
+            job.pending_reason = GANG_DOES_NOT_FIT
             return
         turn = self.context.slice_number
         table = self._table_for(job, now)
@@ -162,16 +162,16 @@
         selection = GangSelection(candidates, self.choose(job, candidates))
         if self.context.slice_number != turn:
             if not self._repair(job, selection, table, now):
-                job.why_waiting = "its machines changed while it was placed"
+                job.pending_reason = "its machines changed while it was placed"
                 return
             if not self._may_start(job):
                 return
         if selection.shares is None:
-            job.why_waiting = GANG_DOES_NOT_FIT
+            job.pending_reason = GANG_DOES_NOT_FIT
             if reserves_free:
                 self._reserve_free_machines(job, selection.candidates, now)
-            if not job.avoid and not self._must_not_preempt_yet(job, now):
-                self._smallest_refused[shape] = job.spec.tasks, job.size
+            if not job.avoided_machines and not self._must_not_preempt_yet(job, now):
+                self._smallest_refused[shape] = job.spec.tasks, job.task_size
         elif all(share.candidate.ready for share in selection.shares):
             self._start(job, selection.shares, now)
         else:
@@ -179,17 +179,17 @@
 
     def _may_start(self, job: Job) -> bool:
         """Return whether none of the gang's tasks may run anywhere and its team's limit admits all of them."""
-        if not job.live or not job.startable():
+        if not job.is_live or not job.startable_count():
             return False
         if job.allocations:
-            job.why_waiting = "tasks of the last attempt are not gone"
+            job.pending_reason = "tasks of the last attempt are not gone"
             return False
-        team = self.registry.teams[job.team]
-        if not team.left_to(job.spec.id):
-            job.why_waiting = f"its team's limit is kept for {team.limit_reserved_for}"
+        team = self.registry.teams[job.team_index]
+        if not team.may_use_remaining_limit(job.spec.id):
+            job.pending_reason = f"its team's limit is kept for {team.limit_reserved_for}"
             return False
-        if team.headroom(job.size) < job.spec.tasks:
-            job.why_waiting = "team limit"
+        if team.headroom(job.task_size) < job.spec.tasks:
+            job.pending_reason = "team limit"
             return False
         return True
 
@@ -198,8 +198,8 @@
 
         Smaller jobs of its team would use up the limit again and again.
         """
-        team = self.registry.teams[job.team]
-        if not team.limit_reserved_for and job.startable() and team.headroom(job.size) < job.spec.tasks:
+        team = self.registry.teams[job.team_index]
+        if not team.limit_reserved_for and job.startable_count() and team.headroom(job.task_size) < job.spec.tasks:
             team.limit_reserved_for = job.spec.id
 
     def _similar_was_refused(self, job: Job, shape: GangShape) -> bool:
@@ -207,8 +207,8 @@
 
         Nothing within a pass frees capacity for such a gang, and each search takes milliseconds.
         """
-        tasks, size = self._smallest_refused.get(shape, (job.spec.tasks + 1, job.size))
-        return job.spec.tasks >= tasks and fits(size, job.size)
+        tasks, size = self._smallest_refused.get(shape, (job.spec.tasks + 1, job.task_size))
+        return job.spec.tasks >= tasks and fits(size, job.task_size)
 
     def _must_not_preempt_yet(self, job: Job, now: float) -> bool:
         """Return whether a gang should go on waiting before other work is stopped for it."""
@@ -221,7 +221,7 @@
         candidates: list[GangCandidate] = []
         #: by zone, tasks that could start now at the lowest cost there can be
         cheapest_slots: dict[int, int] = {}
-        lowest_cost = IDLE_WEIGHT * self.images.least_s(job) * job.size[0] / MICRO_UNITS
+        lowest_cost = IDLE_WEIGHT * self.images.least_s(job) * job.task_size[0] / MICRO_UNITS
         enough = max(ENOUGH, ENOUGH_PER_TASK * job.spec.tasks)
         for examined, machine in enumerate(ready, 1):
             if not examined % MACHINES_PER_STEP:
@@ -233,8 +233,8 @@
             for candidate in self.offers(job, machine, table, now):
                 candidates.append(candidate)
                 if candidate.ready and candidate.cost <= lowest_cost:
-                    cheapest_slots[machine.zone] = cheapest_slots.get(machine.zone, 0) + candidate.tasks
-            if cheapest_slots.get(machine.zone, 0) >= enough:
+                    cheapest_slots[machine.zone_index] = cheapest_slots.get(machine.zone_index, 0) + candidate.tasks
+            if cheapest_slots.get(machine.zone_index, 0) >= enough:
                 break
         return candidates
 
@@ -267,10 +267,10 @@
         victims = [victim for candidate, _ in shares for victim in candidate.victims]
         if not all(self.preemption.may_stop(job, victim, now) for victim in victims):
             self.forget()  # a guarantee or a limit has changed since they were looked up
-            job.why_waiting = GANG_DOES_NOT_FIT
+            job.pending_reason = GANG_DOES_NOT_FIT
             return
-        job.why_waiting = "its slots are being cleared"
-        job.preempt_at = now
+        job.pending_reason = "its slots are being cleared"
+        job.last_preempted_others_at = now
         for candidate, _ in shares:
             self._reserve(candidate.machine, job, until=now + RESERVATION_S)
             self.preemption.displace(candidate.victims, job, now)
@@ -287,7 +287,7 @@
         for candidate in candidates:
             machine = candidate.machine
             if candidate.ready and not candidate.victims and machine.reserved_for in (None, job.spec.id):
-                free_by_zone.setdefault(machine.zone if job.spec.one_zone else -1, []).append(candidate)
+                free_by_zone.setdefault(machine.zone_index if job.spec.one_zone else -1, []).append(candidate)
         if not free_by_zone:
             return
         best = max(free_by_zone.values(), key=lambda free: sum(candidate.tasks for candidate in free))
@@ -299,13 +299,13 @@
             missing -= candidate.tasks
             self._reserve(candidate.machine, job, until=now + RESERVATION_S)
         reserved = job.spec.tasks - max(0, missing)
-        job.why_waiting = f"{reserved} of its slots are kept for it, the others are not free"
+        job.pending_reason = f"{reserved} of its slots are kept for it, the others are not free"
 
     def _start(self, job: Job, shares: list[GangShare], now: float) -> None:
         """Start all tasks of a gang."""
-        attempt = self.dispatch.next_attempt()
-        free_since = max(job.wait_since, *(candidate.machine.freed_at for candidate, _ in shares))
-        job.gang_start = GangStartTimeline(attempt, free_since, now)
+        attempt = self.dispatch.next_attempt_number()
+        free_since = max(job.waiting_since, *(candidate.machine.freed_at for candidate, _ in shares))
+        job.gang_start_timeline = GangStartTimeline(attempt, free_since, now)
         # a task whose machine has the image would wait for the others, and workers end that wait after a while
         fetches_s = [self.images.fetch_s(job, candidate.machine) for candidate, _ in shares]
         uneven = max(fetches_s) > UNEVEN_FETCH_SHARE * self.gang_wait_s
@@ -314,7 +314,7 @@
             machine = candidate.machine
             for _ in range(tasks):
                 allocation = self.dispatch.start(job, index, machine, attempt, now)
-                allocation.held = uneven and fetch_s == 0.0
+                allocation.held_for_gang_images = uneven and fetch_s == 0.0
                 index += 1
             if machine.reserved_for == job.spec.id:
                 machine.reserved_for = None
@@ -338,17 +338,19 @@
         candidates: list[GangCandidate] = []
         table: PlacementTable = {}
         for machine in self.inventory.machines:
-            if self.inventory.is_schedulable(machine, now) and machine.free[0] >= job.size[0]:
+            if self.inventory.is_schedulable(machine, now) and machine.free[0] >= job.task_size[0]:
                 candidates += [c for c in self.offers(job, machine, table, now) if c.ready]
         shares = self.choose(job, candidates)
         return [candidate.machine for candidate, _ in shares] if shares is not None else None
 
     def _table_for(self, job: Job, now: float) -> PlacementTable:
         """Return what is known of machines for gangs like this one, whatever their images."""
-        max_per_machine = max((tasks_that_fit(job.size, capacity) for capacity in self.inventory.capacities), default=0)
+        max_per_machine = max(
+            (tasks_that_fit(job.task_size, capacity) for capacity in self.inventory.capacities), default=0
+        )
         key = (
-            job.size,
-            job.rank,
+            job.task_size,
+            job.priority_rank,
             self.preemption.reclaims_for(job, now),
             self._must_not_preempt_yet(job, now),
             min(job.spec.tasks, max_per_machine),
@@ -364,12 +366,14 @@
         change_count, placements = table.get(machine.index, NOT_EXAMINED)
         if change_count != machine.change_count:
             change_count, placements = table[machine.index] = machine.change_count, self._examine(job, machine, now)
-        on_probation = machine.errors and now - machine.error_at <= GANG_PROBATION_S
+        on_probation = machine.consecutive_failures and now - machine.last_failure_at <= GANG_PROBATION_S
         if not placements or on_probation or not self.placement.allowed(job, machine):
             return []
-        fetch_cost = IDLE_WEIGHT * self.images.fetch_s(job, machine) * job.size[0] / MICRO_UNITS
+        fetch_cost = IDLE_WEIGHT * self.images.fetch_s(job, machine) * job.task_size[0] / MICRO_UNITS
         if machine.slowness > SLOW_MACHINE_RATIO:  # the slowest machine sets the speed of the whole gang
-            fetch_cost += (machine.slowness - 1.0) * self.context.run_times.run_s(job) * job.size[0] / MICRO_UNITS
+            fetch_cost += (
+                (machine.slowness - 1.0) * self.context.run_times.expected_run_s(job) * job.task_size[0] / MICRO_UNITS
+            )
         return [
             GangCandidate(machine, change_count, p.tasks, p.victims, fetch_cost + p.cost, p.ready) for p in placements
         ]
@@ -379,12 +383,12 @@
         if self.preemption.hopeless(job, machine, self.preemption.reclaims_for(job, now) >= 0):
             return []
         placements = []
-        free = min(tasks_that_fit(job.size, machine.free), job.spec.tasks)
+        free = min(tasks_that_fit(job.task_size, machine.free), job.spec.tasks)
         if free > 0:
             placements.append(GangPlacement(free, [], 0.0, ready=True))
         if (machine.stopping_count and free > 0) or self._must_not_preempt_yet(job, now):
             return placements
-        for tasks in range(min(tasks_that_fit(job.size, machine.capacity), job.spec.tasks), free, -1):
+        for tasks in range(min(tasks_that_fit(job.task_size, machine.capacity), job.spec.tasks), free, -1):
             eviction = self.preemption.eviction(job, machine, tasks, now)
             if eviction is not None:
                 victims, cost = eviction
@@ -404,8 +408,8 @@
             return self._pick(self._ranked(job, candidates), tasks, max_per_zone)
         best: list[GangShare] | None = None
         best_cost = math.inf
-        for zone in sorted({c.machine.zone for c in candidates}):
-            in_zone = self._ranked(job, [c for c in candidates if c.machine.zone == zone])
+        for zone in sorted({c.machine.zone_index for c in candidates}):
+            in_zone = self._ranked(job, [c for c in candidates if c.machine.zone_index == zone])
             shares = self._pick(in_zone, tasks, tasks)
             if shares is None:
                 continue
@@ -432,12 +436,12 @@
         machines: set[int] = set()
         for candidate in ranked:
             machine = candidate.machine
-            in_zone = tasks_by_zone.get(machine.zone, 0)
+            in_zone = tasks_by_zone.get(machine.zone_index, 0)
             count = min(candidate.tasks, missing, max_per_zone - in_zone)
             if count > 0 and machine.index not in machines:
                 machines.add(machine.index)
                 shares.append(GangShare(candidate, count))
-                tasks_by_zone[machine.zone] = in_zone + count
+                tasks_by_zone[machine.zone_index] = in_zone + count
                 missing -= count
             if missing == 0:
                 return shares
--- a/src/grebestand/scheduling/greedy.py
+++ b/src/grebestand/scheduling/greedy.py
@@ -36,7 +36,7 @@
     def takes(self, slot: Slot) -> bool:
         """Return whether tasks of a type may run on these machines and one of them fits."""
         return (
-            (slot.spot or not self.spot)
+            (slot.spot_allowed or not self.spot)
             and (slot.machine_types is None or self.machine_type in slot.machine_types)
             and (slot.zone is None or slot.zone == self.zone)
             and fits(slot.size, self.capacity)
--- a/src/grebestand/scheduling/image_locality.py
+++ b/src/grebestand/scheduling/image_locality.py
@@ -31,14 +31,16 @@
         """Find the images whose machines, shared with other work, can serve the demand for them."""
         demand_cpus: dict[int, int] = {}
         for job in self.registry.jobs.values():
-            if job.live:
-                tasks = len(job.allocations) + min(job.wanted(), self.registry.teams[job.team].headroom(job.size))
-                demand_cpus[job.image] = demand_cpus.get(job.image, 0) + tasks * job.size[0]
+            if job.is_live:
+                tasks = len(job.allocations) + min(
+                    job.wanted_count(), self.registry.teams[job.team_index].headroom(job.task_size)
+                )
+                demand_cpus[job.image_index] = demand_cpus.get(job.image_index, 0) + tasks * job.task_size[0]
         host_cpus: dict[int, int] = {}
         for examined, machine in enumerate(list(self.inventory.machines), 1):
             if not examined % MACHINES_PER_STEP:
                 yield
-            if self.inventory.counts(machine):
+            if self.inventory.counts_in_plan(machine):
                 for image in (*machine.images, *machine.image_fetches):
                     host_cpus[image] = host_cpus.get(image, 0) + machine.capacity[0]
         self.hosted = set(host_cpus)
@@ -51,31 +53,33 @@
         machine fetches one after the other, and where enough machines have the image already, the job waits for
         those as long as a fetch would take.
         """
-        if job.image in machine.images or job.image in machine.image_fetches:
+        if job.image_index in machine.images or job.image_index in machine.image_fetches:
             return True
         fetch_s = self.fetch_s(job, machine)
-        if fetch_s <= self.inventory.report_s:
+        if fetch_s <= self.inventory.heartbeat_interval_s:
             return True
-        return not machine.image_fetches and (job.image not in self.well_spread or now - job.started_at >= fetch_s)
+        return not machine.image_fetches and (
+            job.image_index not in self.well_spread or now - job.last_allocation_at >= fetch_s
+        )
 
     def least_s(self, job: Job) -> float:
         """Return the shortest time for which the job would wait for its image: none if some machine has it."""
-        if job.image in self.hosted:
+        if job.image_index in self.hosted:
             return 0.0
         rates = (kind.fetch_gb_per_s for kind in self.inventory.machine_types.values())
         fastest = max(rates, default=DEFAULT_FETCH_GB_PER_S)
-        return self.registry.image_gb[job.image] / max(fastest, MIN_FETCH_GB_PER_S)
+        return self.registry.image_gb[job.image_index] / max(fastest, MIN_FETCH_GB_PER_S)
 
     def fetch_s(self, job: Job, machine: Machine) -> float:
         """Return how long the job would wait for its image on a machine; concurrent fetches share the rate."""
-        if job.image in machine.images:
+        if job.image_index in machine.images:
             return 0.0
-        kind = self.inventory.machine_types.get(machine.kind)
+        kind = self.inventory.machine_types.get(machine.type_index)
         if kind is None:
             return 0.0
         sizes_gb = self.registry.image_gb
-        under_way = job.image in machine.image_fetches
-        gigabytes = sizes_gb[job.image] * REMAINING_SHARE if under_way else sizes_gb[job.image]
+        under_way = job.image_index in machine.image_fetches
+        gigabytes = sizes_gb[job.image_index] * REMAINING_SHARE if under_way else sizes_gb[job.image_index]
         if machine.image_fetches and not under_way:
             gigabytes += sum(sizes_gb[image] for image in machine.image_fetches)
         return gigabytes / max(kind.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
--- a/src/grebestand/scheduling/job_ordering.py
+++ b/src/grebestand/scheduling/job_ordering.py
@@ -47,14 +47,14 @@
 
         Nothing that this depends on ever changes, so it is kept with the job.
         """
-        if job.ends is not None:
-            return job.ends
+        if job.objective_deadlines is not None:
+            return job.objective_deadlines
         job_class = job.spec.klass
         ends = [job.accepted_at + within_s for within_s in self._done_within_s.get(job_class, ())]
         if job.spec.deadline_s is not None:
             factors = self._deadline_factors.get(job_class) or [1.0]
             ends += [job.accepted_at + factor * job.spec.deadline_s for factor in factors]
-        job.ends = ends
+        job.objective_deadlines = ends
         return ends
 
     @staticmethod
@@ -63,7 +63,7 @@
 
         The time of acceptance is in the job's record, so that its age survives a change of leader.
         """
-        return not job.begun and not job.done_count and now - job.accepted_at > begin_after_s
+        return not job.start_logged and not job.done_count and now - job.accepted_at > begin_after_s
 
     def urgency(self, job: Job, now: float, begin_after_s: float) -> tuple[object, ...]:
         """Return a sort key: guarantees first, then by priority, then by what can still meet an objective.
@@ -73,7 +73,7 @@
         while comes before them all, as an overdue job does: with least work first alone, the largest job would wait
         for as long as small ones keep arriving.
         """
-        remaining_s = self.run_times.run_s(job)
+        remaining_s = self.run_times.expected_run_s(job)
         latest_starts = [end - remaining_s for end in self.ends(job)]
         latest_starts += [job.accepted_at + within_s for within_s in self._start_within_s.get(job.spec.klass, ())]
         last_chance = max(latest_starts) if latest_starts else job.accepted_at
@@ -81,10 +81,10 @@
         if now > last_chance + AGED_S or self.overdue(job, now, begin_after_s):
             group, value = AGED, job.accepted_at
         elif not latest_starts or now <= last_chance:
-            group, value = ON_TIME, job.unfinished() * job.size[0] * max(remaining_s, MIN_RUN_S)
+            group, value = ON_TIME, job.unfinished_count() * job.task_size[0] * max(remaining_s, MIN_RUN_S)
         else:
             group, value = LATE, job.accepted_at
-        return (not job.guaranteed, job.rank, group, value, job.accepted_at)
+        return (not job.within_guarantee, job.priority_rank, group, value, job.accepted_at)
 
     def tight(self, job: Job, run_at: float | None, now: float) -> bool:
         """Return whether a running task that can still meet an objective of its job would miss it if it were stopped.
@@ -94,7 +94,7 @@
             run_at: when the task began to run, if it keeps its progress; None if it would start anew.
             now: seconds on the leader's clock.
         """
-        remaining_s = self.run_times.run_s(job)
+        remaining_s = self.run_times.expected_run_s(job)
         if run_at is not None:
             remaining_s = max(0.0, remaining_s - (now - run_at))
         return any(0 <= end - now - remaining_s < RESTART_S for end in self.ends(job))
--- a/src/grebestand/scheduling/migration.py
+++ b/src/grebestand/scheduling/migration.py
@@ -35,7 +35,7 @@
 
         A task is stopped here and takes its turn with the waiting tasks, for which the empty slot is found.
         """
-        waiting_types = {job.type for job in self.registry.waiting_jobs()}
+        waiting_types = {job.type_index for job in self.registry.waiting_jobs()}
         moving = self._count_moving()
         empty_slots = self._empty_slots(now)
         #: types and images for which no slot will do, so that the slots are searched once for each
@@ -45,13 +45,13 @@
                 if moving >= MAX_MOVING:
                     return
                 job = allocation.job
-                if job.type in waiting_types or not self._may_move(allocation, now):
+                if job.type_index in waiting_types or not self._may_move(allocation, now):
                     continue
-                if (job.type, job.image) in without_slot:
+                if (job.type_index, job.image_index) in without_slot:
                     continue
-                slots = empty_slots.get(job.type, {})
+                slots = empty_slots.get(job.type_index, {})
                 if not self._take_slot(job, slots):
-                    without_slot.add((job.type, job.image))
+                    without_slot.add((job.type_index, job.image_index))
                     continue
                 moving += 1
                 self.dispatch.stop(allocation, MIGRATION, job.spec.save_s + SAVE_MARGIN_S, now)
@@ -71,7 +71,7 @@
         empty_slots: dict[int, dict[Machine, int]] = {}
         for machine in self.inventory.machines:
             if machine.in_accept_group and self.inventory.is_schedulable(machine, now) and machine.reserved_for is None:
-                for task_type, slots in enumerate(machine.template):
+                for task_type, slots in enumerate(machine.slot_template):
                     empty = slots - machine.slots_used(task_type)
                     if empty > 0:
                         empty_slots.setdefault(task_type, {})[machine] = empty
@@ -82,9 +82,9 @@
         rejected = [
             m
             for m in self.inventory.machines
-            if not m.in_accept_group and m.rank and self.inventory.is_schedulable(m, now)
+            if not m.in_accept_group and m.rank_in_plan and self.inventory.is_schedulable(m, now)
         ]
-        rejected.sort(key=lambda machine: -machine.rank)
+        rejected.sort(key=lambda machine: -machine.rank_in_plan)
         return rejected
 
     @staticmethod
@@ -95,11 +95,11 @@
         if not movable or allocation.state is not AllocationState.RUNNING or allocation.stop_reason is not None:
             return False
         min_run_s = MIN_RUN_PER_SAVE * max(spec.save_s, MIN_SAVE_S)
-        return allocation.run_at is not None and now - allocation.run_at >= min_run_s
+        return allocation.running_since is not None and now - allocation.running_since >= min_run_s
 
     def _take_slot(self, job: Job, slots: dict[Machine, int]) -> bool:
         """Take one of the empty slots whose machine has the job's image soon, or return False if there is none."""
-        target = next((m for m in slots if self.images.fetch_s(job, m) <= self.inventory.report_s), None)
+        target = next((m for m in slots if self.images.fetch_s(job, m) <= self.inventory.heartbeat_interval_s), None)
         if target is None:
             return False
         slots[target] -= 1
--- a/src/grebestand/scheduling/pending_reasons.py
+++ b/src/grebestand/scheduling/pending_reasons.py
@@ -59,7 +59,7 @@
         for machine in machines:
             for allocation in machine.allocations.values():
                 cpus = cpus_by_state.get(allocation.state, 0)
-                cpus_by_state[allocation.state] = cpus + allocation.job.size[0]
+                cpus_by_state[allocation.state] = cpus + allocation.job.task_size[0]
         log.info(
             LogEvent(
                 "cluster_summarised",
@@ -69,7 +69,7 @@
                 cpus_used=round(sum(m.used[0] for m in machines) / MICRO_UNITS),
                 cpus=round(sum(m.capacity[0] for m in machines) / MICRO_UNITS),
                 cpus_by_state=[f"{state.name.lower()}:{n / MICRO_UNITS:.0f}" for state, n in cpus_by_state.items()],
-                tasks_waiting=sum(job.waiting() for job in self.registry.waiting_jobs()),
+                tasks_waiting=sum(job.waiting_count() for job in self.registry.waiting_jobs()),
                 jobs_waiting=sum(1 for _ in self.registry.waiting_jobs()),
                 g=self.policy_values.g,
             )
@@ -81,7 +81,7 @@
         due: list[tuple[float, Job, str]] = []
         previously_logged, self._logged = self._logged, {}
         for job in self.registry.waiting_jobs():
-            if now - job.wait_since <= MIN_PERIODS_WAITED * self.policy_values.period_s:
+            if now - job.waiting_since <= MIN_PERIODS_WAITED * self.policy_values.period_s:
                 continue
             reason = self._reason(job, now)
             counts[reason] += 1
@@ -97,7 +97,7 @@
                 LogEvent(
                     "job_waiting",
                     job_id=job.spec.id,
-                    tasks_waiting=job.waiting(),
+                    tasks_waiting=job.waiting_count(),
                     tasks=job.spec.tasks,
                     age_s=now - job.accepted_at,
                     reason=reason,
@@ -110,8 +110,8 @@
     @staticmethod
     def _reason(job: Job, now: float) -> str:
         """Return why a job waits."""
-        if job.possible_holders and not job.startable():
+        if job.possible_holders and not job.startable_count():
             return "some machines are not reconciled"
         if now < job.retry_at:
             return "its tasks failed lately"
-        return job.why_waiting or "not yet tried"
+        return job.pending_reason or "not yet tried"
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -68,7 +68,7 @@
 
     def begin(self) -> None:
         """Start a full pass. Cached allowances stay valid as long as the machine's change count is the same."""
-        blocked_types = {j.type for j in self.registry.waiting_jobs()}
+        blocked_types = {j.type_index for j in self.registry.waiting_jobs()}
         if blocked_types != self.blocked_types:
             self.forget()
         self.blocked_types = blocked_types
@@ -82,8 +82,8 @@
             waiting: jobs that the pass looked at, in order of service. Capacity that heartbeats free until the next
                 pass goes to those that still wait.
         """
-        self._queue = [j for j in waiting if not j.gang and j.waiting() > 0]
-        self._smallest_cpus = min((j.size[0] for j in self._queue), default=0)
+        self._queue = [j for j in waiting if not j.is_gang and j.waiting_count() > 0]
+        self._smallest_cpus = min((j.task_size[0] for j in self._queue), default=0)
 
     def forget(self) -> None:
         """Drop cached allowances: templates have changed, or the types whose spare slots may be borrowed."""
@@ -95,25 +95,25 @@
         With hundreds of machines a full pass at each heartbeat would take more than a whole core. Gangs, and arrays
         whose tasks depend on where the others are, wait for the next full pass.
         """
-        if not self._queue or machine.free[0] < self._smallest_cpus or not machine.news:
+        if not self._queue or machine.free[0] < self._smallest_cpus or not machine.needs_placement_attempt:
             return
         if machine.reserved_for is not None or not self.inventory.is_schedulable(machine, now):
             return
         # what did not fit here in the last pass fits only once something on this machine has changed
-        machine.news = False
+        machine.needs_placement_attempt = False
         queue_outdated = False
         refused: dict[tuple[int, bool], Resources] = {}
         for job in self._queue:
-            if job.size[0] > machine.free[0] or not job.live or job.spec.one_zone or job.spec.spread:
+            if job.task_size[0] > machine.free[0] or not job.is_live or job.spec.one_zone or job.spec.spread:
                 continue
-            key = job.type, self._has_aged(job, now)
-            if key in refused and fits(refused[key], job.size):
+            key = job.type_index, self._has_aged(job, now)
+            if key in refused and fits(refused[key], job.task_size):
                 continue
             if self.context.features.veto(job, now) is not None:
                 continue
             wanted = self._startable_tasks(job)
             if wanted <= 0:
-                queue_outdated = queue_outdated or job.waiting() == 0
+                queue_outdated = queue_outdated or job.waiting_count() == 0
                 continue
             if now < job.retry_at or not self.allowed(job, machine):
                 continue
@@ -123,9 +123,9 @@
             if slots > 0:
                 self._start_tasks(job, machine, min(wanted, slots), now)
             else:
-                refused[key] = job.size
+                refused[key] = job.task_size
         if queue_outdated:
-            self._queue = [j for j in self._queue if j.waiting() > 0]
+            self._queue = [j for j in self._queue if j.waiting_count() > 0]
 
     def place(self, job: Job, roomy: list[Machine], ready: list[Machine], now: float, has_reserved: bool) -> Steps:
         """Start a job's waiting tasks where there are slots, and preempt other work for the rest if it may.
@@ -138,17 +138,17 @@
             has_reserved: whether machines are reserved for this job.
         """
         if self._startable_tasks(job) <= 0:
-            job.why_waiting = "team limit"
+            job.pending_reason = "team limit"
             return
         turn = self.context.slice_number
         options = yield from self._find_options(job, roomy, now, has_reserved)
         options.sort(key=attrgetter("preference"))
         if job.spec.one_zone and options:
             zone = self._zone_for(job, options)
-            options = [option for option in options if option.machine.zone == zone]
+            options = [option for option in options if option.machine.zone_index == zone]
         unplaced = yield from self._start_on_options(job, options, turn, now)
         if unplaced > 0:
-            job.why_waiting = "no slot"
+            job.pending_reason = "no slot"
             yield from self._preempt_for(job, ready, unplaced, now)
 
     def _find_options(
@@ -158,7 +158,7 @@
         options: list[SlotOption] = []
         aged = self._has_aged(job, now)
         # templates admit types, whatever their tasks' sizes: one lookup serves all jobs of a type
-        allowances = self._cached_table(self._allowances, (job.type, aged))
+        allowances = self._cached_table(self._allowances, (job.type_index, aged))
         if not has_reserved and self._known_without_option(job, aged):
             return options
         any_slot = False
@@ -166,34 +166,34 @@
         for examined, machine in enumerate(roomy, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
-            if job.size[0] > machine.free[0]:
+            if job.task_size[0] > machine.free[0]:
                 continue
             if has_reserved and machine.reserved_for == job.spec.id:
                 tasks = self._slots_for(job, machine, now)
             else:
                 change_count, tasks = allowances.get(machine.index, NOT_EXAMINED)
                 if change_count != machine.change_count:
-                    tasks = self._allowance(job.type, job.rank, aged, machine)
+                    tasks = self._allowance(job.type_index, job.priority_rank, aged, machine)
                     allowances[machine.index] = machine.change_count, tasks
                 if tasks > 0:
-                    tasks = min(tasks, tasks_that_fit(job.size, machine.free))
+                    tasks = min(tasks, tasks_that_fit(job.task_size, machine.free))
             if tasks > 0:
                 any_slot = True
                 if self.allowed(job, machine) and self.images.worth_fetching(job, machine, now):
                     options.append(SlotOption(self.preference(job, machine), tasks, machine))
         if not any_slot:
-            self._sizes_without_slot[job.type, aged] = job.size
-        elif not options and not job.avoid:
-            self._sizes_without_option[job.type, job.image, aged] = job.size
+            self._sizes_without_slot[job.type_index, aged] = job.task_size
+        elif not options and not job.avoided_machines:
+            self._sizes_without_option[job.type_index, job.image_index, aged] = job.task_size
         return options
 
     def _known_without_option(self, job: Job, aged: bool) -> bool:
         """Return whether this pass has found no slot for a similar job whose tasks were no larger."""
-        without_option = self._sizes_without_option.get((job.type, job.image, aged))
-        if without_option and fits(without_option, job.size):
+        without_option = self._sizes_without_option.get((job.type_index, job.image_index, aged))
+        if without_option and fits(without_option, job.task_size):
             return True
-        without_slot = self._sizes_without_slot.get((job.type, aged))
-        return without_slot is not None and fits(without_slot, job.size)
+        without_slot = self._sizes_without_slot.get((job.type_index, aged))
+        return without_slot is not None and fits(without_slot, job.task_size)
 
     def _zone_for(self, job: Job, options: list[SlotOption]) -> int:
         """Return the zone of a job that is bound to one: where its tasks are, or else where most of them fit."""
@@ -202,7 +202,7 @@
             return occupied
         slots_by_zone: dict[int, int] = {}
         for option in options:
-            zone = option.machine.zone
+            zone = option.machine.zone_index
             slots_by_zone[zone] = slots_by_zone.get(zone, 0) + option.tasks
         return max(slots_by_zone, key=lambda zone: slots_by_zone[zone])
 
@@ -210,9 +210,9 @@
         """Return how many of the job's tasks are in each zone."""
         counts: dict[int, int] = {}
         for allocation in job.allocations.values():
-            machine = self.inventory.at(allocation.machine)
+            machine = self.inventory.find_by_index(allocation.machine_index)
             if machine is not None:
-                counts[machine.zone] = counts.get(machine.zone, 0) + 1
+                counts[machine.zone_index] = counts.get(machine.zone_index, 0) + 1
         return counts
 
     def _start_on_options(
@@ -246,68 +246,68 @@
                 if job.spec.spread:
                     zone_counts = self._zone_counts(job)
             if job.spec.spread:
-                tasks = min(tasks, max_per_zone - zone_counts.get(machine.zone, 0))
+                tasks = min(tasks, max_per_zone - zone_counts.get(machine.zone_index, 0))
             started = self._start_tasks(job, machine, max(0, min(tasks, wanted - placed)), now)
-            zone_counts[machine.zone] = zone_counts.get(machine.zone, 0) + started
+            zone_counts[machine.zone_index] = zone_counts.get(machine.zone_index, 0) + started
             placed += started
             started_in_step += started
         if placed and log.isEnabledFor(logging.DEBUG):
-            log.debug(LogEvent("tasks_placed", job_id=job.spec.id, tasks=placed, waiting=job.waiting()))
+            log.debug(LogEvent("tasks_placed", job_id=job.spec.id, tasks=placed, waiting=job.waiting_count()))
         return wanted - placed
 
     def _start_tasks(self, job: Job, machine: Machine, count: int, now: float) -> int:
         """Start up to `count` waiting tasks of the job on a machine, and return how many were started."""
         for started in range(count):
             fresh = job.first_unallocated
-            index = job.take()
+            index = job.take_waiting_task()
             if index is None:
                 return started
-            job.started_at = now
-            allocation = self.dispatch.start(job, index, machine, self.dispatch.next_attempt(), now)
-            allocation.first = job.first_unallocated > fresh
+            job.last_allocation_at = now
+            allocation = self.dispatch.start(job, index, machine, self.dispatch.next_attempt_number(), now)
+            allocation.is_first_attempt = job.first_unallocated > fresh
         return count
 
     def allowed(self, job: Job, machine: Machine) -> bool:
         """Return whether the job's constraints let it run on the machine at all, whatever is free there."""
-        kinds = self.registry.types[job.type].machine_types
+        kinds = self.registry.task_types[job.type_index].machine_types
         return (
             (job.spec.spot or not machine.spot)
-            and (kinds is None or machine.kind in kinds)
-            and (job.zone < 0 or job.zone == machine.zone)
+            and (kinds is None or machine.type_index in kinds)
+            and (job.zone_index < 0 or job.zone_index == machine.zone_index)
             and (machine.reserved_for is None or machine.reserved_for == job.spec.id)
-            and (machine.index not in job.avoid or not job.has_progress)
+            and (machine.index not in job.avoided_machines or not job.has_progress)
         )
 
     def preference(self, job: Job, machine: Machine) -> tuple[object, ...]:
         """Return a sort key: the machine with the smallest one is best for the job."""
         has_own_slot = (
             machine.in_accept_group
-            and job.type < len(machine.template)
-            and machine.template[job.type] > machine.slots_used(job.type)
+            and job.type_index < len(machine.slot_template)
+            and machine.slot_template[job.type_index] > machine.slots_used(job.type_index)
         )
-        heartbeats_until_fetched = int(self.images.fetch_s(job, machine) / self.inventory.report_s)
+        heartbeats_until_fetched = int(self.images.fetch_s(job, machine) / self.inventory.heartbeat_interval_s)
         return (
-            machine.index in job.avoid,  # a start elsewhere shows whether the job or the machine is at fault
+            machine.index in job.avoided_machines,  # a start elsewhere shows whether the job or the machine is at fault
             heartbeats_until_fetched,
             not has_own_slot,
             machine.slowness > SLOW_MACHINE_RATIO,
-            job.image not in machine.images,
+            job.image_index not in machine.images,
             not machine.spot if job.spec.spot else machine.spot,
-            machine.rank,
+            machine.rank_in_plan,
             -machine.used[0],
             machine.index,
         )
 
     def _startable_tasks(self, job: Job) -> int:
         """Return how many tasks may start now within the team's limit, counting those that may run anywhere."""
-        team = self.registry.teams[job.team]
-        if not job.live or not team.left_to(job.spec.id):
+        team = self.registry.teams[job.team_index]
+        if not job.is_live or not team.may_use_remaining_limit(job.spec.id):
             return 0
-        return min(job.startable(), team.headroom(job.size))
+        return min(job.startable_count(), team.headroom(job.task_size))
 
     def _has_aged(self, job: Job, now: float) -> bool:
         """Return whether the job has waited for a period, so that machines of the reject group take it as well."""
-        return now - job.wait_since >= self.policy_values.period_s
+        return now - job.waiting_since >= self.policy_values.period_s
 
     def _slots_still_free(self, job: Job, machine: Machine, now: float) -> int:
         """Return how many tasks a machine takes now that was found suitable in an earlier turn."""
@@ -320,25 +320,25 @@
 
         This is the paper's rule with two additions: reserved machines take what fits, and spare slots are lent.
         """
-        fitting = tasks_that_fit(job.size, machine.free)
+        fitting = tasks_that_fit(job.task_size, machine.free)
         if fitting <= 0:
             return 0
         if machine.reserved_for == job.spec.id:
             return min(fitting, self._max_new_tasks(machine))
-        return min(fitting, self._allowance(job.type, job.rank, self._has_aged(job, now), machine))
+        return min(fitting, self._allowance(job.type_index, job.priority_rank, self._has_aged(job, now), machine))
 
     @staticmethod
     def _max_new_tasks(machine: Machine) -> int:
         """Return how many more tasks a machine may get, whatever its template and capacity."""
-        limit = MAX_ALLOCATIONS_ON_PROBATION if machine.errors else MAX_ALLOCATIONS_PER_MACHINE
+        limit = MAX_ALLOCATIONS_ON_PROBATION if machine.consecutive_failures else MAX_ALLOCATIONS_PER_MACHINE
         return limit - len(machine.allocations)
 
     def _allowance(self, task_type: int, rank: int, aged: bool, machine: Machine) -> int:
         """Return how many more tasks of a type the machine's template and group admit, whatever their size."""
         limit = self._max_new_tasks(machine)
         if not machine.in_accept_group:
-            return limit if aged or machine.rank == 0 else 0
-        own_slots = machine.template[task_type] if task_type < len(machine.template) else 0
+            return limit if aged or machine.rank_in_plan == 0 else 0
+        own_slots = machine.slot_template[task_type] if task_type < len(machine.slot_template) else 0
         free_own_slots = own_slots - machine.slots_used(task_type)
         if free_own_slots > 0:
             return min(limit, free_own_slots)
@@ -346,10 +346,10 @@
             return 0
         # spare slots of other types may be borrowed while none of their own tasks wait, provided that their type
         # could take them back by preemption
-        for lender, slots in enumerate(machine.template):
+        for lender, slots in enumerate(machine.slot_template):
             if slots <= 0 or lender == task_type:
                 continue
-            if lender in self.blocked_types or self.registry.types[lender].rank >= rank:
+            if lender in self.blocked_types or self.registry.task_types[lender].priority_rank >= rank:
                 return 0
         return limit
 
@@ -357,16 +357,16 @@
         """Preempt other work for a job's waiting tasks, if the job may displace any."""
         if self.preemption.patient(job, self.policy_values.reclaim_after_s, now):
             return
-        has_lowest_priority = job.rank == len(PRIORITIES) - 1
-        if has_lowest_priority and not (job.guaranteed and self.preemption.borrowers - {job.team}):
+        has_lowest_priority = job.priority_rank == len(PRIORITIES) - 1
+        if has_lowest_priority and not (job.within_guarantee and self.preemption.borrowers - {job.team_index}):
             return
-        job.preempt_at = now
+        job.last_preempted_others_at = now
         reclaiming_team = self.preemption.reclaims_for(job, now)
-        machines = self._machines_to_clear.get((job.type, reclaiming_team))
+        machines = self._machines_to_clear.get((job.type_index, reclaiming_team))
         if machines is None:
             # similar jobs share one list: examining every machine for each of them is quadratic in the cluster's size
             machines = yield from self._rank_machines_to_clear(job, ready, reclaiming_team, now)
-            self._machines_to_clear[job.type, reclaiming_team] = machines
+            self._machines_to_clear[job.type_index, reclaiming_team] = machines
         self._clear_machines(job, machines, tasks, now)
 
     def _rank_machines_to_clear(
@@ -396,7 +396,7 @@
         """
         to_clear = max(1, min(tasks, MAX_MACHINES_CLEARED))
         for _ in range(min(len(machines), MAX_MACHINES_TRIED)):
-            if not to_clear or not job.live:
+            if not to_clear or not job.is_live:
                 return
             machine = machines.pop()
             eviction = (
@@ -412,7 +412,7 @@
         if machine.reserved_for is not None or machine.stopping_count:
             return None
         # where the task fits already, it is the template that refuses it, and preemption does not help
-        if fits(job.size, machine.free) or not self.allowed(job, machine):
+        if fits(job.task_size, machine.free) or not self.allowed(job, machine):
             return None
         eviction = self.preemption.eviction(job, machine, 1, now)
         return eviction if eviction is not None and eviction[0] else None
--- a/src/grebestand/scheduling/policy_values.py
+++ b/src/grebestand/scheduling/policy_values.py
@@ -55,7 +55,7 @@
         return {
             "machines": max(1.0, float(len(machines))),
             "busy": float(sum(1 for m in machines if m.allocations)),
-            "types": max(1.0, float(len(self.registry.types))),
+            "types": max(1.0, float(len(self.registry.task_types))),
             "zones": float(len(params.zones)),
             "teams": float(len(params.teams)),
             "controllers": float(params.nodes),
--- a/src/grebestand/scheduling/preemption.py
+++ b/src/grebestand/scheduling/preemption.py
@@ -53,7 +53,7 @@
 
     def begin(self) -> None:
         """Start a full pass: find the teams that borrow."""
-        self.borrowers = {index for index, team in enumerate(self.registry.teams) if team.borrows()}
+        self.borrowers = {index for index, team in enumerate(self.registry.teams) if team.exceeds_guarantee()}
 
     def forget(self) -> None:
         """Drop cached costs, which grow with time."""
@@ -69,14 +69,17 @@
             reclaims: whether the job may reclaim its team's guarantee now.
         """
         other = victim.job
-        if other is job or not other.live or victim.stop_reason is not None:
+        if other is job or not other.is_live or victim.stop_reason is not None:
             return False
-        if job.rank != other.rank:
+        if job.priority_rank != other.priority_rank:
             # a guarantee never displaces work of higher priority: that would displace it in turn, and two jobs that
             # keep stopping each other make no progress
-            return job.rank < other.rank
+            return job.priority_rank < other.priority_rank
         return (
-            reclaims and not other.guaranteed and other.team != job.team and self.registry.teams[other.team].borrows()
+            reclaims
+            and not other.within_guarantee
+            and other.team_index != job.team_index
+            and self.registry.teams[other.team_index].exceeds_guarantee()
         )
 
     def may_stop(self, job: Job, victim: Allocation, now: float) -> bool:
@@ -87,8 +90,8 @@
 
     def reclaims_for(self, job: Job, now: float) -> int:
         """Return the index of the team whose guarantee the job may reclaim from others now, or -1."""
-        others_borrow = job.guaranteed and bool(self.borrowers - {job.team})
-        return job.team if others_borrow and now - job.wait_since >= self.policy_values.reclaim_after_s else -1
+        others_borrow = job.within_guarantee and bool(self.borrowers - {job.team_index})
+        return job.team_index if others_borrow and now - job.waiting_since >= self.policy_values.reclaim_after_s else -1
 
     def _ranked_victims(self, machine: Machine, now: float) -> list[tuple[float, Allocation]]:
         """Return all tasks of a machine that are not being stopped, the cheapest to stop first.
@@ -110,11 +113,11 @@
         """Return what stopping any task of the job costs, from the cache if it is there."""
         cost = self._costs_by_job.get(job)
         if cost is None:
-            tasks = job.spec.tasks if job.gang else 1
+            tasks = job.spec.tasks if job.is_gang else 1
             # a gang that was displaced before costs more, so that it is not the cheapest victim again and again
-            cpus = (1.0 + job.preemption_count) * tasks * max(job.size[0], 1) / MICRO_UNITS
+            cpus = (1.0 + job.preemption_count) * tasks * max(job.task_size[0], 1) / MICRO_UNITS
             checkpoints = job.spec.checkpoint_s > 0
-            is_protected = job.guaranteed or (not checkpoints and self.ordering.tight(job, None, now))
+            is_protected = job.within_guarantee or (not checkpoints and self.ordering.tight(job, None, now))
             cost = self._costs_by_job[job] = PreemptionCost(cpus, checkpoints, is_protected)
         return cost
 
@@ -122,14 +125,14 @@
         """Return the CPU seconds that stopping this task would waste, with all tasks of a gang counted."""
         job = victim.job
         cost = self._cost_for_job(job, now)
-        if victim.run_at is None:
+        if victim.running_since is None:
             # its cores have been idle while its image is fetched, which would have to be fetched again elsewhere
             seconds = IDLE_OVERHEAD_S + now - victim.decided_at
         elif cost.checkpoints:
             seconds = job.spec.save_s + SAVE_MARGIN_S
         else:
-            seconds = now - victim.run_at
-        is_protected = cost.is_protected or (cost.checkpoints and self.ordering.tight(job, victim.run_at, now))
+            seconds = now - victim.running_since
+        is_protected = cost.is_protected or (cost.checkpoints and self.ordering.tight(job, victim.running_since, now))
         return (PROTECTED_WEIGHT if is_protected else 1.0) * cost.cpus * (STOP_OVERHEAD_S + seconds)
 
     def hopeless(self, job: Job, machine: Machine, reclaims: bool) -> bool:
@@ -140,14 +143,14 @@
         """
         if machine.stopping_count:
             return False
-        cpus = machine.free[0] + sum(machine.rank_cpus[job.rank + 1 :])
-        if reclaims and cpus < job.size[0]:
+        cpus = machine.free[0] + sum(machine.micro_cpus_by_rank[job.priority_rank + 1 :])
+        if reclaims and cpus < job.task_size[0]:
             cpus += sum(
                 used
-                for (rank, team), used in machine.team_cpus.items()
-                if rank == job.rank and team != job.team and team in self.borrowers
+                for (rank, team), used in machine.micro_cpus_by_rank_and_team.items()
+                if rank == job.priority_rank and team != job.team_index and team in self.borrowers
             )
-        return cpus < job.size[0]
+        return cpus < job.task_size[0]
 
     def eviction(self, job: Job, machine: Machine, tasks: int, now: float) -> tuple[list[Allocation], float] | None:
         """Return the cheapest victims on a machine that free capacity for so many tasks, and their cost.
@@ -156,12 +159,12 @@
             The victims and the CPU seconds that stopping them wastes, or None if there are not enough. There are no
             victims if the capacity is free, or will be once tasks that are being stopped are gone.
         """
-        need = multiply(job.size, tasks)
+        need = multiply(job.task_size, tasks)
         capacity = machine.free
         if machine.stopping_count:
             for allocation in machine.allocations.values():
                 if allocation.stop_reason is not None:
-                    capacity = add(capacity, allocation.job.size)
+                    capacity = add(capacity, allocation.job.task_size)
         victims: list[Allocation] = []
         cost = 0.0
         reclaims = self.reclaims_for(job, now) >= 0
@@ -172,18 +175,18 @@
             if allocation.state is not AllocationState.GONE and self._may_displace(job, allocation, reclaims):
                 victims.append(allocation)
                 cost += lost_work
-                capacity = add(capacity, allocation.job.size)
+                capacity = add(capacity, allocation.job.task_size)
         return (victims, cost) if fits(need, capacity) else None
 
     def displace(self, victims: list[Allocation], job: Job, now: float) -> None:
         """Stop the victims in favour of a job; gangs are stopped whole, and tasks with checkpoints save first."""
         if victims:
-            names = [f"{victim.job.spec.id}/{victim.index}" for victim in victims]
+            names = [f"{victim.job.spec.id}/{victim.task_index}" for victim in victims]
             log.info(LogEvent("tasks_preempted", for_job_id=job.spec.id, tasks=names))
         for victim in victims:
             other = victim.job
             grace_s = other.spec.save_s + SAVE_MARGIN_S if other.spec.checkpoint_s > 0 else 0.0
-            if other.gang:
+            if other.is_gang:
                 other.preemption_count += 1
                 self.dispatch.stop_job(other, "preempted", grace_s, now)
             else:
@@ -192,4 +195,4 @@
     @staticmethod
     def patient(job: Job, after_s: float, now: float) -> bool:
         """Return whether the job should wait longer before any work is preempted for it."""
-        return now - job.wait_since < after_s or now - job.preempt_at < PREEMPTION_INTERVAL_S
+        return now - job.waiting_since < after_s or now - job.last_preempted_others_at < PREEMPTION_INTERVAL_S
--- a/src/grebestand/scheduling/scale_out.py
+++ b/src/grebestand/scheduling/scale_out.py
@@ -53,7 +53,7 @@
         present = {(pool.machine_type, pool.zone, pool.spot) for pool in pools}
         rentable: list[Pool] = []
         for kind, offered in self.inventory.machine_types.items():
-            zones = [self.registry.zones.index(zone) for zone in offered.zones] if zoned else [-1]
+            zones = [self.registry.zones.intern(zone) for zone in offered.zones] if zoned else [-1]
             capacity = next((pool.capacity for pool in pools if pool.machine_type == kind), None)
             if capacity is None:
                 capacity = machine_capacity(offered)
@@ -72,7 +72,7 @@
             offered = self.inventory.machine_types.get(pool.machine_type)
             if offered is None or not any(pool.takes(slot) for slot in slots):
                 continue
-            zones = (pool.zone,) if pool.zone >= 0 else tuple(self.registry.zones.index(z) for z in offered.zones)
+            zones = (pool.zone,) if pool.zone >= 0 else tuple(self.registry.zones.intern(z) for z in offered.zones)
             shortages.append(CapacityShortage(pool.machine_type, pool.spot, missing, zones))
         return shortages
 
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -76,9 +76,9 @@
 
     def full_pass_steps(self, now: float) -> Steps:
         """Run a full pass in steps: every waiting job, over every usable machine."""
-        for failed in [j for j in self.registry.jobs.values() if j.avoid]:
+        for failed in [j for j in self.registry.jobs.values() if j.avoided_machines]:
             MachineHealth.look_again(failed, now)
-        waiting = [j for j in self.registry.waiting_jobs() if now >= j.retry_at and j.startable() > 0]
+        waiting = [j for j in self.registry.waiting_jobs() if now >= j.retry_at and j.startable_count() > 0]
         if not waiting:
             self.placement.end([])
             return
@@ -89,7 +89,7 @@
         turn = self.context.slice_number
         # most machines have no free capacity for any of the single tasks; those whose heartbeat frees some meanwhile
         # are filled by `fill`
-        smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
+        smallest_cpus = min((j.task_size[0] for j in waiting if not j.is_gang), default=0)
         roomy = [m for m in ready if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
@@ -100,7 +100,7 @@
             if self._must_wait(job, now):
                 continue
             has_reserved = job.spec.id in reserving_jobs
-            if job.gang:
+            if job.is_gang:
                 yield from self.gangs.place(job, ready, now, has_reserved)
             else:
                 yield from self.placement.place(job, roomy, ready, now, has_reserved)
@@ -133,16 +133,16 @@
                 continue
             reserving_jobs.add(machine.reserved_for)
             job = self.registry.jobs.get(machine.reserved_for)
-            if now >= machine.reserved_until or job is None or not job.live or job.waiting() == 0:
+            if now >= machine.reserved_until or job is None or not job.is_live or job.waiting_count() == 0:
                 machine.reserved_for = None
         return reserving_jobs
 
     def _must_wait(self, job: Job, now: float) -> bool:
         """Return whether a pass skips a job: it has changed since the pass began, or a feature vetoes it."""
-        if not job.live or now < job.retry_at or job.startable() <= 0:
+        if not job.is_live or now < job.retry_at or job.startable_count() <= 0:
             return True
         veto = self.context.features.veto(job, now)
         if veto is not None:
-            job.why_waiting = veto
+            job.pending_reason = veto
             return True
         return False
--- a/src/grebestand/scheduling/stragglers.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -90,10 +90,15 @@
     def record_run_time(self, machine: Machine, allocation: Allocation, now: float) -> None:
         """Take in the run time of a task that has completed on a machine."""
         job = allocation.job
-        if job.gang or not allocation.first or allocation.run_at is None or now <= allocation.run_at:
+        if (
+            job.is_gang
+            or not allocation.is_first_attempt
+            or allocation.running_since is None
+            or now <= allocation.running_since
+        ):
             return
-        run_time_s = now - allocation.run_at
-        others = [(index, seconds) for index, seconds in job.runs if index != machine.index]
+        run_time_s = now - allocation.running_since
+        others = [(index, seconds) for index, seconds in job.recent_run_times if index != machine.index]
         self._remember(job, machine, run_time_s)
         if len(others) < MIN_OTHER_TASKS or len({index for index, _ in others}) < MIN_OTHER_MACHINES:
             return
@@ -108,9 +113,9 @@
     @staticmethod
     def _remember(job: Job, machine: Machine, run_time_s: float) -> None:
         """Keep a run time with its job, in place of the oldest if there are too many."""
-        if len(job.runs) >= MAX_RUN_TIMES:
-            job.runs.pop(0)
-        job.runs.append((machine.index, run_time_s))
+        if len(job.recent_run_times) >= MAX_RUN_TIMES:
+            job.recent_run_times.pop(0)
+        job.recent_run_times.append((machine.index, run_time_s))
 
     def _is_surely_slow(self, samples: RunTimeSamples) -> bool:
         """Return whether a machine's samples suffice to drain it."""
@@ -138,5 +143,5 @@
 
     def remove_deleted_machines(self) -> None:
         """Drop the samples of machines that no longer exist."""
-        for index in [i for i in self._samples if self.inventory.at(i) is None]:
+        for index in [i for i in self._samples if self.inventory.find_by_index(i) is None]:
             del self._samples[index]
--- a/src/grebestand/scheduling/template_targets.py
+++ b/src/grebestand/scheduling/template_targets.py
@@ -48,21 +48,21 @@
         """Return the active types and their targets: tasks that run, tasks that wait, and the policy's spare slots."""
         counts: dict[int, float] = {}
         for job in self.registry.jobs.values():
-            if not job.live:
+            if not job.is_live:
                 continue
-            self.registry.types[job.type].seen_at = now
-            team = self.registry.teams[job.team]
+            self.registry.task_types[job.type_index].last_seen_at = now
+            team = self.registry.teams[job.team_index]
             # slots are not reserved for tasks that their team's limit keeps from running
-            waiting = min(job.wanted(), team.headroom(job.size))
-            counts[job.type] = counts.get(job.type, 0) + len(job.allocations) + waiting
-        registered = self.registry.types
-        types = [i for i, t in enumerate(registered) if i in counts or now - t.seen_at < TYPE_MEMORY_S]
-        types.sort(key=lambda i: (registered[i].rank, i))
+            waiting = min(job.wanted_count(), team.headroom(job.task_size))
+            counts[job.type_index] = counts.get(job.type_index, 0) + len(job.allocations) + waiting
+        registered = self.registry.task_types
+        types = [i for i, t in enumerate(registered) if i in counts or now - t.last_seen_at < TYPE_MEMORY_S]
+        types.sort(key=lambda i: (registered[i].priority_rank, i))
         capacity = self._largest_capacity()
         slots = []
         for index in types:
             task_type = registered[index]
-            payoff = self.policy_values.payoffs[task_type.rank]
+            payoff = self.policy_values.payoffs[task_type.priority_rank]
             slots.append(task_type.slot(payoff * max(dominant_share(task_type.size, capacity), MIN_SHARE)))
         needs = [counts.get(index, 0.0) for index in types]
         targets = [need + self.policy_values.g for need in needs]
@@ -75,17 +75,19 @@
 
     def _assignments(self, demand: TypeDemand, pools: MachinePools) -> Generator[None, None, list[TemplateAssignment]]:
         """Return the machines for CRA, those that hold tasks first, and add each to its pool."""
-        members = [m for m in self.inventory.machines if self.inventory.counts(m)]
+        members = [m for m in self.inventory.machines if self.inventory.counts_in_plan(m)]
         zoned = demand.zoned
         assignments: list[TemplateAssignment] = []
         for examined, machine in enumerate(members, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
-            pool = pools.add_machine(Pool(machine.kind, machine.zone if zoned else -1, machine.spot, machine.capacity))
-            if not machine.template:
+            pool = pools.add_machine(
+                Pool(machine.type_index, machine.zone_index if zoned else -1, machine.spot, machine.capacity)
+            )
+            if not machine.slot_template:
                 # the paper's initialisation: the template of an unconfigured machine is what it holds
-                machine.template = self._tasks_by_type(machine, demand.registered_types)
-            template = machine.template
+                machine.slot_template = self._tasks_by_type(machine, demand.registered_types)
+            template = machine.slot_template
             config = tuple(template[index] if index < len(template) else 0 for index in demand.types)
             empty, holds = self._held(machine, demand)
             assignments.append(TemplateAssignment(pool, config, empty, holds, tag=machine.index))
@@ -103,10 +105,10 @@
         for examined, assignment in enumerate(assignments, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
-            machine = self.inventory.at(assignment.tag)
+            machine = self.inventory.find_by_index(assignment.tag)
             if machine is None:
                 continue  # it was removed while the plan was computed
-            machine.rank, machine.in_accept_group = assignment.rank, assignment.accept
+            machine.rank_in_plan, machine.in_accept_group = assignment.rank, assignment.accept
             if not assignment.changed:
                 continue
             if self.context.slice_number != turn:
@@ -117,7 +119,7 @@
             template = [0] * demand.registered_types
             for slots, index in zip(assignment.config, demand.types, strict=True):
                 template[index] = slots
-            machine.template = tuple(template)
+            machine.slot_template = tuple(template)
 
     def _held(self, machine: Machine, demand: TypeDemand) -> tuple[bool, SlotTemplate]:
         """Return whether a machine is empty, and its tasks by active type.
@@ -136,7 +138,7 @@
     def _tasks_by_type(machine: Machine, registered_types: int) -> SlotTemplate:
         """Return how many tasks of each registered type a machine holds."""
         counts = [0] * registered_types
-        for index, count in machine.slots.items():
+        for index, count in machine.slots_by_type.items():
             counts[index] = count
         return tuple(counts)
 
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -197,10 +197,10 @@
             for w in self.workers.values():
                 if w.reachable:
                     self.handle_heartbeat(term, w)
-            for m in [term.inventory.at(i) for i in term.dispatch.urgent]:
+            for m in [term.inventory.find_by_index(i) for i in term.dispatch.urgent_machines]:
                 if m is not None and self.workers[m.name].reachable:
                     term.machine_reconciliation.send_stops(m)
-            term.dispatch.urgent = set()
+            term.dispatch.urgent_machines = set()
             for m in term.machine_reconciliation.to_query(self.clock.now):
                 term.machine_reconciliation.ask(m)
             term.inventory.detect_silent_machines(self.clock.now)
--- a/tests/features/test_feature_hooks.py
+++ b/tests/features/test_feature_hooks.py
@@ -61,9 +61,9 @@
     job_id = cluster.accept(curfew_cluster.node, shards=2)
     curfew_cluster.curfew.active = True
     cluster.settle(term, 4)
-    assert not worker.started and term.registry.jobs[job_id].why_waiting == "curfew"
+    assert not worker.started and term.registry.jobs[job_id].pending_reason == "curfew"
     curfew_cluster.curfew.active = False
-    term.registry.changed = True
+    term.registry.changed_since_scheduling = True
     cluster.settle(term, 4)
     assert len(worker.running()) == 2
 
--- a/tests/federation/test_federation_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -45,7 +45,10 @@
     clusters = Clusters()
     clusters.home.home.remotes.by_name.clear()
     clusters.go(20)
-    assert not clusters.home.home.counts["offers"] and clusters.home.term.registry.jobs[clusters.gang].startable() == 3
+    assert (
+        not clusters.home.home.counts["offers"]
+        and clusters.home.term.registry.jobs[clusters.gang].startable_count() == 3
+    )
 
 
 def test_settings_with_other_clusters_serve_the_link(tmp_path: Path) -> None:
@@ -201,7 +204,7 @@
     assert gang.ref == clusters.gang and not remote_gangs(clusters.home.node.store, "west")
     assert settle(clusters.home.node.store, gang, "somebody") and not settle(clusters.home.node.store, gang, "somebody")
     clusters.go(15)
-    assert clusters.home.term.registry.jobs[clusters.gang].startable() == 3 and clusters.home.home.settled.records
+    assert clusters.home.term.registry.jobs[clusters.gang].startable_count() == 3 and clusters.home.home.settled.records
     clusters.home.home.limits.overflow_after_s = lambda job, now: 1e9
     clusters.finish(clusters.home)
     clusters.until(lambda: clusters.runs_in() == "home")
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -34,7 +34,7 @@
     clusters = Clusters()
     clusters.until(lambda: clusters.runs_in() == "east")
     clusters.go(4)
-    assert clusters.home.term.registry.jobs[clusters.gang].running() == 3
+    assert clusters.home.term.registry.jobs[clusters.gang].running_count() == 3
     assert not clusters.home.term.registry.jobs[clusters.gang].allocations
     clusters.finish(clusters.east)
     clusters.until(lambda: clusters.view() == "done")
@@ -92,7 +92,7 @@
             and clusters.home.home.gangs[clusters.gang].state is HomeState.COMMITTED
         )
     )
-    assert clusters.home.term.registry.jobs[clusters.gang].startable() == 0
+    assert clusters.home.term.registry.jobs[clusters.gang].startable_count() == 0
     clusters.go(25)
     wire.drop = lambda m: ""
     clusters.until(
@@ -133,7 +133,7 @@
 
     wire.drop = lose
     clusters.until(lambda: bool(wire.sent))
-    assert clusters.home.term.registry.jobs[clusters.gang].startable() == 0
+    assert clusters.home.term.registry.jobs[clusters.gang].startable_count() == 0
     wire.drop = lambda m: ""
     clusters.until(lambda: clusters.runs_in() == "east", 200)
 
@@ -274,7 +274,7 @@
         iter(clusters.east.guest.reservations.by_id.values())
     )
     job = clusters.east.term.registry.jobs[east.job]
-    assert job.guest and job.abroad is None and not clusters.others[1].guest.records
+    assert job.is_guest and job.remote_assignment is None and not clusters.others[1].guest.records
     for worker in clusters.east.workers:
         worker.reachable = True
     clusters.until(lambda: clusters.runs_in() == "east", 200)
@@ -363,7 +363,7 @@
     assert isinstance(guest.answer(offer(clusters)), Reserved)
     assert guest.answer(offer(clusters)) == Rejection("as many as are allowed")
     guest.limits.max_reservations = 8
-    clusters.east.term.registry.teams[clusters.east.term.registry.team_names.index("blue")].limit = (15_000_000, 0)
+    clusters.east.term.registry.teams[clusters.east.term.registry.team_names.intern("blue")].limit = (15_000_000, 0)
     assert guest.answer(offer(clusters)) == Rejection("the guests' limit is used up")
 
 
@@ -420,7 +420,7 @@
     term = clusters.home.node.lead()
     clusters.finish(clusters.home)
     world.settle(term, 12)
-    assert not clusters.gangs()["home"] and term.registry.jobs[clusters.gang].startable() == 0
+    assert not clusters.gangs()["home"] and term.registry.jobs[clusters.gang].startable_count() == 0
 
 
 def test_reserved_machines_get_no_other_tasks_until_the_reservation_expires() -> None:
