--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -39,7 +39,7 @@
     job_id = cluster.accept(node, shape="ensemble", shards=1, cpus=8.0)
     cluster.settle(term, 2)
     assert len(migrations) == 1
-    assert term.registry.jobs[job_id].running()
+    assert term.registry.jobs[job_id].running_count()
 
 
 def test_leader_paused_beyond_its_lease_starts_nothing() -> None:
@@ -52,7 +52,7 @@
     node.election.check_clock()
     term.scheduling_loop.step(cluster.clock.now)
     assert not worker.started
-    assert not term.registry.jobs[job_id].running()
+    assert not term.registry.jobs[job_id].running_count()
 
 
 def test_overloaded_leader_resigns_for_a_peer_that_is_not() -> None:
--- a/tests/heartbeats/test_heartbeat_evidence.py
+++ b/tests/heartbeats/test_heartbeat_evidence.py
@@ -51,7 +51,7 @@
     assert deleted.name not in term.inventory.by_name
     assert term.inventory.by_name[expired.name].state is MachineState.LEASE_EXPIRED
     job = term.registry.jobs[job_id]
-    assert held_tasks and not job.allocations and job.startable() == 20
+    assert held_tasks and not job.allocations and job.startable_count() == 20
 
 
 def test_delayed_heartbeat_of_earlier_term_reconciles_nothing() -> None:
--- a/tests/heartbeats/test_heartbeat_handling.py
+++ b/tests/heartbeats/test_heartbeat_handling.py
@@ -112,7 +112,7 @@
     assert len(worker.running()) == 16
     splits: list[str] = []
     moves: list[object] = []
-    move = term.registry.move_allocation
+    move = term.registry.change_allocation_state
 
     def counted_split(name: str) -> tuple[str, int]:
         splits.append(name)
@@ -123,7 +123,7 @@
         move(allocation, new, now)
 
     monkeypatch.setattr(task_reconciliation, "split_task", counted_split)
-    monkeypatch.setattr(term.registry, "move_allocation", counted_move)
+    monkeypatch.setattr(term.registry, "change_allocation_state", counted_move)
     cluster.clock.now += 3.0
     response = cluster.handle_heartbeat(term, worker)
     assert response is not None and not response.commands
@@ -142,14 +142,14 @@
     cluster, controller, term, (worker,) = start_cluster(1)
     api = HeartbeatApi("node-0", controller.election, lambda: term)
     job_id = cluster.accept(controller)
-    commands = term.command_builder.commands
+    commands = term.command_builder.build_commands
 
     def slow(machine: Machine, heartbeat: Heartbeat, now: float, starts: bool = True) -> list[Command]:
         built = commands(machine, heartbeat, now, starts)
         cluster.clock.now += 30.0
         return built
 
-    monkeypatch.setattr(term.command_builder, "commands", slow)
+    monkeypatch.setattr(term.command_builder, "build_commands", slow)
     assert api.handle_heartbeat(msgspec.json.encode(worker.report())).status == 503
     assert controller.election.state is LeaderState.PAUSED
     monkeypatch.undo()
--- a/tests/heartbeats/test_machine_reception.py
+++ b/tests/heartbeats/test_machine_reception.py
@@ -20,10 +20,12 @@
         term.handle_heartbeat(unreachable.report())
     machine = term.inventory.by_name[unreachable.name]
     assert reception_and_state(machine) == (Reception.UNREACHABLE, MachineState.SUSPECT)
-    assert not term.inventory.counts(machine)
+    assert not term.inventory.counts_in_plan(machine)
     assert term.handle_heartbeat(unreachable.report()) is None  # no response, which could renew the machine's lease
     allocations = term.registry.jobs[job_id].allocations.values()
-    assert any(allocation.machine == machine.index for allocation in allocations)  # counted until the lease expires
+    assert any(
+        allocation.machine_index == machine.index for allocation in allocations
+    )  # counted until the lease expires
     for _ in range(25):
         cluster.settle(term, 1)
         term.handle_heartbeat(unreachable.report())
--- a/tests/leader/test_failover.py
+++ b/tests/leader/test_failover.py
@@ -54,8 +54,8 @@
     _successor, new_term = fail_over(cluster, "node-1")
     cluster.settle(new_term, 1)
     job = new_term.registry.jobs[wide]
-    assert job.possible_holders and job.startable() == 200 - granted_below
-    assert all(job.take() not in range(granted_below) for _ in range(5))
+    assert job.possible_holders and job.startable_count() == 200 - granted_below
+    assert all(job.take_waiting_task() not in range(granted_below) for _ in range(5))
 
 
 @pytest.mark.parametrize("rule", ["samePlace", "scatter"])
@@ -92,12 +92,12 @@
     cluster.settle(new_term, 1)
     registry = new_term.registry
     job = registry.jobs[wide]
-    index = job.take()
-    assert job.possible_holders and index is not None and index >= job.unseen_below
-    job.returned.append(index)
+    index = job.take_waiting_task()
+    assert job.possible_holders and index is not None and index >= job.unseen_tasks_below
+    job.requeued_tasks.append(index)
     for machine in set(job.possible_holders):
         registry.clear_possible_holder(machine)
-    assert not job.possible_holders and index in job.returned
+    assert not job.possible_holders and index in job.requeued_tasks
     assert connected.running()
 
 
@@ -127,10 +127,10 @@
     assert term.registry.teams[0].headroom((1, 0, 1)) == 0
     types = known()
     assert types is not None
-    term.inventory.learn_types(types)
-    assert term.registry.teams[0].unknown[0] == 32_000_000
+    term.inventory.set_machine_types(types)
+    assert term.registry.teams[0].unreconciled_usage[0] == 32_000_000
     cluster.handle_heartbeat(term, connected)
     cluster.handle_heartbeat(term, connected)
     assert term.inventory.by_name[connected.name].state is MachineState.READY
     assert len(connected.running()) + len(cut_off.running()) == 16
-    assert term.registry.jobs[wide].startable() > 0
+    assert term.registry.jobs[wide].startable_count() > 0
--- a/tests/leader/test_job_audit_repairs.py
+++ b/tests/leader/test_job_audit_repairs.py
@@ -11,7 +11,7 @@
     cluster.settle(term, 2)
     job = term.registry.jobs[job_id]
     allocation = next(iter(job.allocations.values()))
-    machine = term.inventory.at(allocation.machine)
+    machine = term.inventory.find_by_index(allocation.machine_index)
     assert machine is not None
     del machine.allocations[allocation.name]  # broken on purpose: the machine is deleted, and the allocation stays
     del cluster.workers[machine.name]
@@ -28,7 +28,7 @@
     cluster, controller, term = start_cluster(2)
     job_id = cluster.accept(controller, shards=2)
     job = term.registry.jobs.pop(job_id)  # broken on purpose
-    term.registry.teams[job.team].used[:] = [0, 0]
+    term.registry.teams[job.team_index].used[:] = [0, 0]
     for _ in range(20):
         cluster.settle(term, 1)
         term.job_audit.step()
--- a/tests/leader/test_job_completion.py
+++ b/tests/leader/test_job_completion.py
@@ -27,7 +27,7 @@
     assert json.loads(other.users.cancel(job_id).body)["tide"] == "cancelled"
     term.job_completion.complete_jobs()
     assert polled_state(controller, job_id) == "cancelled"
-    assert not term.registry.finishing
+    assert not term.registry.closing_jobs
 
 
 def test_completion_continues_after_lost_answer() -> None:
--- a/tests/leader/test_provisioning.py
+++ b/tests/leader/test_provisioning.py
@@ -36,7 +36,7 @@
     cluster.worker("n-000000")
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    term.inventory.learn_types(TYPES)
+    term.inventory.set_machine_types(TYPES)
     cluster.settle(term, 2)
     cluster.accept(controller, shards=240, cpus=4.0, ramGb=1.0)
     cluster.cloud.capacity = 12
@@ -68,7 +68,7 @@
         return commit(conditions, changes, urgency, timeout)
 
     monkeypatch.setattr(term.writer.store, "commit", watched)
-    term.inventory.learn_types(TYPES)
+    term.inventory.set_machine_types(TYPES)
     cluster.accept(controller, shards=200)
     cluster.clock.now += 10.0
     term.scheduling_loop.step(cluster.clock.now)
--- a/tests/leader/test_scheduling_loop.py
+++ b/tests/leader/test_scheduling_loop.py
@@ -46,7 +46,7 @@
     term.scheduler.full_pass_steps = slow  # type: ignore[method-assign]
     for _ in range(300):
         cluster.clock.now += 0.01
-        term.registry.changed = True
+        term.registry.changed_since_scheduling = True
         term.scheduling_loop.step(cluster.clock.now)
     # 300 steps of 10 ms and the passes themselves: at most one pass in 1.6 s
     assert 2 <= len(passes) <= 3
--- a/tests/leader/test_task_progress.py
+++ b/tests/leader/test_task_progress.py
@@ -26,7 +26,7 @@
     job_id = cluster.accept(controller, shards=100_000, cpus=1.0, ramGb=0.1)
     cluster.settle(term, 2)
     job = term.registry.jobs[job_id]
-    assert len(job.allocations) == 16 and job.waiting() == 100_000 - 16
+    assert len(job.allocations) == 16 and job.waiting_count() == 100_000 - 16
     for index in range(99_000):
         term.registry.mark_done(job, index, 0.0)
         job.unsaved_chunks.setdefault(index // term.registry.chunk_bits, 0.0)
--- a/tests/scenarios/test_absent_machines.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -375,7 +375,7 @@
     """A new leader starts what it has not seen, wherever it may run."""
 
     def add_none(self: JobRegistry, job: Any, machines: Any, tasks: int) -> None:
-        job.unseen_below = job.fresh = tasks
+        job.unseen_tasks_below = job.first_unallocated = tasks
         self._release_unseen(job)
 
     monkeypatch.setattr(JobRegistry, "add_possible_holders", add_none)
--- a/tests/scenarios/test_full_teams.py
+++ b/tests/scenarios/test_full_teams.py
@@ -65,19 +65,19 @@
 
 def free_cancelled_capacity_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Allocations of a cancelled job no longer count."""
-    drop = JobRegistry.drop_if_settled
+    drop = JobRegistry.remove_if_over
 
     def free_and_drop(self: JobRegistry, job: Any) -> bool:
         if job.state.name == "CANCELLED":
-            use = self.teams[job.team].used
+            use = self.teams[job.team_index].used
             allocations = job.allocations.values()
             freed = sum(1 for allocation in allocations if not allocation.keeps_fetching)
             if freed and not getattr(self, "freed", set()) & {job.spec.id}:
                 self.__dict__.setdefault("freed", set()).add(job.spec.id)
-                use[0] -= freed * job.size[0]
+                use[0] -= freed * job.task_size[0]
         return drop(self, job)
 
-    monkeypatch.setattr(JobRegistry, "drop_if_settled", free_and_drop)
+    monkeypatch.setattr(JobRegistry, "remove_if_over", free_and_drop)
 
 
 def ignore_unreconciled_machines(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/scenarios/test_mass_failure.py
+++ b/tests/scenarios/test_mass_failure.py
@@ -36,7 +36,7 @@
     workers = [cluster.worker(f"n-{index:06d}", zone="ab"[index % 2]) for index in range(MACHINES)]
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    term.inventory.learn_types(TYPES)
+    term.inventory.set_machine_types(TYPES)
     cluster.settle(term, 3)
     gangs = [
         cluster.accept(controller, shape="ensemble", shards=GANG_TASKS, cpus=15.0, samePlace=True)
@@ -124,9 +124,9 @@
     inventory, registry = term.inventory, term.registry
     assert inventory.unreconciled_count == MACHINES
     cluster.settle(term, 4)
-    assert inventory.unreconciled_count == len(inventory.unreconciled()) == len(silent)
-    unknown_cpus = sum(machine.capacity[0] for machine in inventory.unreconciled())
-    assert all(team.unknown[0] == unknown_cpus for team in registry.teams)
+    assert inventory.unreconciled_count == len(inventory.unreconciled_machines()) == len(silent)
+    unknown_cpus = sum(machine.capacity[0] for machine in inventory.unreconciled_machines())
+    assert all(team.unreconciled_usage[0] == unknown_cpus for team in registry.teams)
     # the wide array names no machines in its grant: it shares one set with others that may be anywhere
     array = next(job for job in registry.jobs.values() if job.spec.tasks == ARRAY_TASKS)
     assert array.possible_holders is registry.unreconciled_machines and len(array.possible_holders) == len(silent)
@@ -135,7 +135,7 @@
         worker.lapse()
     cluster.settle(term, 8)
     assert term.machine_reconciliation.proved
-    assert not registry.unreconciled_machines and not array.possible_holders and not array.unseen_below
-    assert all(team.unknown == [0, 0] for team in registry.teams)
+    assert not registry.unreconciled_machines and not array.possible_holders and not array.unseen_tasks_below
+    assert all(team.unreconciled_usage == [0, 0] for team in registry.teams)
     assert full.all_gangs_are_whole()
     assert full.term.handle_heartbeat(workers[0].report()) is None
--- a/tests/scenarios/test_new_machines.py
+++ b/tests/scenarios/test_new_machines.py
@@ -72,7 +72,7 @@
         for machine in self.inventory.machines:
             if machine.state is MachineState.NEW and machine.token == self.token:
                 machine.recorded = True
-                self.inventory.move(machine, MachineState.READY, self.clock())
+                self.inventory.change_state(machine, MachineState.READY, self.clock())
 
     monkeypatch.setattr(MachineRecords, "record", skip_writing)
     with pytest.raises(AssertionError):
--- a/tests/scenarios/test_paused_leader.py
+++ b/tests/scenarios/test_paused_leader.py
@@ -28,8 +28,8 @@
 
 #: a method, and the place in it at which the leader stops: as it begins, or when it has done its work
 STEPS: list[tuple[type, str]] = [
-    (HeartbeatHandler, "handle"), (CommandBuilder, "commands"), (DurableGrants, "write"), (FencedWriter, "commit"),
-    (KeyValueStoreClient, "commit"),
+    (HeartbeatHandler, "handle"), (CommandBuilder, "build_commands"), (DurableGrants, "write"),
+    (FencedWriter, "commit"), (KeyValueStoreClient, "commit"),
     (LeaderElection, "renew"), (JobWatch, "_follow"), (JobCompletion, "_complete"), (TaskProgress, "save"),
     (MachineRecords, "record"),
     (Provisioning, "_rent_under"), (MachineReconciliation, "apply_direct_answer"), (LeadershipTransfer, "resign"),
--- a/tests/scenarios/test_random_fault_schedules.py
+++ b/tests/scenarios/test_random_fault_schedules.py
@@ -243,9 +243,9 @@
 
 def expire_leases_early(monkeypatch: pytest.MonkeyPatch) -> None:
     """A silent machine is taken for empty before its worker's lease has surely expired."""
-    lease_expired = MachineInventory.lease_expired
+    lease_expired = MachineInventory.has_lease_expired
     monkeypatch.setattr(
-        MachineInventory, "lease_expired", lambda self, machine, now: lease_expired(self, machine, now + 8.0)
+        MachineInventory, "has_lease_expired", lambda self, machine, now: lease_expired(self, machine, now + 8.0)
     )
 
 
--- a/tests/scenarios/test_stale_heartbeats.py
+++ b/tests/scenarios/test_stale_heartbeats.py
@@ -104,6 +104,6 @@
 
 def test_trust_in_such_an_epoch_is_found(copy: CopyFromOtherEpoch, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: it ends what runs."""
-    monkeypatch.setattr(MachineInventory, "lease_expired", lambda self, machine, now: True)
+    monkeypatch.setattr(MachineInventory, "has_lease_expired", lambda self, machine, now: True)
     copy.term.handle_heartbeat(copy.heartbeat)
     assert not copy.job.allocations
--- a/tests/scheduling/test_cached_findings.py
+++ b/tests/scheduling/test_cached_findings.py
@@ -17,9 +17,9 @@
     placement = term.scheduler.placement
     compared = 0
     for (task_type, aged), allowances in placement._allowances.items():
-        rank = term.registry.types[task_type].rank
+        rank = term.registry.task_types[task_type].priority_rank
         for index, (change_count, allowance) in allowances.items():
-            machine = term.inventory.at(index)
+            machine = term.inventory.find_by_index(index)
             if machine is not None and machine.change_count == change_count:
                 compared += 1
                 assert placement._allowance(task_type, rank, aged, machine) == allowance
@@ -30,7 +30,7 @@
     """Compare each valid cached list of victims with its machine, and return how many there were."""
     compared = 0
     for index, (change_count, victims) in term.scheduler.preemption._victims_by_machine.items():
-        machine = term.inventory.at(index)
+        machine = term.inventory.find_by_index(index)
         if machine is not None and machine.change_count == change_count:
             compared += 1
             stoppable = {name for name, allocation in machine.allocations.items() if allocation.stop_reason is None}
--- a/tests/scheduling/test_failing_jobs_and_machines.py
+++ b/tests/scheduling/test_failing_jobs_and_machines.py
@@ -19,7 +19,7 @@
                     worker.finish(task, ExitReason.ERROR)
         cluster.settle(term, 1)
     assert len(term.inventory.machines) == 4
-    assert all(machine.drain_reason is None and not machine.errors for machine in term.inventory.machines)
+    assert all(machine.drain_reason is None and not machine.consecutive_failures for machine in term.inventory.machines)
     end = cluster.clock.now
     for times in tried.values():
         assert end - times[-1] < 40.0 and len([at for at in times if at > end - 60.0]) <= 4
--- a/tests/scheduling/test_gang_lifecycle.py
+++ b/tests/scheduling/test_gang_lifecycle.py
@@ -36,7 +36,7 @@
     cluster.settle(term, 3)
     job = term.registry.jobs[job_id]
     assert not job.allocations
-    assert "free at once" in job.why_waiting or "cleared" in job.why_waiting
+    assert "free at once" in job.pending_reason or "cleared" in job.pending_reason
 
 
 def test_gang_waits_for_stopped_tasks_to_exit() -> None:
@@ -52,7 +52,7 @@
     for task in low:
         worker.tasks[task].state = TaskPhase.SAVING
     term.machine_reconciliation.apply_direct_answer(term.inventory.by_name[worker.name], worker.report(), (1, 0))
-    term.registry.changed = True
+    term.registry.changed_since_scheduling = True
     term.scheduling_loop.step(cluster.clock.now)
     assert not term.registry.jobs[gang].allocations
     for task in low:
@@ -126,7 +126,7 @@
     monkeypatch.setattr(term.scheduler.gangs, "offers", counted)
     term.scheduler.place(cluster.clock.now)
     assert len(set(looked)) <= 2
-    assert all("not all slots" in term.registry.jobs[i].why_waiting for i in waiting)
+    assert all("not all slots" in term.registry.jobs[i].pending_reason for i in waiting)
     # room for one: the next pass finds it
     worker.finish(worker.running()[0])
     cluster.settle(term, 6)
--- a/tests/scheduling/test_gang_scheduling.py
+++ b/tests/scheduling/test_gang_scheduling.py
@@ -26,12 +26,12 @@
     steps = cluster.term.scheduler.full_pass_steps(cluster.now)
     advance(steps, 4)  # the job, and all three machines have been examined
     first = cluster.machine(cluster.workers[0])
-    cluster.term.inventory.move(first, MachineState.SUSPECT, cluster.now)
+    cluster.term.inventory.change_state(first, MachineState.SUSPECT, cluster.now)
     cluster.begin_turn()
     finish(steps)
     allocations = cluster.job(job_id).allocations
     others = [cluster.machine(worker).index for worker in cluster.workers[1:]]
-    assert sorted(allocation.machine for allocation in allocations.values()) == others
+    assert sorted(allocation.machine_index for allocation in allocations.values()) == others
 
 
 def test_gang_waits_if_machines_left_after_change_are_not_enough(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -43,7 +43,7 @@
     cluster.begin_turn()
     finish(steps)
     job = cluster.job(job_id)
-    assert not job.allocations and "not all slots" in job.why_waiting
+    assert not job.allocations and "not all slots" in job.pending_reason
 
 
 def test_gang_cancelled_during_search_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/scheduling/test_pending_reasons.py
+++ b/tests/scheduling/test_pending_reasons.py
@@ -47,14 +47,14 @@
 ) -> None:
     (job_id,) = accept_jobs(cluster, 1)
     job, reasons = cluster.job(job_id), cluster.term.scheduler.pending_reasons
-    job.why_waiting = "no slot"
+    job.pending_reason = "no slot"
     for wait_s, expected in ((0.0, [job_id]), (1.0, []), (pending_reasons.REPEAT_AFTER_S, [job_id])):
         cluster.world.clock.now += wait_s
         caplog.clear()
         reasons._log_reasons(cluster.now)
         assert logged_job_ids(caplog) == expected
     caplog.clear()
-    job.why_waiting = "team limit"
+    job.pending_reason = "team limit"
     reasons._log_reasons(cluster.now)
     assert [fields["reason"] for fields in logged_events(caplog.records, "job_waiting")] == ["team limit"]
 
@@ -65,7 +65,7 @@
     monkeypatch.setattr(pending_reasons, "MAX_REASONS_LOGGED", 2)
     job_ids = accept_jobs(cluster, 3)
     for job_id in job_ids:
-        cluster.job(job_id).why_waiting = "no slot"
+        cluster.job(job_id).pending_reason = "no slot"
     reasons = cluster.term.scheduler.pending_reasons
     caplog.clear()
     reasons._log_reasons(cluster.now)
--- a/tests/scheduling/test_placement_rules.py
+++ b/tests/scheduling/test_placement_rules.py
@@ -12,7 +12,7 @@
     cluster.settle(term, 8)
     job = term.registry.jobs[job_id]
     assert sum(len(worker.running()) for worker in workers) == 16
-    assert job.waiting() == 24
+    assert job.waiting_count() == 24
 
 
 def test_spread_and_single_zone_rules_are_kept() -> None:
@@ -29,9 +29,9 @@
     def zones(job_id: str) -> list[int]:
         found = []
         for allocation in term.registry.jobs[job_id].allocations.values():
-            machine = term.inventory.at(allocation.machine)
+            machine = term.inventory.find_by_index(allocation.machine_index)
             assert machine is not None
-            found.append(machine.zone)
+            found.append(machine.zone_index)
         return found
 
     assert sorted(zones(spread).count(z) for z in set(zones(spread))) == [1, 2]
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -19,7 +19,7 @@
     high = [world.accept(cluster.controller, cpus=2.0, crew="red", rank="high") for _ in range(6)]
     world.clock.now += 30.0  # they wait for a while before they preempt, and no longer
     for job_id in high:
-        cluster.job(job_id).wait_since -= 60.0
+        cluster.job(job_id).waiting_since -= 60.0
     examined: list[str] = []
     eviction = scheduler.preemption.eviction
 
--- a/tests/scheduling/test_preemption_rules.py
+++ b/tests/scheduling/test_preemption_rules.py
@@ -12,7 +12,7 @@
     cluster.settle(term, 3)
     low = cluster.accept(controller, crew="red", shards=4, cpus=1.0, rank="best_effort")
     cluster.settle(term, 12)
-    assert term.registry.jobs[low].guaranteed and not term.registry.jobs[gang].guaranteed
+    assert term.registry.jobs[low].within_guarantee and not term.registry.jobs[gang].within_guarantee
     assert f"{gang}/0" in worker.running()
     assert len([s for s in worker.started if s[0] == f"{gang}/0"]) == 1
 
--- a/tests/scheduling/test_scheduling_slices.py
+++ b/tests/scheduling/test_scheduling_slices.py
@@ -47,7 +47,7 @@
     assert len(cluster.job(job_id).allocations) == 3
     # a change that came with the heartbeat in between brings another pass; the pass's own starts do not
     loop.next_pass_at = cluster.now
-    assert not cluster.term.registry.changed
+    assert not cluster.term.registry.changed_since_scheduling
 
 
 def test_pass_is_abandoned_when_leadership_ends(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/scheduling/test_template_targets.py
+++ b/tests/scheduling/test_template_targets.py
@@ -14,7 +14,7 @@
     first_id = cluster.world.accept(cluster.controller, shards=4, cpus=3.0, rank="best_effort")
     scheduler.retarget(cluster.now)
     machine = cluster.machine(cluster.workers[0])
-    template_before = machine.template
+    template_before = machine.slot_template
     cluster.world.accept(cluster.controller, shards=9, cpus=7.0)
     steps = scheduler.retarget_steps(cluster.now)
     advance(steps, 3)  # the plan is made: a template with two slots of the second type
@@ -22,4 +22,4 @@
         cluster.term.dispatch.start(cluster.job(first_id), index, machine, 9, cluster.now)
     cluster.begin_turn()
     finish(steps)
-    assert machine.template == template_before != ()
+    assert machine.slot_template == template_before != ()
--- a/tests/support/cluster_actions.py
+++ b/tests/support/cluster_actions.py
@@ -60,7 +60,7 @@
 
 def any_report_is_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: every report is taken as if it echoed this term's token, and as the newest."""
-    read = HeartbeatReconciler.read
+    read = HeartbeatReconciler.reconcile
 
     def believing(self: HeartbeatReconciler, r: Heartbeat, now: float, solicited: bool) -> Machine | None:
         m = self.inventory.by_name.get(r.machine)
@@ -68,4 +68,4 @@
         epoch, sequence = max((r.epoch, r.sequence), newest)
         return read(self, msgspec.structs.replace(r, token=self.token, epoch=epoch, sequence=sequence), now, solicited)
 
-    monkeypatch.setattr(HeartbeatReconciler, "read", believing)
+    monkeypatch.setattr(HeartbeatReconciler, "reconcile", believing)
--- a/tests/support/tiny_feature.py
+++ b/tests/support/tiny_feature.py
@@ -39,7 +39,7 @@
         return HookRefusal(429, "too many tasks", RETRY_AFTER_S) if spec.tasks > self.max_tasks else None
 
     def place(self, job: Job, now: float) -> str | None:
-        return "curfew" if self.active and not job.gang else None
+        return "curfew" if self.active and not job.is_gang else None
 
     def close(self, job: Job, record: CompletedJobRecord) -> list[Change]:
         return [put(f"curfew-done/{job.spec.id}", record.tasks)]
--- a/tools/account.py
+++ b/tools/account.py
@@ -53,8 +53,8 @@
 #: parts that never yield, so that a clock around them tells what they take
 PARTS: list[tuple[type, list[str]]] = [
     (PeerStatusComposer, ["compose"]),
-    (HeartbeatReconciler, ["read"]),
-    (CommandBuilder, ["commands"]),
+    (HeartbeatReconciler, ["reconcile"]),
+    (CommandBuilder, ["build_commands"]),
     (MachineInventory, ["detect_silent_machines"]),
     (JobRegistry, ["mark_guaranteed"]),
     (SchedulingLoop, ["step", "run_slice"]),
--- a/tools/decisions.py
+++ b/tools/decisions.py
@@ -102,7 +102,7 @@
         p = settings.params
         self.registry = JobRegistry(p.teams, p.zones)
         self.inventory = MachineInventory(self.registry, p.workers.lease_s, p.workers.report_s)
-        self.inventory.learn_types(TYPES)
+        self.inventory.set_machine_types(TYPES)
         self.dispatch = Dispatch(self.registry, self.inventory, 7)
         run_times = RunTimeEstimates()
         policy_evaluator = PolicyEvaluator(policy.default(), p, self.registry, self.inventory)
@@ -149,7 +149,7 @@
         name, kind, zone, spot = self.machines[machine]
         self.sequence[name] += 1
         held = self.held[name]
-        m = self.reconciler.read(
+        m = self.reconciler.reconcile(
             Heartbeat(name, f"{name}:1", kind, zone, spot, 1, self.sequence[name], 7, None, list(held.values())),
             self.now,
             False,
@@ -157,8 +157,10 @@
         assert m is not None
         self.scheduler.fill(m, self.now)
         for allocation in m.allocations.values():  # grants are taken as written
-            allocation.job.granted, allocation.job.granted_below = None, allocation.job.spec.tasks
-        commands = self.answers.commands(m, Heartbeat(name, "", kind, zone, spot, 1, self.sequence[name]), self.now)
+            allocation.job.granted_machines, allocation.job.granted_tasks_below = None, allocation.job.spec.tasks
+        commands = self.answers.build_commands(
+            m, Heartbeat(name, "", kind, zone, spot, 1, self.sequence[name]), self.now
+        )
         for c in commands:
             if c.op == "start":
                 held[c.task] = TaskStatus(c.task, c.attempt, TaskPhase.RUNNING)
@@ -178,10 +180,10 @@
     def take_over(self) -> Iterator[None]:
         """The steps of a failover: machines and jobs from records, then a heartbeat of every machine."""
         for name, kind, zone, spot in self.machines:
-            self.inventory.add(name, f"{name}:1", kind, zone, spot, self.now, recorded=True)
+            self.inventory.add_machine(name, f"{name}:1", kind, zone, spot, self.now, recorded=True)
         yield
         for i, spec in enumerate(self.specs):
-            self.registry.add(spec, i + 1, self.now - 20.0, self.now)
+            self.registry.add_job(spec, i + 1, self.now - 20.0, self.now)
             if not i % 100:
                 yield
         self.inventory.count_unreconciled()
