--- a/src/grebestand/cluster_state/job_registry.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -60,12 +60,12 @@
 
     # jobs -------------------------------------------------------------------------------------------------
 
-    def add_job(self, spec: JobSpec, version: int, accepted_at: float, now: float) -> Job:
+    def add_job(self, spec: JobSpec, record_revision: int, accepted_at: float, now: float) -> Job:
         """Add an accepted job.
 
         Args:
             spec: The job as it was submitted.
-            version: The revision of the job's live record in the state service.
+            record_revision: The revision of the job's live record in the state service.
             accepted_at: When the job was accepted.
             now: The current time.
         """
@@ -73,7 +73,7 @@
         if team is None:  # the team was removed from the settings, so its jobs may not run
             team = self.team_names.intern(spec.team)
             self.teams.append(TeamUsage(spec.team, (0, 0), (0, 0)))
-        job = Job(spec, version, accepted_at, team)
+        job = Job(spec, record_revision, accepted_at, team)
         job.zone_index = self.zones.intern(spec.zone) if spec.zone else -1
         job.image_index = self.image_index(spec.image, spec.image_gb)
         job.type_index = self.classify(job, now)
--- a/src/grebestand/cluster_state/jobs.py
+++ b/src/grebestand/cluster_state/jobs.py
@@ -44,14 +44,14 @@
         "task_index",
     )  # fmt: skip
 
-    def __init__(self, job: Job, index: int, machine: int, attempt: int, now: float) -> None:
+    def __init__(self, job: Job, task_index: int, machine_index: int, attempt: int, now: float) -> None:
         self.job = job
         #: Index of the task in the job.
-        self.task_index = index
+        self.task_index = task_index
         #: Name of the task in heartbeats and commands.
-        self.name = task_name(job.spec.id, index)
+        self.name = task_name(job.spec.id, task_index)
         #: Index of the machine in the inventory.
-        self.machine_index = machine
+        self.machine_index = machine_index
         self.attempt = attempt
         self.state = AllocationState.QUEUED
         #: The worker's epoch that the allocation belongs to. The worker kills its tasks when an epoch ends.
@@ -108,19 +108,19 @@
 
     __slots__ = ("attempt", "capacity_free_since", "grant_durable_at", "placed_at", "reported_at", "start_sent_at")
 
-    def __init__(self, attempt: int, room: float, placed: float) -> None:
+    def __init__(self, attempt: int, capacity_free_since: float, placed_at: float) -> None:
         """Create the timeline of a gang that has just been placed.
 
         Args:
             attempt: The attempt number shared by all allocations of the gang.
-            room: The earliest time from which the capacity for the whole gang may have been free.
-            placed: When the gang was placed.
+            capacity_free_since: The earliest time from which the capacity for the whole gang may have been free.
+            placed_at: When the gang was placed.
         """
         self.attempt = attempt
-        self.capacity_free_since = room
+        self.capacity_free_since = capacity_free_since
         #: When the gang was placed, its grant became durable, the last start command was sent, and the last task was
         #: first reported by a heartbeat.
-        self.placed_at = self.grant_durable_at = self.start_sent_at = self.reported_at = placed
+        self.placed_at = self.grant_durable_at = self.start_sent_at = self.reported_at = placed_at
 
 
 class Job:
@@ -179,22 +179,22 @@
         "zone_index",
     )  # fmt: skip
 
-    def __init__(self, spec: JobSpec, version: int, accepted_at: float, team: int) -> None:
+    def __init__(self, spec: JobSpec, record_revision: int, accepted_at: float, team_index: int) -> None:
         """Create a job without allocations and results.
 
         Args:
             spec: The job as it was submitted.
-            version: The revision of the job's live record in the state service.
+            record_revision: The revision of the job's live record in the state service.
             accepted_at: When the job was accepted.
-            team: The index of the job's team in `JobRegistry.teams`.
+            team_index: The index of the job's team in `JobRegistry.teams`.
         """
         self.spec = spec
-        self.record_revision = version
+        self.record_revision = record_revision
         self.accepted_at = accepted_at
         #: For a cancelled job: the time after which machines that still hold a task of the job get no responses. Their
         #: leases then expire, and with them the tasks, before the cancellation's deadline.
         self.may_answer_until = math.inf
-        self.team_index = team
+        self.team_index = team_index
         #: Resources of one task.
         self.task_size = task_resources(spec)
         #: Rank of the job's priority; 0 is the highest.
@@ -214,7 +214,7 @@
         self.unsaved_chunks: dict[int, float] = {}
         #: Allocations by task index.
         self.allocations: dict[int, Allocation] = {}
-        #: Index of the first task that has never had an allocation; neither have the tasks after it.
+        #: Tasks from this index on have never had an allocation, neither in this term nor in an earlier one.
         self.first_unallocated = 0
         #: Indices below `first_unallocated` of tasks whose allocation ended. An index may be listed twice, and the task
         #: may be done or allocated again by now.
@@ -263,6 +263,7 @@
         self.objective_deadlines: list[float] | None = None
         #: When a task of the job last got an allocation.
         self.last_allocation_at = accepted_at
+        #: When the scheduler last preempted other jobs for this job, or tried to.
         self.last_preempted_others_at = -math.inf
         #: Why tasks of the job wait, as shown to users.
         self.pending_reason = ""
--- a/src/grebestand/cluster_state/machine.py
+++ b/src/grebestand/cluster_state/machine.py
@@ -12,13 +12,13 @@
 from .resources import NO_RESOURCES, Resources, add, subtract
 from .slots import SlotTemplate
 
-#: Upper bound on the heartbeats that a worker process sent after the last one received from it. With a lower bound, a
+#: Upper bound on the heartbeats that a worker process sent after the last one received from it. With a smaller value, a
 #: delayed heartbeat of a worker process that has restarted since could be mistaken for a current one.
 MAX_UNSEEN_HEARTBEATS = 40
 
 
 class Machine:
-    """A machine as the leader knows it. All times are in seconds of the leader's clock.
+    """A machine, as known to the leader. All times are in seconds of the leader's clock.
 
     Only `MachineInventory` may change `state` and `reception`.
     """
@@ -72,15 +72,17 @@
         "zone_index",
     )  # fmt: skip
 
-    def __init__(self, index: int, name: str, addr: str, kind: int, zone: int, spot: bool, now: float) -> None:
+    def __init__(
+        self, index: int, name: str, addr: str, type_index: int, zone_index: int, spot: bool, now: float
+    ) -> None:
         """Create a machine in state NEW without allocations.
 
         Args:
             index: The index of the machine in the inventory.
             name: The name under which the provider and the worker's heartbeats refer to the machine.
             addr: Host and port of the machine's worker.
-            kind: The index of the machine type in `JobRegistry.machine_types`.
-            zone: The index of the zone in `JobRegistry.zones`.
+            type_index: The index of the machine type in `JobRegistry.machine_types`.
+            zone_index: The index of the zone in `JobRegistry.zones`.
             spot: Whether the provider may reclaim the machine.
             now: The current time, in seconds.
         """
@@ -88,8 +90,8 @@
         self.name = name
         #: Host and port of the machine's worker.
         self.addr = addr
-        self.type_index = kind
-        self.zone_index = zone
+        self.type_index = type_index
+        self.zone_index = zone_index
         #: Whether the provider may reclaim the machine.
         self.spot = spot
         self.capacity: Resources = NO_RESOURCES
@@ -135,6 +137,7 @@
         #: The slots that the greedy plan assigns to the machine, and the machine's rank in the plan.
         self.slot_template: SlotTemplate = ()
         self.rank_in_plan = 0
+        #: Whether the greedy plan puts the machine into the accept group, whose machines take tasks by their templates.
         self.in_accept_group = False
         #: Id of the job that the machine is reserved for, if any.
         self.reserved_for: str | None = None
--- a/src/grebestand/cluster_state/machine_inventory.py
+++ b/src/grebestand/cluster_state/machine_inventory.py
@@ -47,13 +47,13 @@
     All times are in seconds of the leader's clock.
     """
 
-    def __init__(self, registry: JobRegistry, lease_s: float, report_s: float) -> None:
+    def __init__(self, registry: JobRegistry, lease_s: float, heartbeat_interval_s: float) -> None:
         """Create an inventory without machines.
 
         Args:
             registry: The registry of the jobs whose tasks run on the machines.
             lease_s: How long a worker keeps its tasks running without a response, in seconds.
-            report_s: The interval of heartbeats, in seconds.
+            heartbeat_interval_s: The interval of heartbeats, in seconds.
         """
         self.registry = registry
         self.machines: list[Machine] = []
@@ -63,7 +63,7 @@
         #: Capacities of all machine types.
         self.capacities: list[Resources] = []
         self.lease_s = lease_s
-        self.heartbeat_interval_s = report_s
+        self.heartbeat_interval_s = heartbeat_interval_s
         #: Ids of other clusters' gangs that machines are reserved for and that are not in the registry yet.
         self.reserved_for_remote: set[str] = set()
         #: Indices of machines to query directly, since their heartbeats contradict what the leader knows of them.
@@ -94,21 +94,21 @@
         self.count_unreconciled()
 
     def add_machine(
-        self, name: str, addr: str, kind: str, zone: str, spot: bool, now: float, recorded: bool = False
+        self, name: str, addr: str, machine_type: str, zone: str, spot: bool, now: float, recorded: bool = False
     ) -> Machine:
         """Add a machine.
 
         Args:
             name: The name of the machine.
             addr: Host and port of the machine's worker.
-            kind: The name of the machine type.
+            machine_type: The name of the machine type.
             zone: The name of the zone.
             spot: Whether the provider may reclaim the machine.
             now: The current time, in seconds.
             recorded: Whether the state service holds a record of the machine. Such a machine is unreconciled, as it
                 may run tasks started by an earlier leader.
         """
-        type_index = self.registry.machine_types.intern(kind)
+        type_index = self.registry.machine_types.intern(machine_type)
         zone_index = self.registry.zones.intern(zone)
         machine = Machine(self._next_index, name, addr, type_index, zone_index, spot, now)
         self._by_index[self._next_index] = machine
--- a/src/grebestand/heartbeats/commands.py
+++ b/src/grebestand/heartbeats/commands.py
@@ -25,7 +25,9 @@
         self.registry = registry
         self.sketches = sketches
 
-    def build_commands(self, machine: Machine, heartbeat: Heartbeat, now: float, starts: bool = True) -> list[Command]:
+    def build_commands(
+        self, machine: Machine, heartbeat: Heartbeat, now: float, starts_allowed: bool = True
+    ) -> list[Command]:
         """Return the commands for the response to a machine's newest heartbeat.
 
         Start commands are sent only in such responses, and only to machines with a durable record.
@@ -34,7 +36,7 @@
             machine: The machine, which has been reconciled with the heartbeat.
             heartbeat: The heartbeat that the response answers.
             now: The current time, in seconds.
-            starts: Whether tasks may start now; otherwise queued allocations wait for the next heartbeat.
+            starts_allowed: Whether tasks may start now; otherwise queued allocations wait for the next heartbeat.
         """
         # Stop commands come first, so that `MAX_COMMANDS` never drops them in favour of others: the response renews the
         # lease under which the tasks run. Forget commands precede start commands, as a forgotten task may start again.
@@ -45,7 +47,7 @@
             if status.state is TaskPhase.EXITED and self._may_forget(status):
                 commands.append(Command("forget", status.task, status.attempt))
         del commands[MAX_COMMANDS:]
-        if starts and machine.state is MachineState.READY and machine.recorded:
+        if starts_allowed and machine.state is MachineState.READY and machine.recorded:
             self._add_starts(machine, heartbeat, commands, now)
         return commands
 
--- a/tests/heartbeats/test_heartbeat_handling.py
+++ b/tests/heartbeats/test_heartbeat_handling.py
@@ -40,9 +40,8 @@
     cluster.handle_heartbeat(term, worker, lose=True)
     allocation = term.registry.jobs[job_id].allocations[0]
     assert allocation.state is AllocationState.SENT
-    assert job_id in cluster.records(
-        "grants/"
-    )  # durable before the start command is sent, so that a later leader knows of the task
+    # the grant is durable before the start command is sent, so that a later leader looks for the task
+    assert job_id in cluster.records("grants/")
     term.machine_reconciliation.apply_direct_answer(term.inventory.by_name[worker.name], worker.report(), (1, 0))
     assert allocation.sent_sequence > 0
     cluster.handle_heartbeat(term, worker)
