--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -286,9 +286,9 @@
     def _lose_term(self, token: int, reason: str) -> None:
         """End the term of this token, unless another one has begun meanwhile."""
         if token == self.token:
-            self.lose(reason)
+            self.end_term(reason)
 
-    def lose(self, reason: str) -> None:
+    def end_term(self, reason: str) -> None:
         """End the term, as the key is no longer this controller's."""
         if self._in_term():
             self.authority_until = 0.0
--- a/src/grebestand/leader/fenced_writes.py
+++ b/src/grebestand/leader/fenced_writes.py
@@ -45,7 +45,7 @@
             raise FencedError(self.token, "not leading")
         version, failed = self.store.commit([version_is(LEADER_KEY, self.token), *conditions], changes, urgency)
         if LEADER_KEY in failed:
-            self.election.lose("another term has begun")
+            self.election.end_term("another term has begun")
             raise FencedError(self.token, "another term has begun")
         return version, failed
 
--- a/tests/api/test_heartbeat_redirects.py
+++ b/tests/api/test_heartbeat_redirects.py
@@ -41,7 +41,7 @@
     assignment = WorkerAssignment("node-0", "a", 100, 3.0, cluster.clock, lambda: others)
     assignment.told(300)
     forwarder = HeartbeatForwarder("node-0", cluster.clock, lambda: None)
-    controller.election.lose("told so")
+    controller.election.end_term("told so")
     api = HeartbeatApi("node-0", controller.election, lambda: controller.term, assignment, forwarder)
     sent = Counter[str | None]()
     for i in range(10):
