--- a/src/grebestand/controller/foundation.py
+++ b/src/grebestand/controller/foundation.py
@@ -26,7 +26,7 @@
 )
 from ..flow_control.overload import OverloadMonitor
 from ..flow_control.rate_limiter import RateLimiter
-from ..leader.cancellation_horizon import CancellationHorizon, allowance_s
+from ..leader.cancellation_horizon import CancellationHorizon, max_knowledge_age_s
 from ..leader.election import LeaderElection
 from ..settings.expressions import Expressions
 from ..settings.platform import PeerAddress, Settings
@@ -171,6 +171,6 @@
     variables = {name: lowest for name, (lowest, _) in VARIABLES.items()}
     variables["lease_s"] = workers.lease_s
     variables["report_s"] = workers.report_s
-    cancellation_horizon = CancellationHorizon(clock, allowance_s(workers))
+    cancellation_horizon = CancellationHorizon(clock, max_knowledge_age_s(workers))
     cancellation_horizon.tell(workers)
     return LeaderElection(settings.name, store, clock, policy.value("hold_s", variables), cancellation_horizon)
--- a/src/grebestand/leader/cancellation_horizon.py
+++ b/src/grebestand/leader/cancellation_horizon.py
@@ -33,7 +33,7 @@
 STARTS_S = 3.0
 
 
-def allowance_s(workers: Workers) -> float:
+def max_knowledge_age_s(workers: Workers) -> float:
     """Return how old a leader's knowledge may be when it answers a worker, in seconds.
 
     The value is not positive if the settings leave nothing beside the lease.
@@ -96,7 +96,7 @@
 
     def tell(self, workers: Workers) -> None:
         """Log the bound when a controller starts, and a warning if its settings leave too little."""
-        allowed_s = allowance_s(workers)
+        allowed_s = max_knowledge_age_s(workers)
         log.info(LogEvent("cancellation_horizon_set", max_age_s=self.max_age_s))
         if allowed_s < TIGHTEST_S:
             log.warning(
--- a/tests/leader/test_cancellation_horizon.py
+++ b/tests/leader/test_cancellation_horizon.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from grebestand.leader.cancellation_horizon import TIGHTEST_S, CancellationHorizon, allowance_s
+from grebestand.leader.cancellation_horizon import TIGHTEST_S, CancellationHorizon, max_knowledge_age_s
 from grebestand.settings.platform import Workers
 from grebestand.simulation.single_controller_cluster import ManualClock
 
@@ -31,7 +31,7 @@
 
 
 def test_bound_follows_from_settings_and_is_logged(caplog: pytest.LogCaptureFixture) -> None:
-    allowed_s = allowance_s(worker_settings(21.0, 51.0))
+    allowed_s = max_knowledge_age_s(worker_settings(21.0, 51.0))
     assert 28.9 < allowed_s < 29.0
     with caplog.at_level("INFO"):
         CancellationHorizon(ManualClock(), allowed_s).tell(worker_settings(21.0, 51.0))
@@ -41,7 +41,7 @@
 
 def test_too_short_cancel_time_keeps_tightest_bound_and_names_fields(caplog: pytest.LogCaptureFixture) -> None:
     settings = worker_settings(60.0, 30.0)
-    horizon = CancellationHorizon(ManualClock(), allowance_s(settings))
+    horizon = CancellationHorizon(ManualClock(), max_knowledge_age_s(settings))
     assert horizon.max_age_s == TIGHTEST_S and horizon.watch_ms == 500
     horizon.tell(settings)
     (warning,) = [r.getMessage() for r in caplog.records if r.levelname == "WARNING"]
