--- a/src/grebestand/leader/cancellation_horizon.py
+++ b/src/grebestand/leader/cancellation_horizon.py
@@ -30,7 +30,7 @@
 #: How many watches should fit within the allowed age.
 WATCHES_PER_AGE = 4
 #: A task is started only if cancellations are known up to this long ago: two watches in a row and a slow answer.
-STARTS_S = 3.0
+MAX_AGE_FOR_STARTS_S = 3.0
 
 
 def max_knowledge_age_s(workers: Workers) -> float:
@@ -80,7 +80,7 @@
         cancel jobs through the next leader.
         """
         known_at = max(self.known_at, self.cancellations_confirmed_up_to(self.known_at))
-        return self.max_age_s == math.inf or self.clock() <= known_at + STARTS_S
+        return self.max_age_s == math.inf or self.clock() <= known_at + MAX_AGE_FOR_STARTS_S
 
     def may_answer_until(self) -> float:
         """Return until when an answer may leave that does not stop what was cancelled after `known_at`."""
--- a/tests/scenarios/test_cancellation_during_failover.py
+++ b/tests/scenarios/test_cancellation_during_failover.py
@@ -7,7 +7,7 @@
 import gevent
 import pytest
 
-from grebestand.leader.cancellation_horizon import STARTS_S, CancellationHorizon
+from grebestand.leader.cancellation_horizon import MAX_AGE_FOR_STARTS_S, CancellationHorizon
 from grebestand.leader.durable_grants import DurableGrants
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
 from grebestand.simulation.virtual_time import VirtualLoop, simulated
@@ -87,7 +87,7 @@
     loop: VirtualLoop, mode: LinkMode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = cancel_while_leader_is_alone(loop, mode, monkeypatch)
-    assert max((seconds for seconds, _ in world.after_cancel), default=0.0) < STARTS_S + COMMAND_DELAY_S
+    assert max((seconds for seconds, _ in world.after_cancel), default=0.0) < MAX_AGE_FOR_STARTS_S + COMMAND_DELAY_S
     assert world.settled(100.0) == []
 
 
@@ -95,7 +95,7 @@
     """Broken on purpose."""
     monkeypatch.setattr(CancellationHorizon, "allows_starts", lambda self: True)
     world = cancel_while_leader_is_alone(loop, LinkMode.HELD, monkeypatch)
-    assert max(seconds for seconds, _ in world.after_cancel) > STARTS_S + COMMAND_DELAY_S
+    assert max(seconds for seconds, _ in world.after_cancel) > MAX_AGE_FOR_STARTS_S + COMMAND_DELAY_S
 
 
 @pytest.mark.parametrize("absent_peers", [0, 1])
