--- a/src/grebestand/controller/foundation.py
+++ b/src/grebestand/controller/foundation.py
@@ -172,5 +172,5 @@
     variables["lease_s"] = workers.lease_s
     variables["report_s"] = workers.report_s
     cancellation_horizon = CancellationHorizon(clock, max_knowledge_age_s(workers))
-    cancellation_horizon.tell(workers)
+    cancellation_horizon.log_settings(workers)
     return LeaderElection(settings.name, store, clock, policy.value("hold_s", variables), cancellation_horizon)
--- a/src/grebestand/leader/cancellation_horizon.py
+++ b/src/grebestand/leader/cancellation_horizon.py
@@ -94,7 +94,7 @@
         """Note that the answer to a current read sent at that time has been applied to the job registry."""
         self.known_at = max(self.known_at, sent_at)
 
-    def tell(self, workers: Workers) -> None:
+    def log_settings(self, workers: Workers) -> None:
         """Log the bound when a controller starts, and a warning if its settings leave too little."""
         allowed_s = max_knowledge_age_s(workers)
         log.info(LogEvent("cancellation_horizon_set", max_age_s=self.max_age_s))
--- a/tests/leader/test_cancellation_horizon.py
+++ b/tests/leader/test_cancellation_horizon.py
@@ -34,7 +34,7 @@
     allowed_s = max_knowledge_age_s(worker_settings(21.0, 51.0))
     assert 28.9 < allowed_s < 29.0
     with caplog.at_level("INFO"):
-        CancellationHorizon(ManualClock(), allowed_s).tell(worker_settings(21.0, 51.0))
+        CancellationHorizon(ManualClock(), allowed_s).log_settings(worker_settings(21.0, 51.0))
     assert [r.levelname for r in caplog.records] == ["INFO"]
     assert caplog.messages[0].startswith("cancellation_horizon_set max_age_s=")
 
@@ -43,6 +43,6 @@
     settings = worker_settings(60.0, 30.0)
     horizon = CancellationHorizon(ManualClock(), max_knowledge_age_s(settings))
     assert horizon.max_age_s == TIGHTEST_S and horizon.watch_ms == 500
-    horizon.tell(settings)
+    horizon.log_settings(settings)
     (warning,) = [r.getMessage() for r in caplog.records if r.levelname == "WARNING"]
     assert "params.workers.cancel_s" in warning and "params.workers.lease_s" in warning
