--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -194,7 +194,7 @@
     def _overload_patience_s(self) -> float:
         patience_s = OVERLOAD_RESIGN_AFTER_S * (1 + self._overload_resignations)
         term = self.term()
-        if term is not None and not term.machine_reconciliation.proved:
+        if term is not None and not term.machine_reconciliation.all_reconciled:
             return patience_s * RECONCILING_PATIENCE_FACTOR
         return patience_s
 
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -46,13 +46,13 @@
         super().__init__(context)
         self.direct = direct
         #: every machine that was on record when the term began has been reconciled
-        self.proved = False
+        self.all_reconciled = False
         #: indices of machines with a query under way
         self.queries_under_way: set[int] = set()
 
     def check(self, now: float) -> None:
         """Release the unseen tasks of jobs whose possible holders have all been reconciled."""
-        if self.proved:
+        if self.all_reconciled:
             return
         reconciled, self.inventory.newly_reconciled = self.inventory.newly_reconciled, []
         for index in reconciled:
@@ -60,7 +60,7 @@
                 self._stop_incomplete_gang(job, now)
         if self.inventory.unreconciled_count:
             return
-        self.proved = True
+        self.all_reconciled = True
         log.info(LogEvent("machines_reconciled", token=self.token, after_s=now - self.context.started_at))
         self.registry.changed = True
 
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -83,7 +83,7 @@
     term = node.lead()
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = node.leadership_transfer(peer)
-    term.machine_reconciliation.proved = False
+    term.machine_reconciliation.all_reconciled = False
     node.load.record_lag(2.0)
     overloaded_at = cluster.clock.now
     while node.election.is_leader() and cluster.clock.now - overloaded_at < 60.0:
@@ -141,7 +141,7 @@
 
     second_term.machine_reconciliation.direct = late_response
     second_term.machine_reconciliation.ask(machine)
-    assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.proved
+    assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.all_reconciled
     assert not second_term.machine_reconciliation.queries_under_way
 
 
--- a/tests/heartbeats/test_heartbeat_evidence.py
+++ b/tests/heartbeats/test_heartbeat_evidence.py
@@ -127,7 +127,7 @@
         cluster.settle(next_term, 1)
         if not second % 3:
             next_term.handle_heartbeat(unreachable.report())
-    assert next_term.machine_reconciliation.proved and not next_term.registry.jobs[job_id].possible_holders
+    assert next_term.machine_reconciliation.all_reconciled and not next_term.registry.jobs[job_id].possible_holders
 
 
 @pytest.mark.parametrize("counts_anew", [True, False])
--- a/tests/leader/test_deprovisioning.py
+++ b/tests/leader/test_deprovisioning.py
@@ -40,4 +40,4 @@
         cluster.settle(new_term, 5)
         new_term.step_machines()
     assert cluster.cloud.deleted == [cut_off.name]
-    assert new_term.machine_reconciliation.proved and new_term.registry.jobs[job_id].startable() > 0
+    assert new_term.machine_reconciliation.all_reconciled and new_term.registry.jobs[job_id].startable() > 0
--- a/tests/leader/test_failover.py
+++ b/tests/leader/test_failover.py
@@ -25,7 +25,7 @@
         assert not cut_off_tasks & set(connected.running())
     cut_off.lapse()
     cluster.settle(new_term, 8)
-    assert new_term.machine_reconciliation.proved and not new_term.registry.jobs[job_id].possible_holders
+    assert new_term.machine_reconciliation.all_reconciled and not new_term.registry.jobs[job_id].possible_holders
 
 
 def test_only_granted_tasks_wait_for_unreachable_machine() -> None:
@@ -38,7 +38,7 @@
     _successor, new_term = fail_over(cluster, "node-1")
     # the grant names only the machine that can be reached
     cluster.settle(new_term, 2)
-    assert not new_term.machine_reconciliation.proved and not new_term.registry.jobs[small].possible_holders
+    assert not new_term.machine_reconciliation.all_reconciled and not new_term.registry.jobs[small].possible_holders
     holder.finish(f"{small}/0", ExitReason.PEERS)
     cluster.settle(new_term, 8)
     assert holder.running() == [f"{small}/0"]
--- a/tests/scenarios/test_mass_failure.py
+++ b/tests/scenarios/test_mass_failure.py
@@ -134,7 +134,7 @@
         worker.reachable = True
         worker.lapse()
     cluster.settle(term, 8)
-    assert term.machine_reconciliation.proved
+    assert term.machine_reconciliation.all_reconciled
     assert not registry.unreconciled_machines and not array.possible_holders and not array.unseen_below
     assert all(team.unknown == [0, 0] for team in registry.teams)
     assert full.all_gangs_are_whole()
