--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -186,7 +186,7 @@
     @staticmethod
     def _send_direct_commands(term: Term, now: float) -> None:
         """Query unreconciled machines and send urgent stops, each in a greenlet of its own: workers may hang."""
-        for machine in term.machine_reconciliation.to_query(now):
+        for machine in term.machine_reconciliation.select_machines_to_query(now):
             gevent.spawn(term.machine_reconciliation.ask, machine)
         urgent, term.dispatch.urgent = term.dispatch.urgent, set()
         for index in urgent:
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -69,7 +69,7 @@
         if job.gang and job.live and job.allocations and len(job.allocations) < job.spec.tasks:
             self.dispatch.stop_job(job, "gang incomplete after takeover", 0.0, now)
 
-    def to_query(self, now: float) -> list[Machine]:
+    def select_machines_to_query(self, now: float) -> list[Machine]:
         """Return the machines to query now: unreconciled ones, and those whose heartbeats are contradictory."""
         inventory = self.inventory
         wanted, inventory.to_query = inventory.to_query, set()
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -201,7 +201,7 @@
                 if m is not None and self.workers[m.name].reachable:
                     term.machine_reconciliation.send_stops(m)
             term.dispatch.urgent = set()
-            for m in term.machine_reconciliation.to_query(self.clock.now):
+            for m in term.machine_reconciliation.select_machines_to_query(self.clock.now):
                 term.machine_reconciliation.ask(m)
             term.inventory.detect_silent_machines(self.clock.now)
             term.machine_reconciliation.check(self.clock.now)
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -131,7 +131,7 @@
     restarted = InMemoryController(cluster, "node-0")
     second_term = restarted.lead()
     machine = second_term.inventory.by_name[worker.name]
-    assert machine in second_term.machine_reconciliation.to_query(cluster.clock.now)
+    assert machine in second_term.machine_reconciliation.select_machines_to_query(cluster.clock.now)
     direct = cluster.direct
 
     def late_response(addr: str, path: str, body: bytes) -> tuple[int, bytes]:
--- a/tests/heartbeats/test_machine_reception.py
+++ b/tests/heartbeats/test_machine_reception.py
@@ -81,7 +81,9 @@
     cluster.handle_heartbeat(term, worker, lose=True)
     machine = term.inventory.by_name[worker.name]
     term.handle_heartbeat(worker.report())
-    assert machine.reception is Reception.REACHABLE and not term.machine_reconciliation.to_query(cluster.clock.now)
+    assert machine.reception is Reception.REACHABLE and not term.machine_reconciliation.select_machines_to_query(
+        cluster.clock.now
+    )
     cluster.settle(term, 2)
     assert worker.running() and machine.missed_responses == 0
 
--- a/tests/scenarios/test_stale_heartbeats.py
+++ b/tests/scenarios/test_stale_heartbeats.py
@@ -97,7 +97,9 @@
     copy.term.handle_heartbeat(copy.heartbeat)
     assert len(copy.job.allocations) == 2
     (machine,) = copy.term.inventory.machines
-    assert machine.reception is Reception.SUSPECTED and machine in reconciliation.to_query(copy.term.clock())
+    assert machine.reception is Reception.SUSPECTED and machine in reconciliation.select_machines_to_query(
+        copy.term.clock()
+    )
     reconciliation.ask(machine)
     assert machine.reception.name == "REACHABLE" and len(copy.job.allocations) == 2
 
