--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -117,7 +117,7 @@
             return
         if self.election.state is LeaderState.LOADING:
             self.assignment_loop.decide(term)
-            self.election.move(LeaderState.LEADING, "records read")
+            self.election.change_state(LeaderState.LEADING, "records read")
         for step in steps_of(term, self.features):
             gevent.spawn(self._repeat, term, step.run, step.pause_s)
         gevent.spawn(self._run_ticks, term)
@@ -186,7 +186,7 @@
     @staticmethod
     def _send_direct_commands(term: Term, now: float) -> None:
         """Query unreconciled machines and send urgent stops, each in a greenlet of its own: workers may hang."""
-        for machine in term.machine_reconciliation.to_query(now):
+        for machine in term.machine_reconciliation.select_machines_to_query(now):
             gevent.spawn(term.machine_reconciliation.ask, machine)
         urgent, term.dispatch.urgent_machines = term.dispatch.urgent_machines, set()
         for index in urgent:
--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -64,7 +64,7 @@
         if self.busy or self.election.state is not LeaderState.LEADING:
             return
         registry = self.registry
-        since = now - self.scheduler.retargeted_at
+        since = now - self.scheduler.targets_updated_at
         # the greedy algorithm updates at every arrival; here an arrival brings the next update forward
         due = since >= self.scheduler.context.policy_values.period_s or (
             registry.job_added_since_scheduling and since >= ARRIVAL_GAP_S
@@ -79,7 +79,7 @@
     def _compute_targets(self, now: float) -> Steps:
         self.inventory.detect_silent_machines(now)
         self.machine_reconciliation.check(now)
-        yield from self.scheduler.retarget_steps(now, self.overload.spare)
+        yield from self.scheduler.update_targets_steps(now, self.overload.spare)
 
     def _begin(self, work: Steps, on_complete: Callable[[], None]) -> None:
         self._work, self._on_complete = work, on_complete
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -32,7 +32,7 @@
     cluster, node, term, _ = cluster_with_leader()
     migrations: list[float] = []
     monkeypatch.setattr(term.scheduler.migration, "migrate", migrations.append)
-    term.scheduler.retargeted_at -= 100.0
+    term.scheduler.targets_updated_at -= 100.0
     term.scheduling_loop.step(cluster.clock.now)
     assert len(migrations) == 1
     term.overload.record_lag(0.5)
@@ -83,7 +83,7 @@
     term = node.lead()
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = node.leadership_transfer(peer)
-    term.machine_reconciliation.proved = False
+    term.machine_reconciliation.all_reconciled = False
     node.load.record_lag(2.0)
     overloaded_at = cluster.clock.now
     while node.election.is_leader() and cluster.clock.now - overloaded_at < 60.0:
@@ -131,7 +131,7 @@
     restarted = InMemoryController(cluster, "node-0")
     second_term = restarted.lead()
     machine = second_term.inventory.by_name[worker.name]
-    assert machine in second_term.machine_reconciliation.to_query(cluster.clock.now)
+    assert machine in second_term.machine_reconciliation.select_machines_to_query(cluster.clock.now)
     direct = cluster.direct
 
     def late_response(addr: str, path: str, body: bytes) -> tuple[int, bytes]:
@@ -141,7 +141,7 @@
 
     second_term.machine_reconciliation.direct = late_response
     second_term.machine_reconciliation.ask(machine)
-    assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.proved
+    assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.all_reconciled
     assert not second_term.machine_reconciliation.queries_under_way
 
 
