--- a/src/grebestand/cluster_state/job_registry.py
+++ b/src/grebestand/cluster_state/job_registry.py
@@ -40,7 +40,7 @@
         self.images = InternTable()
         #: Size of each image in gigabytes, by image index.
         self.image_gb: list[float] = []
-        #: Live jobs, and finished ones that still have allocations, by job id.
+        #: Jobs that are not over, and jobs that are over and still have allocations, by job id.
         self.jobs: dict[str, Job] = {}
         #: Jobs in state CLOSING by job id: all tasks are done, and the final record is not committed yet.
         self.closing_jobs: dict[str, Job] = {}
