--- a/src/grebestand/heartbeats/reconciliation.py
+++ b/src/grebestand/heartbeats/reconciliation.py
@@ -114,13 +114,13 @@
         if epoch_began:
             self._end_allocations_before(machine, epoch, now)
         if machine.state is not MachineState.READY:
-            self._record_sign_of_life(machine, now)
+            self._restore_active_state(machine, now)
         if not solicited and silence_s < self.inventory.lease_s:
             self.sketches.add("late report", silence_s - self.inventory.heartbeat_interval_s)
         absent = self._apply_task_states(machine, heartbeat, now)
         if absent:
-            rarely_heard = silence_s > SILENT_AFTER_INTERVALS * self.inventory.heartbeat_interval_s
-            self._handle_absent(machine, heartbeat, absent, Evidence(solicited, proven, rarely_heard), now)
+            was_silent = silence_s > SILENT_AFTER_INTERVALS * self.inventory.heartbeat_interval_s
+            self._handle_absent(machine, heartbeat, absent, Evidence(solicited, proven, was_silent), now)
         if machine.state is MachineState.UNRECONCILED:
             self._reconcile_machine(machine, heartbeat, now)
         if heartbeat.notice_s is not None and machine.drain_reason != RECLAIMED:
@@ -171,10 +171,10 @@
         if machine.state is MachineState.LEASE_EXPIRED and heartbeat.epoch <= machine.epoch:
             return False  # sent before the lease expired, as the worker then begins a later epoch
         if heartbeat.epoch > machine.epoch and (machine.epoch or machine.state is MachineState.LEASE_EXPIRED):
-            return self._accept_ended_lease(machine, now)
+            return self._accept_expired_lease(machine, now)
         return True
 
-    def _accept_ended_lease(self, machine: Machine, now: float) -> bool:
+    def _accept_expired_lease(self, machine: Machine, now: float) -> bool:
         """Return whether a heartbeat with a later epoch shows that the machine's lease expired.
 
         The alternative is a delayed heartbeat from before a restart of the worker. An expired lease also makes the
@@ -234,7 +234,7 @@
         return None
 
     @staticmethod
-    def _runs_unknown_tasks(machine: Machine, heartbeat: Heartbeat) -> bool:
+    def _runs_unallocated_tasks(machine: Machine, heartbeat: Heartbeat) -> bool:
         """Return whether a task without an allocation runs on the machine, of a job that is over or as a duplicate.
 
         The job was cancelled while there was no leader, or the task completed elsewhere. The task receives a stop
@@ -249,7 +249,7 @@
 
     # effects ----------------------------------------------------------------------------------------------
 
-    def _record_sign_of_life(self, machine: Machine, now: float) -> None:
+    def _restore_active_state(self, machine: Machine, now: float) -> None:
         """Change the state of a machine that is not READY and has sent a valid heartbeat."""
         if machine.state is MachineState.LEASE_EXPIRED:
             self.inventory.change_state(machine, MachineState.READY if machine.recorded else MachineState.NEW, now)
@@ -339,7 +339,7 @@
         """Move an unreconciled machine to READY, unless tasks without an allocation run there."""
         # the worker can have received the current token only with a response of this term
         self.inventory.confirm_reception(machine, now)
-        if not self._runs_unknown_tasks(machine, heartbeat):
+        if not self._runs_unallocated_tasks(machine, heartbeat):
             self.inventory.change_state(machine, MachineState.READY, now)
 
     def _begin_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
--- a/tests/scenarios/test_fault_pairs.py
+++ b/tests/scenarios/test_fault_pairs.py
@@ -408,7 +408,7 @@
 
 def test_ignored_tasks_without_a_record_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: the machine is taken for reconciled."""
-    monkeypatch.setattr(HeartbeatReconciler, "_runs_unknown_tasks", staticmethod(lambda machine, heartbeat: False))
+    monkeypatch.setattr(HeartbeatReconciler, "_runs_unallocated_tasks", staticmethod(lambda machine, heartbeat: False))
     _, term = fill_machine_with_unknown_tasks()
     assert [len(job.allocations) for job in term.registry.jobs.values()] == [4]
 
