--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -187,7 +187,7 @@
     def _send_direct_commands(term: Term, now: float) -> None:
         """Query unreconciled machines and send urgent stops, each in a greenlet of its own: workers may hang."""
         for machine in term.machine_reconciliation.select_machines_to_query(now):
-            gevent.spawn(term.machine_reconciliation.ask, machine)
+            gevent.spawn(term.machine_reconciliation.query, machine)
         urgent, term.dispatch.urgent = term.dispatch.urgent, set()
         for index in urgent:
             ready = term.inventory.at(index)
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -85,7 +85,7 @@
         inventory.to_query = wanted - {m.index for m in chosen}
         return chosen
 
-    def ask(self, machine: Machine) -> None:
+    def query(self, machine: Machine) -> None:
         """Show a machine this term's token; its answer says what it runs, and that requests arrive there.
 
         Unwanted tasks are stopped at once: until its next heartbeat they would keep it from being reconciled.
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -202,7 +202,7 @@
                     term.machine_reconciliation.send_stops(m)
             term.dispatch.urgent = set()
             for m in term.machine_reconciliation.select_machines_to_query(self.clock.now):
-                term.machine_reconciliation.ask(m)
+                term.machine_reconciliation.query(m)
             term.inventory.detect_silent_machines(self.clock.now)
             term.machine_reconciliation.check(self.clock.now)
             term.job_completion.complete_jobs()
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -140,7 +140,7 @@
         return response
 
     second_term.machine_reconciliation.direct = late_response
-    second_term.machine_reconciliation.ask(machine)
+    second_term.machine_reconciliation.query(machine)
     assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.all_reconciled
     assert not second_term.machine_reconciliation.queries_under_way
 
--- a/tests/leader/test_job_acceptance.py
+++ b/tests/leader/test_job_acceptance.py
@@ -12,7 +12,7 @@
     job_id = str(json.loads(controller.users.submit(cluster.job(shards=3)).body)["ref"])
     successor, new_term = fail_over(cluster, "node-1")
     for worker in workers:
-        new_term.machine_reconciliation.ask(new_term.inventory.by_name[worker.name])
+        new_term.machine_reconciliation.query(new_term.inventory.by_name[worker.name])
     cluster.settle(new_term)
     assert sum(len(worker.running()) for worker in workers) == 3
     assert polled_state(successor, job_id) == "pending"
--- a/tests/leader/test_machine_reconciliation.py
+++ b/tests/leader/test_machine_reconciliation.py
@@ -15,7 +15,7 @@
     assert not term.machine_reconciliation.select_machines_to_query(cluster.clock.now)
     term.machine_reconciliation.queries_under_way = set()
     for machine in first:
-        term.machine_reconciliation.ask(machine)
+        term.machine_reconciliation.query(machine)
     second = term.machine_reconciliation.select_machines_to_query(cluster.clock.now)
     assert len(first) + len(second) == 80 and not {machine.index for machine in second} & {
         machine.index for machine in first
--- a/tests/scenarios/test_stale_heartbeats.py
+++ b/tests/scenarios/test_stale_heartbeats.py
@@ -100,7 +100,7 @@
     assert machine.reception is Reception.SUSPECTED and machine in reconciliation.select_machines_to_query(
         copy.term.clock()
     )
-    reconciliation.ask(machine)
+    reconciliation.query(machine)
     assert machine.reception.name == "REACHABLE" and len(copy.job.allocations) == 2
 
 
