--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -156,12 +156,12 @@
             self._silence_resignations = min(self._silence_resignations + 1, MAX_PATIENCE_STEPS)
             self.workers_link.silent(0.0, 0.0)
             self.resign(f"no worker has reported for {silence_s:.1f} s", self._find_heir())
-        elif handler.heard_in_term and now - handler.last_heard_at < self.heartbeat_interval_s:
+        elif handler.heartbeat_received_in_term and now - handler.last_heard_at < self.heartbeat_interval_s:
             self._silence_resignations = 0
 
     def _silence_limit_s(self, term: Term) -> float:
         """Return the silence of all workers that shows that the leader is cut off from them."""
-        many = term.heartbeat_handler.heard_in_term and len(term.inventory.machines) >= MANY_MACHINES
+        many = term.heartbeat_handler.heartbeat_received_in_term and len(term.inventory.machines) >= MANY_MACHINES
         intervals = MANY_MACHINES_SILENCE_INTERVALS if many else SILENCE_INTERVALS
         return intervals * self.heartbeat_interval_s * (1 + self._silence_resignations)
 
--- a/src/grebestand/leader/heartbeat_handler.py
+++ b/src/grebestand/leader/heartbeat_handler.py
@@ -56,7 +56,7 @@
         self.scheduling_loop = scheduling_loop
         #: when a worker last sent a heartbeat, and whether one has in this term
         self.last_heard_at = self.clock()
-        self.heard_in_term = False
+        self.heartbeat_received_in_term = False
         #: since when nothing is started, as the knowledge of cancellations is too old for it
         self._starts_paused_since: float | None = None
 
@@ -118,7 +118,7 @@
             return self._stale_response(heartbeat)
         if machine.token == self.token:
             # only a heartbeat with this term's token shows that the worker is there now; others may be late copies
-            self.last_heard_at, self.heard_in_term = now, True
+            self.last_heard_at, self.heartbeat_received_in_term = now, True
         if machine.state is MachineState.NEW:
             self.provisioning.arrived(machine.name)
         self.machine_reconciliation.check(now)
--- a/tests/heartbeats/test_heartbeat_evidence.py
+++ b/tests/heartbeats/test_heartbeat_evidence.py
@@ -73,7 +73,7 @@
     from_unknown_machine = msgspec.structs.replace(delayed, machine="n-000777", addr="n-000777:1")
     for report in (delayed, from_unknown_machine):
         next_term.handle_heartbeat(report)
-    any_heard = next_term.heartbeat_handler.heard_in_term
+    any_heard = next_term.heartbeat_handler.heartbeat_received_in_term
     cluster.settle(next_term, 3)
     assert not any_heard and "n-000777" not in cluster.records("machines/")
     assert holder.running() == [f"{job_id}/0"] and not other.running() and (moved or holder.started)
