--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -151,12 +151,12 @@
         if term is None or not term.loaded or not self.peer_api.peers or not term.inventory.machines:
             return
         handler = term.heartbeat_handler
-        silence_s = now - max(handler.last_heard_at, self.checking_since)
+        silence_s = now - max(handler.last_heartbeat_at, self.checking_since)
         if silence_s >= self._silence_limit_s(term):
             self._silence_resignations = min(self._silence_resignations + 1, MAX_PATIENCE_STEPS)
             self.workers_link.silent(0.0, 0.0)
             self.resign(f"no worker has reported for {silence_s:.1f} s", self._find_heir())
-        elif handler.heartbeat_received_in_term and now - handler.last_heard_at < self.heartbeat_interval_s:
+        elif handler.heartbeat_received_in_term and now - handler.last_heartbeat_at < self.heartbeat_interval_s:
             self._silence_resignations = 0
 
     def _silence_limit_s(self, term: Term) -> float:
--- a/src/grebestand/leader/heartbeat_handler.py
+++ b/src/grebestand/leader/heartbeat_handler.py
@@ -55,14 +55,14 @@
         self.provisioning = provisioning
         self.scheduling_loop = scheduling_loop
         #: when a worker last sent a heartbeat, and whether one has in this term
-        self.last_heard_at = self.clock()
+        self.last_heartbeat_at = self.clock()
         self.heartbeat_received_in_term = False
         #: since when nothing is started, as the knowledge of cancellations is too old for it
         self._starts_paused_since: float | None = None
 
     def restart_silence(self, now: float) -> None:
         """Count the silence of all workers from now on: none of them could be heard before."""
-        self.last_heard_at = now
+        self.last_heartbeat_at = now
 
     def may_answer(self, heartbeat: Heartbeat) -> bool:
         """Return whether this term may answer; a worker that has seen a higher token pauses the term."""
@@ -118,7 +118,7 @@
             return self._stale_response(heartbeat)
         if machine.token == self.token:
             # only a heartbeat with this term's token shows that the worker is there now; others may be late copies
-            self.last_heard_at, self.heartbeat_received_in_term = now, True
+            self.last_heartbeat_at, self.heartbeat_received_in_term = now, True
         if machine.state is MachineState.NEW:
             self.provisioning.arrived(machine.name)
         self.machine_reconciliation.check(now)
--- a/tests/controller/test_leadership_transfer.py
+++ b/tests/controller/test_leadership_transfer.py
@@ -49,7 +49,7 @@
     controller = world.nodes[world.leading()[0]]
     assert controller is not None and controller.term is not None
     controller.leadership_transfer.checked_workers_at -= 25.0
-    controller.term.heartbeat_handler.last_heard_at -= 25.0
+    controller.term.heartbeat_handler.last_heartbeat_at -= 25.0
     controller.leadership_transfer.check_workers()
     assert controller.election.state is LeaderState.LEADING
 
