--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -160,7 +160,7 @@
         begun = self._begin(term, bodies, came_at, responses)
         if self.clock() - came_at > BATCH_TIMEOUT_S:
             return responses
-        term.cover_heartbeats(begun.values())
+        term.wait_for_grants(begun.values())
         self._finish(term, begun, came_at, responses)
         # start commands in a response that does not leave are sent again, as if lost on the way
         self.election.check_clock()
--- a/src/grebestand/leader/term.py
+++ b/src/grebestand/leader/term.py
@@ -194,7 +194,7 @@
             return None
         return self.heartbeat_handler.begin(heartbeat)
 
-    def cover_heartbeats(self, begun: Iterable[PendingResponse | HeartbeatResponse | None]) -> None:
+    def wait_for_grants(self, begun: Iterable[PendingResponse | HeartbeatResponse | None]) -> None:
         """Wait a short while for the grants of the tasks that these answers are to start."""
         self.heartbeat_handler.cover([response for response in begun if isinstance(response, PendingResponse)])
 
