--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -70,7 +70,7 @@
     def decide(self, term: Term) -> None:
         """Decide, as the leader, whether every controller answers heartbeats: by policy, or if one cannot serve all."""
         machines = len(term.inventory.machines) if self.directory.peers else 0
-        wanted = assignment_enabled(term.assignment_wanted, self.assignment.machines > 0, machines)
+        wanted = assignment_enabled(term.wants_heartbeat_assignment, self.assignment.machines > 0, machines)
         self.assignment.told(machines if wanted or machines > self.max_workers else 0)
 
     def on_peer_status(self, status: PeerStatus) -> None:
--- a/src/grebestand/leader/term.py
+++ b/src/grebestand/leader/term.py
@@ -202,7 +202,7 @@
         """Return the answer to a heartbeat that was begun, or None if this controller may not answer any more."""
         return self.heartbeat_handler.finish(pending)
 
-    def assignment_wanted(self, machines: float) -> bool:
+    def wants_heartbeat_assignment(self, machines: float) -> bool:
         """Return whether, by the policy, with so many machines every controller is to answer heartbeats."""
         evaluator = self.context.policy_evaluator
         return bool(evaluator.policy.value("spread_reports", {**evaluator.variables(), "machines": machines}))
