--- a/src/grebestand/controller/cancellations.py
+++ b/src/grebestand/controller/cancellations.py
@@ -47,7 +47,7 @@
         """Stop a cancelled job if this controller leads and its records are loaded."""
         term = self.current_term.loaded()
         if term is not None:
-            term.job_watch.removed(job_id, self.clock())
+            term.job_watch.apply_removal(job_id, self.clock())
 
     def recent(self) -> list[str]:
         """Return the ids to send with the next status, oldest first; older ones are forgotten."""
--- a/src/grebestand/leader/job_audit.py
+++ b/src/grebestand/leader/job_audit.py
@@ -186,7 +186,7 @@
         if found is None:
             if job is not None and job.live:
                 self._log_defect(job, "it has no record any more")
-                self.job_watch.removed(job_id, now)
+                self.job_watch.apply_removal(job_id, now)
             return
         if job is not None or self.completed_jobs.get(job_id) is not None:
             return
@@ -195,7 +195,7 @@
         self._delay_until_seen(self.registry.jobs[job_id], now)
         # read once more: a job that is cancelled by now must not run
         if self.writer.store.get(live_key(job_id), Urgency.PROGRESS) is None:
-            self.job_watch.removed(job_id, self.clock())
+            self.job_watch.apply_removal(job_id, self.clock())
 
     def _delay_until_seen(self, job: Job, now: float) -> None:
         """Delay a job that may already run somewhere.
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -102,9 +102,9 @@
         if event.put is not None:
             self.take(event.value, event.version, now)
         elif event.delete is not None:
-            self.removed(event.delete.removeprefix(LIVE_PREFIX), now)
+            self.apply_removal(event.delete.removeprefix(LIVE_PREFIX), now)
 
-    def removed(self, job_id: str, now: float) -> None:
+    def apply_removal(self, job_id: str, now: float) -> None:
         """Apply the removal of a live record: whoever removed it has cancelled the job."""
         job = self.registry.jobs.get(job_id)
         if job is None or not job.live:
@@ -140,7 +140,7 @@
         """Count the last read of all records as current, once jobs that ended meanwhile have been removed."""
         completed = self.job_completion.completed_jobs
         for job_id in [job_id for job_id in self.registry.jobs if completed.get(job_id) is not None]:
-            self.removed(job_id, self.clock())
+            self.apply_removal(job_id, self.clock())
         self.election.record_current_read(self.token, self._read_sent_at)
 
     def _reread(self) -> None:
@@ -153,5 +153,5 @@
             if job.live and job_id not in live and job.version <= self.watched
         ]
         for job_id in removed:
-            self.removed(job_id, now)
+            self.apply_removal(job_id, now)
         self.begin()
--- a/tests/scenarios/test_early_cancellations.py
+++ b/tests/scenarios/test_early_cancellations.py
@@ -22,7 +22,7 @@
     cluster.settle(term, 3)
     job_id = cluster.accept(InMemoryController(cluster, "node-9"), shards=2)
     term.completed_jobs.remember(job_id, CANCELLED)  # as `CancellationRecorder` does, which finds no such job to stop
-    term.job_watch.removed(job_id, cluster.clock.now)
+    term.job_watch.apply_removal(job_id, cluster.clock.now)
     term.job_watch.watch()
     for _ in range(3):
         cluster.handle_heartbeat(term, worker)
