--- a/src/grebestand/leader/provisioning.py
+++ b/src/grebestand/leader/provisioning.py
@@ -29,7 +29,7 @@
 
 RENT_PREFIX = "rent/"
 #: How many machines one request asks for: within these bounds, the shortage divided by the zones.
-FEWEST_RENTED, MOST_RENTED = 10, 50
+FEWEST_RENTED, MAX_MACHINES_PER_REQUEST = 10, 50
 #: Requests to the cloud in one step, so that other requests to the cloud need not wait for long.
 MAX_REQUESTS_PER_STEP = 6
 #: After refusals in a row, a pool is not asked again for this time for each of them, counting up to the maximum.
@@ -210,7 +210,7 @@
                 type=self.registry.machine_types.name(shortage.machine_type),
                 zone=self.registry.zones.name(zone),
                 spot=shortage.spot,
-                count=min(lack, max(FEWEST_RENTED, min(MOST_RENTED, lack // len(set(shortage.zones))))),
+                count=min(lack, max(FEWEST_RENTED, min(MAX_MACHINES_PER_REQUEST, lack // len(set(shortage.zones))))),
             )
             # a name is never used again with another record: the first request may be carried out late
             self.request_count += 1
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -33,7 +33,7 @@
 from grebestand.heartbeat_relay.forwarder import GATHER_S, MOST_REPORTS  # noqa: E402
 from grebestand.heartbeat_relay.worker_assignment import SHARE_SLACK  # noqa: E402
 from grebestand.leader.machine_reconciliation import MOST_ASKED  # noqa: E402
-from grebestand.leader.provisioning import MOST_RENTED  # noqa: E402
+from grebestand.leader.provisioning import MAX_MACHINES_PER_REQUEST  # noqa: E402
 from grebestand.leader.scheduling_loop import ARRIVAL_GAP_S, MOST_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST  # noqa: E402
 from grebestand.settings import policy  # noqa: E402
 from grebestand.settings.platform import Quota  # noqa: E402
@@ -914,7 +914,7 @@
         return math.ceil(float(machines * m.at("machine record") / page))
 
     def rents(machines: float) -> int:
-        return math.ceil(machines / MOST_RENTED) + math.ceil(machines / 100)
+        return math.ceil(machines / MAX_MACHINES_PER_REQUEST) + math.ceil(machines / 100)
 
     rows = [
         [f"{t['restarts_day']} restarts or replacements a day, unannounced", show(t["restarts_day"] * tasks) + " a day",
