--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -25,7 +25,7 @@
 #: mean more of them, and take the same share of a core.
 TARGETS_REST, PASS_REST = 6.0, 15.0
 #: The longest rest after a pass, in seconds.
-MOST_REST_S = 2.0
+MAX_REST_S = 2.0
 #: A pass shorter than the first had nothing to do and needs no rest; one shorter than the second is light.
 TRIFLE_S, LIGHT_S = 0.001, 0.01
 #: The least time between the beginnings of two passes, after a light and after a longer one, in seconds; arrays fill
@@ -125,4 +125,4 @@
         if self._spent_s < TRIFLE_S:
             return
         gap_s = LIGHT_GAP_S if self._spent_s < LIGHT_S else PASS_GAP_S
-        self.next_pass_at = max(self._began_at + gap_s, self.clock() + min(PASS_REST * self._spent_s, MOST_REST_S))
+        self.next_pass_at = max(self._began_at + gap_s, self.clock() + min(PASS_REST * self._spent_s, MAX_REST_S))
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -34,7 +34,7 @@
 from grebestand.heartbeat_relay.worker_assignment import SHARE_SLACK  # noqa: E402
 from grebestand.leader.machine_reconciliation import MOST_ASKED  # noqa: E402
 from grebestand.leader.provisioning import MAX_MACHINES_PER_REQUEST  # noqa: E402
-from grebestand.leader.scheduling_loop import ARRIVAL_GAP_S, MOST_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST  # noqa: E402
+from grebestand.leader.scheduling_loop import ARRIVAL_GAP_S, MAX_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST  # noqa: E402
 from grebestand.settings import policy  # noqa: E402
 from grebestand.settings.platform import Quota  # noqa: E402
 from grebestand.storage.completed_jobs import MAX_COMPLETED_KEPT  # noqa: E402
@@ -277,7 +277,7 @@
         one after the other with their rests, and targets as often as arrivals bring them forward."""
         w = s.workers
         one_pass, targets = self.at("full pass", w), self.at("targets", w)
-        passes = one_pass / max(PASS_GAP_S, one_pass + min(PASS_REST * one_pass, MOST_REST_S))
+        passes = one_pass / max(PASS_GAP_S, one_pass + min(PASS_REST * one_pass, MAX_REST_S))
         return (
             self.reports(s) * self.at("report with an end", w) / 1000
             + passes
@@ -765,7 +765,7 @@
         "next pass",
         PASS_GAP_S / 2,
         PASS_GAP_S,
-        f"`leader/scheduling_loop.py`; up to {MOST_REST_S:g} s where much waits",
+        f"`leader/scheduling_loop.py`; up to {MAX_REST_S:g} s where much waits",
     )
     found = [
         ("acceptance to the leader's books: the watch", lim["state_usual_s"], lim["state_slow_s"],
