--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -23,7 +23,7 @@
 #: After a computation of targets, and after a pass, the loop rests this many times as long as it took. A pass rests
 #: longer, as starts ride on heartbeats and a later pass delays them little: with a small factor, cheaper passes only
 #: mean more of them, and take the same share of a core.
-TARGETS_REST, PASS_REST = 6.0, 15.0
+TARGETS_REST_FACTOR, PASS_REST = 6.0, 15.0
 #: The longest rest after a pass, in seconds.
 MAX_REST_S = 2.0
 #: A pass shorter than the first had nothing to do and needs no rest; one shorter than the second is light.
@@ -113,7 +113,7 @@
             self._on_complete()
 
     def _finish_targets(self) -> None:
-        self.next_targets_at = self.clock() + TARGETS_REST * self._spent_s
+        self.next_targets_at = self.clock() + TARGETS_REST_FACTOR * self._spent_s
         if self.clock() - self._durations_logged_at >= self.scheduler.context.policy_values.period_s:
             self._durations_logged_at = self.clock()
             self.context.stragglers.remove_deleted_machines()
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -34,7 +34,7 @@
 from grebestand.heartbeat_relay.worker_assignment import SHARE_SLACK  # noqa: E402
 from grebestand.leader.machine_reconciliation import MOST_ASKED  # noqa: E402
 from grebestand.leader.provisioning import MAX_MACHINES_PER_REQUEST  # noqa: E402
-from grebestand.leader.scheduling_loop import ARRIVAL_GAP_S, MAX_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST  # noqa: E402
+from grebestand.leader.scheduling_loop import ARRIVAL_GAP_S, MAX_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST_FACTOR  # noqa: E402
 from grebestand.settings import policy  # noqa: E402
 from grebestand.settings.platform import Quota  # noqa: E402
 from grebestand.storage.completed_jobs import MAX_COMPLETED_KEPT  # noqa: E402
@@ -281,7 +281,7 @@
         return (
             self.reports(s) * self.at("report with an end", w) / 1000
             + passes
-            + targets / max(ARRIVAL_GAP_S, (1 + TARGETS_REST) * targets)
+            + targets / max(ARRIVAL_GAP_S, (1 + TARGETS_REST_FACTOR) * targets)
         )
 
     def answer_commands(self, s: Size) -> float:
