--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -23,9 +23,9 @@
 #: After a computation of targets, and after a pass, the loop rests this many times as long as it took. A pass rests
 #: longer, as starts ride on heartbeats and a later pass delays them little: with a small factor, cheaper passes only
 #: mean more of them, and take the same share of a core.
-TARGETS_REST, PASS_REST = 6.0, 15.0
+TARGETS_REST_FACTOR, PASS_REST = 6.0, 15.0
 #: The longest rest after a pass, in seconds.
-MOST_REST_S = 2.0
+MAX_REST_S = 2.0
 #: A pass shorter than the first had nothing to do and needs no rest; one shorter than the second is light.
 TRIFLE_S, LIGHT_S = 0.001, 0.01
 #: The least time between the beginnings of two passes, after a light and after a longer one, in seconds; arrays fill
@@ -66,12 +66,14 @@
         registry = self.registry
         since = now - self.scheduler.targets_updated_at
         # the greedy algorithm updates at every arrival; here an arrival brings the next update forward
-        due = since >= self.scheduler.context.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
+        due = since >= self.scheduler.context.policy_values.period_s or (
+            registry.job_added_since_scheduling and since >= ARRIVAL_GAP_S
+        )
         if due and now >= self.next_targets_at:
-            registry.arrived = False
+            registry.job_added_since_scheduling = False
             self._begin(self._compute_targets(now), self._finish_targets)
-        if not self.busy and registry.changed and now >= self.next_pass_at:
-            registry.changed = False
+        if not self.busy and registry.changed_since_scheduling and now >= self.next_pass_at:
+            registry.changed_since_scheduling = False
             self._begin(self.scheduler.full_pass_steps(now), self._finish_pass)
 
     def _compute_targets(self, now: float) -> Steps:
@@ -94,7 +96,7 @@
             return
         self.scheduler.context.slice_number += 1
         # what the computation itself changes is no reason for another one; what others change between slices is
-        changed = self.registry.changed
+        changed = self.registry.changed_since_scheduling
         slice_began_at = self.clock()
         unfinished = False
         try:
@@ -105,7 +107,7 @@
         finally:
             if not unfinished:
                 self._work = None
-            self.registry.changed = changed
+            self.registry.changed_since_scheduling = changed
             took_s = self.clock() - slice_began_at
             self._spent_s += took_s
             self.context.sketches.add("stretch", took_s)
@@ -113,16 +115,16 @@
             self._on_complete()
 
     def _finish_targets(self) -> None:
-        self.next_targets_at = self.clock() + TARGETS_REST * self._spent_s
+        self.next_targets_at = self.clock() + TARGETS_REST_FACTOR * self._spent_s
         if self.clock() - self._durations_logged_at >= self.scheduler.context.policy_values.period_s:
             self._durations_logged_at = self.clock()
             self.context.stragglers.remove_deleted_machines()
             log.info(LogEvent("durations_measured", durations=self.context.sketches.tell()))
-        self.registry.changed = True
+        self.registry.changed_since_scheduling = True
 
     def _finish_pass(self) -> None:
         self.context.sketches.add("pass", self._spent_s)
         if self._spent_s < TRIFLE_S:
             return
         gap_s = LIGHT_GAP_S if self._spent_s < LIGHT_S else PASS_GAP_S
-        self.next_pass_at = max(self._began_at + gap_s, self.clock() + min(PASS_REST * self._spent_s, MOST_REST_S))
+        self.next_pass_at = max(self._began_at + gap_s, self.clock() + min(PASS_REST * self._spent_s, MAX_REST_S))
--- a/src/grebestand/leader/term.py
+++ b/src/grebestand/leader/term.py
@@ -142,7 +142,7 @@
         now = self.clock()
         types = self.machine_types()
         if types:
-            self.inventory.learn_types(types)
+            self.inventory.set_machine_types(types)
         self.machine_records.load(now)
         self.job_watch.read_all(now)
         self.progress.load()
@@ -165,8 +165,8 @@
     def _close_finished_jobs(self, now: float) -> None:
         """Start the completion of jobs whose tasks were all done when the earlier leader ended."""
         for job in list(self.registry.jobs.values()):
-            if job.unfinished() == 0:
-                self.registry.move_job(job, JobState.CLOSING, now)
+            if job.unfinished_count() == 0:
+                self.registry.change_job_state(job, JobState.CLOSING, now)
 
     def _load_feature_records(self) -> None:
         for record in self.features.records:
@@ -194,7 +194,7 @@
             return None
         return self.heartbeat_handler.begin(heartbeat)
 
-    def cover_heartbeats(self, begun: Iterable[PendingResponse | HeartbeatResponse | None]) -> None:
+    def wait_for_grants(self, begun: Iterable[PendingResponse | HeartbeatResponse | None]) -> None:
         """Wait a short while for the grants of the tasks that these answers are to start."""
         self.heartbeat_handler.cover([response for response in begun if isinstance(response, PendingResponse)])
 
@@ -202,7 +202,7 @@
         """Return the answer to a heartbeat that was begun, or None if this controller may not answer any more."""
         return self.heartbeat_handler.finish(pending)
 
-    def assignment_wanted(self, machines: float) -> bool:
+    def wants_heartbeat_assignment(self, machines: float) -> bool:
         """Return whether, by the policy, with so many machines every controller is to answer heartbeats."""
         evaluator = self.context.policy_evaluator
         return bool(evaluator.policy.value("spread_reports", {**evaluator.variables(), "machines": machines}))
@@ -219,7 +219,7 @@
             types = self.machine_types()
             if types is None:
                 return
-            self.inventory.learn_types(types)
+            self.inventory.set_machine_types(types)
         self.provisioning.replay()
         self.deprovisioning.read_list()
         self.deprovisioning.return_idle()
--- a/src/grebestand/scheduling/greedy.py
+++ b/src/grebestand/scheduling/greedy.py
@@ -36,7 +36,7 @@
     def accepts(self, slot: Slot) -> bool:
         """Return whether a slot's task type may run on machines of this pool and one task fits on an empty machine."""
         return (
-            (slot.spot or not self.spot)
+            (slot.spot_allowed or not self.spot)
             and (slot.machine_types is None or self.machine_type in slot.machine_types)
             and (slot.zone is None or slot.zone == self.zone)
             and fits(slot.size, self.capacity)
--- a/src/grebestand/scheduling/image_locality.py
+++ b/src/grebestand/scheduling/image_locality.py
@@ -35,14 +35,16 @@
         """
         demand_cpus: dict[int, int] = {}
         for job in self.registry.jobs.values():
-            if job.live:
-                tasks = len(job.allocations) + min(job.wanted(), self.registry.teams[job.team].headroom(job.size))
-                demand_cpus[job.image] = demand_cpus.get(job.image, 0) + tasks * job.size[0]
+            if job.is_live:
+                tasks = len(job.allocations) + min(
+                    job.wanted_count(), self.registry.teams[job.team_index].headroom(job.task_size)
+                )
+                demand_cpus[job.image_index] = demand_cpus.get(job.image_index, 0) + tasks * job.task_size[0]
         caching_cpus: dict[int, int] = {}
         for examined, machine in enumerate(list(self.inventory.machines), 1):
             if not examined % MACHINES_PER_STEP:
                 yield
-            if self.inventory.counts(machine):
+            if self.inventory.counts_in_plan(machine):
                 for image in (*machine.images, *machine.image_fetches):
                     caching_cpus[image] = caching_cpus.get(image, 0) + machine.capacity[0]
         self.cached_images = set(caching_cpus)
@@ -62,20 +64,22 @@
             machine: The candidate machine.
             now: Seconds on the leader's clock.
         """
-        if job.image in machine.images or job.image in machine.image_fetches:
+        if job.image_index in machine.images or job.image_index in machine.image_fetches:
             return True
         fetch_s = self.fetch_s(job, machine)
-        if fetch_s <= self.inventory.report_s:
+        if fetch_s <= self.inventory.heartbeat_interval_s:
             return True
-        return not machine.image_fetches and (job.image not in self.widely_cached or now - job.started_at >= fetch_s)
+        return not machine.image_fetches and (
+            job.image_index not in self.widely_cached or now - job.last_allocation_at >= fetch_s
+        )
 
     def min_fetch_s(self, job: Job) -> float:
         """Return the seconds of the fastest possible fetch of the job's image; 0 if some machine has the image."""
-        if job.image in self.cached_images:
+        if job.image_index in self.cached_images:
             return 0.0
         rates = (kind.fetch_gb_per_s for kind in self.inventory.machine_types.values())
         fastest = max(rates, default=DEFAULT_FETCH_GB_PER_S)
-        return self.registry.image_gb[job.image] / max(fastest, MIN_FETCH_GB_PER_S)
+        return self.registry.image_gb[job.image_index] / max(fastest, MIN_FETCH_GB_PER_S)
 
     def fetch_s(self, job: Job, machine: Machine) -> float:
         """Return how long the job would wait for its image on a machine.
@@ -87,14 +91,14 @@
         Returns:
             Seconds; 0 if the machine has the image or its machine type is unknown.
         """
-        if job.image in machine.images:
+        if job.image_index in machine.images:
             return 0.0
-        kind = self.inventory.machine_types.get(machine.kind)
+        kind = self.inventory.machine_types.get(machine.type_index)
         if kind is None:
             return 0.0
         sizes_gb = self.registry.image_gb
-        under_way = job.image in machine.image_fetches
-        gigabytes = sizes_gb[job.image] * AVERAGE_REMAINING_SHARE if under_way else sizes_gb[job.image]
+        under_way = job.image_index in machine.image_fetches
+        gigabytes = sizes_gb[job.image_index] * AVERAGE_REMAINING_SHARE if under_way else sizes_gb[job.image_index]
         if machine.image_fetches and not under_way:
             gigabytes += sum(sizes_gb[image] for image in machine.image_fetches)
         return gigabytes / max(kind.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -111,9 +111,9 @@
         Yields:
             Nothing; other work may run at each yield.
         """
-        for failed in [j for j in self.registry.jobs.values() if j.avoid]:
+        for failed in [j for j in self.registry.jobs.values() if j.avoided_machines]:
             MachineHealth.clear_expired_failures(failed, now)
-        waiting = [j for j in self.registry.waiting_jobs() if now >= j.retry_at and j.startable() > 0]
+        waiting = [j for j in self.registry.waiting_jobs() if now >= j.retry_at and j.startable_count() > 0]
         if not waiting:
             self.placement.end_pass([])
             return
@@ -124,7 +124,7 @@
         slice_number = self.context.slice_number
         # Skip machines without free capacity for any waiting single task: most machines have none. `fill` covers
         # machines whose capacity is freed by a heartbeat during the pass.
-        smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
+        smallest_cpus = min((j.task_size[0] for j in waiting if not j.is_gang), default=0)
         with_capacity = [m for m in schedulable if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
@@ -135,7 +135,7 @@
             if self._must_wait(job, now):
                 continue
             has_reservation = job.spec.id in jobs_with_reservations
-            if job.gang:
+            if job.is_gang:
                 yield from self.gangs.place(job, schedulable, now, has_reservation)
             else:
                 yield from self.placement.place(job, with_capacity, schedulable, now, has_reservation)
@@ -174,16 +174,16 @@
                 continue
             jobs_with_reservations.add(machine.reserved_for)
             job = self.registry.jobs.get(machine.reserved_for)
-            if now >= machine.reserved_until or job is None or not job.live or job.waiting() == 0:
+            if now >= machine.reserved_until or job is None or not job.is_live or job.waiting_count() == 0:
                 machine.reserved_for = None
         return jobs_with_reservations
 
     def _must_wait(self, job: Job, now: float) -> bool:
         """Return whether the pass skips a job: no longer eligible since the pass began, or vetoed by a feature."""
-        if not job.live or now < job.retry_at or job.startable() <= 0:
+        if not job.is_live or now < job.retry_at or job.startable_count() <= 0:
             return True
         veto = self.context.features.veto(job, now)
         if veto is not None:
-            job.why_waiting = veto
+            job.pending_reason = veto
             return True
         return False
--- a/src/grebestand/scheduling/stragglers.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -96,10 +96,15 @@
             now: Seconds on the leader's clock.
         """
         job = allocation.job
-        if job.gang or not allocation.first or allocation.run_at is None or now <= allocation.run_at:
+        if (
+            job.is_gang
+            or not allocation.is_first_attempt
+            or allocation.running_since is None
+            or now <= allocation.running_since
+        ):
             return
-        run_time_s = now - allocation.run_at
-        others = [(index, seconds) for index, seconds in job.runs if index != machine.index]
+        run_time_s = now - allocation.running_since
+        others = [(index, seconds) for index, seconds in job.recent_run_times if index != machine.index]
         self._append_run_time(job, machine, run_time_s)
         if len(others) < MIN_OTHER_TASKS or len({index for index, _ in others}) < MIN_OTHER_MACHINES:
             return
@@ -114,9 +119,9 @@
     @staticmethod
     def _append_run_time(job: Job, machine: Machine, run_time_s: float) -> None:
         """Add a run time to the job's recent run times, replacing the oldest if there are too many."""
-        if len(job.runs) >= MAX_RUN_TIMES:
-            job.runs.pop(0)
-        job.runs.append((machine.index, run_time_s))
+        if len(job.recent_run_times) >= MAX_RUN_TIMES:
+            job.recent_run_times.pop(0)
+        job.recent_run_times.append((machine.index, run_time_s))
 
     def _is_significantly_slow(self, samples: RunTimeSamples) -> bool:
         """Return whether a machine's samples show significant slowness, so that the machine should be drained."""
@@ -147,5 +152,5 @@
 
     def remove_deleted_machines(self) -> None:
         """Remove the samples of machines that no longer exist."""
-        for index in [i for i in self._samples if self.inventory.at(i) is None]:
+        for index in [i for i in self._samples if self.inventory.find_by_index(i) is None]:
             del self._samples[index]
