--- a/src/grebestand/leader/job_completion.py
+++ b/src/grebestand/leader/job_completion.py
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 #: A completion that takes this long has waited for the rate limit of writes, in seconds.
-SHORT_S = 1.0
+SLOW_COMMIT_S = 1.0
 
 
 class JobCompletion(TermComponent):
@@ -81,7 +81,7 @@
         try:
             _, failed = self.writer.commit(conditions, changes, Urgency.DONE)
         finally:
-            if self.clock() - began >= SHORT_S:
+            if self.clock() - began >= SLOW_COMMIT_S:
                 self.grants.conserve_writes()
         if not failed:
             return record
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -8,7 +8,7 @@
 from grebestand.controller.leadership_transfer import OVERLOAD_RESIGN_AFTER_S, RECONCILING_PATIENCE_FACTOR
 from grebestand.emulators.worker import WorkerEmulator
 from grebestand.flow_control.rate_limiter import Urgency
-from grebestand.leader.job_completion import SHORT_S
+from grebestand.leader.job_completion import SLOW_COMMIT_S
 from grebestand.leader.term import Term
 from grebestand.scheduling.scheduling_context import Steps
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
@@ -153,7 +153,7 @@
 
     def slow_completion(self: object, conditions: object, changes: object, urgency: Urgency) -> object:
         if urgency is Urgency.DONE:
-            cluster.clock.now += SHORT_S
+            cluster.clock.now += SLOW_COMMIT_S
         return commit(self, conditions, changes, urgency)  # type: ignore[arg-type]
 
     cluster.settle(term, 3)
