--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -60,7 +60,7 @@
             counts=term.status_broadcast.counts() if term is not None else {},
             load=self.overload.state.value,
             workers_age_s=self.workers_link.age_s if self.workers_link.ok_at > -math.inf else NO_WORKER_SEEN_S,
-            samples=term.status_broadcast.samples(self.rng) if term is not None else [],
+            samples=term.status_broadcast.sample_addresses(self.rng) if term is not None else [],
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
             kept=len(self.assignment.kept),
--- a/src/grebestand/leader/status_broadcast.py
+++ b/src/grebestand/leader/status_broadcast.py
@@ -40,7 +40,7 @@
             }
         return self._counts
 
-    def samples(self, rng: random.Random) -> list[str]:
+    def sample_addresses(self, rng: random.Random) -> list[str]:
         """Return the addresses of a few ready workers, drawn at random and mixed from several zones."""
         machines = self.inventory.machines
         by_zone: dict[int, list[str]] = {}
