--- a/src/grebestand/leader/status_broadcast.py
+++ b/src/grebestand/leader/status_broadcast.py
@@ -64,7 +64,7 @@
             machines={machine.name: list(machine.images) for machine in self.inventory.machines if machine.images},
         )
 
-    def learn_images(self, cached: CachedImages) -> None:
+    def restore_cached_images(self, cached: CachedImages) -> None:
         """Adopt what an earlier leader knew of cached images, as heartbeats do not list them."""
         indices = [self.registry.image(name, gb) for name, gb in zip(cached.names, cached.gigabytes, strict=True)]
         for name, image_positions in cached.machines.items():
--- a/tests/leader/test_status_broadcast.py
+++ b/tests/leader/test_status_broadcast.py
@@ -20,7 +20,7 @@
         msgspec.msgpack.encode(term.status_broadcast.cached_images()), type=CachedImages
     )
     successor, new_term = fail_over(cluster, "node-1")
-    new_term.status_broadcast.learn_images(sent_images)
+    new_term.status_broadcast.restore_cached_images(sent_images)
     cluster.settle(new_term, 3)
     second = cluster.accept(successor, cargo="big", pullGb=40.0)
     cluster.settle(new_term, 3)
