--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -55,7 +55,7 @@
         self.spread = parts.relay.assignment
         self.receiver = parts.relay.receiver
         self.peers = parts.peer_api
-        self.users = parts.job_api
+        self.job_api = parts.job_api
         self.direct_commands = parts.direct_commands
         self.leadership_transfer = parts.leadership_transfer
         self.http_front = parts.http_front
@@ -82,7 +82,7 @@
 
     def cancel(self, ref: str) -> bool:
         """Cancel a job as its user would; return whether it is over now."""
-        return self.users.cancel(ref).status == 200
+        return self.job_api.cancel(ref).status == 200
 
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
         """Send a message to the peer that leads by its latest status; None without one, or without an answer."""
--- a/src/grebestand/simulation/invalid_requests.py
+++ b/src/grebestand/simulation/invalid_requests.py
@@ -39,13 +39,13 @@
             )  # fmt: skip
             spec[field] = value
         elif kind == 2:
-            answer = node.users.poll(str(spec["ref"]))
+            answer = node.job_api.poll(str(spec["ref"]))
             if answer.status == 200:
                 self.checks.wrong.append(f"{asked:.2f} {spec['ref']} was invented by {at}")
             return
         else:
             ref = self.basis.luck.choice(known)
-            answer = node.users.submit(
+            answer = node.job_api.submit(
                 json.dumps({**self.basis.jobs[ref].spec, "shards": "x", "crew": "nobody"}).encode()
             )
             if answer.status not in (200, 503):
@@ -53,7 +53,7 @@
                     f"{asked:.2f} {ref} accepted, its repeat with nonsense answered {answer.status}"
                 )
             return
-        answer = node.users.submit(json.dumps(spec).encode())
+        answer = node.job_api.submit(json.dumps(spec).encode())
         if answer.status not in (400, 422, 503):
             self.checks.wrong.append(f"{asked:.2f} {spec['ref']}: answered {answer.status} though it can't run: {spec}")
 
--- a/src/grebestand/simulation/simulated_users.py
+++ b/src/grebestand/simulation/simulated_users.py
@@ -66,7 +66,7 @@
         job, node, asked = self.basis.jobs[ref], self.processes.nodes[at], self.basis.loop.time
         if node is None:
             return
-        door = node.users
+        door = node.job_api
         answer = door.submit(job.body) if what == "submit" else (door.cancel if what == "cancel" else door.poll)(ref)
         patience = POLL_S if what == "poll" else PATIENCE_S
         if self.processes.nodes[at] is not node or self.basis.loop.time - asked >= patience:
