--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -54,7 +54,7 @@
         self.sockets = foundation.connections
         self.spread = parts.relay.assignment
         self.receiver = parts.relay.receiver
-        self.peers = parts.peer_api
+        self.peer_api = parts.peer_api
         self.job_api = parts.job_api
         self.direct_commands = parts.direct_commands
         self.leadership_transfer = parts.leadership_transfer
@@ -86,7 +86,7 @@
 
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
         """Send a message to the peer that leads by its latest status; None without one, or without an answer."""
-        for peer in self.peers.peers:
+        for peer in self.peer_api.peers:
             if peer.last is not None and peer.last.token and peer.name == self.election.leader:
                 return peer.send(path, body)
         return None
@@ -102,7 +102,7 @@
         """Listen on all addresses, spawn all loops, and serve until the process ends."""
         server = listen_bounded(self.settings.listen, "serve_on", self.app, self.sockets, self.spread.ended)
         peer_connections = max(MIN_PEER_CONNECTIONS, self.sockets.from_peers)
-        listen(self.settings.peer_listen, "peer_listen", self.peers.app, peer_connections).start()
+        listen(self.settings.peer_listen, "peer_listen", self.peer_api.app, peer_connections).start()
         for extra in self.features.listeners:
             listen(extra.address, extra.field, extra.app, extra.connections, extra.gate).start()
         self.begin()
--- a/src/grebestand/simulation/simulated_controllers.py
+++ b/src/grebestand/simulation/simulated_controllers.py
@@ -89,7 +89,7 @@
     @staticmethod
     def _peer(node: Controller, host: SimulatedRuntime, path: str, body: bytes) -> tuple[int, bytes]:
         host.awake()
-        answer = node.peers.answer(path, body)
+        answer = node.peer_api.answer(path, body)
         host.awake()
         if host.gone:
             raise UnreachableError("its process ended before it answered")
--- a/tests/scenarios/test_cancellation_during_failover.py
+++ b/tests/scenarios/test_cancellation_during_failover.py
@@ -125,8 +125,8 @@
     leader, peer_name = world.nodes[leader_name], next(name for name in world.controllers if name != leader_name)
     assert leader is not None
     horizon = leader.election.cancellation_horizon
-    peer = next(peer for peer in leader.peers.peers if peer.name == peer_name)
-    assert leader.peers.cancellations_confirmed_up_to(horizon.known_at) > leader.clock() - 2.0
+    peer = next(peer for peer in leader.peer_api.peers if peer.name == peer_name)
+    assert leader.peer_api.cancellations_confirmed_up_to(horizon.known_at) > leader.clock() - 2.0
     world.store.down = True
     world.crash(peer_name)
     back(world, peer_name)
