--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -71,13 +71,13 @@
         """Decide, as the leader, whether every controller answers heartbeats: by policy, or if one cannot serve all."""
         machines = len(term.inventory.machines) if self.directory.peers else 0
         wanted = assignment_enabled(term.wants_heartbeat_assignment, self.assignment.machines > 0, machines)
-        self.assignment.told(machines if wanted or machines > self.max_workers else 0)
+        self.assignment.update_machine_count(machines if wanted or machines > self.max_workers else 0)
 
     def on_peer_status(self, status: PeerStatus) -> None:
         """Take the capacity of a peer as current, and, from the leader, its decision."""
         self.assignment.heard(status.name)
         if status.token and self.current_term.term is None:
-            self.assignment.told(status.spread)
+            self.assignment.update_machine_count(status.spread)
 
     def _log_status(self) -> None:
         log.info(
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -165,7 +165,7 @@
         log.info(LogEvent("worker_assignment_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
-    def told(self, machines: int) -> None:
+    def update_machine_count(self, machines: int) -> None:
         """Take the leader's word that every controller answers, with so many machines; 0: that it answers all."""
         self.machines = machines
         if machines:
--- a/tests/api/test_heartbeat_redirects.py
+++ b/tests/api/test_heartbeat_redirects.py
@@ -39,7 +39,7 @@
     controller.term = None
     others = [PeerCapacity("leader", "a", True, 5, 2)]
     assignment = WorkerAssignment("node-0", "a", 100, 3.0, cluster.clock, lambda: others)
-    assignment.told(300)
+    assignment.update_machine_count(300)
     forwarder = HeartbeatForwarder("node-0", cluster.clock, lambda: None)
     controller.election.end_term("told so")
     api = HeartbeatApi("node-0", controller.election, lambda: controller.term, assignment, forwarder)
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -19,7 +19,7 @@
         self.clock = ManualClock()
         self.others = list(others)
         self.assignment = WorkerAssignment("node-0", "a", limit, 3.0, self.clock, lambda: self.others)
-        self.assignment.told(machines)
+        self.assignment.update_machine_count(machines)
 
     def arrive(self, count: int, zone: str = "a", first: int = 0) -> Counter[str | None]:
         """Have new workers come, and return how many of them go to which controller."""
