--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -75,7 +75,7 @@
 
     def on_peer_status(self, status: PeerStatus) -> None:
         """Take the capacity of a peer as current, and, from the leader, its decision."""
-        self.assignment.heard(status.name)
+        self.assignment.record_peer_status(status.name)
         if status.token and self.current_term.term is None:
             self.assignment.update_machine_count(status.spread)
 
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -173,7 +173,7 @@
         else:
             self.move(AssignmentMode.LEADER_ONLY, "the leader answers all")
 
-    def heard(self, name: str) -> None:
+    def record_peer_status(self, name: str) -> None:
         """Record a status message of another controller, which counts the workers redirected to it so far."""
         self._redirected_since_status.pop(name, None)
 
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -72,7 +72,7 @@
             else:
                 neighbours.assignment.keep(machine)
         neighbours.others = [PeerCapacity("new", "a", False, moved, 900)]
-        neighbours.assignment.heard("new")
+        neighbours.assignment.record_peer_status("new")
         # six in a hundred of the 300 it began with, a second
         assert moved <= 19 * (neighbours.clock.now - 1000.0) + 19
     assert 150 <= len(neighbours.assignment.kept) <= 180
@@ -143,7 +143,7 @@
     alone = Neighbours(leader)
     alone.assignment.followers = 5
     assert sum(alone.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 48
-    neighbours.assignment.heard("leader")
+    neighbours.assignment.record_peer_status("leader")
     neighbours.others[0] = PeerCapacity("leader", "a", True, 1140, 0)
     assert sum(neighbours.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 20
     assert neighbours.assignment.may_redirect_to_leader("nobody knows")
