--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -103,7 +103,7 @@
                 return None  # this controller is about to lead, or no other is known: its workers wait here
             # at most as many as the leader has said that it can serve are redirected there at once
             surplus = True
-        controller = assignment.where(heartbeat.machine, heartbeat.zone, leads, surplus)
+        controller = assignment.choose_controller(heartbeat.machine, heartbeat.zone, leads, surplus)
         if controller != self.name:
             return Response(421, _json.encode(Redirect(controller)), close=True)
         assignment.keep(heartbeat.machine, connection)
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -214,7 +214,7 @@
 
     # redirects --------------------------------------------------------------------------------------------
 
-    def where(self, machine: str, zone: str, leads: bool, surplus: bool = False) -> str | None:
+    def choose_controller(self, machine: str, zone: str, leads: bool, surplus: bool = False) -> str | None:
         """Decide which controller a worker is to use; to be called only while every controller answers.
 
         Args:
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -25,7 +25,7 @@
         """Have new workers come, and return how many of them go to which controller."""
         destinations = Counter[str | None]()
         for i in range(first, first + count):
-            to = self.assignment.where(f"n-{i}", zone, leads=False)
+            to = self.assignment.choose_controller(f"n-{i}", zone, leads=False)
             if to == "node-0":
                 self.assignment.keep(f"n-{i}")
             destinations[to] += 1
@@ -52,7 +52,7 @@
     neighbours.arrive(300)
     sent = list(neighbours.assignment.sent)[:20]
     # they come back, and are kept
-    assert [neighbours.assignment.where(machine, "a", False) for machine in sent] == ["node-0"] * 20
+    assert [neighbours.assignment.choose_controller(machine, "a", False) for machine in sent] == ["node-0"] * 20
     neighbours.clock.now += BACK_S + 1.0
     neighbours.assignment.tidy()
     assert not neighbours.assignment.sent and not neighbours.assignment.kept  # nobody has reported for so long
@@ -66,7 +66,7 @@
     for _ in range(40):
         neighbours.clock.now += 0.5
         for machine in list(neighbours.assignment.kept):
-            to = neighbours.assignment.where(machine, "a", False)
+            to = neighbours.assignment.choose_controller(machine, "a", False)
             if to == "new":
                 moved += 1
             else:
@@ -91,7 +91,7 @@
         neighbours.clock.now += 1.0
         for machine in list(neighbours.assignment.kept) * 2:
             if machine in neighbours.assignment.kept:
-                to = neighbours.assignment.where(machine, "a", False)
+                to = neighbours.assignment.choose_controller(machine, "a", False)
                 moved[to] += 1
                 if to == "node-0":
                     neighbours.assignment.keep(machine)
@@ -103,7 +103,7 @@
     neighbours = Neighbours(PeerCapacity("near", "a", True, 290, 3), limit=20)
     destinations = neighbours.arrive(40)
     assert destinations["node-0"] == 20 and destinations["near"] == 3 and destinations[None] == 17
-    assert neighbours.assignment.where("n-0", "a", False, surplus=True) is None
+    assert neighbours.assignment.choose_controller("n-0", "a", False, surplus=True) is None
 
 
 def test_overloaded_controller_gets_workers_only_as_a_last_resort() -> None:
