--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -96,7 +96,7 @@
         if assignment.state is AssignmentMode.LEADER_ONLY:
             full = surplus or (leads and heartbeat.machine not in assignment.kept and not assignment.room)
             if leads and not full:
-                assignment.keep(heartbeat.machine, connection)
+                assignment.record_heartbeat(heartbeat.machine, connection)
             return Response(421, _json.encode(Redirect()), close=True) if full else None
         if not (leads or forwarder.open()):
             if self.term() is not None or not assignment.others():
@@ -106,7 +106,7 @@
         controller = assignment.choose_controller(heartbeat.machine, heartbeat.zone, leads, surplus)
         if controller != self.name:
             return Response(421, _json.encode(Redirect(controller)), close=True)
-        assignment.keep(heartbeat.machine, connection)
+        assignment.record_heartbeat(heartbeat.machine, connection)
         return None
 
     def _redirect_to_leader(self, heartbeat: Heartbeat) -> Response:
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -184,7 +184,7 @@
         """How many more workers this controller has connections for."""
         return max(0, self.limit - len(self.kept))
 
-    def keep(self, machine: str, connection: object = None) -> None:
+    def record_heartbeat(self, machine: str, connection: object = None) -> None:
         """Record a worker's heartbeat that is answered here."""
         self._heartbeats += 1
         self.kept[machine] = self.clock(), connection
--- a/tests/api/test_heartbeat_redirects.py
+++ b/tests/api/test_heartbeat_redirects.py
@@ -46,7 +46,7 @@
     sent = Counter[str | None]()
     for i in range(10):
         worker = WorkerEmulator(f"n-{i:06d}")
-        assignment.keep(worker.name)
+        assignment.record_heartbeat(worker.name)
         answer = api.handle_heartbeat(msgspec.json.encode(worker.report()))
         assert answer.status == 421 and answer.close
         sent[json.loads(answer.body).get("harborMaster")] += 1
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -27,7 +27,7 @@
         for i in range(first, first + count):
             to = self.assignment.choose_controller(f"n-{i}", zone, leads=False)
             if to == "node-0":
-                self.assignment.keep(f"n-{i}")
+                self.assignment.record_heartbeat(f"n-{i}")
             destinations[to] += 1
         return destinations
 
@@ -70,7 +70,7 @@
             if to == "new":
                 moved += 1
             else:
-                neighbours.assignment.keep(machine)
+                neighbours.assignment.record_heartbeat(machine)
         neighbours.others = [PeerCapacity("new", "a", False, moved, 900)]
         neighbours.assignment.record_peer_status("new")
         # six in a hundred of the 300 it began with, a second
@@ -85,7 +85,7 @@
     )
     neighbours.assignment.machines = 290
     for i in range(100):
-        neighbours.assignment.keep(f"n-{i}")
+        neighbours.assignment.record_heartbeat(f"n-{i}")
     moved = Counter[str | None]()
     for _ in range(12):
         neighbours.clock.now += 1.0
@@ -94,7 +94,7 @@
                 to = neighbours.assignment.choose_controller(machine, "a", False)
                 moved[to] += 1
                 if to == "node-0":
-                    neighbours.assignment.keep(machine)
+                    neighbours.assignment.record_heartbeat(machine)
         neighbours.assignment.tidy()
     assert neighbours.assignment.rate > 120.0 and 5 <= moved["near"] + moved["far"] <= 14
 
