--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -100,7 +100,9 @@
 
     def serve(self) -> None:
         """Listen on all addresses, spawn all loops, and serve until the process ends."""
-        server = listen_bounded(self.settings.listen, "serve_on", self.app, self.sockets, self.spread.ended)
+        server = listen_bounded(
+            self.settings.listen, "serve_on", self.app, self.sockets, self.spread.record_connection_closed
+        )
         peer_connections = max(MIN_PEER_CONNECTIONS, self.sockets.from_peers)
         listen(self.settings.peer_listen, "peer_listen", self.peer_api.app, peer_connections).start()
         for extra in self.features.listeners:
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -192,7 +192,7 @@
             self._worker_by_connection[id(connection)] = machine
         self.sent.pop(machine, None)
 
-    def ended(self, connection: object) -> None:
+    def record_connection_closed(self, connection: object) -> None:
         """Record that a connection is closed, whoever had it; its worker is kept only if it has come over another."""
         machine = self._worker_by_connection.pop(id(connection), None)
         if machine is not None and machine in self.kept and self.kept[machine][1] is connection:
