--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -59,7 +59,7 @@
             gevent.sleep(DECISION_INTERVAL_S)
             if self.clock() - cleaned_at >= CLEANUP_INTERVAL_S:
                 cleaned_at = self.clock()
-                self.assignment.tidy()
+                self.assignment.update_rate_and_expire()
             if self.assignment.machines and self.clock() - logged_at >= STATUS_LOG_INTERVAL_S:
                 logged_at = self.clock()
                 self._log_status()
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -198,7 +198,7 @@
         if machine is not None and machine in self.kept and self.kept[machine][1] is connection:
             del self.kept[machine]
 
-    def tidy(self) -> None:
+    def update_rate_and_expire(self) -> None:
         """Update the rate of heartbeats; forget workers that are no longer heard, and those redirected long ago."""
         now = self.clock()
         if now > self._rate_updated_at:
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -54,7 +54,7 @@
     # they come back, and are kept
     assert [neighbours.assignment.choose_controller(machine, "a", False) for machine in sent] == ["node-0"] * 20
     neighbours.clock.now += BACK_S + 1.0
-    neighbours.assignment.tidy()
+    neighbours.assignment.update_rate_and_expire()
     assert not neighbours.assignment.sent and not neighbours.assignment.kept  # nobody has reported for so long
 
 
@@ -95,7 +95,7 @@
                 moved[to] += 1
                 if to == "node-0":
                     neighbours.assignment.record_heartbeat(machine)
-        neighbours.assignment.tidy()
+        neighbours.assignment.update_rate_and_expire()
     assert neighbours.assignment.rate > 120.0 and 5 <= moved["near"] + moved["far"] <= 14
 
 
