--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -98,7 +98,7 @@
             if leads and not full:
                 assignment.record_heartbeat(heartbeat.machine, connection)
             return Response(421, _json.encode(Redirect()), close=True) if full else None
-        if not (leads or forwarder.open()):
+        if not (leads or forwarder.accepts_heartbeats()):
             if self.term() is not None or not assignment.others():
                 return None  # this controller is about to lead, or no other is known: its workers wait here
             # at most as many as the leader has said that it can serve are redirected there at once
@@ -136,14 +136,14 @@
             return False
         if heartbeat.machine not in assignment.kept:
             return False
-        return forwarder.open() or not assignment.others()
+        return forwarder.accepts_heartbeats() or not assignment.others()
 
     def _forward(self, forwarder: HeartbeatForwarder, body: bytes, heartbeat: Heartbeat) -> Response:
         """Return the leader's answer. While the leader changes the heartbeat waits for the next, maybe this one."""
         received_at = forwarder.clock()
         answer_until = received_at + ANSWER_S
         while True:
-            if forwarder.open():
+            if forwarder.accepts_heartbeats():
                 status, answer = forwarder.forward(body, received_at)
                 if status in (200, 400):
                     return Response(status, answer)
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -64,7 +64,9 @@
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
             kept=len(self.assignment.kept),
-            room=self.assignment.room if term is not None or self.forwarder.open() else NO_WORKERS_ACCEPTED,
+            room=self.assignment.room
+            if term is not None or self.forwarder.accepts_heartbeats()
+            else NO_WORKERS_ACCEPTED,
             reports=self.assignment.rate,
             spread=self.assignment.machines if term is not None else 0,
         )
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -107,7 +107,7 @@
         log.info(LogEvent("heartbeat_forwarding_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
-    def open(self) -> bool:
+    def accepts_heartbeats(self) -> bool:
         """Return whether a heartbeat that comes now would be forwarded; ends a pause that is over."""
         leader = self.leader()
         if self.state is ForwarderState.RESTING and leader is not None and term_of(leader) != self._paused_for_term:
--- a/tests/heartbeat_relay/test_forwarder.py
+++ b/tests/heartbeat_relay/test_forwarder.py
@@ -103,11 +103,15 @@
         return echo(batch)
 
     forwarder, leader = start_forwarder(loop, silent)
-    assert forwarder.open() and forwarder.forward(b"", loop.time) == (0, b"")
-    assert loop.time >= UNRESPONSIVE_AFTER_S and forwarder.state is ForwarderState.RESTING and not forwarder.open()
+    assert forwarder.accepts_heartbeats() and forwarder.forward(b"", loop.time) == (0, b"")
+    assert (
+        loop.time >= UNRESPONSIVE_AFTER_S
+        and forwarder.state is ForwarderState.RESTING
+        and not forwarder.accepts_heartbeats()
+    )
     leader.answer = echo
     gevent.sleep(PAUSE_S)
-    assert forwarder.open() and forwarder.forward(b"x", loop.time) == (200, b"x")
+    assert forwarder.accepts_heartbeats() and forwarder.forward(b"x", loop.time) == (200, b"x")
 
 
 def test_truncated_or_mismatched_response_is_dropped(loop: VirtualLoop) -> None:
@@ -138,7 +142,7 @@
         queries_under_way = gevent.spawn(forwarder.forward, b"", loop.time)
         gevent.sleep(1.5)
         peer.last_heard_at = loop.time
-        assert queries_under_way.get() == (0, b"") and forwarder.open()
+        assert queries_under_way.get() == (0, b"") and forwarder.accepts_heartbeats()
 
 
 def test_pause_ends_with_the_next_leader(loop: VirtualLoop) -> None:
@@ -152,6 +156,6 @@
     current_leader = old
     forwarder = HeartbeatForwarder("node-1", lambda: loop.time, lambda: current_leader)
     gevent.spawn(forwarder.run)
-    assert forwarder.forward(b"", loop.time) == (0, b"") and not forwarder.open()
+    assert forwarder.forward(b"", loop.time) == (0, b"") and not forwarder.accepts_heartbeats()
     current_leader = new
-    assert forwarder.open() and forwarder.forward(b"x", loop.time) == (200, b"x")
+    assert forwarder.accepts_heartbeats() and forwarder.forward(b"x", loop.time) == (200, b"x")
