--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -94,7 +94,7 @@
             return None
         leads = self.election.is_leader()
         if assignment.state is AssignmentMode.LEADER_ONLY:
-            full = surplus or (leads and heartbeat.machine not in assignment.kept and not assignment.room)
+            full = surplus or (leads and heartbeat.machine not in assignment.kept_workers and not assignment.room)
             if leads and not full:
                 assignment.record_heartbeat(heartbeat.machine, connection)
             return Response(421, _json.encode(Redirect()), close=True) if full else None
@@ -134,7 +134,7 @@
         assignment = self.assignment
         if assignment is None or assignment.state is AssignmentMode.LEADER_ONLY:
             return False
-        if heartbeat.machine not in assignment.kept:
+        if heartbeat.machine not in assignment.kept_workers:
             return False
         return forwarder.accepts_heartbeats() or not assignment.others()
 
--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -83,7 +83,7 @@
         log.info(
             LogEvent(
                 "worker_assignment_status",
-                assigned=len(self.assignment.kept),
+                assigned=len(self.assignment.kept_workers),
                 machines=self.assignment.machines,
                 heartbeats_forwarded=self.forwarder.passed,
                 batches_sent=self.forwarder.batches,
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -63,7 +63,7 @@
             samples=term.status_broadcast.sample_addresses(self.rng) if term is not None else [],
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
-            kept=len(self.assignment.kept),
+            kept=len(self.assignment.kept_workers),
             room=self.assignment.room
             if term is not None or self.forwarder.accepts_heartbeats()
             else NO_WORKERS_ACCEPTED,
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -133,7 +133,7 @@
         #: How many machines there are, as the leader counts them; 0 while it answers all heartbeats itself.
         self.machines = 0
         #: When each worker that is kept here was last heard, and over which connection.
-        self.kept: dict[str, tuple[float, object]] = {}
+        self.kept_workers: dict[str, tuple[float, object]] = {}
         #: The worker last heard over each connection, by the connection's `id`.
         self._worker_by_connection: dict[int, str] = {}
         #: How many controllers there are beside the leader, whether they are heard or not.
@@ -182,12 +182,12 @@
     @property
     def room(self) -> int:
         """How many more workers this controller has connections for."""
-        return max(0, self.limit - len(self.kept))
+        return max(0, self.limit - len(self.kept_workers))
 
     def record_heartbeat(self, machine: str, connection: object = None) -> None:
         """Record a worker's heartbeat that is answered here."""
         self._heartbeats += 1
-        self.kept[machine] = self.clock(), connection
+        self.kept_workers[machine] = self.clock(), connection
         if connection is not None:
             self._worker_by_connection[id(connection)] = machine
         self.sent.pop(machine, None)
@@ -195,8 +195,8 @@
     def record_connection_closed(self, connection: object) -> None:
         """Record that a connection is closed, whoever had it; its worker is kept only if it has come over another."""
         machine = self._worker_by_connection.pop(id(connection), None)
-        if machine is not None and machine in self.kept and self.kept[machine][1] is connection:
-            del self.kept[machine]
+        if machine is not None and machine in self.kept_workers and self.kept_workers[machine][1] is connection:
+            del self.kept_workers[machine]
 
     def update_rate_and_expire(self) -> None:
         """Update the rate of heartbeats; forget workers that are no longer heard, and those redirected long ago."""
@@ -206,9 +206,9 @@
             self.rate += RATE_SMOOTHING * (latest - self.rate)
             self._heartbeats, self._rate_updated_at = 0, now
         silent_after_s = FORGOTTEN_AFTER_INTERVALS * self.report_s
-        silent = [machine for machine, (heard_at, _) in self.kept.items() if now - heard_at > silent_after_s]
+        silent = [machine for machine, (heard_at, _) in self.kept_workers.items() if now - heard_at > silent_after_s]
         for machine in silent:
-            del self.kept[machine]
+            del self.kept_workers[machine]
         while self.sent and now - next(iter(self.sent.values())) > BACK_S:
             self.sent.popitem(last=False)
 
@@ -229,7 +229,7 @@
         """
         others = self.others()
         share = EvenShare(self.machines, self.rate, leads, others)
-        kept = machine in self.kept and not surplus
+        kept = machine in self.kept_workers and not surplus
         room = 0 if surplus else self.room
         if kept and not self._sheds(leads, share, others):
             return self.name
@@ -238,7 +238,7 @@
         open_shares = [(self._open_share(other, share), other) for other in others]
         with_share = [(left, other) for left, other in open_shares if left >= 1]
         nearby = [(left, other) for left, other in with_share if other.zone == zone]
-        takes = not self.late() and share.left(leads, len(self.kept), self.rate) + EXTRA_WORKERS > 0
+        takes = not self.late() and share.left(leads, len(self.kept_workers), self.rate) + EXTRA_WORKERS > 0
         if not kept and room and takes and (zone == self.zone or not nearby):
             return self.name
         candidates = nearby or with_share
@@ -281,17 +281,17 @@
         self._redirected_since_status[other.name] += 1
         self.sent[machine] = self.clock()
         self.sent.move_to_end(machine)
-        self.kept.pop(machine, None)
+        self.kept_workers.pop(machine, None)
         self.redirected += 1
         return other.name
 
     def _sheds(self, leads: bool, share: EvenShare, others: list[PeerCapacity]) -> bool:
         """Return whether a kept worker is to be redirected: at a bounded rate, while far too many are kept here."""
         now, workers = self.clock(), share.workers(leads)
-        rate = SHED_FRACTION_PER_S * max(workers, float(len(self.kept))) + 1.0
+        rate = SHED_FRACTION_PER_S * max(workers, float(len(self.kept_workers))) + 1.0
         self._shed_allowance = min(rate, self._shed_allowance + rate * (now - self._shed_allowance_at))
         self._shed_allowance_at = now
-        too_many_workers = len(self.kept) > min(workers * SHED_SLACK + EXTRA_WORKERS, float(self.limit))
+        too_many_workers = len(self.kept_workers) > min(workers * SHED_SLACK + EXTRA_WORKERS, float(self.limit))
         too_many_heartbeats = share.busy and self.rate > share.reports(leads) * SHED_SLACK
         if not (too_many_workers or too_many_heartbeats) or self._shed_allowance < 1.0:
             return False
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -38,7 +38,11 @@
 
 def kept_workers(cluster: SimulatedCluster) -> dict[str, int]:
     """Return how many workers each controller keeps."""
-    return {name: len(controller.spread.kept) for name, controller in cluster.nodes.items() if controller is not None}
+    return {
+        name: len(controller.spread.kept_workers)
+        for name, controller in cluster.nodes.items()
+        if controller is not None
+    }
 
 
 def followers(cluster: SimulatedCluster) -> list[str]:
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -55,7 +55,7 @@
     assert [neighbours.assignment.choose_controller(machine, "a", False) for machine in sent] == ["node-0"] * 20
     neighbours.clock.now += BACK_S + 1.0
     neighbours.assignment.update_rate_and_expire()
-    assert not neighbours.assignment.sent and not neighbours.assignment.kept  # nobody has reported for so long
+    assert not neighbours.assignment.sent and not neighbours.assignment.kept_workers  # nobody has reported for so long
 
 
 def test_surplus_workers_are_shed_at_a_bounded_rate() -> None:
@@ -65,7 +65,7 @@
     moved = 0
     for _ in range(40):
         neighbours.clock.now += 0.5
-        for machine in list(neighbours.assignment.kept):
+        for machine in list(neighbours.assignment.kept_workers):
             to = neighbours.assignment.choose_controller(machine, "a", False)
             if to == "new":
                 moved += 1
@@ -75,7 +75,7 @@
         neighbours.assignment.record_peer_status("new")
         # six in a hundred of the 300 it began with, a second
         assert moved <= 19 * (neighbours.clock.now - 1000.0) + 19
-    assert 150 <= len(neighbours.assignment.kept) <= 180
+    assert 150 <= len(neighbours.assignment.kept_workers) <= 180
 
 
 def test_surplus_heartbeats_are_shed() -> None:
@@ -89,8 +89,8 @@
     moved = Counter[str | None]()
     for _ in range(12):
         neighbours.clock.now += 1.0
-        for machine in list(neighbours.assignment.kept) * 2:
-            if machine in neighbours.assignment.kept:
+        for machine in list(neighbours.assignment.kept_workers) * 2:
+            if machine in neighbours.assignment.kept_workers:
                 to = neighbours.assignment.choose_controller(machine, "a", False)
                 moved[to] += 1
                 if to == "node-0":
