--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -94,7 +94,9 @@
             return None
         leads = self.election.is_leader()
         if assignment.state is AssignmentMode.LEADER_ONLY:
-            full = surplus or (leads and heartbeat.machine not in assignment.kept_workers and not assignment.room)
+            full = surplus or (
+                leads and heartbeat.machine not in assignment.kept_workers and not assignment.free_connections
+            )
             if leads and not full:
                 assignment.record_heartbeat(heartbeat.machine, connection)
             return Response(421, _json.encode(Redirect()), close=True) if full else None
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -64,7 +64,7 @@
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
             kept=len(self.assignment.kept_workers),
-            room=self.assignment.room
+            room=self.assignment.free_connections
             if term is not None or self.forwarder.accepts_heartbeats()
             else NO_WORKERS_ACCEPTED,
             reports=self.assignment.rate,
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -180,7 +180,7 @@
     # workers that are kept --------------------------------------------------------------------------------
 
     @property
-    def room(self) -> int:
+    def free_connections(self) -> int:
         """How many more workers this controller has connections for."""
         return max(0, self.limit - len(self.kept_workers))
 
@@ -230,7 +230,7 @@
         others = self.others()
         share = EvenShare(self.machines, self.rate, leads, others)
         kept = machine in self.kept_workers and not surplus
-        room = 0 if surplus else self.room
+        room = 0 if surplus else self.free_connections
         if kept and not self._sheds(leads, share, others):
             return self.name
         if not kept and machine in self.sent and room:
