--- a/src/grebestand/features/hooks.py
+++ b/src/grebestand/features/hooks.py
@@ -169,7 +169,7 @@
         """Return the first refusal of a submission, or None if no feature refuses it."""
         return next((refusal for hook in self.accept if (refusal := hook(spec)) is not None), None)
 
-    def veto(self, job: Job, now: float) -> str | None:
+    def waiting_reason(self, job: Job, now: float) -> str | None:
         """Return the first reason why a job may not get allocations now, or None."""
         if not self.place:  # called for every waiting job at every heartbeat, so no generator is made without need
             return None
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -122,7 +122,7 @@
             key = job.type_index, self._has_aged(job, now)
             if key in refused and fits(refused[key], job.task_size):
                 continue
-            if self.context.features.veto(job, now) is not None:
+            if self.context.features.waiting_reason(job, now) is not None:
                 continue
             wanted = self._startable_tasks(job)
             if wanted <= 0:
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -182,7 +182,7 @@
         """Return whether the pass skips a job: no longer eligible since the pass began, or vetoed by a feature."""
         if not job.is_live or now < job.retry_at or job.startable_count() <= 0:
             return True
-        veto = self.context.features.veto(job, now)
+        veto = self.context.features.waiting_reason(job, now)
         if veto is not None:
             job.pending_reason = veto
             return True
