--- a/src/grebestand/features/registry.py
+++ b/src/grebestand/features/registry.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Plain:
+class PlainValues:
     """The values of a feature's plain keys, unchecked.
 
     Attributes:
@@ -55,7 +55,7 @@
 
     vocabulary: Vocabulary
     defaults: dict[str, object]
-    make: Callable[[Expressions, Settings, Plain], Features]
+    make: Callable[[Expressions, Settings, PlainValues], Features]
     plain: frozenset[str] = frozenset()
 
 
@@ -93,7 +93,7 @@
     name = raw.pop(FEATURE_KEY, None)
     feature = _named_feature(file, name, known)
     defaults = expressions.parse(feature.defaults, f"defaults of {name}", feature.vocabulary)
-    plain = Plain(file, {key: raw.pop(key) for key in feature.plain & set(raw)})
+    plain = PlainValues(file, {key: raw.pop(key) for key in feature.plain & set(raw)})
     values = expressions.parse(raw, file, feature.vocabulary, defaults)
     try:
         all_hooks.add(feature.make(values, settings, plain))
--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -14,7 +14,7 @@
 
 from ..cluster_state.jobs import Job
 from ..features.hooks import Features, Host, Listener
-from ..features.registry import Feature, Plain
+from ..features.registry import Feature, PlainValues
 from ..leader.term import Term
 from ..settings.expressions import Expressions, Vocabulary
 from ..settings.platform import Settings, parse_address
@@ -240,7 +240,7 @@
         return self.values.value("prefer", names)
 
 
-def make(values: Expressions, settings: Settings, plain: Plain) -> Features:
+def make(values: Expressions, settings: Settings, plain: PlainValues) -> Features:
     """Make the feature. Without other clusters nothing is served, and no library of the link is imported.
 
     Raises:
@@ -260,7 +260,7 @@
     )
 
 
-def _make_link(federation: Federation, local: LocalLoad, settings: Settings, plain: Plain) -> Listener:
+def _make_link(federation: Federation, local: LocalLoad, settings: Settings, plain: PlainValues) -> Listener:
     """Make the links to all other clusters, and return the listener for their messages."""
     # imported here, as a controller without other clusters needs neither netaddr nor the link's server
     from .allowed_networks import AllowedNetworks, NetworkListError
--- a/src/grebestand/federation/feature_settings.py
+++ b/src/grebestand/federation/feature_settings.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..features.registry import Plain
+from ..features.registry import PlainValues
 from ..settings.expressions import Rule
 from ..settings.platform import Settings, SettingsError, parse_address
 from ..wire.jobs import PRIORITIES
@@ -98,7 +98,7 @@
     others: list[RemoteClusterSettings] = []
 
 
-def read_plain_settings(plain: Plain, settings: Settings) -> LocalLoad:
+def read_plain_settings(plain: PlainValues, settings: Settings) -> LocalLoad:
     """Read and check the plain settings.
 
     Args:
@@ -127,7 +127,7 @@
     return local
 
 
-def _check_other_clusters(plain: Plain, local: LocalLoad) -> None:
+def _check_other_clusters(plain: PlainValues, local: LocalLoad) -> None:
     names = {local.cluster}
     for other in local.others:
         if other.name in names:
@@ -139,7 +139,7 @@
             _check_address(plain, address, f"others.{other.name}.controllers.{controller}")
 
 
-def _check_address(plain: Plain, text: str, field: str) -> None:
+def _check_address(plain: PlainValues, text: str, field: str) -> None:
     try:
         parse_address(text, field)
     except SettingsError as error:
--- a/tests/support/tiny_feature.py
+++ b/tests/support/tiny_feature.py
@@ -7,7 +7,7 @@
 from grebestand.clients.kv_store import put
 from grebestand.cluster_state.jobs import Job
 from grebestand.features.hooks import Features, HookRefusal, Listener, Records
-from grebestand.features.registry import Feature, Plain
+from grebestand.features.registry import Feature, PlainValues
 from grebestand.settings.expressions import Expressions, Rule, Vocabulary
 from grebestand.settings.platform import Settings
 from grebestand.storage.job_records import CompletedJobRecord
@@ -57,7 +57,7 @@
     return body[::-1]
 
 
-def make(values: Expressions, settings: Settings, plain: Plain) -> Features:
+def make(values: Expressions, settings: Settings, plain: PlainValues) -> Features:
     """The feature's hooks."""
     curfew = Curfew(values, settings)
     MADE.append(curfew)
