--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -109,7 +109,7 @@
     cancel_s: float
 
 
-class State(msgspec.Struct):
+class StoreLimits(msgspec.Struct):
     """Limits of the key-value store.
 
     Attributes:
@@ -169,7 +169,7 @@
     nodes: int
     zones: list[str]
     workers: Workers
-    state: State
+    state: StoreLimits
     cloud: Cloud
     clock_off_ms: float = 0.0
     teams: list[Team] = []
