--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -125,7 +125,7 @@
     txn_ops: int
 
 
-class Cloud(msgspec.Struct):
+class CloudLimits(msgspec.Struct):
     """Limits of the cloud.
 
     Attributes:
@@ -170,7 +170,7 @@
     zones: list[str]
     workers: Workers
     state: StoreLimits
-    cloud: Cloud
+    cloud: CloudLimits
     clock_off_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
