--- a/src/grebestand/leader/cancellation_horizon.py
+++ b/src/grebestand/leader/cancellation_horizon.py
@@ -19,7 +19,7 @@
 
 from ..clocks import CLOCK_MARGIN_S, MAX_CLOCK_DRIFT
 from ..log_events import LogEvent
-from ..settings.platform import Workers
+from ..settings.platform import WorkerTimes
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
 MAX_AGE_FOR_STARTS_S = 3.0
 
 
-def max_knowledge_age_s(workers: Workers) -> float:
+def max_knowledge_age_s(workers: WorkerTimes) -> float:
     """Return how old a leader's knowledge may be when it answers a worker, in seconds.
 
     The value is not positive if the settings leave nothing beside the lease.
@@ -94,7 +94,7 @@
         """Note that the answer to a current read sent at that time has been applied to the job registry."""
         self.known_at = max(self.known_at, sent_at)
 
-    def log_settings(self, workers: Workers) -> None:
+    def log_settings(self, workers: WorkerTimes) -> None:
         """Log the bound when a controller starts, and a warning if its settings leave too little."""
         allowed_s = max_knowledge_age_s(workers)
         log.info(LogEvent("cancellation_horizon_set", max_age_s=self.max_age_s))
--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -91,7 +91,7 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct):
+class WorkerTimes(msgspec.Struct):
     """Times of the protocol with workers, in seconds.
 
     Attributes:
@@ -168,7 +168,7 @@
 
     nodes: int
     zones: list[str]
-    workers: Workers
+    workers: WorkerTimes
     state: StoreLimits
     cloud: CloudLimits
     clock_off_ms: float = 0.0
--- a/tests/leader/test_cancellation_horizon.py
+++ b/tests/leader/test_cancellation_horizon.py
@@ -5,12 +5,12 @@
 import pytest
 
 from grebestand.leader.cancellation_horizon import TIGHTEST_S, CancellationHorizon, max_knowledge_age_s
-from grebestand.settings.platform import Workers
+from grebestand.settings.platform import WorkerTimes
 from grebestand.simulation.single_controller_cluster import ManualClock
 
 
-def worker_settings(lease_s: float, cancel_s: float) -> Workers:
-    return Workers(report_s=3.0, lease_s=lease_s, gang_wait_s=30.0, gang_peer_s=8.0, cancel_s=cancel_s)
+def worker_settings(lease_s: float, cancel_s: float) -> WorkerTimes:
+    return WorkerTimes(report_s=3.0, lease_s=lease_s, gang_wait_s=30.0, gang_peer_s=8.0, cancel_s=cancel_s)
 
 
 def test_knowledge_counts_from_when_the_read_was_sent() -> None:
