--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -101,7 +101,7 @@
                 assignment.record_heartbeat(heartbeat.machine, connection)
             return Response(421, _json.encode(Redirect()), close=True) if full else None
         if not (leads or forwarder.accepts_heartbeats()):
-            if self.term() is not None or not assignment.others():
+            if self.term() is not None or not assignment.accepting_peers():
                 return None  # this controller is about to lead, or no other is known: its workers wait here
             # at most as many as the leader has said that it can serve are redirected there at once
             surplus = True
@@ -138,7 +138,7 @@
             return False
         if heartbeat.machine not in assignment.kept_workers:
             return False
-        return forwarder.accepts_heartbeats() or not assignment.others()
+        return forwarder.accepts_heartbeats() or not assignment.accepting_peers()
 
     def _forward(self, forwarder: HeartbeatForwarder, body: bytes, heartbeat: Heartbeat) -> Response:
         """Return the leader's answer. While the leader changes the heartbeat waits for the next, maybe this one."""
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -127,7 +127,7 @@
         self.limit = limit
         self.report_s = report_s
         self.clock = clock
-        self.others = others
+        self.accepting_peers = others
         self.late = late
         self.state = AssignmentMode.LEADER_ONLY
         #: How many machines there are, as the leader counts them; 0 while it answers all heartbeats itself.
@@ -227,7 +227,7 @@
             This controller's name to keep the worker, another's to redirect it, or None if none is known to have a
             connection for it.
         """
-        others = self.others()
+        others = self.accepting_peers()
         share = EvenShare(self.machines, self.rate, leads, others)
         kept = machine in self.kept_workers and not surplus
         room = 0 if surplus else self.free_connections
@@ -256,7 +256,7 @@
         All followers together redirect no more between two of its status messages than it has said that it has
         connections for: when a cluster starts, hundreds of workers come within a tenth of a second.
         """
-        others = self.others()
+        others = self.accepting_peers()
         for other in others:
             if other.name == leader:
                 limit = max(MIN_REDIRECTS_TO_LEADER, other.room // max(len(others), self.followers))
