--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -60,7 +60,7 @@
             if self.clock() - cleaned_at >= CLEANUP_INTERVAL_S:
                 cleaned_at = self.clock()
                 self.assignment.update_rate_and_expire()
-            if self.assignment.machines and self.clock() - logged_at >= STATUS_LOG_INTERVAL_S:
+            if self.assignment.machine_count and self.clock() - logged_at >= STATUS_LOG_INTERVAL_S:
                 logged_at = self.clock()
                 self._log_status()
             term = self.current_term.loaded()
@@ -70,7 +70,7 @@
     def decide(self, term: Term) -> None:
         """Decide, as the leader, whether every controller answers heartbeats: by policy, or if one cannot serve all."""
         machines = len(term.inventory.machines) if self.directory.peers else 0
-        wanted = assignment_enabled(term.wants_heartbeat_assignment, self.assignment.machines > 0, machines)
+        wanted = assignment_enabled(term.wants_heartbeat_assignment, self.assignment.machine_count > 0, machines)
         self.assignment.update_machine_count(machines if wanted or machines > self.max_workers else 0)
 
     def on_peer_status(self, status: PeerStatus) -> None:
@@ -84,7 +84,7 @@
             LogEvent(
                 "worker_assignment_status",
                 assigned=len(self.assignment.kept_workers),
-                machines=self.assignment.machines,
+                machines=self.assignment.machine_count,
                 heartbeats_forwarded=self.forwarder.passed,
                 batches_sent=self.forwarder.batches,
                 heartbeats_received=self.receiver.reports,
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -68,5 +68,5 @@
             if term is not None or self.forwarder.accepts_heartbeats()
             else NO_WORKERS_ACCEPTED,
             reports=self.assignment.rate,
-            spread=self.assignment.machines if term is not None else 0,
+            spread=self.assignment.machine_count if term is not None else 0,
         )
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -131,7 +131,7 @@
         self.late = late
         self.state = AssignmentMode.LEADER_ONLY
         #: How many machines there are, as the leader counts them; 0 while it answers all heartbeats itself.
-        self.machines = 0
+        self.machine_count = 0
         #: When each worker that is kept here was last heard, and over which connection.
         self.kept_workers: dict[str, tuple[float, object]] = {}
         #: The worker last heard over each connection, by the connection's `id`.
@@ -167,7 +167,7 @@
 
     def update_machine_count(self, machines: int) -> None:
         """Take the leader's word that every controller answers, with so many machines; 0: that it answers all."""
-        self.machines = machines
+        self.machine_count = machines
         if machines:
             self.move(AssignmentMode.EVERY_CONTROLLER, f"{machines} machines")
         else:
@@ -228,7 +228,7 @@
             connection for it.
         """
         others = self.accepting_peers()
-        share = EvenShare(self.machines, self.rate, leads, others)
+        share = EvenShare(self.machine_count, self.rate, leads, others)
         kept = machine in self.kept_workers and not surplus
         room = 0 if surplus else self.free_connections
         if kept and not self._sheds(leads, share, others):
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -83,7 +83,7 @@
     neighbours = Neighbours(
         PeerCapacity("near", "a", False, 95, 900, reports=40.0), PeerCapacity("far", "b", False, 95, 900, reports=40.0)
     )
-    neighbours.assignment.machines = 290
+    neighbours.assignment.machine_count = 290
     for i in range(100):
         neighbours.assignment.record_heartbeat(f"n-{i}")
     moved = Counter[str | None]()
