--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -85,7 +85,7 @@
                 "worker_assignment_status",
                 assigned=len(self.assignment.kept_workers),
                 machines=self.assignment.machine_count,
-                heartbeats_forwarded=self.forwarder.passed,
+                heartbeats_forwarded=self.forwarder.forwarded_count,
                 batches_sent=self.forwarder.batches,
                 heartbeats_received=self.receiver.reports,
                 redirected=self.assignment.redirected,
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -93,7 +93,7 @@
         self._paused_for_term = ("", 0)
         self._overloaded_until = -math.inf
         #: How many heartbeats were forwarded, in how many batches.
-        self.passed = self.batches = 0
+        self.forwarded_count = self.batches = 0
 
     def move(self, new: ForwarderState, reason: str) -> None:
         """Change whether heartbeats are forwarded; no other function does.
@@ -191,7 +191,7 @@
         if leader is None:
             return None
         self.batches += 1
-        self.passed += len(batch)
+        self.forwarded_count += len(batch)
         message = HeartbeatBatch(self.name, [heartbeat.body for heartbeat in batch])
         reply = leader.tell(PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
         if reply is None or len(reply.answers) != len(batch):
