--- a/src/grebestand/settings/expressions.py
+++ b/src/grebestand/settings/expressions.py
@@ -70,7 +70,7 @@
     """The keys of a kind of file, and the names that its expressions may use with the range guaranteed for each."""
 
     keys: Mapping[str, Rule]
-    names: Names
+    variables: Names
 
 
 class Expressions:
@@ -86,7 +86,7 @@
 
         Names are limited to their ranges, which the checker relied on, and the value to the range of its key.
         """
-        ranges = self.vocabulary.names
+        ranges = self.vocabulary.variables
         limited = {name: min(max(value, ranges[name][0]), ranges[name][1]) for name, value in names.items()}
         rule = self.vocabulary.keys[key]
         return min(max(evaluate(self.expressions[key], limited), rule.low), rule.high)
@@ -140,7 +140,7 @@
     if key not in vocabulary.keys:
         raise InvalidExpressionError(f"unknown setting (known: {', '.join(sorted(vocabulary.keys))})")
     tree = _parse_expression(_expression_text(value))
-    _check_rule(_infer_type(tree, vocabulary.names), vocabulary.keys[key])
+    _check_rule(_infer_type(tree, vocabulary.variables), vocabulary.keys[key])
     return tree
 
 
