--- a/src/grebestand/federation/feature_settings.py
+++ b/src/grebestand/federation/feature_settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..features.registry import PlainValues
-from ..settings.expressions import Rule
+from ..settings.expressions import ValidValues
 from ..settings.platform import Settings, SettingsError, parse_address
 from ..wire.jobs import PRIORITIES
 from .messages import MAX_MESSAGE_BYTES, MAX_NAME_LENGTH
@@ -29,21 +29,21 @@
 NAMES_WITHOUT_MEANING = {name: low for name, (low, _) in NAMES.items()}
 
 #: the settings that are expressions, each with the allowed range of its value
-KEYS: dict[str, Rule] = {
-    "overflow_after_s": Rule(0, 1e9),
-    "prefer": Rule(-1e9, 1e9),
-    "offers_in_flight": Rule(1, 1000),
-    "offers_per_s": Rule(0.01, 1000),
-    "offers_per_gang": Rule(1, 1000),
-    "ask_at_once": Rule(1, 8),
-    "kilobytes_per_s": Rule(MAX_MESSAGE_BYTES / 1024, 1e6),
-    "retry_share": Rule(0, 10),
-    "look_s": Rule(0.2, 600),
-    "reserve_s": Rule(1, 600),
-    "give_back_s": Rule(1, 1e6),
-    "most_reserved": Rule(0, 1000),
-    "most_guests": Rule(0, 10_000),
-    "guest_rank": Rule(0, len(PRIORITIES) - 1),
+KEYS: dict[str, ValidValues] = {
+    "overflow_after_s": ValidValues(0, 1e9),
+    "prefer": ValidValues(-1e9, 1e9),
+    "offers_in_flight": ValidValues(1, 1000),
+    "offers_per_s": ValidValues(0.01, 1000),
+    "offers_per_gang": ValidValues(1, 1000),
+    "ask_at_once": ValidValues(1, 8),
+    "kilobytes_per_s": ValidValues(MAX_MESSAGE_BYTES / 1024, 1e6),
+    "retry_share": ValidValues(0, 10),
+    "look_s": ValidValues(0.2, 600),
+    "reserve_s": ValidValues(1, 600),
+    "give_back_s": ValidValues(1, 1e6),
+    "most_reserved": ValidValues(0, 1000),
+    "most_guests": ValidValues(0, 10_000),
+    "guest_rank": ValidValues(0, len(PRIORITIES) - 1),
 }
 #: the values of settings that the file does not have
 DEFAULTS: dict[str, object] = {
--- a/src/grebestand/settings/expressions.py
+++ b/src/grebestand/settings/expressions.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Rule:
+class ValidValues:
     """What the value of a key may be: a number from `low` to `high`, or a truth value."""
 
     low: float
@@ -69,7 +69,7 @@
 class Vocabulary:
     """The keys of a kind of file, and the names that its expressions may use with the range guaranteed for each."""
 
-    keys: Mapping[str, Rule]
+    keys: Mapping[str, ValidValues]
     variables: Names
 
 
@@ -174,7 +174,7 @@
         raise InvalidExpressionError(f"the expression is too deep or too large: {error}") from error
 
 
-def _check_rule(inferred: InferredType, rule: Rule) -> None:
+def _check_rule(inferred: InferredType, rule: ValidValues) -> None:
     """Check that an expression has the type that its key needs, and can have an allowed value."""
     if inferred.boolean != rule.boolean:
         needed = "true or false" if rule.boolean else "a number"
--- a/src/grebestand/settings/policy.py
+++ b/src/grebestand/settings/policy.py
@@ -8,7 +8,7 @@
 from importlib import resources
 
 from . import expressions
-from .expressions import Expressions, Rule, Vocabulary
+from .expressions import Expressions, ValidValues, Vocabulary
 
 #: by name that an expression may use, the lowest and the highest value that the program guarantees
 VARIABLES: dict[str, tuple[float, float]] = {
@@ -28,29 +28,29 @@
 }
 
 #: by key, the values that it may have
-KEYS: dict[str, Rule] = {
-    "g": Rule(0, 1e6),
-    "period_s": Rule(0.2, 600),
-    "type_bound": Rule(1, 1000),
-    "hold_s": Rule(1, 600),
-    "payoff_production": Rule(1e-6, 1e9),
-    "payoff_high": Rule(1e-6, 1e9),
-    "payoff_normal": Rule(1e-6, 1e9),
-    "payoff_low": Rule(1e-6, 1e9),
-    "preempt_after_s": Rule(0, 1e6),
-    "reclaim_after_s": Rule(0, 1e6),
-    "begin_after_s": Rule(0, 1e6),
-    "migrate": Rule(0, 1, boolean=True),
-    "lend_spare": Rule(0, 1, boolean=True),
-    "rent": Rule(0, 1, boolean=True),
-    "rent_spot": Rule(0, 1, boolean=True),
-    "idle_return_s": Rule(1, 1e9),
-    "keep_empty": Rule(0, 1e6),
-    "dead_after_s": Rule(1, 1e9),
-    "sick_errors": Rule(1, 1e6),
-    "slow_ratio": Rule(1.1, 100),
-    "slow_samples": Rule(4, 1e6),
-    "spread_reports": Rule(0, 1, boolean=True),
+KEYS: dict[str, ValidValues] = {
+    "g": ValidValues(0, 1e6),
+    "period_s": ValidValues(0.2, 600),
+    "type_bound": ValidValues(1, 1000),
+    "hold_s": ValidValues(1, 600),
+    "payoff_production": ValidValues(1e-6, 1e9),
+    "payoff_high": ValidValues(1e-6, 1e9),
+    "payoff_normal": ValidValues(1e-6, 1e9),
+    "payoff_low": ValidValues(1e-6, 1e9),
+    "preempt_after_s": ValidValues(0, 1e6),
+    "reclaim_after_s": ValidValues(0, 1e6),
+    "begin_after_s": ValidValues(0, 1e6),
+    "migrate": ValidValues(0, 1, boolean=True),
+    "lend_spare": ValidValues(0, 1, boolean=True),
+    "rent": ValidValues(0, 1, boolean=True),
+    "rent_spot": ValidValues(0, 1, boolean=True),
+    "idle_return_s": ValidValues(1, 1e9),
+    "keep_empty": ValidValues(0, 1e6),
+    "dead_after_s": ValidValues(1, 1e9),
+    "sick_errors": ValidValues(1, 1e6),
+    "slow_ratio": ValidValues(1.1, 100),
+    "slow_samples": ValidValues(4, 1e6),
+    "spread_reports": ValidValues(0, 1, boolean=True),
 }
 
 VOCABULARY = Vocabulary(KEYS, VARIABLES)
--- a/tests/support/tiny_feature.py
+++ b/tests/support/tiny_feature.py
@@ -8,7 +8,7 @@
 from grebestand.cluster_state.jobs import Job
 from grebestand.features.hooks import Features, HookRefusal, Listener, Records
 from grebestand.features.registry import Feature, PlainValues
-from grebestand.settings.expressions import Expressions, Rule, Vocabulary
+from grebestand.settings.expressions import Expressions, ValidValues, Vocabulary
 from grebestand.settings.platform import Settings
 from grebestand.storage.job_records import CompletedJobRecord
 from grebestand.storage.paged_records import PagedRecords
@@ -75,4 +75,6 @@
 
 #: every feature that was made, for tests to look at
 MADE: list[Curfew] = []
-FEATURE = Feature(Vocabulary({"most_tasks": Rule(1, 1e5)}, {"teams": (0.0, 1e6)}), {"most_tasks": "100 * teams"}, make)
+FEATURE = Feature(
+    Vocabulary({"most_tasks": ValidValues(1, 1e5)}, {"teams": (0.0, 1e6)}), {"most_tasks": "100 * teams"}, make
+)
