--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -86,7 +86,7 @@
                 assigned=len(self.assignment.kept_workers),
                 machines=self.assignment.machine_count,
                 heartbeats_forwarded=self.forwarder.forwarded_count,
-                batches_sent=self.forwarder.batches,
+                batches_sent=self.forwarder.batch_count,
                 heartbeats_received=self.receiver.reports,
                 redirected=self.assignment.redirected,
             )
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -93,7 +93,7 @@
         self._paused_for_term = ("", 0)
         self._overloaded_until = -math.inf
         #: How many heartbeats were forwarded, in how many batches.
-        self.forwarded_count = self.batches = 0
+        self.forwarded_count = self.batch_count = 0
 
     def move(self, new: ForwarderState, reason: str) -> None:
         """Change whether heartbeats are forwarded; no other function does.
@@ -190,7 +190,7 @@
         leader, sent_at = self.leader(), self.clock()
         if leader is None:
             return None
-        self.batches += 1
+        self.batch_count += 1
         self.forwarded_count += len(batch)
         message = HeartbeatBatch(self.name, [heartbeat.body for heartbeat in batch])
         reply = leader.tell(PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
