--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -87,7 +87,7 @@
                 machines=self.assignment.machine_count,
                 heartbeats_forwarded=self.forwarder.forwarded_count,
                 batches_sent=self.forwarder.batch_count,
-                heartbeats_received=self.receiver.reports,
+                heartbeats_received=self.receiver.heartbeats_received,
                 redirected=self.assignment.redirected,
             )
         )
--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -102,7 +102,7 @@
         #: How many batches are being answered.
         self.busy = 0
         #: How many heartbeats other controllers have forwarded.
-        self.reports = 0
+        self.heartbeats_received = 0
         self._refusal_logged_at = -math.inf
 
     def answer(self, body: bytes) -> bytes:
@@ -143,7 +143,7 @@
             return HeartbeatBatchResponse([REFUSED] * len(batch.reports), late=True)
         self.busy += 1
         try:
-            self.reports += len(batch.reports)
+            self.heartbeats_received += len(batch.reports)
             return HeartbeatBatchResponse(self._handle(batch.reports), late=overloaded)
         finally:
             self.busy -= 1
--- a/tests/heartbeat_relay/test_batch_receiver.py
+++ b/tests/heartbeat_relay/test_batch_receiver.py
@@ -55,7 +55,7 @@
     for wrong in (b"", b"\xc1", msgspec.msgpack.encode([1, 2]), too_many, too_large, unknown_sender) * 3:
         with pytest.raises(BatchRefusedError):
             receiver.answer(wrong)
-    assert caplog.text.count("heartbeat_batch_refused ") == 1 and receiver.reports == 0
+    assert caplog.text.count("heartbeat_batch_refused ") == 1 and receiver.heartbeats_received == 0
     cluster.clock.now += 11.0
     with pytest.raises(BatchRefusedError):
         receiver.answer(unknown_sender)
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -70,7 +70,7 @@
     assert statuses["200"] > 250 and set(statuses) == {"200"}
     (leader,) = cluster.leading()
     controller = cluster.nodes[leader]
-    assert controller is not None and controller.receiver.reports > 250 and len(cluster.leaders) == 1
+    assert controller is not None and controller.receiver.heartbeats_received > 250 and len(cluster.leaders) == 1
     assert cluster.settled(200.0) == []
 
 
