--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -88,6 +88,6 @@
                 heartbeats_forwarded=self.forwarder.forwarded_count,
                 batches_sent=self.forwarder.batch_count,
                 heartbeats_received=self.receiver.heartbeats_received,
-                redirected=self.assignment.redirected,
+                redirected=self.assignment.redirect_count,
             )
         )
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -149,7 +149,7 @@
         #: Heartbeats answered since the average was last updated, and when that was.
         self._heartbeats, self._rate_updated_at = 0, clock()
         #: How many workers were redirected since this process began.
-        self.redirected = 0
+        self.redirect_count = 0
 
     # modes ------------------------------------------------------------------------------------------------
 
@@ -282,7 +282,7 @@
         self.sent[machine] = self.clock()
         self.sent.move_to_end(machine)
         self.kept_workers.pop(machine, None)
-        self.redirected += 1
+        self.redirect_count += 1
         return other.name
 
     def _sheds(self, leads: bool, share: EvenShare, others: list[PeerCapacity]) -> bool:
