--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -67,6 +67,6 @@
             room=self.assignment.free_connections
             if term is not None or self.forwarder.accepts_heartbeats()
             else NO_WORKERS_ACCEPTED,
-            reports=self.assignment.rate,
+            reports=self.assignment.heartbeats_per_s,
             spread=self.assignment.machine_count if term is not None else 0,
         )
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -145,7 +145,7 @@
         #: How many kept workers may be redirected now, and when that was computed.
         self._shed_allowance, self._shed_allowance_at = 0.0, clock()
         #: Moving average of the heartbeats answered here per second.
-        self.rate = 0.0
+        self.heartbeats_per_s = 0.0
         #: Heartbeats answered since the average was last updated, and when that was.
         self._heartbeats, self._rate_updated_at = 0, clock()
         #: How many workers were redirected since this process began.
@@ -203,7 +203,7 @@
         now = self.clock()
         if now > self._rate_updated_at:
             latest = self._heartbeats / (now - self._rate_updated_at)
-            self.rate += RATE_SMOOTHING * (latest - self.rate)
+            self.heartbeats_per_s += RATE_SMOOTHING * (latest - self.heartbeats_per_s)
             self._heartbeats, self._rate_updated_at = 0, now
         silent_after_s = FORGOTTEN_AFTER_INTERVALS * self.report_s
         silent = [machine for machine, (heard_at, _) in self.kept_workers.items() if now - heard_at > silent_after_s]
@@ -228,7 +228,7 @@
             connection for it.
         """
         others = self.accepting_peers()
-        share = EvenShare(self.machine_count, self.rate, leads, others)
+        share = EvenShare(self.machine_count, self.heartbeats_per_s, leads, others)
         kept = machine in self.kept_workers and not surplus
         room = 0 if surplus else self.free_connections
         if kept and not self._sheds(leads, share, others):
@@ -238,7 +238,7 @@
         open_shares = [(self._open_share(other, share), other) for other in others]
         with_share = [(left, other) for left, other in open_shares if left >= 1]
         nearby = [(left, other) for left, other in with_share if other.zone == zone]
-        takes = not self.late() and share.left(leads, len(self.kept_workers), self.rate) + EXTRA_WORKERS > 0
+        takes = not self.late() and share.left(leads, len(self.kept_workers), self.heartbeats_per_s) + EXTRA_WORKERS > 0
         if not kept and room and takes and (zone == self.zone or not nearby):
             return self.name
         candidates = nearby or with_share
@@ -292,7 +292,7 @@
         self._shed_allowance = min(rate, self._shed_allowance + rate * (now - self._shed_allowance_at))
         self._shed_allowance_at = now
         too_many_workers = len(self.kept_workers) > min(workers * SHED_SLACK + EXTRA_WORKERS, float(self.limit))
-        too_many_heartbeats = share.busy and self.rate > share.reports(leads) * SHED_SLACK
+        too_many_heartbeats = share.busy and self.heartbeats_per_s > share.reports(leads) * SHED_SLACK
         if not (too_many_workers or too_many_heartbeats) or self._shed_allowance < 1.0:
             return False
         if all(self._open_share(other, share) < 1 for other in others):
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -96,7 +96,7 @@
                 if to == "node-0":
                     neighbours.assignment.record_heartbeat(machine)
         neighbours.assignment.update_rate_and_expire()
-    assert neighbours.assignment.rate > 120.0 and 5 <= moved["near"] + moved["far"] <= 14
+    assert neighbours.assignment.heartbeats_per_s > 120.0 and 5 <= moved["near"] + moved["far"] <= 14
 
 
 def test_full_controller_keeps_no_new_worker() -> None:
