--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -210,7 +210,7 @@
         if len(record) > self.value_bytes:
             raise MalformedError("the job's description is too large to be kept")
         check_can_run(spec, self.teams, self.machine_types())
-        refusal = self.features.refusal(spec)
+        refusal = self.features.first_refusal(spec)
         if refusal is not None:
             raise JobRejectedError(refusal)
         return spec, record
--- a/src/grebestand/features/hooks.py
+++ b/src/grebestand/features/hooks.py
@@ -165,7 +165,7 @@
         """Return the key prefixes of all records."""
         return [records.prefix for records in self.records]
 
-    def refusal(self, spec: JobSpec) -> HookRefusal | None:
+    def first_refusal(self, spec: JobSpec) -> HookRefusal | None:
         """Return the first refusal of a submission, or None if no feature refuses it."""
         return next((refusal for hook in self.accept if (refusal := hook(spec)) is not None), None)
 
