--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -14,7 +14,7 @@
 from ..flow_control.connection_limits import ConnectionPlan
 from ..log_events import LogEvent
 from ..settings.platform import parse_address
-from ..wire.jobs import MAX_BODY
+from ..wire.jobs import MAX_SUBMISSION_BYTES
 from .response import Response
 
 log = logging.getLogger(__name__)
@@ -222,9 +222,9 @@
 def read_body(environ: dict[str, Any]) -> bytes:
     """Read and return the body of a request; of one that is too large, one byte more than is allowed."""
     length = environ.get("CONTENT_LENGTH")
-    if length and (not length.isdigit() or int(length) > MAX_BODY):
-        return b"x" * (MAX_BODY + 1)
-    return bytes(environ["wsgi.input"].read(MAX_BODY + 1))
+    if length and (not length.isdigit() or int(length) > MAX_SUBMISSION_BYTES):
+        return b"x" * (MAX_SUBMISSION_BYTES + 1)
+    return bytes(environ["wsgi.input"].read(MAX_SUBMISSION_BYTES + 1))
 
 
 def respond(response: Response, start_response: Callable[..., Any]) -> list[bytes]:
--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -20,7 +20,16 @@
 from ..storage.completed_jobs import CompletedJobs
 from ..storage.job_records import CompletedJobRecord, LiveJobRecord, completed_key, completion_transaction, live_key
 from ..wire.cloud import MachineType
-from ..wire.jobs import JOB_ID, MAX_BODY, JobSpec, JobStatus, JobStatusResponse, MalformedError, decode_spec, peek_id
+from ..wire.jobs import (
+    JOB_ID,
+    MAX_SUBMISSION_BYTES,
+    JobSpec,
+    JobStatus,
+    JobStatusResponse,
+    MalformedError,
+    decode_spec,
+    peek_id,
+)
 from .job_feasibility import UncertainStateError, UnsatisfiableJobError, check_can_run
 from .job_lookup import JobLookup
 from .read_batching import BatchedReads
@@ -185,7 +194,7 @@
 
     def submit(self, body: bytes) -> Response:
         """Accept a job (201), answer a repeated submission with the job's status (200), or say why neither is done."""
-        if len(body) > MAX_BODY:
+        if len(body) > MAX_SUBMISSION_BYTES:
             return _error(400, "the body is over 64 KiB")
         try:
             job_id = peek_id(body)
--- a/src/grebestand/wire/jobs.py
+++ b/src/grebestand/wire/jobs.py
@@ -12,7 +12,7 @@
 
 JOB_ID = re.compile(r"j-[0-9]{1,20}\Z")
 #: size limit of a submission, in bytes
-MAX_BODY = 64 * 1024
+MAX_SUBMISSION_BYTES = 64 * 1024
 #: limit on the tasks of a job
 MAX_TASKS = 100_000
 #: limit on the length of a name, in characters
