--- a/src/grebestand/flow_control/connection_limits.py
+++ b/src/grebestand/flow_control/connection_limits.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..settings.platform import Quota
+from ..settings.platform import ProcessLimits
 
 #: connections to the key-value store for requests and for watches, and to the cloud
 STATE_REQUESTS, STATE_WATCHES, CLOUD = 24, 4, 4
@@ -52,7 +52,7 @@
     workers: int
 
 
-def plan_connections(quota: Quota, others: int) -> ConnectionPlan:
+def plan_connections(quota: ProcessLimits, others: int) -> ConnectionPlan:
     """Return the distribution for a controller that has `others` controllers beside it."""
     max_connections = quota.max_connections
     peers = others * (GREETINGS + BATCHES) + min(others, HELPERS) * RELAYED
--- a/src/grebestand/flow_control/overload.py
+++ b/src/grebestand/flow_control/overload.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from ..log_events import LogEvent
-from ..settings.platform import Quota
+from ..settings.platform import ProcessLimits
 from ..state_machines import LOAD_TRANSITIONS, LoadState, check_transition
 
 log = logging.getLogger(__name__)
@@ -45,7 +45,7 @@
         most_users: Users' requests that may be in progress at a time.
     """
 
-    def __init__(self, quota: Quota, clock: Callable[[], float]) -> None:
+    def __init__(self, quota: ProcessLimits, clock: Callable[[], float]) -> None:
         """Start in the normal state, with a limit that follows from the quota."""
         self.clock = clock
         self.state = LoadState.NORMAL
@@ -98,7 +98,7 @@
         return users < self.most_users
 
 
-def _max_user_requests(quota: Quota) -> int:
+def _max_user_requests(quota: ProcessLimits) -> int:
     """Return how many users' requests may be in progress in a process with this quota."""
     by_processor = REQUESTS_PER_PROCESSOR * min(1.0, quota.cpu_share)
     by_memory = quota.memory_mb * 1024 / REQUEST_KB * USERS_PART
--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -137,7 +137,7 @@
     list_lag_s: float
 
 
-class Quota(msgspec.Struct, rename={"cpu_share": "cpu", "max_connections": "sockets"}):
+class ProcessLimits(msgspec.Struct, rename={"cpu_share": "cpu", "max_connections": "sockets"}):
     """What the process of a controller may use.
 
     Attributes:
@@ -174,7 +174,7 @@
     clock_off_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
-    quota: Quota = msgspec.field(default_factory=Quota)
+    quota: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
 
 
 class Settings(msgspec.Struct, rename={"name": "host_name", "zone": "area", "listen": "serve_on", "peers": "known"}):
--- a/tests/flow_control/test_connection_shares.py
+++ b/tests/flow_control/test_connection_shares.py
@@ -14,7 +14,7 @@
 from grebestand.clients.http import UnreachableError
 from grebestand.controller.controller import Controller
 from grebestand.flow_control.connection_limits import ConnectionPlan, plan_connections
-from grebestand.settings.platform import Quota
+from grebestand.settings.platform import ProcessLimits
 from grebestand.simulation.cluster import SimulatedCluster
 from grebestand.simulation.virtual_time import VirtualLoop, simulated
 
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("quota", [800, 1000, 1752, 2470])
 @pytest.mark.parametrize("others", [0, 2, 5])
 def test_all_shares_together_stay_within_the_quota(quota: int, others: int) -> None:
-    shares = plan_connections(Quota(max_connections=quota), others)
+    shares = plan_connections(ProcessLimits(max_connections=quota), others)
     beyond = shares.turned_away + shares.backlog
     assert shares.serving + beyond + shares.peers + shares.from_peers + shares.direct < quota
     assert 0 < shares.workers < shares.serving
--- a/tests/flow_control/test_overload_monitor.py
+++ b/tests/flow_control/test_overload_monitor.py
@@ -8,7 +8,7 @@
 
 from grebestand.flow_control.overload import RECOVERY_S, OverloadMonitor
 from grebestand.log_events import parse_log_event
-from grebestand.settings.platform import Quota
+from grebestand.settings.platform import ProcessLimits
 from grebestand.simulation.single_controller_cluster import ManualClock
 from grebestand.state_machines import LoadState
 
@@ -20,7 +20,7 @@
 
 def test_load_state_is_entered_at_once_and_left_step_by_step() -> None:
     clock = ManualClock()
-    monitor = OverloadMonitor(Quota(), clock)
+    monitor = OverloadMonitor(ProcessLimits(), clock)
     assert state_after(monitor, 0.05) is LoadState.NORMAL
     assert state_after(monitor, 0.3) is LoadState.STRAINED
     assert state_after(monitor, 2.5) is LoadState.OVERLOADED
@@ -35,7 +35,7 @@
 
 
 def test_change_of_the_load_state_is_logged_as_an_event(caplog: pytest.LogCaptureFixture) -> None:
-    OverloadMonitor(Quota(), ManualClock()).record_lag(0.5)
+    OverloadMonitor(ProcessLimits(), ManualClock()).record_lag(0.5)
     (record,) = caplog.records
     assert record.levelno == logging.WARNING
     assert parse_log_event(record.getMessage()) == (
--- a/tests/support/heartbeat_batches.py
+++ b/tests/support/heartbeat_batches.py
@@ -8,7 +8,7 @@
 from grebestand.flow_control.overload import OverloadMonitor
 from grebestand.heartbeat_relay.batch_receiver import BatchReceiver
 from grebestand.leader.term import Term
-from grebestand.settings.platform import Quota
+from grebestand.settings.platform import ProcessLimits
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
 from grebestand.wire.peers import HeartbeatBatch, HeartbeatBatchResponse
 
@@ -20,7 +20,7 @@
     term = controller.lead()
     workers = [cluster.worker(f"n-{i:06d}") for i in range(3)]
     cluster.settle(term, 3)
-    load = OverloadMonitor(Quota(), cluster.clock)
+    load = OverloadMonitor(ProcessLimits(), cluster.clock)
     receiver = BatchReceiver(
         ["node-1"], controller.election, lambda: controller.term, load, cluster.clock, lambda: None
     )
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -36,7 +36,7 @@
 from grebestand.leader.provisioning import MAX_MACHINES_PER_REQUEST  # noqa: E402
 from grebestand.leader.scheduling_loop import ARRIVAL_GAP_S, MAX_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST_FACTOR  # noqa: E402
 from grebestand.settings import policy  # noqa: E402
-from grebestand.settings.platform import Quota  # noqa: E402
+from grebestand.settings.platform import ProcessLimits  # noqa: E402
 from grebestand.storage.completed_jobs import MAX_COMPLETED_KEPT  # noqa: E402
 
 SLOPES, PAGE, CODE = _ROOT / "tools" / "capacity.toml", _ROOT / "docs" / "CAPACITY.md", _ROOT / "src" / "grebestand"
@@ -237,7 +237,7 @@
 
     def sockets(self, s: Size) -> float:
         """Connections of workers that a controller may keep."""
-        quota = Quota(self.limits["core"], self.limits["memory_mb"], self.limits["sockets"])
+        quota = ProcessLimits(self.limits["core"], self.limits["memory_mb"], self.limits["sockets"])
         return float(plan_connections(quota, s.controllers - 1).workers)
 
     def spread_from(self, s: Size) -> float:
