--- a/src/grebestand/scheduling/policy_values.py
+++ b/src/grebestand/scheduling/policy_values.py
@@ -8,7 +8,7 @@
 from ..cluster_state.job_registry import JobRegistry
 from ..cluster_state.machine_inventory import MachineInventory
 from ..settings.expressions import Expressions
-from ..settings.platform import Params
+from ..settings.platform import PlatformParams
 
 #: Value of the variable `guarantee_s` if no objective states within which time guarantees must be met.
 DEFAULT_GUARANTEE_S = 10.0
@@ -39,7 +39,9 @@
 class PolicyEvaluator:
     """Evaluates the policy for the current state of the cluster."""
 
-    def __init__(self, policy: Expressions, params: Params, registry: JobRegistry, inventory: MachineInventory) -> None:
+    def __init__(
+        self, policy: Expressions, params: PlatformParams, registry: JobRegistry, inventory: MachineInventory
+    ) -> None:
         self.policy = policy
         self.params = params
         self.registry = registry
--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -151,7 +151,7 @@
     max_connections: int = 1000
 
 
-class Params(msgspec.Struct, rename={"nodes": "count", "clock_off_ms": "skew_ms"}):
+class PlatformParams(msgspec.Struct, rename={"nodes": "count", "clock_off_ms": "skew_ms"}):
     """Parameters of the platform, the same for all controllers.
 
     Attributes:
@@ -195,7 +195,7 @@
     listen: str
     peer_listen: str
     outside: ServiceAddresses
-    params: Params
+    params: PlatformParams
     peers: list[PeerAddress] = []
 
 
@@ -247,7 +247,7 @@
         parse_address(peer.address, "known.address")
 
 
-def _check_params(params: Params) -> None:
+def _check_params(params: PlatformParams) -> None:
     """Check that the parameters of the platform are in their ranges."""
     if not params.zones:
         raise SettingsError("must name at least one zone", "params.zones")
