--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -66,8 +66,8 @@
         self.term = term
         self.assignment = assignment
         self.forwarder = forwarder
-        self.hangs = hangs
-        self.wait = wait
+        self.is_peer_unresponsive = hangs
+        self.wait_for_leadership_change = wait
 
     def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
         """Answer a heartbeat. A worker on a `surplus` connection, beyond those that are kept, is redirected."""
@@ -112,15 +112,15 @@
     def _redirect_to_leader(self, heartbeat: Heartbeat) -> Response:
         """Redirect to the leader if it is known and answers; wait for another one for a moment if it hangs."""
         leader = self.election.known_leader()
-        if leader is not None and leader != self.name and self.hangs(leader):
+        if leader is not None and leader != self.name and self.is_peer_unresponsive(leader):
             # sent there, or on to the next, the worker would wait four seconds at each controller that hangs and come
             # back after its lease has expired; this controller may lead in a moment
-            self.wait(LEADERSHIP_WAIT_S)
+            self.wait_for_leadership_change(LEADERSHIP_WAIT_S)
             response = self._answer(heartbeat) or self._answer_once_loaded(heartbeat)
             if response is not None:
                 return response
             leader = self.election.known_leader()
-            if leader is not None and self.hangs(leader):
+            if leader is not None and self.is_peer_unresponsive(leader):
                 return Response(421, _json.encode(Redirect()))
         if leader is not None and leader != self.name:
             named = self.assignment is None or self.assignment.may_redirect_to_leader(leader)
@@ -152,7 +152,7 @@
             left_s = answer_until - forwarder.clock()
             if left_s <= 0:
                 break
-            self.wait(min(LEADERSHIP_WAIT_S, left_s))
+            self.wait_for_leadership_change(min(LEADERSHIP_WAIT_S, left_s))
             response = self._answer(heartbeat)
             if response is not None:
                 return response
@@ -164,7 +164,7 @@
         """Wait while this controller loads its records, after which it can answer."""
         if self.election.state is not LeaderState.LOADING:
             return None
-        self.wait(LEADERSHIP_WAIT_S)
+        self.wait_for_leadership_change(LEADERSHIP_WAIT_S)
         return self._answer(heartbeat)
 
     def _answer(self, heartbeat: Heartbeat) -> Response | None:
--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -31,9 +31,9 @@
 #: no pause between two parts of a request may be longer
 REQUEST_TIMEOUT_S = 10.0
 #: parsed blocks of headers are cached: up to this size in bytes, and so many of them
-BLOCK_BYTES, BLOCKS = 1024, 256
+MAX_CACHED_HEADER_BYTES, MAX_CACHED_HEADERS = 1024, 256
 #: the longest line of headers, as `http.client` limits it
-LINE_BYTES = 65537
+MAX_HEADER_LINE_BYTES = 65537
 #: of a message of the WSGI server, in characters: it may contain what a client sent
 MAX_LOGGED_CHARACTERS = 300
 #: connections to an IPv6 address that the kernel keeps until they are accepted
@@ -42,14 +42,14 @@
 App = Callable[[dict[str, Any], Callable[..., Any]], list[bytes]]
 
 
-class _Replay:
+class _ReplayedLines:
     """A file that returns lines which were read already, then the rest of a connection."""
 
     def __init__(self, lines: list[bytes], rest: Any) -> None:
         self._lines = iter(lines)
         self._rest = rest
 
-    def readline(self, limit: int = LINE_BYTES) -> bytes:
+    def readline(self, limit: int = MAX_HEADER_LINE_BYTES) -> bytes:
         """Return the next line; one that was read already is not limited again."""
         line = next(self._lines, None)
         return self._rest.readline(limit) if line is None else line
@@ -62,26 +62,26 @@
     surplus = False
 
     #: by block; clients send the same few blocks again and again, and parsing one takes half the time of a request
-    _parsed: ClassVar[dict[bytes, Any]] = {}
+    _parsed_headers: ClassVar[dict[bytes, Any]] = {}
 
     def MessageClass(self, rfile: Any, *_: Any) -> Any:  # noqa: N802 - the base class looks it up by this name
         """Return the parsed headers that follow in `rfile`; the name is that of the base class."""
         lines = []
         size = 0
-        while size <= BLOCK_BYTES:
-            lines.append(rfile.readline(LINE_BYTES))
+        while size <= MAX_CACHED_HEADER_BYTES:
+            lines.append(rfile.readline(MAX_HEADER_LINE_BYTES))
             size += len(lines[-1])
             if lines[-1] in (b"\r\n", b"\n", b""):
                 break
         else:
-            return headers_factory(_Replay(lines, rfile))
+            return headers_factory(_ReplayedLines(lines, rfile))
         block = b"".join(lines)
-        found = self._parsed.get(block)
+        found = self._parsed_headers.get(block)
         if found is None:
-            found = headers_factory(_Replay(lines, rfile))
-            if len(self._parsed) >= BLOCKS:
-                self._parsed.pop(next(iter(self._parsed)))
-            self._parsed[block] = found
+            found = headers_factory(_ReplayedLines(lines, rfile))
+            if len(self._parsed_headers) >= MAX_CACHED_HEADERS:
+                self._parsed_headers.pop(next(iter(self._parsed_headers)))
+            self._parsed_headers[block] = found
         return found
 
     def read_requestline(self) -> Any:
--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -100,10 +100,10 @@
         self.batched_reads = batched_reads
         self.teams = {team.name: team for team in teams}
         self.value_bytes = value_bytes
-        self.wall = wall
+        self.wall_clock = wall
         self.clock = clock
         self.machine_types = machine_types
-        self.counts = counts
+        self.task_counts = counts
         self.completed_jobs = completed_jobs
         self.features = features
         self.on_cancelled = on_cancelled
@@ -140,14 +140,14 @@
         """
         reads = self.batched_reads
         if reads is not None and urgency is Urgency.POLL:
-            version = reads.live(job_id)
+            version = reads.confirm_live_version(job_id)
             if version:
                 return version, False
         found = self.store.get(live_key(job_id), urgency, self._request_timeout_s(until))
         if found is None:
             return 0, False
         if reads is not None:
-            reads.learn(job_id, found.version)
+            reads.remember_version(job_id, found.version)
         return found.version, found.value.get("abroad") is not None
 
     def _lookup(self, job_id: str, urgency: Urgency, until: float) -> JobLookup | None:
@@ -163,11 +163,11 @@
                 if self.clock() - asked_at > STATUS_VALID_S:
                     # this process stood still, and what was read may no longer be so
                     raise StoreError("what was read is too old", possibly_applied=False)
-                done, running = self.counts(job_id)
+                done, running = self.task_counts(job_id)
                 status = JobStatus.RUNNING if running else JobStatus.PENDING
                 return JobLookup(status, done, running, version, abroad)
             completed = self._completed(job_id, urgency, until)
-        return None if completed is None else JobLookup.of(completed)
+        return None if completed is None else JobLookup.from_record(completed)
 
     def _lookup_accepted(self, job_id: str, until: float) -> JobLookup:
         """Look up a job that is known to have been accepted."""
@@ -206,7 +206,7 @@
     def _check_submission(self, body: bytes) -> tuple[JobSpec, bytes]:
         """Return the job that a body describes and the record to be written for it."""
         spec = decode_spec(body)
-        record = _json.encode(LiveJobRecord(spec, self.wall()))
+        record = _json.encode(LiveJobRecord(spec, self.wall_clock()))
         if len(record) > self.value_bytes:
             raise MalformedError("the job's description is too large to be kept")
         check_can_run(spec, self.teams, self.machine_types())
@@ -229,18 +229,18 @@
         """Record a job, unless there is one of this id already."""
         completed = self.completed_jobs.get(job_id)
         if completed is not None:
-            return self._view(200, job_id, JobLookup.of(completed))
+            return self._view(200, job_id, JobLookup.from_record(completed))
         now = self.clock()
         read_until, retry_until = now + READ_LIMIT_S, now + COMMIT_RETRY_LIMIT_S
         reads = self.batched_reads
-        if (reads is not None and reads.knows(job_id)) or any(self.counts(job_id)):
+        if (reads is not None and reads.knows(job_id)) or any(self.task_counts(job_id)):
             # a transaction counts against the write rate even if its conditions fail, so a repeat is only read
             return self._view(200, job_id, self._lookup_accepted(job_id, read_until))
         version = self._create_record(job_id, record, retry_until)
         if version is None:
             return self._view(200, job_id, self._lookup_accepted(job_id, read_until))
         if reads is not None:
-            reads.learn(job_id, version)
+            reads.remember_version(job_id, version)
         log.info(
             LogEvent(
                 "job_accepted",
@@ -309,7 +309,7 @@
                 return _error(404, "no such job")
             if known.state in (JobStatus.DONE, JobStatus.CANCELLED):
                 return self._view(200, job_id, known)
-            if known.abroad:
+            if known.may_run_remotely:
                 self.recall(job_id)
                 return _error(503, "another cluster runs it and is asked to end it", RETRY_REMOTE_CANCELLATION_S)
             record = CompletedJobRecord(JobStatus.CANCELLED, known.done)
@@ -325,7 +325,7 @@
                 self.completed_jobs.remember(job_id, record)
                 log.info(LogEvent("cancellation_confirmed", job_id=job_id))
                 self.on_cancelled(job_id)
-                return self._view(200, job_id, JobLookup.of(record))
+                return self._view(200, job_id, JobLookup.from_record(record))
             if self.clock() > retry_until:
                 return _error(503, "the job changes too often", RETRY_SOON_S)
 
--- a/src/grebestand/api/job_lookup.py
+++ b/src/grebestand/api/job_lookup.py
@@ -17,9 +17,9 @@
     #: of its live record; 0 for a completed job
     version: int = 0
     #: another cluster runs it, or may come to run it
-    abroad: bool = False
+    may_run_remotely: bool = False
 
     @classmethod
-    def of(cls, record: CompletedJobRecord) -> JobLookup:
+    def from_record(cls, record: CompletedJobRecord) -> JobLookup:
         """Return what users are told of a completed job."""
         return cls(record.state, record.tasks if record.state is JobStatus.DONE else 0)
--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -25,9 +25,9 @@
 RESIGNATION_PATH = "/resigned"
 
 #: a status exchange that took this long to fail hung; a shorter one was refused, by a process or a machine that is down
-HANGING_AFTER_S = 0.5
+UNRESPONSIVE_AFTER_S = 0.5
 #: no worker is redirected to a peer that has hung for longer than this
-HANGING_TOLERATED_S = 2.0
+UNRESPONSIVE_TOLERATED_S = 2.0
 #: between two messages of the leader on which images the machines have
 IMAGES_S = 5.0
 #: a cancellation is part of every status for this long, unless there are more than so many
@@ -101,9 +101,9 @@
         self.answer_heartbeat_batch = answer_heartbeat_batch
         self._listener: PeerListener = _NoListener()
         #: done and running tasks of each job, by the leader's latest status
-        self.leader_counts: dict[str, tuple[int, int]] = {}
+        self.leader_task_counts: dict[str, tuple[int, int]] = {}
         #: addresses of some workers, by the leader's latest status
-        self.samples: list[str] = []
+        self.sampled_worker_addresses: list[str] = []
         #: by the leader's latest message
         self.cached_images = CachedImages()
 
@@ -113,11 +113,11 @@
 
     # requests to peers ------------------------------------------------------------------------------------
 
-    def greet(self, peer: PeerClient) -> None:
+    def exchange_status(self, peer: PeerClient) -> None:
         """Exchange the status with a peer."""
         sent_at = self.clock()
         status = peer.tell(STATUS_PATH, self.compose_status(), PeerStatus)
-        self._record_hanging(peer, sent_at, answered=status is not None)
+        self._record_responsiveness(peer, sent_at, answered=status is not None)
         if status is None:
             return
         restarted = peer.last is not None and peer.last.incarnation != status.incarnation
@@ -127,12 +127,12 @@
             if peer.last.token:
                 self._listener.on_leader_restarted(peer.name)
         peer.last_heard_at, peer.last = self.clock(), status
-        self._take_status(status)
+        self._apply_status(status)
         self._listener.on_peer_status(status)
 
-    def _record_hanging(self, peer: PeerClient, sent_at: float, *, answered: bool) -> None:
+    def _record_responsiveness(self, peer: PeerClient, sent_at: float, *, answered: bool) -> None:
         """Record since when status exchanges with a peer hang, in contrast to being refused."""
-        if answered or self.clock() - sent_at < HANGING_AFTER_S:
+        if answered or self.clock() - sent_at < UNRESPONSIVE_AFTER_S:
             was_hanging, peer.unresponsive_since = peer.unresponsive_since < math.inf, math.inf
             if was_hanging:
                 self._listener.on_peer_recovered()
@@ -154,7 +154,7 @@
             peer.acknowledged_since = self.clock()
         peer.acknowledged_at = max(peer.acknowledged_at, sent_at)
 
-    def known_images(self) -> CachedImages:
+    def find_cached_images(self) -> CachedImages:
         """Return which machine caches which images: from memory or, after a restart, from a peer that knows."""
         if not self.cached_images.machines:
             for peer in self.peers:
@@ -188,14 +188,16 @@
     def hangs(self, name: str) -> bool:
         """Return whether a peer has neither answered nor refused status exchanges for a while."""
         now = self.clock()
-        return any(peer.name == name and now - peer.unresponsive_since > HANGING_TOLERATED_S for peer in self.peers)
+        return any(
+            peer.name == name and now - peer.unresponsive_since > UNRESPONSIVE_TOLERATED_S for peer in self.peers
+        )
 
-    def _take_status(self, status: PeerStatus) -> None:
+    def _apply_status(self, status: PeerStatus) -> None:
         if status.cancelled:
             self._listener.on_peer_cancellations(status.cancelled)
         if status.token:
-            self.leader_counts = status.counts
-            self.samples = status.samples or self.samples
+            self.leader_task_counts = status.counts
+            self.sampled_worker_addresses = status.samples or self.sampled_worker_addresses
 
     # requests from peers ----------------------------------------------------------------------------------
 
@@ -207,7 +209,7 @@
             BatchRefusedError: a batch of heartbeats is not one of a peer.
         """
         if path == STATUS_PATH:
-            self._take_status(msgspec.msgpack.decode(body, type=PeerStatus))
+            self._apply_status(msgspec.msgpack.decode(body, type=PeerStatus))
         elif path == CACHED_IMAGES_PATH:
             return self._answer_images(msgspec.msgpack.decode(body, type=CachedImages))
         elif path == RESIGNATION_PATH:
--- a/src/grebestand/api/read_batching.py
+++ b/src/grebestand/api/read_batching.py
@@ -51,7 +51,7 @@
         self._open: _ReadBatch | None = None
         self._slots = BoundedSemaphore(MAX_CONCURRENT_BATCHES)
 
-    def learn(self, job_id: str, version: int) -> None:
+    def remember_version(self, job_id: str, version: int) -> None:
         """Remember that the record of a job was live at this version."""
         self._versions[job_id] = version
         self._versions.move_to_end(job_id)
@@ -62,7 +62,7 @@
         """Return whether the record of a job was seen live here, so that the job has been accepted."""
         return job_id in self._versions
 
-    def live(self, job_id: str) -> int:
+    def confirm_live_version(self, job_id: str) -> int:
         """Return the version of a job's live record if it is certain that it stands now; 0 if it has to be read.
 
         Raises:
--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -65,9 +65,9 @@
                 self._log_status()
             term = self.current_term.loaded()
             if term is not None and self.election.is_leader():
-                self.decide(term)
+                self.decide_assignment_mode(term)
 
-    def decide(self, term: Term) -> None:
+    def decide_assignment_mode(self, term: Term) -> None:
         """Decide, as the leader, whether every controller answers heartbeats: by policy, or if one cannot serve all."""
         machines = len(term.inventory.machines) if self.directory.peers else 0
         wanted = assignment_enabled(term.assignment_wanted, self.assignment.machines > 0, machines)
--- a/src/grebestand/controller/cancellations.py
+++ b/src/grebestand/controller/cancellations.py
@@ -85,7 +85,7 @@
     def _broadcast(self) -> None:
         """Send one status to each peer and wait for all: peers that hang would use up the connections otherwise."""
         sent_version = self.recorder.version()
-        gevent.joinall([gevent.spawn(self.peer_api.greet, peer) for peer in self.peer_api.peers])
+        gevent.joinall([gevent.spawn(self.peer_api.exchange_status, peer) for peer in self.peer_api.peers])
         self._scheduled = False
         if sent_version != self.recorder.version():
             self._schedule()
--- a/src/grebestand/controller/foundation.py
+++ b/src/grebestand/controller/foundation.py
@@ -35,7 +35,7 @@
 from ..storage.completed_jobs import CompletedJobs
 from .cancellations import CancellationRecorder
 from .current_term import CurrentTerm
-from .leadership_news import LeadershipNews
+from .leadership_news import LeadershipChangeNotifier
 from .machine_type_catalog import MachineTypeCatalog
 from .peer_directory import PeerDirectory
 from .store_write_budget import follower_share
@@ -71,7 +71,7 @@
     runtime: Runtime
     clock: Callable[[], float]
     current_term: CurrentTerm
-    news: LeadershipNews
+    leadership_changes: LeadershipChangeNotifier
     completed_jobs: CompletedJobs
     clients: Clients
     election: LeaderElection
@@ -90,7 +90,7 @@
         """Return whether this controller is too late to take more workers."""
         return self.overload.state is LoadState.OVERLOADED
 
-    def recall(self, job_id: str) -> None:
+    def request_remote_cancellation(self, job_id: str) -> None:
         """Ask the features to end a job that another cluster may run."""
         for hook in self.features.recalls:
             hook(job_id)
@@ -113,7 +113,7 @@
         runtime=runtime,
         clock=clock,
         current_term=current_term,
-        news=LeadershipNews(),
+        leadership_changes=LeadershipChangeNotifier(),
         completed_jobs=completed_jobs,
         clients=clients,
         election=_build_election(settings, policy, clock, clients.store),
--- a/src/grebestand/controller/leadership_news.py
+++ b/src/grebestand/controller/leadership_news.py
@@ -9,7 +9,7 @@
 from ..state_machines import LeaderState
 
 
-class LeadershipNews:
+class LeadershipChangeNotifier:
     """Lets request handlers wait until the leader, or the state of this controller, has changed."""
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
         """Wait for the next change, at most `timeout_s` seconds."""
         return self._changed.wait(timeout_s)
 
-    def announce(self) -> None:
+    def notify_all(self) -> None:
         """Wake all that wait. Whoever begins to wait afterwards waits for the next change."""
         changed, self._changed = self._changed, Event()
         changed.set()
@@ -28,7 +28,7 @@
 class LoadingGate:
     """Lets batches of heartbeats wait while this controller, a new leader, loads its records."""
 
-    def __init__(self, election: LeaderElection, news: LeadershipNews) -> None:
+    def __init__(self, election: LeaderElection, news: LeadershipChangeNotifier) -> None:
         self.election = election
         self.news = news
 
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -34,9 +34,9 @@
 OVERLOAD_RESIGN_AFTER_S = 6.0
 #: and so many times as long while machines are not reconciled: a successor is late with thousands of machines as well,
 #: and the next one would begin with all of them again
-RECONCILING_PATIENCE_FACTOR = 3.0
+RECONCILING_DELAY_FACTOR = 3.0
 #: how often in a row patience grows at most
-MAX_PATIENCE_STEPS = 6
+MAX_BACKOFF_STEPS = 6
 
 #: a leader with at least so many machines that has had heartbeats in its term concludes sooner that it is cut off
 MANY_MACHINES = 20
@@ -100,7 +100,7 @@
 
     # the link to the key-value store ----------------------------------------------------------------------
 
-    def better_placed_peer(self) -> PeerClient | None:
+    def find_peer_reaching_store(self) -> PeerClient | None:
         """Return a peer that reached the store after this controller had failed to for a while, if there is one.
 
         A recent success of the peer is not enough: in an outage of the store all succeed until the same moment, and a
@@ -123,13 +123,13 @@
         if self.store_link.age_s < STORE_UNHEALTHY_AFTER_S:
             return True
         alone = bool(self.peer_api.peers) and next(self._present_peers(PEER_PRESENT_S), None) is None
-        return not alone and self.better_placed_peer() is None
+        return not alone and self.find_peer_reaching_store() is None
 
     def check_store(self) -> None:
         """Resign as the leader if the store answers a peer but not this controller, not even through a peer."""
         if self.store_link.age_s < STORE_RESIGN_AFTER_S:
             return
-        peer = self.better_placed_peer()
+        peer = self.find_peer_reaching_store()
         if peer is not None:
             reason = f"{peer.name} reaches the state service and this one does not"
             token = self.election.resign(reason, STORE_RESIGNATION_S)
@@ -153,9 +153,9 @@
         handler = term.heartbeat_handler
         silence_s = now - max(handler.last_heard_at, self.checking_since)
         if silence_s >= self._silence_limit_s(term):
-            self._silence_resignations = min(self._silence_resignations + 1, MAX_PATIENCE_STEPS)
+            self._silence_resignations = min(self._silence_resignations + 1, MAX_BACKOFF_STEPS)
             self.workers_link.silent(0.0, 0.0)
-            self.resign(f"no worker has reported for {silence_s:.1f} s", self._find_heir())
+            self.resign(f"no worker has reported for {silence_s:.1f} s", self._find_successor())
         elif handler.heard_in_term and now - handler.last_heard_at < self.heartbeat_interval_s:
             self._silence_resignations = 0
 
@@ -165,7 +165,7 @@
         intervals = MANY_MACHINES_SILENCE_INTERVALS if many else SILENCE_INTERVALS
         return intervals * self.heartbeat_interval_s * (1 + self._silence_resignations)
 
-    def _find_heir(self) -> str:
+    def _find_successor(self) -> str:
         """Return the name of the present peer that workers reach and that reached the store last; "" without one."""
         heir, heir_store_age_s = "", math.inf
         for peer, status in self._present_peers(PEER_PRESENT_S):
@@ -182,20 +182,20 @@
         A leader that answers its workers too late lets their leases expire.
         """
         overloaded_s = self.clock() - self.overload.since
-        if self.overload.state is not LoadState.OVERLOADED or overloaded_s < self._overload_patience_s():
+        if self.overload.state is not LoadState.OVERLOADED or overloaded_s < self._overload_limit_s():
             return
         for peer, status in self._present_peers(PEER_PRESENT_S):
             if status.load == LoadState.NORMAL.value:
                 # if the load itself is too much, giving way again and again is no help: the next time takes longer
-                self._overload_resignations = min(self._overload_resignations + 1, MAX_PATIENCE_STEPS)
+                self._overload_resignations = min(self._overload_resignations + 1, MAX_BACKOFF_STEPS)
                 self.resign(f"late for {overloaded_s:.0f} s, and {peer.name} is not", peer.name)
                 return
 
-    def _overload_patience_s(self) -> float:
+    def _overload_limit_s(self) -> float:
         patience_s = OVERLOAD_RESIGN_AFTER_S * (1 + self._overload_resignations)
         term = self.term()
         if term is not None and not term.machine_reconciliation.proved:
-            return patience_s * RECONCILING_PATIENCE_FACTOR
+            return patience_s * RECONCILING_DELAY_FACTOR
         return patience_s
 
     # succession -------------------------------------------------------------------------------------------
@@ -209,7 +209,7 @@
             log.info(LogEvent("leader_key_not_removed", token=token, reason=error))
         self.peer_api.send_resignation(self.name, token, heir)
 
-    def succeed(self, notice: ResignationNotice) -> None:
+    def handle_resignation(self, notice: ResignationNotice) -> None:
         """Remove the key of a peer that resigned, and take the lead unless the notice names another controller."""
         may_lead = notice.heir in ("", self.name)
         if not may_lead:
@@ -222,7 +222,7 @@
         except StoreError as error:
             log.info(LogEvent("leader_key_not_removed", controller=notice.name, token=notice.token, reason=error))
 
-    def patience(self) -> float:
+    def takeover_delay_s(self) -> float:
         """Return for how long the key has to be free before this controller takes it, in seconds.
 
         A controller that workers have reached lately goes first. Followers hear of no worker while the leader is well,
@@ -235,4 +235,4 @@
         if self.workers_link.state is LinkState.UP or just_started:
             return 0.0
         wait_s = LOST_LINK_WAIT_S if self.workers_link.state is LinkState.DOWN else SUSPECT_LINK_WAIT_S
-        return wait_s + (BETTER_PEER_WAIT_S if self._find_heir() else 0.0)
+        return wait_s + (BETTER_PEER_WAIT_S if self._find_successor() else 0.0)
--- a/src/grebestand/controller/link_probes.py
+++ b/src/grebestand/controller/link_probes.py
@@ -63,7 +63,7 @@
         """Probe one worker after the other, about two in each heartbeat interval, until the process ends."""
         while True:
             gevent.sleep(self.heartbeat_interval_s * (0.4 + 0.2 * self.runtime.rng.random()))
-            addresses = self.peer_api.samples
+            addresses = self.peer_api.sampled_worker_addresses
             if self.current_term.term is None and addresses:
                 address = addresses.pop(0)
                 addresses.append(address)
--- a/src/grebestand/controller/peer_events.py
+++ b/src/grebestand/controller/peer_events.py
@@ -8,7 +8,7 @@
 from ..wire.peers import PeerStatus, ResignationNotice
 from .assignment_loop import AssignmentLoop
 from .cancellations import CancellationRecorder
-from .leadership_news import LeadershipNews
+from .leadership_news import LeadershipChangeNotifier
 from .leadership_transfer import LeadershipTransfer
 
 
@@ -19,7 +19,7 @@
         self,
         *,
         election: LeaderElection,
-        news: LeadershipNews,
+        news: LeadershipChangeNotifier,
         assignment_loop: AssignmentLoop,
         cancellations: CancellationRecorder,
         transfer: LeadershipTransfer,
@@ -40,7 +40,7 @@
 
     def on_peer_resigned(self, notice: ResignationNotice) -> None:
         """A peer that led has resigned. The answer to it does not wait for what follows."""
-        gevent.spawn(self.transfer.succeed, notice)
+        gevent.spawn(self.transfer.handle_resignation, notice)
 
     def on_leader_restarted(self, name: str) -> None:
         """A peer that led has a new process, so its term is over."""
@@ -48,4 +48,4 @@
 
     def on_peer_recovered(self) -> None:
         """A peer that hung answers again, so requests that wait for it may go on."""
-        self.news.announce()
+        self.news.notify_all()
--- a/src/grebestand/controller/peer_loops.py
+++ b/src/grebestand/controller/peer_loops.py
@@ -24,7 +24,7 @@
     def run(self) -> None:
         """Exchange the status about once a second until the process ends."""
         while True:
-            self.peer_api.greet(self.peer)
+            self.peer_api.exchange_status(self.peer)
             gevent.sleep(0.9 + 0.2 * self.rng.random())
 
 
--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -46,7 +46,7 @@
     pause_s: float
 
 
-def steps_of(term: Term, features: Features) -> list[TermStep]:
+def term_steps(term: Term, features: Features) -> list[TermStep]:
     """Return the steps of a term in the order in which their loops begin."""
     steps = [
         TermStep(term.job_watch.watch, 0.0),  # the watch itself waits for changes
@@ -110,15 +110,15 @@
         """Load the records of a term, then begin to lead and spawn its loops, unless the term ends before."""
         self._load(term)
         if self._is_current(term):
-            term.status_broadcast.learn_images(self.peer_api.known_images())
+            term.status_broadcast.learn_images(self.peer_api.find_cached_images())
         while self._is_current(term) and self.election.state is LeaderState.PAUSED:
             gevent.sleep(PAUSED_POLL_S)
         if not self._is_current(term):
             return
         if self.election.state is LeaderState.LOADING:
-            self.assignment_loop.decide(term)
+            self.assignment_loop.decide_assignment_mode(term)
             self.election.move(LeaderState.LEADING, "records read")
-        for step in steps_of(term, self.features):
+        for step in term_steps(term, self.features):
             gevent.spawn(self._repeat, term, step.run, step.pause_s)
         gevent.spawn(self._run_ticks, term)
 
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -27,7 +27,7 @@
 from .direct_commands import DirectCommandSender
 from .foundation import Foundation, build_foundation
 from .http_front import HttpFront
-from .job_counts import JobCounts
+from .job_counts import TaskCounts
 from .lag_monitor import LagMonitor
 from .leader_loop import LeaderLoop
 from .leadership_news import LoadingGate
@@ -77,7 +77,7 @@
     job_api = _build_job_api(foundation, peer_api)
     heartbeat_api = HeartbeatApi(
         settings.name, foundation.election, foundation.current_term.get, relay.assignment, relay.forwarder,
-        peer_api.hangs, foundation.news.wait,
+        peer_api.hangs, foundation.leadership_changes.wait,
     )  # fmt: skip
     direct_commands = DirectCommandSender(runtime, foundation.connections.direct)
     transfer = _build_leadership_transfer(foundation, peer_api)
@@ -86,7 +86,7 @@
     peer_api.subscribe(
         PeerEvents(
             election=foundation.election,
-            news=foundation.news,
+            news=foundation.leadership_changes,
             assignment_loop=relay.assignment_loop,
             cancellations=foundation.cancellations,
             transfer=transfer,
@@ -122,7 +122,7 @@
     forwarder = HeartbeatForwarder(settings.name, clock, directory.leading_peer)
     receiver = BatchReceiver(
         directory.zones, foundation.election, foundation.current_term.get, foundation.overload, clock,
-        LoadingGate(foundation.election, foundation.news).wait,
+        LoadingGate(foundation.election, foundation.leadership_changes).wait,
     )  # fmt: skip
     assignment_loop = AssignmentLoop(
         assignment=assignment,
@@ -161,9 +161,9 @@
     params, store = foundation.settings.params, foundation.clients.store
     return JobApi(
         store, params.teams, foundation.max_value_bytes, foundation.runtime.wall, foundation.clock,
-        foundation.machine_types.current, JobCounts(foundation.current_term, peer_api).of, foundation.completed_jobs,
+        foundation.machine_types.current, TaskCounts(foundation.current_term, peer_api).get, foundation.completed_jobs,
         foundation.features, BatchedReads(store, CONDITIONS_PER_CHANGE * params.state.txn_ops),
-        CancellationBroadcaster(foundation.cancellations, peer_api).on_cancelled, foundation.recall,
+        CancellationBroadcaster(foundation.cancellations, peer_api).on_cancelled, foundation.request_remote_cancellation,
     )  # fmt: skip
 
 
@@ -219,8 +219,8 @@
 ) -> None:
     election = foundation.election
     election.on_state_changed = term_runner.on_leadership_changed
-    election.on_leadership_news = foundation.news.announce
-    election.patience = transfer.patience
+    election.on_leadership_news = foundation.leadership_changes.notify_all
+    election.patience = transfer.takeover_delay_s
     election.cancellation_horizon.cancellations_confirmed_up_to = peer_api.cancellations_confirmed_up_to
 
 
--- a/tests/api/test_header_parsing.py
+++ b/tests/api/test_header_parsing.py
@@ -46,9 +46,9 @@
 
 
 def test_number_of_kept_blocks_is_bounded() -> None:
-    for number in range(2 * http_server.BLOCKS):
+    for number in range(2 * http_server.MAX_CACHED_HEADERS):
         read(b"Content-Length: %d\r\n\r\n" % number)
-    assert len(http_server._Handler._parsed) <= http_server.BLOCKS
+    assert len(http_server._Handler._parsed) <= http_server.MAX_CACHED_HEADERS
 
 
 def test_block_above_the_size_limit_has_an_error_status() -> None:
--- a/tests/controller/test_leadership_transfer.py
+++ b/tests/controller/test_leadership_transfer.py
@@ -55,13 +55,13 @@
 
 
 def test_heir_is_a_peer_that_workers_reach(transfer: LeadershipTransfer) -> None:
-    assert transfer._find_heir() == "node-2"
+    assert transfer._find_successor() == "node-2"
 
 
 def test_absent_peer_is_no_heir(cluster: InMemoryCluster, transfer: LeadershipTransfer) -> None:
-    assert transfer._find_heir() == "node-2"
+    assert transfer._find_successor() == "node-2"
     cluster.clock.now += PEER_PRESENT_S
-    assert transfer._find_heir() == ""
+    assert transfer._find_successor() == ""
 
 
 def test_controller_reached_by_workers_does_not_wait_for_a_free_key(
@@ -69,7 +69,7 @@
 ) -> None:
     cluster.clock.now += PEER_PRESENT_S
     controller.workers_link.answered()
-    assert transfer.patience() == 0.0
+    assert transfer.takeover_delay_s() == 0.0
 
 
 def test_named_heir_goes_first(
@@ -77,6 +77,6 @@
 ) -> None:
     cluster.clock.now += PEER_PRESENT_S
     controller.workers_link.answered()
-    assert transfer.patience() == 0.0
-    transfer.succeed(ResignationNotice("node-1", 5, "node-2"))
-    assert transfer.patience() > 0.0 and controller.election.state is LeaderState.FOLLOWING
+    assert transfer.takeover_delay_s() == 0.0
+    transfer.handle_resignation(ResignationNotice("node-1", 5, "node-2"))
+    assert transfer.takeover_delay_s() > 0.0 and controller.election.state is LeaderState.FOLLOWING
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -5,7 +5,7 @@
 import pytest
 
 from grebestand.clients.peer import PeerClient
-from grebestand.controller.leadership_transfer import OVERLOAD_RESIGN_AFTER_S, RECONCILING_PATIENCE_FACTOR
+from grebestand.controller.leadership_transfer import OVERLOAD_RESIGN_AFTER_S, RECONCILING_DELAY_FACTOR
 from grebestand.emulators.worker import WorkerEmulator
 from grebestand.flow_control.rate_limiter import Urgency
 from grebestand.leader.job_completion import SHORT_S
@@ -93,7 +93,7 @@
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
         leadership_transfer.check_overload()
     assert cluster.clock.now - overloaded_at == pytest.approx(
-        RECONCILING_PATIENCE_FACTOR * OVERLOAD_RESIGN_AFTER_S, abs=0.6
+        RECONCILING_DELAY_FACTOR * OVERLOAD_RESIGN_AFTER_S, abs=0.6
     )
 
 
--- a/tests/scenarios/test_small_jobs.py
+++ b/tests/scenarios/test_small_jobs.py
@@ -9,7 +9,7 @@
 import pytest
 
 from grebestand.api.read_batching import BatchedReads
-from grebestand.controller.job_counts import JobCounts
+from grebestand.controller.job_counts import TaskCounts
 from grebestand.simulation.cluster import SimulatedCluster
 from grebestand.simulation.virtual_time import VirtualLoop, simulated
 
@@ -50,6 +50,6 @@
 def test_repeats_that_cost_a_write_are_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose, as it was in an early version: the writes are short then."""
     monkeypatch.setattr(BatchedReads, "knows", lambda self, job_id: False)
-    monkeypatch.setattr(JobCounts, "of", lambda self, job_id: (0, 0))
+    monkeypatch.setattr(TaskCounts, "of", lambda self, job_id: (0, 0))
     with pytest.raises(AssertionError):
         test_one_task_jobs_four_a_second_for_two_minutes(loop)
