--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -1,4 +1,4 @@
-"""Decides, as the leader, which controllers answer heartbeats, and maintains the workers assigned to this one."""
+"""Decides on the leader whether all controllers answer heartbeats, and maintains the workers assigned to this one."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 log = logging.getLogger(__name__)
 
-#: between two decisions of the leader; short, because thousands of workers may arrive within three seconds
+#: Interval of the leader's decisions; short, because thousands of workers may connect within three seconds.
 DECISION_INTERVAL_S = 0.25
-#: between two removals of workers that no longer send heartbeats here
+#: Interval of removing workers that no longer send heartbeats to this controller.
 CLEANUP_INTERVAL_S = 1.0
-#: between two log lines on the assignment
+#: Interval of log lines on the worker assignment.
 STATUS_LOG_INTERVAL_S = 20.0
 
 
 class AssignmentLoop:
-    """Runs the worker assignment of this controller."""
+    """Periodically updates the worker assignment of this controller."""
 
     def __init__(
         self,
@@ -42,7 +42,11 @@
         max_workers: int,
         clock: Callable[[], float],
     ) -> None:
-        """`max_workers` is the number of worker connections that this controller can serve."""
+        """Create the loop.
+
+        Args:
+            max_workers: Maximum number of worker connections that this controller serves.
+        """
         self.assignment = assignment
         self.forwarder = forwarder
         self.receiver = receiver
@@ -53,7 +57,7 @@
         self.clock = clock
 
     def run(self) -> None:
-        """Decide and clean up until the process ends."""
+        """Update the assignment until the process ends."""
         logged_at = cleaned_at = self.clock()
         while True:
             gevent.sleep(DECISION_INTERVAL_S)
@@ -68,13 +72,13 @@
                 self.decide_assignment_mode(term)
 
     def decide_assignment_mode(self, term: Term) -> None:
-        """Decide, as the leader, whether every controller answers heartbeats: by policy, or if one cannot serve all."""
+        """Decide on the leader whether all controllers answer heartbeats: by policy, or if one cannot serve all."""
         machines = len(term.inventory.machines) if self.directory.peers else 0
         wanted = assignment_enabled(term.assignment_wanted, self.assignment.machines > 0, machines)
         self.assignment.told(machines if wanted or machines > self.max_workers else 0)
 
     def on_peer_status(self, status: PeerStatus) -> None:
-        """Take the capacity of a peer as current, and, from the leader, its decision."""
+        """Mark a peer's capacity as current and, if the peer leads, adopt its assignment decision."""
         self.assignment.heard(status.name)
         if status.token and self.current_term.term is None:
             self.assignment.told(status.spread)
--- a/src/grebestand/controller/foundation.py
+++ b/src/grebestand/controller/foundation.py
@@ -1,4 +1,4 @@
-"""What most parts of a controller share: clients, election, links, load and records; built before all others."""
+"""The components that most parts of a controller depend on: clients, election, link health, load, caches."""
 
 from __future__ import annotations
 
@@ -40,19 +40,23 @@
 from .peer_directory import PeerDirectory
 from .store_write_budget import follower_share
 
-#: parts of the cluster's request rates that a controller uses: its even share of reads, somewhat less than the limit,
-#: and bursts of a part of a second; the cloud is asked by the leader alone
-STORE_READ_SHARE, STORE_BURST_S = 0.9, 0.3
+#: Share of the key-value store's read rate that all controllers together use, below the limit to leave a margin. Each
+#: controller gets an even part of this share.
+STORE_READ_SHARE = 0.9
+#: Largest burst of store requests, as seconds of the cluster's whole request rate.
+STORE_BURST_S = 0.3
+#: Share of the cloud's request rate that a controller uses, and its largest burst as seconds of the whole rate. The
+#: rate is not divided among the controllers, as nearly all cloud requests are sent by the leader.
 CLOUD_SHARE, CLOUD_BURST_S = 0.8, 1.0
-#: of a value in the store, left free for what surrounds it, in bytes
+#: Part of the store's size limit of a value that stays unused, as the limit includes what encloses the value.
 VALUE_RESERVE_BYTES = 16
-#: a connection to a peer that takes longer is given up: a status is exchanged every second
+#: Time limit for connecting to a peer; shorter than the second between two status exchanges.
 PEER_CONNECT_TIMEOUT_S = 0.8
 
 
 @dataclass(frozen=True)
 class Clients:
-    """Ways to the key-value store, the cloud and the other controllers."""
+    """Clients of the key-value store, the cloud and the other controllers."""
 
     store_link: LinkHealth
     store_transport: ProxiedStoreTransport
@@ -63,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Foundation:
-    """What most parts of a controller share."""
+    """The components that most parts of a controller depend on."""
 
     settings: Settings
     policy: Expressions
@@ -83,26 +87,26 @@
 
     @property
     def max_value_bytes(self) -> int:
-        """The largest value that is written to the store."""
+        """Size limit of a value written to the store, in bytes."""
         return max_value_bytes(self.settings)
 
     def is_overloaded(self) -> bool:
-        """Return whether this controller is too late to take more workers."""
+        """Return whether this controller's event loop lags too much for it to serve more workers."""
         return self.overload.state is LoadState.OVERLOADED
 
     def request_remote_cancellation(self, job_id: str) -> None:
-        """Ask the features to end a job that another cluster may run."""
+        """Request through the features that the cluster which may run a job stops this job."""
         for hook in self.features.recalls:
             hook(job_id)
 
 
 def max_value_bytes(settings: Settings) -> int:
-    """Return the largest value that is written to the store, in bytes."""
+    """Return the size limit of a value written to the store, in bytes."""
     return int(settings.params.state.value_kb * 1024) - VALUE_RESERVE_BYTES
 
 
 def build_foundation(settings: Settings, policy: Expressions, features: Features, runtime: Runtime) -> Foundation:
-    """Build the parts that all others need."""
+    """Build the components that most parts of a controller depend on."""
     clock, params = runtime.clock, settings.params
     current_term, completed_jobs = CurrentTerm(), CompletedJobs()
     clients = _build_clients(settings, runtime, current_term)
--- a/src/grebestand/controller/leader_loop.py
+++ b/src/grebestand/controller/leader_loop.py
@@ -1,4 +1,4 @@
-"""Follows the present leader, or renews this controller's own leader lease, and gives way where others do better."""
+"""Follows the current leader, or renews this controller's own leader lease, and resigns when a peer leads better."""
 
 from __future__ import annotations
 
@@ -18,21 +18,26 @@
 
 log = logging.getLogger(__name__)
 
-#: between two renewals. Authority counts from the last one, so an outage shortens it by this much at worst; never more
-#: than this part of the lease, so that several renewals fit a short one
+#: Longest interval between two lease renewals. A leader's authority lasts from its last renewal, so an outage that
+#: begins just before a renewal shortens the remaining authority by up to this interval.
 RENEW_INTERVAL_S = 0.5
+#: Minimum number of renewals in a lease, which shortens the renewal interval of a short lease.
 RENEWALS_PER_LEASE = 6
-#: before a renewal that had no answer is tried again
+#: Delay before a failed renewal is retried.
 RENEW_RETRY_S = 0.3
-#: before the loop goes on after a failed request of a follower (plus a random part up to the same) and after a crash
+#: Delay before a follower retries a failed store request; a random part of up to the same length is added.
 STORE_RETRY_S = 0.3
+#: Delay before the loop continues after an unexpected exception.
 CRASH_RETRY_S = 1.0
-#: after so many heartbeat intervals without a worker the link to workers is suspect
+#: Number of heartbeat intervals without contact to any worker after which the link to workers is suspect.
 SUSPECT_AFTER_INTERVALS = 2
+#: Interval between a follower's reads of the leader key: the shortest one, and the random part added to it, which
+#: keeps the controllers from reading at the same moments.
+FOLLOW_INTERVAL_S, FOLLOW_JITTER_S = 0.8, 0.4
 
 
 class LeaderLoop:
-    """Drives the election of this controller."""
+    """Performs the periodic steps of this controller's leader election."""
 
     def __init__(
         self,
@@ -52,7 +57,7 @@
         self.rng = rng
 
     def run(self) -> None:
-        """Follow or renew until the process ends."""
+        """Read the leader key as a follower, or renew the lease as the leader, until the process ends."""
         while True:
             try:
                 pause_s = self._step()
@@ -65,12 +70,12 @@
             gevent.sleep(pause_s)
 
     def _step(self) -> float:
-        """Follow or renew once; return the pause until the next step, in seconds."""
+        """Read the leader key or renew the lease once; return the delay until the next step, in seconds."""
         self.election.check_clock()
         self.workers_link.silent(SUSPECT_AFTER_INTERVALS * self.heartbeat_interval_s, math.inf)
         if self.election.state in (LeaderState.FOLLOWING, LeaderState.RESIGNED):
             self.election.read_leader_key()
-            return 0.8 + 0.4 * self.rng.random()
+            return FOLLOW_INTERVAL_S + FOLLOW_JITTER_S * self.rng.random()
         if not self.election.renew():
             self.transfer.check_store()
             return RENEW_RETRY_S
@@ -82,16 +87,19 @@
         return min(RENEW_INTERVAL_S, self.election.lease_ttl_s / RENEWALS_PER_LEASE)
 
     def _resume(self) -> None:
-        """Return from a pause. Cancellations of the meantime are read before any heartbeat is answered."""
+        """Resume leading after a pause, once cancellations committed during the pause have been read.
+
+        No heartbeat may be answered before that read, as the answer could start tasks of a cancelled job.
+        """
         term = self.current_term.term
         if term is None or not term.loaded:
-            self.election.move(LeaderState.LOADING, "the hold outlived the silence")
+            self.election.move(LeaderState.LOADING, "lease renewed after a pause; records still to be loaded")
             return
         term.job_watch.catch_up()
-        # the read takes a while: the term may have ended meanwhile, or a worker may have shown a higher token
+        # while `catch_up` was reading, the term may have ended or a worker may have reported a higher fencing token
         if (
             self.current_term.term is term
             and self.election.state is LeaderState.PAUSED
             and not self.election.challenging_token
         ):
-            self.election.move(LeaderState.LEADING, "the hold outlived the silence, and all cancellations are known")
+            self.election.move(LeaderState.LEADING, "lease renewed after a pause; cancellations read")
--- a/src/grebestand/controller/machine_type_catalog.py
+++ b/src/grebestand/controller/machine_type_catalog.py
@@ -1,4 +1,8 @@
-"""The machine types on offer: from the cloud, else as recorded last, so that a cloud outage stops no submission."""
+"""The machine types that the cloud offers.
+
+The leader records the types in the key-value store. A controller that starts during a cloud outage reads that record,
+so that it can accept jobs.
+"""
 
 from __future__ import annotations
 
@@ -18,24 +22,33 @@
 
 
 class MachineTypeCatalog:
-    """Keeps the machine types that the cloud offers."""
+    """Caches the machine types that the cloud offers."""
 
     def __init__(self, store: KeyValueStoreClient, cloud: CloudClient, max_value_bytes: int) -> None:
-        """`max_value_bytes` bounds what is recorded: a longer list stays unrecorded."""
+        """Create an empty catalog.
+
+        Args:
+            store: Client of the key-value store that holds the record.
+            cloud: Client of the cloud.
+            max_value_bytes: Size limit of the record, in bytes; a larger list is not recorded.
+        """
         self.store = store
         self.cloud = cloud
         self.max_value_bytes = max_value_bytes
         self.types: list[MachineType] | None = None
 
     def current(self) -> list[MachineType] | None:
-        """Return the types, or None as long as neither the cloud nor the store has been read."""
+        """Return the machine types, or None as long as neither the cloud nor the record could be read."""
         return self.types
 
     def refresh(self, *, record: bool) -> bool:
-        """Read the types from the cloud, and record them if `record` says so, as the leader does.
+        """Read the machine types from the cloud, or from the record if the cloud fails and no types are known yet.
+
+        Args:
+            record: Whether to record types read from the cloud, as only the leader does.
 
         Returns:
-            Whether that succeeded. If not, the recorded types are read in case none are known yet.
+            Whether the types were read from the cloud and, if requested, recorded.
         """
         try:
             self.types = self.cloud.machine_types()
@@ -49,7 +62,10 @@
         return False
 
     def _record(self, types: list[MachineType]) -> None:
-        """Record the types if they changed; conditional, so that a delayed write never replaces a newer record."""
+        """Record the types if they have changed.
+
+        The write is conditional on the record's version, so that a delayed write never replaces a newer record.
+        """
         value = msgspec.to_builtins(MachineTypes(types))
         if len(msgspec.json.encode(value)) >= self.max_value_bytes:
             return
--- a/src/grebestand/controller/peer_directory.py
+++ b/src/grebestand/controller/peer_directory.py
@@ -1,4 +1,4 @@
-"""The other controllers of the cluster, and which of them lead or serve workers according to their latest status."""
+"""The other controllers of the cluster, and which of them lead or serve workers by their latest status."""
 
 from __future__ import annotations
 
@@ -9,28 +9,35 @@
 from ..state_machines import LoadState
 from .current_term import CurrentTerm
 
-#: the status of a peer counts for this long after it was received; statuses come about once a second
+#: Validity of a peer's status after receipt; statuses are exchanged about once a second.
 STATUS_VALID_S = 2.5
 
 
 class PeerDirectory:
-    """Finds peers by what their latest status says."""
+    """Finds peers by role and capacity in their latest status."""
 
     def __init__(
         self, peers: list[PeerClient], zones: dict[str, str], clock: Callable[[], float], current_term: CurrentTerm
     ) -> None:
-        """Create a directory of `peers`; `zones` maps the name of each to its zone."""
+        """Create a directory of the other controllers.
+
+        Args:
+            peers: Clients of the other controllers.
+            zones: Zone of each peer, by the peer's name.
+            clock: Steady clock, in seconds.
+            current_term: This controller's term.
+        """
         self.peers = peers
         self.zones = zones
         self.clock = clock
         self.current_term = current_term
 
     def all(self) -> list[PeerClient]:
-        """Return all other controllers, whether they answer or not."""
+        """Return all other controllers, including those that do not respond."""
         return self.peers
 
     def accepting_workers(self) -> list[PeerCapacity]:
-        """Return the capacity of each peer whose recent status says that it answers heartbeats."""
+        """Return the capacity of each peer that answers heartbeats, according to a valid status."""
         now = self.clock()
         return [
             PeerCapacity(
@@ -47,9 +54,10 @@
         ]
 
     def leading_peer(self) -> PeerClient | None:
-        """Return the peer that leads by its own recent status; of several, the one with the highest fencing token.
+        """Return the peer that leads according to a valid status, or None.
 
-        The leader key is not read: whoever receives a batch of heartbeats decides itself whether it may answer.
+        Of several such peers, the one with the highest fencing token is returned. Reading the leader key is not
+        necessary: a controller that receives a batch of heartbeats checks itself whether it may answer the batch.
         """
         if self.current_term.term is not None:
             return None
--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -1,4 +1,4 @@
-"""Runs the term of this controller: loads its records, then runs its loops until the term ends."""
+"""Runs a term of this controller: loads the records, then runs the loops of the term until the term ends."""
 
 from __future__ import annotations
 
@@ -24,32 +24,39 @@
 
 log = logging.getLogger(__name__)
 
-#: before records that could not be read are read again
+#: Delay before a failed load of the records is retried.
 LOAD_RETRY_S = 0.3
-#: between two looks at whether a paused leader may go on
+#: Interval of checking whether a paused leader has resumed.
 PAUSED_POLL_S = 0.1
-#: between two ticks of a term: how finely placement and silence are timed
+#: Interval between two ticks of a term, which limits how precisely scheduling and silence checks are timed.
 TICK_INTERVAL_S = 0.1
-#: between two searches for machines that have fallen silent; heartbeats are seconds apart
+#: Interval of searching for machines that send no heartbeats; a worker's heartbeats are seconds apart.
 SILENCE_CHECK_INTERVAL_S = 1.5
-#: before a step is repeated: after a fenced write, a failed request (plus a random part up to the second), a crash
+#: Delay before a step is retried whose write was rejected by fencing.
 FENCED_RETRY_S = 0.2
+#: Delay before a step is retried whose request failed, and the longest random part added to the delay.
 REQUEST_RETRY_S, REQUEST_RETRY_JITTER_S = 0.3, 0.4
+#: Delay before a step is retried that raised an unexpected exception.
 CRASH_RETRY_S = 1.0
 
 
 @dataclass(frozen=True)
 class TermStep:
-    """A step that is repeated while a term lasts, with a pause after each run, in seconds."""
+    """A step that is repeated for the duration of a term.
+
+    Attributes:
+        run: Executes the step once.
+        pause_s: Delay between two executions, in seconds.
+    """
 
     run: Callable[[], None]
     pause_s: float
 
 
 def term_steps(term: Term, features: Features) -> list[TermStep]:
-    """Return the steps of a term in the order in which their loops begin."""
+    """Return the steps of a term in the order in which their loops are spawned."""
     steps = [
-        TermStep(term.job_watch.watch, 0.0),  # the watch itself waits for changes
+        TermStep(term.job_watch.watch, 0.0),  # no pause: the watch request itself blocks until something changes
         TermStep(term.machine_records.record, 0.2),
         TermStep(term.job_completion.complete_jobs, 0.05),
         TermStep(term.progress.save, 0.4),
@@ -64,9 +71,9 @@
 
 
 class TermRunner:
-    """Begins a term when this controller wins an election, and ends it when it follows again.
+    """Begins a term when this controller wins an election, and ends the term when it becomes a follower again.
 
-    Every greenlet of a term ends by itself at its next step once the term is no longer the current one.
+    Every greenlet of a term returns at its next iteration once the term is no longer the current one.
     """
 
     def __init__(
@@ -93,7 +100,7 @@
         self.rng = rng
 
     def on_leadership_changed(self, previous: LeaderState, current: LeaderState) -> None:
-        """Begin or end a term as the election's state requires."""
+        """Begin or end a term after the election changed from state `previous` to `current`."""
         self.write_budget.adjust(current)
         term = self.current_term.term
         if current is LeaderState.LOADING and (term is None or term.token != self.election.token):
@@ -107,7 +114,7 @@
         return self.current_term.term is term
 
     def _run(self, term: Term) -> None:
-        """Load the records of a term, then begin to lead and spawn its loops, unless the term ends before."""
+        """Load the records of a term, then lead and spawn the term's loops, unless the term ends before."""
         self._load(term)
         if self._is_current(term):
             term.status_broadcast.learn_images(self.peer_api.find_cached_images())
@@ -117,13 +124,16 @@
             return
         if self.election.state is LeaderState.LOADING:
             self.assignment_loop.decide_assignment_mode(term)
-            self.election.move(LeaderState.LEADING, "records read")
+            self.election.move(LeaderState.LEADING, "records loaded")
         for step in term_steps(term, self.features):
             gevent.spawn(self._repeat, term, step.run, step.pause_s)
         gevent.spawn(self._run_ticks, term)
 
     def _load(self, term: Term) -> None:
-        """Load the records, however often it takes, and let features read theirs."""
+        """Load the records of a term and run the features' `terms` hooks, with retries until all succeed.
+
+        This function returns early if the term ends.
+        """
         ready = False
         while self._is_current(term) and not ready:
             try:
@@ -137,9 +147,10 @@
                 gevent.sleep(LOAD_RETRY_S)
 
     def _repeat(self, term: Term, run: Callable[[], None], pause_s: float) -> None:
-        """Repeat one step until the term ends; it rests while the leader is paused.
+        """Repeat one step until the term ends, except while the leader is paused.
 
-        The step is an argument of its own, so that its name tells profiles of greenlets apart (tools/account.py).
+        The step's function is a separate argument because tools/account.py tells greenlets apart in profiles by the
+        name of this function.
         """
         while self._is_current(term):
             if self.election.state is LeaderState.PAUSED:
@@ -148,7 +159,7 @@
             try:
                 run()
             except FencedError:
-                # a pause or the end of the term, which the loop sees next
+                # the leader was paused or the term ended, both of which are checked at the next iteration
                 gevent.sleep(FENCED_RETRY_S)
             except (StoreError, CloudError) as error:
                 log.info(LogEvent("term_step_failed", step=run.__name__, reason=error))
@@ -160,7 +171,7 @@
                 gevent.sleep(pause_s)
 
     def _run_ticks(self, term: Term) -> None:
-        """Schedule, detect silence and send direct commands until the term ends."""
+        """Schedule tasks, detect silent machines and send direct commands until the term ends."""
         silence_checked_at = 0.0
         while self._is_current(term):
             now = self.clock()
@@ -177,7 +188,7 @@
             gevent.sleep(TICK_INTERVAL_S)
 
     def _schedule(self, term: Term, now: float) -> None:
-        """Run one scheduling step; between the parts of a long one heartbeats and users are served."""
+        """Run one scheduling step, yielding between the slices of a long step so that requests are served."""
         term.scheduling_loop.step(now)
         while term.scheduling_loop.busy and self._is_current(term):
             gevent.sleep(0)
@@ -185,7 +196,10 @@
 
     @staticmethod
     def _send_direct_commands(term: Term, now: float) -> None:
-        """Query unreconciled machines and send urgent stops, each in a greenlet of its own: workers may hang."""
+        """Query unreconciled machines and send urgent stop commands.
+
+        Each request runs in a greenlet of its own, so that a worker that does not respond delays no other request.
+        """
         for machine in term.machine_reconciliation.to_query(now):
             gevent.spawn(term.machine_reconciliation.ask, machine)
         urgent, term.dispatch.urgent = term.dispatch.urgent, set()
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -1,8 +1,8 @@
-"""Builds the parts of a controller and connects them; takes no decisions.
+"""Builds the parts of a controller and connects them; contains no other logic.
 
-Each part gets what it needs in its constructor. Where two parts need each other, both know a third: `CurrentTerm`,
-`PeerDirectory`, `LeadershipNews` and `CancellationRecorder` come first for that. What is left, the election and the
-peer API, call listeners that are subscribed once everything is built.
+Each part gets its dependencies in its constructor. Where two parts depend on each other, both get a third one that is
+built first: `CurrentTerm`, `PeerDirectory`, `LeadershipChangeNotifier` or `CancellationRecorder`. The election and the
+peer API instead call listeners, which are registered after all parts are built.
 """
 
 from __future__ import annotations
@@ -41,7 +41,8 @@
 from .term_factory import TermFactory
 from .term_runner import TermRunner
 
-#: the store allows so many times as many conditions as changes in a transaction; one is left to spare
+#: Conditions that a transaction may have for each change that it may have. The store allows one more, which is left as
+#: a margin.
 CONDITIONS_PER_CHANGE = 3
 
 
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True)
 class ControllerParts:
-    """The parts of a controller that are used from outside, and its loops in the order in which they begin."""
+    """The parts of a controller that `Controller` uses, and its loops in the order in which they are spawned."""
 
     foundation: Foundation
     relay: HeartbeatRelay
@@ -70,7 +71,7 @@
 
 
 def build_parts(settings: Settings, policy: Expressions, features: Features, runtime: Runtime) -> ControllerParts:
-    """Build all parts of a controller; none of them runs yet."""
+    """Build all parts of a controller without starting any loop."""
     foundation = build_foundation(settings, policy, features, runtime)
     relay = _build_relay(foundation)
     peer_api = _build_peer_api(foundation, relay)
@@ -163,7 +164,8 @@
         store, params.teams, foundation.max_value_bytes, foundation.runtime.wall, foundation.clock,
         foundation.machine_types.current, TaskCounts(foundation.current_term, peer_api).get, foundation.completed_jobs,
         foundation.features, BatchedReads(store, CONDITIONS_PER_CHANGE * params.state.txn_ops),
-        CancellationBroadcaster(foundation.cancellations, peer_api).on_cancelled, foundation.request_remote_cancellation,
+        CancellationBroadcaster(foundation.cancellations, peer_api).on_cancelled,
+        foundation.request_remote_cancellation,
     )  # fmt: skip
 
 
--- a/tests/scenarios/test_small_jobs.py
+++ b/tests/scenarios/test_small_jobs.py
@@ -50,6 +50,6 @@
 def test_repeats_that_cost_a_write_are_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose, as it was in an early version: the writes are short then."""
     monkeypatch.setattr(BatchedReads, "knows", lambda self, job_id: False)
-    monkeypatch.setattr(TaskCounts, "of", lambda self, job_id: (0, 0))
+    monkeypatch.setattr(TaskCounts, "get", lambda self, job_id: (0, 0))
     with pytest.raises(AssertionError):
         test_one_task_jobs_four_a_second_for_two_minutes(loop)
