--- a/src/grebestand/controller/__init__.py
+++ b/src/grebestand/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller process: its parts, its loops and its servers."""
+"""A controller process: its parts, loops and servers."""
--- a/src/grebestand/controller/lag_monitor.py
+++ b/src/grebestand/controller/lag_monitor.py
@@ -1,4 +1,4 @@
-"""Measures how late the event loop of this controller is."""
+"""Measures the lag of this controller's event loop."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class LagMonitor:
-    """Passes the lag of the event loop to the overload monitor."""
+    """Periodically measures how late a timer of the event loop fires, for the overload monitor."""
 
     def __init__(self, overload: OverloadMonitor, clock: Callable[[], float]) -> None:
         self.overload = overload
         self.clock = clock
 
     def run(self) -> None:
-        """Sample the lag until the process ends."""
+        """Measure the lag until the process ends."""
         while True:
             due_at = self.clock() + LAG_SAMPLE_INTERVAL_S
             gevent.sleep(LAG_SAMPLE_INTERVAL_S)
--- a/src/grebestand/controller/leadership_news.py
+++ b/src/grebestand/controller/leadership_news.py
@@ -1,4 +1,4 @@
-"""Wakes requests that wait for a change of leadership."""
+"""Lets requests wait for a change of leadership."""
 
 from __future__ import annotations
 
@@ -10,29 +10,32 @@
 
 
 class LeadershipChangeNotifier:
-    """Lets request handlers wait until the leader, or the state of this controller, has changed."""
+    """Notifies waiting request handlers that the leader or this controller's election state has changed."""
 
     def __init__(self) -> None:
         self._changed = Event()
 
     def wait(self, timeout_s: float) -> object:
-        """Wait for the next change, at most `timeout_s` seconds."""
+        """Wait for the next change, at most `timeout_s` seconds; return a falsy value after a timeout."""
         return self._changed.wait(timeout_s)
 
     def notify_all(self) -> None:
-        """Wake all that wait. Whoever begins to wait afterwards waits for the next change."""
+        """Wake all waiting handlers; handlers that call `wait` afterwards wait for the next change."""
         changed, self._changed = self._changed, Event()
         changed.set()
 
 
 class LoadingGate:
-    """Lets batches of heartbeats wait while this controller, a new leader, loads its records."""
+    """Delays batches of heartbeats while this controller, as the new leader, loads its records."""
 
-    def __init__(self, election: LeaderElection, news: LeadershipChangeNotifier) -> None:
+    def __init__(self, election: LeaderElection, leadership_changes: LeadershipChangeNotifier) -> None:
         self.election = election
-        self.news = news
+        self.leadership_changes = leadership_changes
 
     def wait(self) -> None:
-        """Wait until the records may be loaded, for a moment at most; return at once unless they are being loaded."""
+        """Wait for the end of loading, at most `LEADERSHIP_WAIT_S`; return at once if this controller is not loading.
+
+        The records may still be incomplete on return, as after a timeout or a change of leadership.
+        """
         if self.election.state is LeaderState.LOADING:
-            self.news.wait(LEADERSHIP_WAIT_S)
+            self.leadership_changes.wait(LEADERSHIP_WAIT_S)
--- a/src/grebestand/controller/link_probes.py
+++ b/src/grebestand/controller/link_probes.py
@@ -1,4 +1,4 @@
-"""Probes of links that carry no requests of their own at present."""
+"""Probes of links over which no other requests are sent at the moment."""
 
 from __future__ import annotations
 
@@ -16,12 +16,19 @@
 from ..state_machines import LinkState
 from .current_term import CurrentTerm
 
-#: a probe is given up after this time
+#: Timeout of a probe.
 PROBE_TIMEOUT_S = 1.0
+#: Interval between two probes of the store: the shortest one, and the longest random part added to it.
+STORE_PROBE_INTERVAL_S, STORE_PROBE_JITTER_S = 0.8, 0.4
+#: The same for probes of workers, in heartbeat intervals.
+WORKER_PROBE_INTERVALS, WORKER_PROBE_JITTER_INTERVALS = 0.4, 0.2
 
 
 class StoreLinkProbe:
-    """Tries the direct way to the key-value store while requests go through a peer, to notice when it works again."""
+    """Probes the direct link to the key-value store while that link is not up.
+
+    Store requests are then proxied by a peer, so that nothing else shows when the direct link works again.
+    """
 
     def __init__(self, link: LinkHealth, transport: ProxiedStoreTransport, rng: random.Random) -> None:
         self.link = link
@@ -31,17 +38,18 @@
     def run(self) -> None:
         """Probe about once a second until the process ends."""
         while True:
-            gevent.sleep(0.8 + 0.4 * self.rng.random())
+            gevent.sleep(STORE_PROBE_INTERVAL_S + STORE_PROBE_JITTER_S * self.rng.random())
             if self.link.state is not LinkState.UP:
-                # the transport records the failure at the link
+                # a failure needs no handling here, as the transport records failures in the link's health
                 with contextlib.suppress(UnreachableError):
                     self.transport.ask("GET", f"/store/{LEADER_KEY}", b"", PROBE_TIMEOUT_S)
 
 
 class WorkerLinkProbe:
-    """Requests the state of some workers while this controller follows.
+    """Probes the link to workers with status requests to some workers while this controller is a follower.
 
-    Workers send followers no heartbeats until the leader is lost, so a follower would not know whether it reaches any.
+    Workers send followers no heartbeats until the leader is lost, so a follower would not know whether its link to
+    workers is up.
     """
 
     def __init__(
@@ -60,9 +68,10 @@
         self.heartbeat_interval_s = heartbeat_interval_s
 
     def run(self) -> None:
-        """Probe one worker after the other, about two in each heartbeat interval, until the process ends."""
+        """Probe one worker after another, about two in each heartbeat interval, until the process ends."""
         while True:
-            gevent.sleep(self.heartbeat_interval_s * (0.4 + 0.2 * self.runtime.rng.random()))
+            intervals = WORKER_PROBE_INTERVALS + WORKER_PROBE_JITTER_INTERVALS * self.runtime.rng.random()
+            gevent.sleep(self.heartbeat_interval_s * intervals)
             addresses = self.peer_api.sampled_worker_addresses
             if self.current_term.term is None and addresses:
                 address = addresses.pop(0)
--- a/src/grebestand/controller/machine_type_refresh.py
+++ b/src/grebestand/controller/machine_type_refresh.py
@@ -1,4 +1,4 @@
-"""Refreshes the catalog of machine types from time to time."""
+"""Refreshes the catalog of machine types periodically."""
 
 from __future__ import annotations
 
@@ -11,15 +11,18 @@
 from .current_term import CurrentTerm
 from .machine_type_catalog import MachineTypeCatalog
 
-#: types change rarely; a random part keeps the controllers from asking together
+#: Interval between two refreshes, as machine types change rarely, and the longest random part added to the interval,
+#: which keeps the controllers from sending their requests at the same time.
 REFRESH_INTERVAL_S, REFRESH_JITTER_S = 120, 60
-#: submissions wait for the first types, so these are asked for again soon
+#: Delay before a failed refresh is retried while no types are known, to which up to a second is added at random; short,
+#: as no job can be accepted without types.
 FIRST_RETRY_S = 0.5
+#: Delay before a failed refresh is retried while earlier types are known.
 RETRY_S = 10.0
 
 
 class MachineTypeRefreshLoop:
-    """Refreshes the catalog, and gives new types to the current term."""
+    """Refreshes the catalog periodically, and passes the types to the current term."""
 
     def __init__(
         self, catalog: MachineTypeCatalog, election: LeaderElection, current_term: CurrentTerm, rng: random.Random
@@ -30,7 +33,7 @@
         self.rng = rng
 
     def run(self) -> None:
-        """Refresh until the process ends."""
+        """Refresh the catalog until the process ends."""
         while True:
             if self.catalog.refresh(record=self.election.state is LeaderState.LEADING):
                 if self.current_term.term is not None:
--- a/src/grebestand/controller/peer_events.py
+++ b/src/grebestand/controller/peer_events.py
@@ -1,4 +1,4 @@
-"""What this controller does when it learns something from another one."""
+"""Dispatches events received from other controllers to the parts that handle them."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 
 
 class PeerEvents:
-    """Passes events of peers to the parts that act on them (`api.peer_api.PeerListener`)."""
+    """Implementation of `api.peer_api.PeerListener` that passes events from peers to the parts that handle them."""
 
     def __init__(
         self,
         *,
         election: LeaderElection,
-        news: LeadershipChangeNotifier,
+        leadership_changes: LeadershipChangeNotifier,
         assignment_loop: AssignmentLoop,
         cancellations: CancellationRecorder,
         transfer: LeadershipTransfer,
     ) -> None:
         self.election = election
-        self.news = news
+        self.leadership_changes = leadership_changes
         self.assignment_loop = assignment_loop
         self.cancellations = cancellations
         self.transfer = transfer
 
     def on_peer_status(self, status: PeerStatus) -> None:
-        """A peer has answered with its status."""
+        """Handle a peer's answer to a status exchange."""
         self.assignment_loop.on_peer_status(status)
 
     def on_peer_cancellations(self, job_ids: list[str]) -> None:
-        """A peer has confirmed these cancellations to its users."""
+        """Handle the ids of jobs whose cancellation a peer has confirmed to users."""
         self.cancellations.record_from_peer(job_ids)
 
     def on_peer_resigned(self, notice: ResignationNotice) -> None:
-        """A peer that led has resigned. The answer to it does not wait for what follows."""
+        """Handle the resignation of a leader in a greenlet of its own, so that the answer to the notice is not late."""
         gevent.spawn(self.transfer.handle_resignation, notice)
 
     def on_leader_restarted(self, name: str) -> None:
-        """A peer that led has a new process, so its term is over."""
+        """Handle the restart of the leader named `name`, whose term ended with its earlier process."""
         self.election.ended(name)
 
     def on_peer_recovered(self) -> None:
-        """A peer that hung answers again, so requests that wait for it may go on."""
-        self.news.notify_all()
+        """Wake requests that wait for a peer which was unresponsive and now answers or refuses connections."""
+        self.leadership_changes.notify_all()
--- a/src/grebestand/controller/peer_loops.py
+++ b/src/grebestand/controller/peer_loops.py
@@ -1,4 +1,4 @@
-"""Periodic messages to the other controllers: the status of this one, and the leader's view of cached images."""
+"""Periodic messages to the other controllers: status exchange, and the leader's list of cached images."""
 
 from __future__ import annotations
 
@@ -12,9 +12,12 @@
 from ..leader.election import LeaderElection
 from .current_term import CurrentTerm
 
+#: Interval between two status exchanges with a peer: the shortest one, and the longest random part added to it.
+STATUS_INTERVAL_S, STATUS_JITTER_S = 0.9, 0.2
+
 
 class StatusExchangeLoop:
-    """Exchanges the status with one peer."""
+    """Periodically exchanges status messages with one peer."""
 
     def __init__(self, peer: PeerClient, peer_api: PeerApi, rng: random.Random) -> None:
         self.peer = peer
@@ -22,14 +25,14 @@
         self.rng = rng
 
     def run(self) -> None:
-        """Exchange the status about once a second until the process ends."""
+        """Exchange status messages about once a second until the process ends."""
         while True:
             self.peer_api.exchange_status(self.peer)
-            gevent.sleep(0.9 + 0.2 * self.rng.random())
+            gevent.sleep(STATUS_INTERVAL_S + STATUS_JITTER_S * self.rng.random())
 
 
 class CachedImagesLoop:
-    """Sends the leader's view of which machines cache which images, so that a successor starts from it."""
+    """Periodically sends peers which machines cache which images, as known to the leader, for its successor's use."""
 
     def __init__(
         self, peer_api: PeerApi, election: LeaderElection, current_term: CurrentTerm, overload: OverloadMonitor
@@ -40,7 +43,7 @@
         self.overload = overload
 
     def run(self) -> None:
-        """Send it every few seconds while this controller leads and is not late, until the process ends."""
+        """Send the cached images while this controller leads and has spare capacity, until the process ends."""
         while True:
             gevent.sleep(IMAGES_S)
             term = self.current_term.loaded()
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -1,4 +1,4 @@
-"""The status that this controller exchanges with its peers about once a second."""
+"""Composes the status that this controller exchanges with its peers about once a second."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from .cancellations import CancellationRecorder
 from .current_term import CurrentTerm
 
-#: `PeerStatus.workers_age_s` while no worker has reached this controller
+#: Value of `PeerStatus.workers_age_s` while no worker has reached this controller yet.
 NO_WORKER_SEEN_S = -1.0
-#: `PeerStatus.room` of a controller that answers no heartbeats
+#: Value of `PeerStatus.room` while this controller answers no heartbeats.
 NO_WORKERS_ACCEPTED = -1
 
 
 class PeerStatusComposer:
-    """Composes the status from the parts that know it; changes none of them."""
+    """Composes this controller's status from the state of its parts, without changing any of them."""
 
     def __init__(
         self,
@@ -47,11 +47,11 @@
         self.forwarder = forwarder
         self.cancellations = cancellations
         self.rng = rng
-        #: drawn once per process, so that peers recognise a restarted controller of the same name
+        #: Random number of this process, by which peers notice that a controller of the same name has restarted.
         self.incarnation = rng.getrandbits(62)
 
     def compose(self) -> PeerStatus:
-        """Return the present status. Fields of the leader alone are empty unless this controller leads."""
+        """Return the current status. Fields that only a leader has are empty or 0 unless this controller leads."""
         term = self.current_term.loaded() if self.election.is_leader() else None
         return PeerStatus(
             name=self.name,
--- a/src/grebestand/controller/term_factory.py
+++ b/src/grebestand/controller/term_factory.py
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True)
 class TermFactory:
-    """What every term of this controller is made of."""
+    """Creates terms; holds the dependencies that all terms of this controller share.
+
+    Attributes:
+        max_value_bytes: Size limit of a value written to the store, in bytes.
+    """
 
     settings: Settings
     policy: Expressions
@@ -36,11 +40,10 @@
     machine_types: MachineTypeCatalog
     overload: OverloadMonitor
     direct_commands: DirectCommandSender
-    #: of one value in the store, in bytes
     max_value_bytes: int
 
     def create(self) -> Term:
-        """Return a term for the election's present token; its records are not loaded yet."""
+        """Return a term for the election's current fencing token; the term's records are not loaded yet."""
         writer = FencedWriter(self.election, self.store, self.max_value_bytes, self.settings.params.state.txn_ops)
         return Term(
             self.settings, self.policy, writer, self.cloud, self.direct_commands.send, self.clock, self.runtime.wall,
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -87,7 +87,7 @@
     peer_api.subscribe(
         PeerEvents(
             election=foundation.election,
-            news=foundation.leadership_changes,
+            leadership_changes=foundation.leadership_changes,
             assignment_loop=relay.assignment_loop,
             cancellations=foundation.cancellations,
             transfer=transfer,
