--- a/src/grebestand/api/__init__.py
+++ b/src/grebestand/api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP handlers for users, workers and other controllers."""
+"""HTTP interfaces for users, workers and other controllers."""
--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -1,7 +1,7 @@
-"""The workers' interface: heartbeats.
+"""The HTTP interface for workers, which receives heartbeats.
 
-A heartbeat is answered by the term of this controller, or by the leader if it is forwarded. Otherwise the worker is
-redirected (status 421, with the name of a controller if one is known) or told to come back (503).
+A heartbeat is answered by the term of this controller, or forwarded to the leader, which answers it. Otherwise the
+worker is redirected (status 421, with the name of a controller if one is known) or asked to retry (status 503).
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 _json = msgspec.json.Encoder()
 _heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
-#: a heartbeat waits this long while the leader hangs or this controller loads its records; workers wait four seconds
-#: for an answer
+#: Longest wait of a heartbeat for a responsive leader or for this controller to load its records. Workers wait four
+#: seconds for a response, so that two such waits fit.
 LEADERSHIP_WAIT_S = 1.8
-#: `Retry-After` of heartbeats that no controller can answer now, in seconds
+#: `Retry-After` of responses to heartbeats that no controller can answer now, in seconds.
 RETRY_AFTER_S = 1
 
 
-def _no_peer_hangs(name: str) -> bool:
+def _all_peers_responsive(name: str) -> bool:
     return False
 
 
@@ -40,8 +40,8 @@
 class HeartbeatApi:
     """Answers, forwards or redirects heartbeats.
 
-    Every heartbeat of every worker passes here, so requests are decoded and answers encoded once, and steps that do not
-    apply return at once.
+    This code runs for every heartbeat of every worker, so requests are decoded and responses encoded only once, and
+    steps that do not apply return immediately.
     """
 
     def __init__(
@@ -51,26 +51,40 @@
         term: Callable[[], Term | None],
         assignment: WorkerAssignment | None = None,
         forwarder: HeartbeatForwarder | None = None,
-        hangs: Callable[[str], bool] = _no_peer_hangs,
-        wait: Callable[[float], object] = _do_not_wait,
+        is_peer_unresponsive: Callable[[str], bool] = _all_peers_responsive,
+        wait_for_leadership_change: Callable[[float], object] = _do_not_wait,
     ) -> None:
-        """Create the interface. Without `assignment` and `forwarder` only the leader answers, whatever the policy says.
+        """Create the interface.
 
         Args:
-            term: Returns the term of this controller, if it has one.
-            hangs: Whether a peer neither answers nor refuses requests.
-            wait: Waits for a change of leadership for at most so many seconds.
+            name: Name of this controller.
+            election: Leader election of this controller.
+            term: Returns the term of this controller, or None while there is none.
+            assignment: Assignment of workers to controllers. Without it only the leader answers, whatever the policy.
+            forwarder: Forwards heartbeats to the leader. Without it only the leader answers, whatever the policy.
+            is_peer_unresponsive: Returns whether the named peer neither answers nor refuses requests.
+            wait_for_leadership_change: Waits for a change of leadership, at most the given number of seconds.
         """
         self.name = name
         self.election = election
         self.term = term
         self.assignment = assignment
         self.forwarder = forwarder
-        self.is_peer_unresponsive = hangs
-        self.wait_for_leadership_change = wait
+        self.is_peer_unresponsive = is_peer_unresponsive
+        self.wait_for_leadership_change = wait_for_leadership_change
 
     def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
-        """Answer a heartbeat. A worker on a `surplus` connection, beyond those that are kept, is redirected."""
+        """Answer a heartbeat.
+
+        Args:
+            body: Body of the request.
+            connection: Connection of the worker.
+            surplus: Whether `connection` exceeds the number of connections that the server keeps, in which case the
+                worker is redirected.
+
+        Returns:
+            The response.
+        """
         try:
             heartbeat = _heartbeat_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -88,7 +102,7 @@
     # which controller serves the worker -------------------------------------------------------------------
 
     def _assign(self, heartbeat: Heartbeat, connection: object, surplus: bool) -> Response | None:
-        """Record a worker that this controller serves; return a redirect for one that it is not to serve."""
+        """Record the worker if this controller should serve it; return a redirect otherwise."""
         assignment, forwarder = self.assignment, self.forwarder
         if assignment is None or forwarder is None:
             return None
@@ -100,8 +114,10 @@
             return Response(421, _json.encode(Redirect()), close=True) if full else None
         if not (leads or forwarder.open()):
             if self.term() is not None or not assignment.others():
-                return None  # this controller is about to lead, or no other is known: its workers wait here
-            # at most as many as the leader has said that it can serve are redirected there at once
+                # this controller is about to lead, or no other one accepts workers: the worker waits for an answer here
+                return None
+            # this controller cannot forward, so its workers are redirected, to the leader only as many at a time as the
+            # leader's status says that it can serve
             surplus = True
         controller = assignment.where(heartbeat.machine, heartbeat.zone, leads, surplus)
         if controller != self.name:
@@ -110,11 +126,11 @@
         return None
 
     def _redirect_to_leader(self, heartbeat: Heartbeat) -> Response:
-        """Redirect to the leader if it is known and answers; wait for another one for a moment if it hangs."""
+        """Redirect the worker to the leader, after waiting for a change of leadership if the leader is unresponsive."""
         leader = self.election.known_leader()
         if leader is not None and leader != self.name and self.is_peer_unresponsive(leader):
-            # sent there, or on to the next, the worker would wait four seconds at each controller that hangs and come
-            # back after its lease has expired; this controller may lead in a moment
+            # a redirected worker would wait four seconds for each unresponsive controller and return only after its
+            # lease has expired, while this controller may become the leader shortly
             self.wait_for_leadership_change(LEADERSHIP_WAIT_S)
             response = self._answer(heartbeat) or self._answer_once_loaded(heartbeat)
             if response is not None:
@@ -130,7 +146,7 @@
     # forwarding -------------------------------------------------------------------------------------------
 
     def _is_forwarded(self, heartbeat: Heartbeat, forwarder: HeartbeatForwarder) -> bool:
-        """Return whether the worker is served here for a leader that answers, or that is still to come."""
+        """Return whether this controller serves the worker for a leader that is reachable or still to be elected."""
         assignment = self.assignment
         if assignment is None or assignment.state is AssignmentMode.LEADER_ONLY:
             return False
@@ -139,7 +155,7 @@
         return forwarder.open() or not assignment.others()
 
     def _forward(self, forwarder: HeartbeatForwarder, body: bytes, heartbeat: Heartbeat) -> Response:
-        """Return the leader's answer. While the leader changes the heartbeat waits for the next, maybe this one."""
+        """Return the leader's answer, waiting during a change of leader for the next one, possibly this controller."""
         received_at = forwarder.clock()
         answer_until = received_at + ANSWER_S
         while True:
@@ -161,14 +177,14 @@
     # answering --------------------------------------------------------------------------------------------
 
     def _answer_once_loaded(self, heartbeat: Heartbeat) -> Response | None:
-        """Wait while this controller loads its records, after which it can answer."""
+        """Answer a heartbeat after waiting for this controller to load its records; None if it is not loading them."""
         if self.election.state is not LeaderState.LOADING:
             return None
         self.wait_for_leadership_change(LEADERSHIP_WAIT_S)
         return self._answer(heartbeat)
 
     def _answer(self, heartbeat: Heartbeat) -> Response | None:
-        """Return the answer of this controller's own term, if it may give one."""
+        """Return the answer of this controller's own term, or None if this controller may not answer."""
         self.election.check_clock()
         term = self.term()
         if term is None:
@@ -180,7 +196,8 @@
         if commands is None:
             return None
         body = _json.encode(commands)
-        # the lease may have expired meanwhile; start commands in a body that is not sent are repeated, as if lost
+        # the leader lease may have expired meanwhile; start commands in a response that is not sent are handled like
+        # those in a lost response, and are sent again
         if self.election.is_leader():
             return Response(200, body)
         self.election.check_clock()
--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP servers: `gevent.pywsgi` with limits on connections and on how long a request may take to come in."""
+"""HTTP servers based on `gevent.pywsgi`, with limits on connections and on the time to receive a request."""
 
 from __future__ import annotations
 
@@ -19,53 +19,55 @@
 
 log = logging.getLogger(__name__)
 
-#: reason phrases of the statuses that are used
+#: Reason phrases of the statuses that the servers send.
 REASONS = {
     200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
     421: "Misdirected Request", 422: "Unprocessable Entity", 429: "Too Many Requests", 503: "Service Unavailable",
 }  # fmt: skip
-#: a connection may be idle for this long between two requests: workers send heartbeats every few seconds
+#: Longest time that a connection may be idle between two requests; workers send heartbeats every few seconds.
 IDLE_TIMEOUT_S = 120.0
-#: a surplus connection has to send its request within this time
+#: Time within which a surplus connection has to send its request.
 SURPLUS_TIMEOUT_S = 2.0
-#: no pause between two parts of a request may be longer
+#: Longest pause between two parts of a request.
 REQUEST_TIMEOUT_S = 10.0
-#: parsed blocks of headers are cached: up to this size in bytes, and so many of them
+#: Size limit in bytes of a header block whose parsed form is cached, and maximum number of cached header blocks.
 MAX_CACHED_HEADER_BYTES, MAX_CACHED_HEADERS = 1024, 256
-#: the longest line of headers, as `http.client` limits it
+#: Limit for reading one header line, the same as that of `http.client`.
 MAX_HEADER_LINE_BYTES = 65537
-#: of a message of the WSGI server, in characters: it may contain what a client sent
+#: Limit of a logged message of the WSGI server, which may contain arbitrary text sent by a client.
 MAX_LOGGED_CHARACTERS = 300
-#: connections to an IPv6 address that the kernel keeps until they are accepted
+#: Maximum number of connections to an IPv6 address that the kernel queues until they are accepted.
 IPV6_BACKLOG = 128
 
 App = Callable[[dict[str, Any], Callable[..., Any]], list[bytes]]
 
 
 class _ReplayedLines:
-    """A file that returns lines which were read already, then the rest of a connection."""
+    """A file object that returns lines read earlier, then the lines that are still to be read from a connection."""
 
     def __init__(self, lines: list[bytes], rest: Any) -> None:
         self._lines = iter(lines)
         self._rest = rest
 
     def readline(self, limit: int = MAX_HEADER_LINE_BYTES) -> bytes:
-        """Return the next line; one that was read already is not limited again."""
+        """Return the next line; `limit` applies only to lines that are still to be read from the connection."""
         line = next(self._lines, None)
         return self._rest.readline(limit) if line is None else line
 
 
 class _Handler(WSGIHandler):  # type: ignore[misc]
-    """Serves a connection, and closes it if no complete request comes in time: it would occupy a socket for ever."""
+    """Serves a connection; closes it if no complete request arrives in time, as it would occupy a socket forever."""
 
-    #: whether the connection is beyond those that the server keeps: its one request is answered, then it is closed
+    #: Whether the server already had its maximum number of connections when this one was accepted. One request of such
+    #: a connection is answered before it is closed.
     surplus = False
 
-    #: by block; clients send the same few blocks again and again, and parsing one takes half the time of a request
+    #: Parsed headers by header block. Clients repeat the same few blocks, and parsing one takes half the time of a
+    #: request.
     _parsed_headers: ClassVar[dict[bytes, Any]] = {}
 
     def MessageClass(self, rfile: Any, *_: Any) -> Any:  # noqa: N802 - the base class looks it up by this name
-        """Return the parsed headers that follow in `rfile`; the name is that of the base class."""
+        """Return the parsed headers that follow in `rfile`, from the cache if an equal block was parsed before."""
         lines = []
         size = 0
         while size <= MAX_CACHED_HEADER_BYTES:
@@ -85,24 +87,24 @@
         return found
 
     def read_requestline(self) -> Any:
-        """Read the first line of the next request, for which a kept connection may be idle for longer."""
+        """Read the first line of the next request, with the idle timeout instead of the request timeout."""
         self.socket.settimeout(SURPLUS_TIMEOUT_S if self.surplus else IDLE_TIMEOUT_S)
         line = super().read_requestline()
         self.socket.settimeout(REQUEST_TIMEOUT_S)
         return line
 
     def handle_error(self, kind: Any, error: Any, trace: Any) -> None:
-        """Close a connection that broke while it was answered without a log line; TLS errors are `OSError` too."""
+        """Close a connection without a log line if it broke during a response; TLS errors are `OSError`s as well."""
         if isinstance(error, OSError):
             self.close_connection = True
         else:
             super().handle_error(kind, error, trace)
 
     def log_request(self) -> None:
-        """Log no requests: there are hundreds a second."""
+        """Do nothing: there are hundreds of requests a second, too many to log."""
 
     def get_environ(self) -> Any:
-        """Return the environment, with the connection and whether it is a surplus one."""
+        """Return the WSGI environment, extended by the connection and whether this is a surplus connection."""
         environ = super().get_environ()
         environ["grebestand.connection"] = self
         environ["grebestand.surplus"] = self.surplus
@@ -110,33 +112,40 @@
 
 
 class _GatedHandler(_Handler):
-    """Serves a connection that has passed a gate, which identified the other end."""
+    """Serves a connection admitted by a gate, which may have identified the client."""
 
     def get_environ(self) -> Any:
-        """Return the environment, with the identity of the other end."""
+        """Return the WSGI environment, extended by the identity of the client, or None if the gate found none."""
         environ = super().get_environ()
         environ["grebestand.peer"] = getattr(self.socket, "peer", None)
         return environ
 
 
 class _DebugLog:
-    """A file for messages of the WSGI server, which are about misbehaving clients mostly."""
+    """A file object for messages of the WSGI server, most of which are about malformed requests."""
 
     def write(self, text: str) -> None:
-        """Log a message at debug level."""
+        """Log a message at debug level, truncated to `MAX_LOGGED_CHARACTERS`."""
         if text.strip() and log.isEnabledFor(logging.DEBUG):
             log.debug(LogEvent("http_server_message", text=text.strip()[:MAX_LOGGED_CHARACTERS]))
 
     def flush(self) -> None:
-        """Do nothing: nothing is buffered."""
+        """Do nothing, as no messages are buffered."""
 
 
 class _BoundedServer(WSGIServer):  # type: ignore[misc]
-    """Keeps a limited number of connections, and accepts some more to answer each once: none waits to be accepted."""
+    """Keeps a limited number of connections open, and answers one request on each surplus connection.
+
+    Accepting surplus connections avoids that clients wait in the backlog without any answer.
+
+    Attributes:
+        max_connections: Number of open connections from which on a new one is a surplus connection.
+        open_connections: Current number of open connections.
+        on_end: Called with the handler of each connection that has ended.
+    """
 
     max_connections: int
     open_connections = 0
-    #: called with the handler of each connection that has ended
     on_end: Callable[[object], None]
 
     def handle(self, client: Any, address: Any) -> None:
@@ -152,12 +161,12 @@
 
 
 class _GatedServer(WSGIServer):  # type: ignore[misc]
-    """Lets each connection pass a gate, in its own greenlet, before anything of it is read as HTTP."""
+    """Checks each connection with a gate, in the connection's own greenlet, before reading any HTTP request."""
 
     gate: Gate
 
     def handle(self, client: Any, address: Any) -> None:
-        """Serve a connection that the gate admits, and close any other."""
+        """Serve a connection if the gate admits it; close the connection otherwise."""
         host = str(address[0])
         admitted = self.gate.wrap(client, host) if self.gate.admit(host) else None
         if admitted is None:
@@ -167,7 +176,7 @@
 
 
 def _listener_v6(host: str, port: int) -> Any:
-    """Return a listening socket on an IPv6 address, as gevent's servers would resolve the name for IPv4."""
+    """Return a listening socket on an IPv6 address, needed because gevent's servers resolve a host name for IPv4."""
     listener = socket.socket(socket.AF_INET6, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((host, port))
@@ -176,14 +185,20 @@
 
 
 def listen(address: str, field: str, app: App, max_connections: int, gate: Gate | None = None) -> WSGIServer:
-    """Return a server that serves so many connections at a time; more wait to be accepted.
+    """Return a server with a limited number of connections; further ones wait in the backlog.
 
     Args:
-        field: The setting that the address is from, for errors.
-        gate: What each connection passes first.
+        address: Address to listen on, as `host:port`.
+        field: Name of the setting that holds the address, for error messages.
+        app: WSGI application to serve.
+        max_connections: Maximum number of connections served at a time.
+        gate: Check that each connection has to pass before any request is read, if any.
+
+    Returns:
+        The server, which does not listen before it is started.
 
     Raises:
-        ValueError: the address is malformed.
+        ValueError: The address is malformed.
     """
     server_class, handler_class = (WSGIServer, _Handler) if gate is None else (_GatedServer, _GatedHandler)
     host, port = parse_address(address, field)
@@ -199,17 +214,23 @@
 def listen_bounded(
     address: str, field: str, app: App, plan: ConnectionPlan, on_end: Callable[[object], None]
 ) -> WSGIServer:
-    """Return a server that keeps as many connections as planned, and answers once on each of some more.
+    """Return a server that keeps a planned number of connections, and answers one request on each surplus connection.
 
-    The application finds in its environment the connection (`grebestand.connection`) and whether it is a surplus one
-    (`grebestand.surplus`).
+    The WSGI environment of a request contains the connection (`grebestand.connection`) and whether that is a surplus
+    connection (`grebestand.surplus`).
 
     Args:
-        field: The setting that the address is from, for errors.
-        on_end: Called with each connection that has ended.
+        address: Address to listen on, as `host:port`.
+        field: Name of the setting that holds the address, for error messages.
+        app: WSGI application to serve.
+        plan: Numbers of kept and surplus connections, and length of the backlog.
+        on_end: Called with the handler of each connection that has ended.
+
+    Returns:
+        The server, which does not listen before it is started.
 
     Raises:
-        ValueError: the address is malformed.
+        ValueError: The address is malformed.
     """
     server = _BoundedServer(
         parse_address(address, field), app, spawn=Pool(plan.serving + plan.turned_away), backlog=plan.backlog,
@@ -220,7 +241,12 @@
 
 
 def read_body(environ: dict[str, Any]) -> bytes:
-    """Read and return the body of a request; of one that is too large, one byte more than is allowed."""
+    """Read and return the body of a request.
+
+    Returns:
+        The body; if it exceeds `MAX_BODY` bytes or its `Content-Length` is invalid, `MAX_BODY` + 1 bytes, which callers
+        reject by their length.
+    """
     length = environ.get("CONTENT_LENGTH")
     if length and (not length.isdigit() or int(length) > MAX_BODY):
         return b"x" * (MAX_BODY + 1)
@@ -228,7 +254,7 @@
 
 
 def respond(response: Response, start_response: Callable[..., Any]) -> list[bytes]:
-    """Send the status line and headers of a response, and return its body for the WSGI server to send."""
+    """Pass the status line and headers of a response to the WSGI server, and return the response's body."""
     headers = [("Content-Type", "application/json"), ("Content-Length", str(len(response.body)))]
     if response.retry_after is not None:
         headers.append(("Retry-After", str(response.retry_after)))
--- a/src/grebestand/api/job_feasibility.py
+++ b/src/grebestand/api/job_feasibility.py
@@ -1,4 +1,4 @@
-"""Whether a submitted job could ever run in this cluster."""
+"""Checks whether a submitted job could ever run in this cluster."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ..wire.cloud import MachineType
 from ..wire.jobs import JobSpec, Kind
 
-#: sums of fractional CPUs and GPUs may exceed a limit by this much, as they are rounded
+#: Amount in CPUs or GPUs by which a sum may exceed a limit, to allow for rounding errors of fractional amounts.
 LIMIT_TOLERANCE = 1e-6
 
 
@@ -17,15 +17,21 @@
 
 
 class UncertainStateError(GrebestandError):
-    """What decides on a request is not known yet (status 503)."""
+    """Information needed to decide on a request is not available yet (status 503)."""
 
 
 def check_can_run(spec: JobSpec, teams: dict[str, Team], machine_types: list[MachineType] | None) -> None:
-    """Check a job against its team's limit and the machine types; `machine_types` is None while they are not known.
+    """Check a job against the limit of its team and against the machine types.
+
+    Args:
+        spec: The job.
+        teams: All teams, by name.
+        machine_types: The machine types that the cloud offers, or None while they are not known.
 
     Raises:
-        UnsatisfiableJobError: the team is unknown, its limit too small, or no allowed machine type large enough.
-        UncertainStateError: the machine types are not known.
+        UnsatisfiableJobError: The team is unknown or its limit too small for the job, or no allowed machine type is
+            large enough for one task.
+        UncertainStateError: The machine types are not known.
     """
     team = teams.get(spec.team)
     if team is None:
@@ -33,7 +39,9 @@
     if _exceeds_limit(spec, team):
         raise UnsatisfiableJobError("the job needs more than its team's limit")
     if machine_types is None:
-        raise UncertainStateError("the machine types are not known yet")
+        raise UncertainStateError(
+            "the machine types are not known yet: neither the cloud nor the state service has listed them"
+        )
     size = task_resources(spec)
     if not any(
         _allows(spec, machine_type) and fits(size, machine_capacity(machine_type)) for machine_type in machine_types
@@ -42,15 +50,15 @@
 
 
 def _exceeds_limit(spec: JobSpec, team: Team) -> bool:
-    """Return whether what has to run at the same time exceeds the limit: one task of an array, else all tasks."""
+    """Return whether the tasks that must run at the same time exceed the team's limit: one of an array, else all."""
     tasks = 1 if spec.kind is Kind.ARRAY else spec.tasks
-    # a CPU limit of 0 means none (`cluster_state.teams`)
+    # a CPU limit of 0 means that there is no limit (see `cluster_state.teams`)
     exceeds_cpus = team.cpus_max > 0 and tasks * spec.cpus > team.cpus_max + LIMIT_TOLERANCE
     return exceeds_cpus or tasks * spec.gpus > team.gpus_max + LIMIT_TOLERANCE
 
 
 def _allows(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Return whether the job may run on this machine type, in the zone that it asks for."""
+    """Return whether the job allows this machine type, and the type is available in the zone that the job requires."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
     return spec.zone is None or spec.zone in machine_type.zones
--- a/src/grebestand/api/job_lookup.py
+++ b/src/grebestand/api/job_lookup.py
@@ -1,4 +1,4 @@
-"""What is known of a job when a user asks for it."""
+"""The result of looking up a job for a user's request."""
 
 from __future__ import annotations
 
@@ -9,17 +9,23 @@
 
 
 class JobLookup(NamedTuple):
-    """A job's status for its user, its task counts, and where its live record stands."""
+    """A job's status and task counts, and the version of the job's live record.
+
+    Attributes:
+        state: Status of the job as shown to users.
+        done: Number of done tasks.
+        running: Number of running tasks.
+        version: Version of the job's live record; 0 for a completed job.
+        may_run_remotely: Whether another cluster runs the job or may come to run it.
+    """
 
     state: JobStatus
     done: int = 0
     running: int = 0
-    #: of its live record; 0 for a completed job
     version: int = 0
-    #: another cluster runs it, or may come to run it
     may_run_remotely: bool = False
 
     @classmethod
     def from_record(cls, record: CompletedJobRecord) -> JobLookup:
-        """Return what users are told of a completed job."""
+        """Return the lookup result for a completed job: all tasks are done unless the job was cancelled."""
         return cls(record.state, record.tasks if record.state is JobStatus.DONE else 0)
--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -1,4 +1,7 @@
-"""The interface between controllers: status exchange, cached images, resignations, and messages of features."""
+"""The interface between controllers: status exchange, cached images, resignations, and messages of features.
+
+Each message is an HTTP request, told apart by its path.
+"""
 
 from __future__ import annotations
 
@@ -24,41 +27,43 @@
 CACHED_IMAGES_PATH = "/images"
 RESIGNATION_PATH = "/resigned"
 
-#: a status exchange that took this long to fail hung; a shorter one was refused, by a process or a machine that is down
+#: Duration from which on a failed status exchange shows that the peer does not respond. An exchange that fails sooner
+#: was refused because the peer's process or machine is down.
 UNRESPONSIVE_AFTER_S = 0.5
-#: no worker is redirected to a peer that has hung for longer than this
+#: Time without a response after which workers are no longer redirected to a peer.
 UNRESPONSIVE_TOLERATED_S = 2.0
-#: between two messages of the leader on which images the machines have
+#: Interval of the leader's messages that list which machines cache which images.
 IMAGES_S = 5.0
-#: a cancellation is part of every status for this long, unless there are more than so many
+#: How long a cancellation is repeated in each status message.
 CANCELLATION_KEPT_S = 30.0
+#: Maximum number of cancellations in a status message; the oldest are left out.
 MAX_CANCELLATIONS_PER_STATUS = 500
-#: a status that follows the one before within this time has left no cancellation out; less than `CANCELLATION_KEPT_S`,
-#: so that it holds for clocks that drift apart
+#: Longest interval between two statuses of a peer in which no cancellation can have been left out. It is shorter than
+#: `CANCELLATION_KEPT_S` to allow for clocks that drift apart.
 STATUS_GAP_TOLERATED_S = 25.0
-#: a new leader asks each peer for cached images for no longer than this, before it begins to schedule
+#: Timeout of a new leader's request for cached images to each peer; short, as scheduling begins only afterwards.
 IMAGES_REQUEST_TIMEOUT_S = 0.3
-#: the longest message that is read, in bytes
+#: Maximum number of bytes read of a message.
 MAX_MESSAGE_BYTES = 1 << 22
 
 
 class PeerListener(Protocol):
-    """Acts on what this controller learns from its peers."""
+    """Handles events that this controller learns from its peers."""
 
     def on_peer_status(self, status: PeerStatus) -> None:
-        """A peer has answered a status exchange with its own status."""
+        """Called when a peer has answered a status exchange with its own status."""
 
     def on_peer_cancellations(self, job_ids: list[str]) -> None:
-        """A peer has confirmed these cancellations to its users."""
+        """Called with the ids of jobs whose cancellation a peer has confirmed to users."""
 
     def on_peer_resigned(self, notice: ResignationNotice) -> None:
-        """A peer that led has resigned."""
+        """Called when a peer that led has resigned."""
 
     def on_leader_restarted(self, name: str) -> None:
-        """A peer that led has a new process: the term of the earlier one is over."""
+        """Called when the process of a peer that led has restarted, which ended the peer's term."""
 
     def on_peer_recovered(self) -> None:
-        """A peer that hung has answered, or refuses connections by now."""
+        """Called when a peer that did not respond has answered or refused a connection."""
 
 
 class _NoListener:
@@ -81,7 +86,7 @@
 
 
 class PeerApi:
-    """Exchanges messages with the other controllers and keeps what they said last."""
+    """Exchanges messages with the other controllers, and stores the latest data received from them."""
 
     def __init__(
         self,
@@ -92,7 +97,16 @@
         store_proxy: StoreProxyHandler | None = None,
         answer_heartbeat_batch: Callable[[bytes], bytes] | None = None,
     ) -> None:
-        """Without `store_proxy` or `answer_heartbeat_batch` the messages for these are answered as unknown paths."""
+        """Create the interface.
+
+        Args:
+            peers: Clients of the other controllers.
+            clock: Steady clock, in seconds.
+            compose_status: Returns the current status of this controller.
+            features: Hooks of the features, some of which handle messages.
+            store_proxy: Handles proxied store requests; without it their path counts as unknown.
+            answer_heartbeat_batch: Handles batches of forwarded heartbeats; without it their path counts as unknown.
+        """
         self.peers = peers
         self.clock = clock
         self.compose_status = compose_status
@@ -100,21 +114,21 @@
         self.store_proxy = store_proxy
         self.answer_heartbeat_batch = answer_heartbeat_batch
         self._listener: PeerListener = _NoListener()
-        #: done and running tasks of each job, by the leader's latest status
+        #: Numbers of done and of running tasks by job id, from the leader's latest status.
         self.leader_task_counts: dict[str, tuple[int, int]] = {}
-        #: addresses of some workers, by the leader's latest status
+        #: Addresses of some workers, from the leader's latest status.
         self.sampled_worker_addresses: list[str] = []
-        #: by the leader's latest message
+        #: Which machines cache which images, from the leader's latest message.
         self.cached_images = CachedImages()
 
     def subscribe(self, listener: PeerListener) -> None:
-        """Pass all later events to this listener alone."""
+        """Pass all later events to `listener`, which replaces the previous listener."""
         self._listener = listener
 
     # requests to peers ------------------------------------------------------------------------------------
 
     def exchange_status(self, peer: PeerClient) -> None:
-        """Exchange the status with a peer."""
+        """Send this controller's status to a peer, and process the status that the peer answers with."""
         sent_at = self.clock()
         status = peer.tell(STATUS_PATH, self.compose_status(), PeerStatus)
         self._record_responsiveness(peer, sent_at, answered=status is not None)
@@ -131,10 +145,16 @@
         self._listener.on_peer_status(status)
 
     def _record_responsiveness(self, peer: PeerClient, sent_at: float, *, answered: bool) -> None:
-        """Record since when status exchanges with a peer hang, in contrast to being refused."""
+        """Record since when status exchanges with a peer get no response, in contrast to being refused.
+
+        Args:
+            peer: The peer.
+            sent_at: When the status was sent, by the steady clock.
+            answered: Whether the peer answered the status exchange that has just ended.
+        """
         if answered or self.clock() - sent_at < UNRESPONSIVE_AFTER_S:
-            was_hanging, peer.unresponsive_since = peer.unresponsive_since < math.inf, math.inf
-            if was_hanging:
+            was_unresponsive, peer.unresponsive_since = peer.unresponsive_since < math.inf, math.inf
+            if was_unresponsive:
                 self._listener.on_peer_recovered()
         else:
             peer.unresponsive_since = min(peer.unresponsive_since, sent_at)
@@ -142,9 +162,16 @@
     def _record_cancellations_seen(
         self, peer: PeerClient, status: PeerStatus, sent_at: float, *, restarted: bool
     ) -> None:
-        """Record up to when, and since when without a gap, a peer's confirmed cancellations are known here.
+        """Record the period for which all cancellations confirmed by a peer are known to this controller.
 
-        Only answers count: they are as old as the request allows, while a message may have been delayed for minutes.
+        Only the status in a peer's answer is used, as its content is not older than the request that it answers. A
+        status sent in a request by the peer may have been delayed for minutes.
+
+        Args:
+            peer: The peer.
+            status: Status with which the peer answered.
+            sent_at: When the answered request was sent, by the steady clock.
+            restarted: Whether the peer's process has restarted since the peer's previous answer.
         """
         gap = (
             sent_at - peer.acknowledged_at > STATUS_GAP_TOLERATED_S
@@ -155,7 +182,10 @@
         peer.acknowledged_at = max(peer.acknowledged_at, sent_at)
 
     def find_cached_images(self) -> CachedImages:
-        """Return which machine caches which images: from memory or, after a restart, from a peer that knows."""
+        """Return which machines cache which images: the stored list or, if that is empty, the list of a peer.
+
+        The stored list is empty after a restart of this controller.
+        """
         if not self.cached_images.machines:
             for peer in self.peers:
                 images = peer.tell(CACHED_IMAGES_PATH, CachedImages(), CachedImages, timeout=IMAGES_REQUEST_TIMEOUT_S)
@@ -164,35 +194,49 @@
         return self.cached_images
 
     def send_images(self, images: CachedImages) -> None:
-        """Send all peers, as the leader, which machine caches which images."""
+        """Send all peers, as the leader, the list of which machines cache which images."""
         self.cached_images = images
         for peer in self.peers:
             peer.tell(CACHED_IMAGES_PATH, images, CachedImages)
 
-    def send_resignation(self, name: str, token: int, heir: str = "") -> None:
-        """Tell all peers that this controller, `name`, has resigned; `heir`, which is to lead next, comes first."""
-        for peer in sorted(self.peers, key=lambda peer: peer.name != heir):
-            peer.tell(RESIGNATION_PATH, ResignationNotice(name, token, heir), PeerStatus)
+    def send_resignation(self, name: str, token: int, successor: str = "") -> None:
+        """Notify all peers that this controller has resigned, the successor first.
 
-    # what peers said --------------------------------------------------------------------------------------
+        Args:
+            name: Name of this controller.
+            token: Fencing token of the term that ended.
+            successor: Name of the peer that should lead next, or "" for any.
+        """
+        for peer in sorted(self.peers, key=lambda peer: peer.name != successor):
+            peer.tell(RESIGNATION_PATH, ResignationNotice(name, token, successor), PeerStatus)
+
+    # data received from peers -----------------------------------------------------------------------------
 
     def cancellations_confirmed_up_to(self, known_at: float) -> float:
-        """Return up to when all cancellations that peers confirmed are known here, given a read sent at `known_at`.
+        """Return the time up to which this controller knows all cancellations that peers have confirmed to users.
+
+        Only controllers confirm cancellations. An earlier process of a peer may have confirmed some without sending
+        them to this controller. Those were committed before a read of the live records if the peer's current process
+        answered before that read was sent, so the read has covered them.
 
-        Only controllers confirm cancellations. Those that an earlier process of a peer confirmed without sending them
-        were committed before the read, provided that the present process of the peer was heard before it.
+        Args:
+            known_at: When the latest answered read of the live records was sent, by the steady clock.
+
+        Returns:
+            The time by the steady clock, in seconds; -inf if the cancellations of some peer are not known.
         """
         seen_up_to = (peer.acknowledged_at if known_at >= peer.acknowledged_since else -math.inf for peer in self.peers)
         return min(seen_up_to, default=self.clock())
 
     def hangs(self, name: str) -> bool:
-        """Return whether a peer has neither answered nor refused status exchanges for a while."""
+        """Return whether a peer has neither answered nor refused status exchanges for `UNRESPONSIVE_TOLERATED_S`."""
         now = self.clock()
         return any(
             peer.name == name and now - peer.unresponsive_since > UNRESPONSIVE_TOLERATED_S for peer in self.peers
         )
 
     def _apply_status(self, status: PeerStatus) -> None:
+        """Store the data of a peer's status, whether received as a request or as an answer."""
         if status.cancelled:
             self._listener.on_peer_cancellations(status.cancelled)
         if status.token:
@@ -202,11 +246,18 @@
     # requests from peers ----------------------------------------------------------------------------------
 
     def answer(self, path: str, body: bytes) -> bytes | None:
-        """Return the answer to a message, or None if there is no such path.
+        """Process a message from a peer.
+
+        Args:
+            path: Path of the request.
+            body: Encoded message.
+
+        Returns:
+            The encoded answer, or None if the path is unknown.
 
         Raises:
-            msgspec.DecodeError: the message cannot be decoded.
-            BatchRefusedError: a batch of heartbeats is not one of a peer.
+            msgspec.DecodeError: The message cannot be decoded.
+            BatchRefusedError: A batch of heartbeats was not sent by a known peer, or exceeds the limits of a batch.
         """
         if path == STATUS_PATH:
             self._apply_status(msgspec.msgpack.decode(body, type=PeerStatus))
@@ -225,14 +276,17 @@
         return msgspec.msgpack.encode(self.compose_status())
 
     def _answer_images(self, images: CachedImages) -> bytes:
-        """Keep the leader's message, or answer a new leader, which sends an empty one, with the last that came."""
+        """Store the leader's list of cached images, or answer with the stored list if the message is empty.
+
+        A new leader requests the stored list with an empty message.
+        """
         if images.machines:
             self.cached_images = images
             return msgspec.msgpack.encode(CachedImages())
         return msgspec.msgpack.encode(self.cached_images)
 
     def app(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
-        """Answer one request of a peer (a WSGI application)."""
+        """Answer one request of a peer, as a WSGI application."""
         try:
             answer = self.answer(environ.get("PATH_INFO", ""), environ["wsgi.input"].read(MAX_MESSAGE_BYTES))
         except (msgspec.DecodeError, BatchRefusedError, OSError):
--- a/src/grebestand/api/read_batching.py
+++ b/src/grebestand/api/read_batching.py
@@ -1,7 +1,7 @@
-"""Shared reads: whether jobs that were live are live still, for all users who ask at the same time.
+"""Batched reads that confirm whether live jobs are still live, shared by concurrent status requests.
 
-One transaction without changes compares the versions of many records. The store executes it after it was sent, so it is
-a current read for every question that came before. Later questions wait for the next transaction.
+One transaction without changes compares the versions of many live records. The store executes the transaction after it
+was sent, so its result is current for every request that arrived before sending. Later requests wait for the next one.
 """
 
 from __future__ import annotations
@@ -16,57 +16,65 @@
 from ..flow_control.rate_limiter import Urgency
 from ..storage.job_records import live_key
 
-#: versions of live records that are remembered
+#: Maximum number of live records whose versions are remembered.
 MAX_KNOWN_VERSIONS = 20_000
-#: transactions that are under way at a time
+#: Maximum number of transactions in progress at a time.
 MAX_CONCURRENT_BATCHES = 2
-#: users wait two seconds for a status
+#: Timeout of a batched read; slightly less than the two seconds that users wait for a status.
 ANSWER_TIMEOUT_S = 1.9
-#: before the job id in a key of a live record
+#: Prefix of the keys of live records; the job id follows.
 LIVE_PREFIX = live_key("")
 
 
 class _ReadBatch:
-    """Questions that one transaction answers."""
+    """The reads that one transaction performs."""
 
     def __init__(self) -> None:
-        #: by job id, the version that is compared
+        #: Expected version of the live record, by job id.
         self.versions: dict[str, int] = {}
-        #: ids of jobs whose live record stands at its version
+        #: Ids of jobs whose live record was confirmed to have the expected version.
         self.live: set[str] = set()
         self.error: StoreError | None = None
         self.done = Event()
 
 
 class BatchedReads:
-    """Remembers versions of live records and checks many of them in one transaction."""
+    """Remembers versions of live records, and checks in one transaction whether many of them are still current."""
 
     def __init__(self, store: KeyValueStoreClient, max_conditions: int) -> None:
-        """`max_conditions` is the number of conditions that fit one transaction."""
+        """Create the reader.
+
+        Args:
+            store: Client of the key-value store.
+            max_conditions: Maximum number of conditions in a transaction.
+        """
         self.store = store
         self.max_conditions = max_conditions
-        #: by job id, least recently learned first
+        #: Known version of the live record by job id, least recently updated first.
         self._versions: OrderedDict[str, int] = OrderedDict()
-        #: the batch that takes new questions
+        #: The batch that new reads are added to, if any.
         self._open: _ReadBatch | None = None
         self._slots = BoundedSemaphore(MAX_CONCURRENT_BATCHES)
 
     def remember_version(self, job_id: str, version: int) -> None:
-        """Remember that the record of a job was live at this version."""
+        """Remember the version at which the live record of a job was seen."""
         self._versions[job_id] = version
         self._versions.move_to_end(job_id)
         if len(self._versions) > MAX_KNOWN_VERSIONS:
             self._versions.popitem(last=False)
 
     def knows(self, job_id: str) -> bool:
-        """Return whether the record of a job was seen live here, so that the job has been accepted."""
+        """Return whether the live record of a job has been seen, which shows that the job was accepted."""
         return job_id in self._versions
 
     def confirm_live_version(self, job_id: str) -> int:
-        """Return the version of a job's live record if it is certain that it stands now; 0 if it has to be read.
+        """Confirm that the remembered version of a job's live record is still current.
+
+        Returns:
+            The version if it is current; 0 if the caller has to read the record, as its version is unknown or outdated.
 
         Raises:
-            StoreError: the store did not answer in time.
+            StoreError: The store did not answer within `ANSWER_TIMEOUT_S`, or the request failed.
         """
         version = self._versions.get(job_id)
         if version is None:
@@ -83,10 +91,10 @@
         return version if job_id in batch.live else 0
 
     def _run(self, batch: _ReadBatch) -> None:
-        """Wait for a share of the store's requests, close the batch and ask."""
+        """Wait for the rate limit of store requests, then close the batch and perform its reads."""
         with self._slots:
             try:
-                # the batch stays open while it waits: whoever comes meanwhile is still in time
+                # reads may still join the batch during this wait, because the transaction is sent afterwards
                 self.store.wait_to_read(Urgency.POLL, ANSWER_TIMEOUT_S)
                 self._close(batch)
                 self._ask(batch)
@@ -101,7 +109,11 @@
             self._open = None
 
     def _ask(self, batch: _ReadBatch) -> None:
-        """Compare all versions; records that have changed are forgotten, and the others compared once more."""
+        """Compare the versions of all records in the batch with the store.
+
+        If some versions have changed, the transaction fails as a whole. Changed records are then dropped, and the
+        remaining ones are compared again.
+        """
         remaining = dict(batch.versions)
         while remaining:
             conditions = [version_is(live_key(job_id), version) for job_id, version in remaining.items()]
--- a/src/grebestand/api/response.py
+++ b/src/grebestand/api/response.py
@@ -1,4 +1,4 @@
-"""The response to an HTTP request."""
+"""The response to an HTTP request, independent of the HTTP server."""
 
 from __future__ import annotations
 
@@ -7,13 +7,18 @@
 
 @dataclass
 class Response:
-    """A status, a JSON body, and the headers that depend on them."""
+    """An HTTP response.
+
+    Attributes:
+        status: HTTP status code.
+        body: JSON body.
+        retry_after: Value of the `Retry-After` header in seconds, or None for no such header.
+        allow: Value of the `Allow` header, or None for no such header.
+        close: Whether the connection is closed after this response.
+    """
 
     status: int
     body: bytes = b""
-    #: the `Retry-After` header, in seconds
     retry_after: int | None = None
-    #: the `Allow` header
     allow: str | None = None
-    #: the connection is closed after this response
     close: bool = False
--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller process: what it offers to features, and how it begins to serve."""
+"""The controller of one process: its interface for features, and the start of its loops and servers."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 #: read by tools/capacity.py
 RENEW_S, TELL_S = RENEW_INTERVAL_S, BROADCAST_DELAY_S
-#: connections that are accepted from peers, however few there are
+#: Minimum limit of connections from peers, even if the connection plan has fewer.
 MIN_PEER_CONNECTIONS = 64
 
 
 class Controller:
-    """A controller of the cluster, built by `controller.wiring`."""
+    """A controller of the cluster, whose parts are built by `controller.wiring`."""
 
     def __init__(
         self,
@@ -36,7 +36,14 @@
         features: Features | None = None,
         runtime: Runtime | None = None,
     ) -> None:
-        """Build all parts and offer this controller to the features; nothing runs before `begin` or `serve`."""
+        """Build all parts and pass this controller to the features' `hosts` hooks, without starting anything.
+
+        Args:
+            settings: Settings of the platform.
+            policy: Expressions of the policy.
+            features: Hooks of the enabled features; none by default.
+            runtime: Clock, random numbers and connections; those of the operating system by default.
+        """
         self.settings = settings
         self.policy = policy
         self.features = features if features is not None else Features()
@@ -66,40 +73,48 @@
 
     @property
     def term(self) -> Term | None:
-        """The term of this controller; None while another one leads."""
+        """The term of this controller; None while this controller is a follower."""
         return self.current_term.term
 
-    # offered to features (`features.hooks.Host`) ----------------------------------------------------------
+    # implementation of `features.hooks.Host` --------------------------------------------------------------
 
     def present(self) -> Term | None:
-        """Return the term in which this controller leads now, its records loaded; else None."""
+        """Return the term if its records are loaded and this controller leads now, else None."""
         term = self.current_term.loaded()
         return term if term is not None and term.writer.is_leader() else None
 
     def leader(self) -> str | None:
-        """Return the name of the leader as this controller read it last."""
+        """Return the name of the leader as last read by this controller, or None if it is unknown."""
         return self.election.leader
 
     def cancel(self, ref: str) -> bool:
-        """Cancel a job as its user would; return whether it is over now."""
+        """Cancel a job as if a user had requested it; return whether the job is completed or cancelled now."""
         return self.users.cancel(ref).status == 200
 
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
-        """Send a message to the peer that leads by its latest status; None without one, or without an answer."""
+        """Send a message to the peer that is the leader by both the leader key and the peer's latest status.
+
+        Args:
+            path: Path of the message.
+            body: Encoded message.
+
+        Returns:
+            The peer's answer, or None if no such peer is known or the peer did not answer.
+        """
         for peer in self.peers.peers:
             if peer.last is not None and peer.last.token and peer.name == self.election.leader:
                 return peer.send(path, body)
         return None
 
-    # running ----------------------------------------------------------------------------------------------
+    # loops and servers ------------------------------------------------------------------------------------
 
     def begin(self) -> None:
-        """Spawn all loops; each runs until the process ends."""
+        """Spawn all loops, each of which runs until the process ends."""
         for loop in self._loops:
             gevent.spawn(loop)
 
     def serve(self) -> None:
-        """Listen on all addresses, spawn all loops, and serve until the process ends."""
+        """Listen on all addresses, spawn all loops, and serve requests until the process ends."""
         server = listen_bounded(self.settings.listen, "serve_on", self.app, self.sockets, self.spread.ended)
         peer_connections = max(MIN_PEER_CONNECTIONS, self.sockets.from_peers)
         listen(self.settings.peer_listen, "peer_listen", self.peers.app, peer_connections).start()
--- a/src/grebestand/controller/http_front.py
+++ b/src/grebestand/controller/http_front.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for workers, users and health checks."""
+"""Routes HTTP requests of workers, users and health checks to their handlers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class HttpFront:
-    """Routes requests, and refuses those of users that this controller cannot serve now."""
+    """Routes requests, and rejects requests of users for which this controller lacks capacity."""
 
     def __init__(
         self,
@@ -39,15 +39,15 @@
         self.transfer = transfer
         self.overload = overload
         self.workers_link = workers_link
-        #: requests of users that are being answered
+        #: Number of user requests in progress.
         self.users_busy = 0
 
     def app(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
-        """Answer one request (a WSGI application)."""
+        """Answer one request, as a WSGI application."""
         try:
             response = self.answer(environ)
         except OSError:
-            # the body did not come in whole or in time
+            # the body was incomplete, or did not arrive in time
             response = Response(400, b'{"error":"unreadable request"}')
         except Exception:
             log.exception(LogEvent("request_crashed", path=environ.get("PATH_INFO")))
@@ -55,7 +55,11 @@
         return respond(response, start_response)
 
     def answer(self, environ: dict[str, Any]) -> Response:
-        """Return the response to a request; `environ` says whether its connection is a surplus one."""
+        """Return the response to a request.
+
+        Args:
+            environ: WSGI environment, with the entries that `api.http_server` adds for the connection.
+        """
         method, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
         if path == HEARTBEAT_PATH:
             if method != "POST":
@@ -69,12 +73,21 @@
         return self._answer_user(environ, method, path)
 
     def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
-        """Answer a worker's heartbeat. Whatever the answer is, it shows that workers reach this controller."""
+        """Answer a worker's heartbeat, and record that workers reach this controller, whatever the answer is.
+
+        Args:
+            body: Body of the request.
+            connection: Connection of the worker.
+            surplus: Whether `connection` exceeds the number of connections that the server keeps.
+        """
         self.workers_link.answered()
         return self.workers.handle_heartbeat(body, connection, surplus)
 
     def _answer_user(self, environ: dict[str, Any], method: str, path: str) -> Response:
-        """Answer a user, unless connections or time are short: heartbeats go first, and users come back."""
+        """Answer a user's request, or reject it with status 503 if connections or processing time are short.
+
+        Heartbeats have precedence over users, who can retry their requests.
+        """
         if environ.get("grebestand.surplus"):
             return Response(503, b'{"error":"no connection is free"}', retry_after=1, close=True)
         if not self.overload.admits(self.users_busy, poll=method == "GET"):
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -1,4 +1,8 @@
-"""When a leader gives way and to whom, and how long each controller waits before it takes a free leader key."""
+"""Decides when a leader resigns and who succeeds, and how long a controller waits before it takes a free leader key.
+
+A leader resigns if it lost its link to the key-value store or to workers, or if it is overloaded. Controllers with a
+better chance of serving workers wait less before they take the leader key.
+"""
 
 from __future__ import annotations
 
@@ -19,46 +23,53 @@
 
 log = logging.getLogger(__name__)
 
-#: a peer that answered a status exchange within this time is present
+#: Maximum age of a peer's last answer to a status exchange for the peer to count as present.
 PEER_PRESENT_S = 3.0
-#: the same for a comparison of who reaches the key-value store, which needs a more recent status
+#: Maximum age of a peer's status for comparing who reaches the key-value store; shorter than for presence, as the
+#: comparison needs recent data.
 STORE_COMPARISON_VALID_S = 2.5
-#: a peer's age of its last answer from the store is up to this old itself, as statuses come about once a second
+#: Margin for comparing store ages: statuses are exchanged about once a second, so the age of a peer's last answer from
+#: the store may itself be this old.
 STORE_AGE_MARGIN_S = 1.5
-#: users of a controller that the store has not answered for this long are better off at others
+#: Time without an answer from the store after which a controller is unhealthy if the store answers a peer.
 STORE_UNHEALTHY_AFTER_S = 4.0
-#: a leader without the store is served through a peer within this time, or gives way
+#: Time without an answer from the store, directly or through a peer, after which a leader resigns if the store answers
+#: a peer.
 STORE_RESIGN_AFTER_S = 5.0
 
-#: a leader that is overloaded for this long gives way to a controller that is not; each time in a row it waits longer
+#: Duration of overload after which a leader resigns in favour of a controller that is not overloaded. The duration
+#: grows by this amount with each successive resignation for overload.
 OVERLOAD_RESIGN_AFTER_S = 6.0
-#: and so many times as long while machines are not reconciled: a successor is late with thousands of machines as well,
-#: and the next one would begin with all of them again
+#: Factor of the overload limit while machines are not reconciled yet. Thousands of unreconciled machines overload any
+#: successor as well, and each successor would start reconciling them all again.
 RECONCILING_DELAY_FACTOR = 3.0
-#: how often in a row patience grows at most
+#: Maximum number of successive resignations that lengthen the delay before the next resignation.
 MAX_BACKOFF_STEPS = 6
 
-#: a leader with at least so many machines that has had heartbeats in its term concludes sooner that it is cut off
+#: Minimum number of machines of a leader that resigns after the shorter silence, if it had heartbeats in its term.
 MANY_MACHINES = 20
-#: silence of all workers after which a leader gives way, in heartbeat intervals: with many machines, and otherwise
+#: Silence of all workers after which a leader resigns, in heartbeat intervals: with many machines, and otherwise.
 MANY_MACHINES_SILENCE_INTERVALS, SILENCE_INTERVALS = 1.6, 3.5
-#: a leader that has not checked its workers for longer than this stood still itself
+#: A longer gap between two checks of the workers shows that this process itself was stalled.
 CHECK_GAP_S = 2.5
-#: workers reach a controller if one has done so within so many heartbeat intervals
+#: A controller is reached by workers if one has contacted it within this many heartbeat intervals.
 REACHED_INTERVALS = 2
 
-#: before a controller that resigned may lead again: for want of the store, and for silence or overload
+#: Time for which a controller that resigned may not lead again: after losing the store, and after silence of all
+#: workers or overload.
 STORE_RESIGNATION_S, RESIGNATION_S = 10.0, 20.0
 
-#: how long the key has to be free before a controller takes it: while another was named as the successor, if workers
-#: have not reached this one lately, if it lost them, and, added to these two, while a better placed peer is present
+#: How long the leader key has to be free before a controller takes it, after the previous leader named another
+#: controller as its successor.
 SUCCESSOR_HEAD_START_S = 1.5
+#: How long the leader key has to be free before a controller takes it whose link to workers is suspect, or down.
 SUSPECT_LINK_WAIT_S, LOST_LINK_WAIT_S = 0.9, 2.5
+#: Addition to `SUSPECT_LINK_WAIT_S` and `LOST_LINK_WAIT_S` while a peer is present that workers reach.
 BETTER_PEER_WAIT_S = 2.5
 
 
 class LeadershipTransfer:
-    """Decides on giving way and on succession, from what this controller and its peers know of their links and load."""
+    """Decides on resignation and succession, by the links and load of this controller and its peers."""
 
     def __init__(
         self,
@@ -83,16 +94,19 @@
         self.store_link = store_link
         self.workers_link = workers_link
         self.started_at = clock()
-        #: when the workers were last checked, and since when that has been done without a gap
-        self.checked_workers_at = self.checking_since = clock()
-        #: until when a successor that a resigned leader named goes first
+        #: Time of the last call of `check_workers`.
+        self.checked_workers_at = clock()
+        #: Start of the latest series of `check_workers` calls without a gap of more than `CHECK_GAP_S`.
+        self.checking_since = self.checked_workers_at
+        #: Time until which this controller lets another one lead that a resigned leader named as its successor.
         self._successor_first_until = -math.inf
-        #: how often in a row this controller gave way for silence of all workers, and for overload
+        #: Number of successive resignations because of silence of all workers.
         self._silence_resignations = 0
+        #: Number of successive resignations because of overload.
         self._overload_resignations = 0
 
     def _present_peers(self, within_s: float) -> Iterator[tuple[PeerClient, PeerStatus]]:
-        """Yield peers that answered within the last `within_s` seconds, with their status."""
+        """Yield each peer that answered a status exchange within the last `within_s` seconds, with its status."""
         now = self.clock()
         for peer in self.peer_api.peers:
             if peer.last is not None and now - peer.last_heard_at < within_s:
@@ -101,10 +115,11 @@
     # the link to the key-value store ----------------------------------------------------------------------
 
     def find_peer_reaching_store(self) -> PeerClient | None:
-        """Return a peer that reached the store after this controller had failed to for a while, if there is one.
+        """Return a peer that the store answered clearly after this controller's store requests began to fail, or None.
 
-        A recent success of the peer is not enough: in an outage of the store all succeed until the same moment, and a
-        leader that gave way to a peer served a second later would end its term for nothing.
+        A recent answer to the peer is not sufficient: in an outage of the store all controllers lose the store at about
+        the same time, and a leader that resigned because a peer had its last answer a second later would end its term
+        for nothing.
         """
         failed_at = self.store_link.failed_at
         if failed_at is None:
@@ -115,10 +130,11 @@
         return None
 
     def healthy(self) -> bool:
-        """Return False only if users are better served elsewhere: this controller lost the store, and others did not.
+        """Return whether users should send requests to this controller rather than to its peers.
 
-        A controller that hears no peer either is most likely the one that is cut off, so it is unhealthy too; in an
-        outage of the store nobody could serve its users anyway.
+        A controller without the store is unhealthy if the store answers a peer, or if no peer responds either, as this
+        controller is then most likely the one that is cut off. In an outage of the store for all controllers each stays
+        healthy, as no other one could serve its users.
         """
         if self.store_link.age_s < STORE_UNHEALTHY_AFTER_S:
             return True
@@ -126,12 +142,12 @@
         return not alone and self.find_peer_reaching_store() is None
 
     def check_store(self) -> None:
-        """Resign as the leader if the store answers a peer but not this controller, not even through a peer."""
+        """Resign if the store answers a peer but answers this controller neither directly nor through a peer."""
         if self.store_link.age_s < STORE_RESIGN_AFTER_S:
             return
         peer = self.find_peer_reaching_store()
         if peer is not None:
-            reason = f"{peer.name} reaches the state service and this one does not"
+            reason = f"the key-value store answers {peer.name} but not this controller"
             token = self.election.resign(reason, STORE_RESIGNATION_S)
             peer.tell("/resigned", ResignationNotice(self.name, token, peer.name), PeerStatus)
 
@@ -140,11 +156,12 @@
     def check_workers(self) -> None:
         """Resign as the leader if no worker reaches this controller, whether or not a peer is present.
 
-        This is called only after the store has answered, so peers will find the key free.
+        The leader loop calls this method only after renewing the lease, so the store is reachable and the leader key
+        can be removed for a successor.
         """
         now = self.clock()
         if now - self.checked_workers_at > CHECK_GAP_S:
-            # this process stood still: heartbeats that came meanwhile are still to be read
+            # this process was stalled: heartbeats received meanwhile may still be unread, so silence counts from now on
             self.checking_since = now
         self.checked_workers_at = now
         term = self.term()
@@ -155,67 +172,73 @@
         if silence_s >= self._silence_limit_s(term):
             self._silence_resignations = min(self._silence_resignations + 1, MAX_BACKOFF_STEPS)
             self.workers_link.silent(0.0, 0.0)
-            self.resign(f"no worker has reported for {silence_s:.1f} s", self._find_successor())
+            self.resign(f"no heartbeat from any worker for {silence_s:.1f} s", self._find_successor())
         elif handler.heard_in_term and now - handler.last_heard_at < self.heartbeat_interval_s:
             self._silence_resignations = 0
 
     def _silence_limit_s(self, term: Term) -> float:
-        """Return the silence of all workers that shows that the leader is cut off from them."""
+        """Return the silence of all workers, in seconds, after which the leader counts as cut off from them."""
         many = term.heartbeat_handler.heard_in_term and len(term.inventory.machines) >= MANY_MACHINES
         intervals = MANY_MACHINES_SILENCE_INTERVALS if many else SILENCE_INTERVALS
         return intervals * self.heartbeat_interval_s * (1 + self._silence_resignations)
 
     def _find_successor(self) -> str:
-        """Return the name of the present peer that workers reach and that reached the store last; "" without one."""
-        heir, heir_store_age_s = "", math.inf
+        """Return the name of the present peer that workers reach and that the store answered last, or "" if none."""
+        successor, successor_store_age_s = "", math.inf
         for peer, status in self._present_peers(PEER_PRESENT_S):
             reached = 0.0 <= status.workers_age_s < REACHED_INTERVALS * self.heartbeat_interval_s
-            if reached and status.state_age_s < min(PEER_PRESENT_S, heir_store_age_s):
-                heir, heir_store_age_s = peer.name, status.state_age_s
-        return heir
+            if reached and status.state_age_s < min(PEER_PRESENT_S, successor_store_age_s):
+                successor, successor_store_age_s = peer.name, status.state_age_s
+        return successor
 
     # overload ---------------------------------------------------------------------------------------------
 
     def check_overload(self) -> None:
-        """Resign as the leader if this controller is overloaded for long and a peer is not.
+        """Resign as the leader if this controller has been overloaded for long and a present peer has normal load.
 
-        A leader that answers its workers too late lets their leases expire.
+        Workers' leases expire if an overloaded leader answers their heartbeats too late.
         """
         overloaded_s = self.clock() - self.overload.since
         if self.overload.state is not LoadState.OVERLOADED or overloaded_s < self._overload_limit_s():
             return
         for peer, status in self._present_peers(PEER_PRESENT_S):
             if status.load == LoadState.NORMAL.value:
-                # if the load itself is too much, giving way again and again is no help: the next time takes longer
+                # if the cluster's load overloads any leader, repeated resignations do not help, so each takes longer
                 self._overload_resignations = min(self._overload_resignations + 1, MAX_BACKOFF_STEPS)
-                self.resign(f"late for {overloaded_s:.0f} s, and {peer.name} is not", peer.name)
+                self.resign(f"overloaded for {overloaded_s:.0f} s while {peer.name} has normal load", peer.name)
                 return
 
     def _overload_limit_s(self) -> float:
-        patience_s = OVERLOAD_RESIGN_AFTER_S * (1 + self._overload_resignations)
+        """Return the duration of overload after which the leader resigns, in seconds."""
+        limit_s = OVERLOAD_RESIGN_AFTER_S * (1 + self._overload_resignations)
         term = self.term()
         if term is not None and not term.machine_reconciliation.proved:
-            return patience_s * RECONCILING_DELAY_FACTOR
-        return patience_s
+            return limit_s * RECONCILING_DELAY_FACTOR
+        return limit_s
 
     # succession -------------------------------------------------------------------------------------------
 
-    def resign(self, reason: str, heir: str) -> None:
-        """Resign, remove the key and tell all peers, so that one of them leads without waiting for the lease."""
+    def resign(self, reason: str, successor: str) -> None:
+        """Resign, remove the leader key and notify all peers, so that one leads before the lease would expire.
+
+        Args:
+            reason: Reason of the resignation, for the log.
+            successor: Name of the peer that should lead next, or "" for any.
+        """
         token = self.election.resign(reason, RESIGNATION_S)
         try:
             self.election.clear_key(token)
         except StoreError as error:
             log.info(LogEvent("leader_key_not_removed", token=token, reason=error))
-        self.peer_api.send_resignation(self.name, token, heir)
+        self.peer_api.send_resignation(self.name, token, successor)
 
     def handle_resignation(self, notice: ResignationNotice) -> None:
-        """Remove the key of a peer that resigned, and take the lead unless the notice names another controller."""
+        """Remove the leader key of a peer that resigned, and try to lead unless the notice names another successor."""
         may_lead = notice.heir in ("", self.name)
         if not may_lead:
             self._successor_first_until = self.clock() + SUCCESSOR_HEAD_START_S
         try:
-            # the peer may have reached nobody but this controller, so each that hears of it removes the key
+            # the notice may have reached only this controller, so each controller that receives it removes the key
             self.election.clear_key(notice.token)
             if may_lead and self.election.state is LeaderState.FOLLOWING:
                 self.election.read_leader_key()
@@ -223,11 +246,12 @@
             log.info(LogEvent("leader_key_not_removed", controller=notice.name, token=notice.token, reason=error))
 
     def takeover_delay_s(self) -> float:
-        """Return for how long the key has to be free before this controller takes it, in seconds.
+        """Return how long the leader key has to be free before this controller takes the key, in seconds.
 
-        A controller that workers have reached lately goes first. Followers hear of no worker while the leader is well,
-        and of all of them within seconds after it is lost, so silence alone is only a doubt; a controller that gave way
-        for silence is surely worse placed. The wait is bounded: better placed peers may be gone by now.
+        A controller that workers have reached recently does not wait. Workers contact followers only after the leader
+        is lost, and then within seconds. A follower that no worker has contacted may thus have a working link, so its
+        wait is short; a controller that resigned because of silent workers has no such link, so its wait is longer.
+        The wait is bounded, because a peer with a better link to workers may have failed meanwhile.
         """
         if self.clock() < self._successor_first_until:
             return SUCCESSOR_HEAD_START_S
