--- a/src/grebestand/__main__.py
+++ b/src/grebestand/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m grebestand`, the same as the command `grebestand`."""
+"""Entry point of `python3 -m grebestand`, equivalent to the command `grebestand`."""
 
 import sys
 
--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -1,7 +1,7 @@
-"""The users' interface: submission, status and cancellation of jobs. Every controller serves it.
+"""The HTTP interface for users, served by every controller: submission, status and cancellation of jobs.
 
-A request that is answered has been decided by the key-value store: an accepted job is recorded there, and a status is
-that of a moment after the question. What the store did not answer in time is answered with status 503.
+Responses are based on the key-value store: an accepted job has been recorded there, and a job's status was current at
+some moment after the request arrived. A request is answered with status 503 if the store does not respond in time.
 """
 
 from __future__ import annotations
@@ -30,29 +30,29 @@
 
 _json = msgspec.json.Encoder()
 
-#: a status that was read longer ago is not given as the present one; users do not wait longer for it either
+#: Maximum age of a status given to a user, and time limit of a status request; users wait no longer for a status.
 STATUS_VALID_S = 2.0
-#: users wait five seconds for anything else, so reads for one request take no longer than this in all
+#: Time limit for all reads of a request other than a status request; users wait five seconds for such a response.
 READ_LIMIT_S = 4.0
-#: a single request to the store takes no longer than this
+#: Timeout of a single request to the store.
 STORE_REQUEST_TIMEOUT_S = 1.5
-#: with less time than this left, the store is not asked any more
+#: Minimum remaining time for which another request to the store is sent.
 MIN_STORE_REQUEST_S = 0.05
-#: a transaction without an answer is repeated until so long after the request came
+#: Time after the arrival of a user's request until which a transaction without an answer is retried.
 COMMIT_RETRY_LIMIT_S = 3.0
-#: a transaction that accepts a job gets at least this long, and is not repeated with less left
+#: Minimum timeout of a transaction that accepts a job, and minimum remaining time for retrying such a transaction.
 MIN_ACCEPT_TIMEOUT_S = 0.3
 
-#: `Retry-After` of answers that may be different soon, in seconds
+#: `Retry-After` of responses whose cause is likely to pass soon, in seconds.
 RETRY_SOON_S = 1
-#: the same while another cluster ends a job
+#: `Retry-After` of a cancellation that has to wait for another cluster to stop the job, in seconds.
 RETRY_REMOTE_CANCELLATION_S = 2
 
 STORE_UNREACHABLE = "the state service cannot be reached"
 
 
 class JobRejectedError(GrebestandError):
-    """A feature refuses a job."""
+    """A feature's hook refuses a job."""
 
     def __init__(self, refusal: HookRefusal) -> None:
         self.refusal = refusal
@@ -68,17 +68,17 @@
 
 
 class JobApi:
-    """Answers users' requests from the records of jobs in the key-value store."""
+    """Answers users' requests by means of the job records in the key-value store."""
 
     def __init__(
         self,
         store: KeyValueStoreClient,
         teams: list[Team],
-        value_bytes: int,
-        wall: Callable[[], float],
+        max_value_bytes: int,
+        wall_clock: Callable[[], float],
         clock: Callable[[], float],
         machine_types: Callable[[], list[MachineType] | None],
-        counts: Callable[[str], tuple[int, int]],
+        task_counts: Callable[[str], tuple[int, int]],
         completed_jobs: CompletedJobs,
         features: Features,
         batched_reads: BatchedReads | None = None,
@@ -88,22 +88,27 @@
         """Create the interface.
 
         Args:
-            value_bytes: The largest value that may be written to the store.
-            wall: The time of day, in seconds.
+            store: Client of the key-value store.
+            teams: Teams that may submit jobs, with their limits.
+            max_value_bytes: Size limit of a value written to the store, in bytes.
+            wall_clock: The time of day, in seconds.
             clock: A steady clock, in seconds.
-            counts: Returns the numbers of done and of running tasks of a job, as far as they are known.
-            batched_reads: Reads shared by status requests; without them each reads for itself.
-            on_cancelled: Called with a job whose user is about to be told that it is cancelled.
-            recall: Asks whoever runs a gang in another cluster to end it.
+            machine_types: Returns the machine types that the cloud offers, or None while they are not known.
+            task_counts: Returns the numbers of done and of running tasks of a job, as far as they are known.
+            completed_jobs: Cache of completed jobs.
+            features: Hooks of the features, which may refuse jobs.
+            batched_reads: Reads shared by concurrent status requests; without them each request reads separately.
+            on_cancelled: Called with the id of a job whose cancellation is about to be confirmed to a user.
+            recall: Requests that the other cluster which may run a job stops it; called with the job's id.
         """
         self.store = store
         self.batched_reads = batched_reads
         self.teams = {team.name: team for team in teams}
-        self.value_bytes = value_bytes
-        self.wall_clock = wall
+        self.value_bytes = max_value_bytes
+        self.wall_clock = wall_clock
         self.clock = clock
         self.machine_types = machine_types
-        self.task_counts = counts
+        self.task_counts = task_counts
         self.completed_jobs = completed_jobs
         self.features = features
         self.on_cancelled = on_cancelled
@@ -112,14 +117,18 @@
     # reads ------------------------------------------------------------------------------------------------
 
     def _request_timeout_s(self, until: float) -> float:
-        """Return how long a request to the store may take if all reads are to end at `until`."""
+        """Return the timeout in seconds of a request to the store if all reads have to end by the time `until`.
+
+        Raises:
+            StoreError: Less than `MIN_STORE_REQUEST_S` is left.
+        """
         left_s = until - self.clock()
         if left_s < MIN_STORE_REQUEST_S:
             raise StoreError("it has taken too long already", possibly_applied=False)
         return min(STORE_REQUEST_TIMEOUT_S, left_s)
 
     def _completed(self, job_id: str, urgency: Urgency, until: float) -> CompletedJobRecord | None:
-        """Read the record of a completed job, which never changes again."""
+        """Return the record of a completed job, cached if possible as it never changes, or None without a record."""
         known = self.completed_jobs.get(job_id)
         if known is not None:
             return known
@@ -129,14 +138,17 @@
         record = msgspec.convert(found.value, CompletedJobRecord)
         self.completed_jobs.remember(job_id, record)
         if record.state is JobStatus.CANCELLED:
-            # the controller that committed it may have had no answer, so that this one is the first to tell a user
+            # the controller that committed the cancellation may have got no answer from the store and thus confirmed
+            # nothing, so this controller may be the first to confirm the cancellation to a user
             self.on_cancelled(job_id)
         return record
 
     def _live(self, job_id: str, urgency: Urgency, until: float) -> tuple[int, bool]:
-        """Read the version of a live record, 0 without one, and whether the job may run in another cluster.
+        """Read the live record of a job.
 
-        A status request may share its read, which does not tell where the job runs.
+        Returns:
+            The version of the record, 0 if there is none, and whether the job may run in another cluster. The latter
+            is always False for a status request answered by a batched read, which compares versions only.
         """
         reads = self.batched_reads
         if reads is not None and urgency is Urgency.POLL:
@@ -151,26 +163,34 @@
         return found.version, found.value.get("abroad") is not None
 
     def _lookup(self, job_id: str, urgency: Urgency, until: float) -> JobLookup | None:
-        """Look a job up as of a moment after the request came.
+        """Look up a job as of some moment after the request arrived; return None if the job is unknown.
 
-        The live record is read first: a job that is completed meanwhile is then found in one of the two places.
+        The live record is read before the record of the completed job, so that a job which is completed between the two
+        reads is found by the second.
+
+        Raises:
+            StoreError: The store did not respond in time, or the read took longer than `STATUS_VALID_S`.
         """
         completed = self.completed_jobs.get(job_id)
         if completed is None:
-            asked_at = self.clock()
-            version, abroad = self._live(job_id, urgency, until)
+            read_began_at = self.clock()
+            version, may_run_remotely = self._live(job_id, urgency, until)
             if version:
-                if self.clock() - asked_at > STATUS_VALID_S:
-                    # this process stood still, and what was read may no longer be so
+                if self.clock() - read_began_at > STATUS_VALID_S:
+                    # this process was stalled, so the version read may be outdated
                     raise StoreError("what was read is too old", possibly_applied=False)
                 done, running = self.task_counts(job_id)
                 status = JobStatus.RUNNING if running else JobStatus.PENDING
-                return JobLookup(status, done, running, version, abroad)
+                return JobLookup(status, done, running, version, may_run_remotely)
             completed = self._completed(job_id, urgency, until)
         return None if completed is None else JobLookup.from_record(completed)
 
     def _lookup_accepted(self, job_id: str, until: float) -> JobLookup:
-        """Look up a job that is known to have been accepted."""
+        """Look up a job that is known to have been accepted.
+
+        Raises:
+            StoreError: The store did not respond in time, or neither of the job's two possible records was found.
+        """
         found = self._lookup(job_id, Urgency.ACCEPT, until)
         if found is None:
             raise StoreError("the job's record moved while it was read", possibly_applied=True)
@@ -178,13 +198,16 @@
 
     @staticmethod
     def _view(status: int, job_id: str, known: JobLookup) -> Response:
-        """Return the answer that describes a job; it is the same for all requests, so final states always agree."""
+        """Return the response that describes a job.
+
+        All kinds of requests use this format, so that they agree on the final state of a job.
+        """
         return Response(status, _json.encode(JobStatusResponse(job_id, known.state, known.done, known.running)))
 
     # submission -------------------------------------------------------------------------------------------
 
     def submit(self, body: bytes) -> Response:
-        """Accept a job (201), answer a repeated submission with the job's status (200), or say why neither is done."""
+        """Accept a job (201), answer a repeated submission with the job's status (200), or return an error."""
         if len(body) > MAX_BODY:
             return _error(400, "the body is over 64 KiB")
         try:
@@ -204,7 +227,17 @@
             return _error(503, STORE_UNREACHABLE, RETRY_SOON_S)
 
     def _check_submission(self, body: bytes) -> tuple[JobSpec, bytes]:
-        """Return the job that a body describes and the record to be written for it."""
+        """Decode and check a submission.
+
+        Returns:
+            The job, and the encoded live record to be written for it.
+
+        Raises:
+            MalformedError: The body does not describe a job, or the record would exceed the store's size limit.
+            UnsatisfiableJobError: The job could never run in this cluster.
+            UncertainStateError: The machine types are not known yet.
+            JobRejectedError: A feature refuses the job.
+        """
         spec = decode_spec(body)
         record = _json.encode(LiveJobRecord(spec, self.wall_clock()))
         if len(record) > self.value_bytes:
@@ -216,7 +249,10 @@
         return spec, record
 
     def _refuse(self, job_id: str, error: MalformedError | UnsatisfiableJobError | JobRejectedError) -> Response:
-        """Refuse a submission, unless its id is that of an accepted job: a repeat is known whatever else it says."""
+        """Reject a submission because of `error`, or return the job's status if a job of this id has been accepted.
+
+        A repeated submission is recognised by its id alone, whatever its other fields are.
+        """
         known = self._lookup(job_id, Urgency.ACCEPT, self.clock() + READ_LIMIT_S)
         if known is not None:
             return self._view(200, job_id, known)
@@ -226,7 +262,7 @@
         return _error(422 if isinstance(error, UnsatisfiableJobError) else 400, str(error))
 
     def _accept(self, job_id: str, spec: JobSpec, record: bytes) -> Response:
-        """Record a job, unless there is one of this id already."""
+        """Record a job, or return the status of an earlier job with this id."""
         completed = self.completed_jobs.get(job_id)
         if completed is not None:
             return self._view(200, job_id, JobLookup.from_record(completed))
@@ -234,7 +270,8 @@
         read_until, retry_until = now + READ_LIMIT_S, now + COMMIT_RETRY_LIMIT_S
         reads = self.batched_reads
         if (reads is not None and reads.knows(job_id)) or any(self.task_counts(job_id)):
-            # a transaction counts against the write rate even if its conditions fail, so a repeat is only read
+            # a transaction counts against the store's write rate even if its conditions fail, so a repeated submission
+            # that is recognised beforehand only reads
             return self._view(200, job_id, self._lookup_accepted(job_id, read_until))
         version = self._create_record(job_id, record, retry_until)
         if version is None:
@@ -254,10 +291,17 @@
         return self._view(201, job_id, JobLookup(JobStatus.PENDING))
 
     def _create_record(self, job_id: str, record: bytes, retry_until: float) -> int | None:
-        """Write a live record and return its version; None if the job has a record already.
+        """Write a live record unless the job has a record already.
 
-        A transaction without an answer may have been carried out or not; repeating it on the same conditions settles
-        that.
+        A transaction without an answer may or may not have been applied. Retrying it with the same conditions is safe,
+        as it fails if the first one was applied.
+
+        Returns:
+            The version of the new record, or None if the job has a record already, possibly written by an unanswered
+            attempt of this call.
+
+        Raises:
+            StoreError: The store rejected the transaction, or did not respond by the time `retry_until`.
         """
         conditions = [key_absent(live_key(job_id)), key_absent(completed_key(job_id))]
         changes = [put(live_key(job_id), msgspec.Raw(record))]
@@ -274,7 +318,7 @@
     # status -----------------------------------------------------------------------------------------------
 
     def poll(self, job_id: str) -> Response:
-        """Answer with a job's status."""
+        """Return a job's status (200), or an error: 400 for a malformed id, 404 for an unknown job, 503."""
         if not JOB_ID.match(job_id):
             return _error(400, "malformed job id")
         try:
@@ -290,7 +334,7 @@
     # cancellation -----------------------------------------------------------------------------------------
 
     def cancel(self, job_id: str) -> Response:
-        """Cancel a job, or answer with its status if it is over already."""
+        """Cancel a job; return its status (200), which is that of a completed job if it had completed before."""
         if not JOB_ID.match(job_id):
             return _error(400, "malformed job id")
         try:
@@ -300,7 +344,11 @@
             return _error(503, STORE_UNREACHABLE, RETRY_SOON_S)
 
     def _cancel(self, job_id: str) -> Response:
-        """Look the job up and complete it as cancelled, again if its record changes in between."""
+        """Look up a job and record it as cancelled, with retries if its live record changes in between.
+
+        Raises:
+            StoreError: The store did not respond in time.
+        """
         now = self.clock()
         read_until, retry_until = now + READ_LIMIT_S, now + COMMIT_RETRY_LIMIT_S
         while True:
@@ -332,7 +380,7 @@
     # routing ----------------------------------------------------------------------------------------------
 
     def route(self, method: str, path: str, read_body: Callable[[], bytes]) -> Response:
-        """Answer a request by its path: unknown paths with status 404, wrong methods with 405."""
+        """Dispatch a request by path and method; unknown paths get status 404, and wrong methods 405."""
         parts = path.split("?", 1)[0].strip("/").split("/")
         if parts[:2] != ["v2", "runs"] or len(parts) > 4 or (len(parts) == 4 and parts[3] != "abort"):
             return _error(404, "no such path")
--- a/src/grebestand/commands/__init__.py
+++ b/src/grebestand/commands/__init__.py
@@ -1,1 +1,1 @@
-"""What the verbs of the command line do, beside `serve`; each is imported when it is called."""
+"""The subcommands of the command line except `serve`; imported only if the subcommand is not `serve`."""
--- a/src/grebestand/commands/federation.py
+++ b/src/grebestand/commands/federation.py
@@ -1,4 +1,4 @@
-"""`grebestand federation`: keys of the link, and the word that a cluster is lost for good."""
+"""`grebestand federation`: manages the keys of links between clusters, and takes gangs back from a lost cluster."""
 
 from __future__ import annotations
 
@@ -13,44 +13,53 @@
 from ..settings.platform import SettingsError, parse_address
 
 
-def add(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add the verb `federation` to the command line."""
-    verb = commands.add_parser("federation", help="keys of the link to other clusters; settle what a lost cluster ran")
-    verbs = verb.add_subparsers(dest="verb", required=True)
-    keys = verbs.add_parser("keys", help="make, hand over, rotate and revoke keys and certificates")
+def add_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
+    """Add the subcommand `federation` to the command line."""
+    parser = commands.add_parser(
+        "federation", help="manage keys of the links to other clusters; take gangs back from a lost cluster"
+    )
+    subcommands = parser.add_subparsers(dest="verb", required=True)
+    keys = subcommands.add_parser("keys", help="create, rotate, trust and revoke keys and certificates")
     actions = keys.add_subparsers(dest="action", required=True)
     for name, text in (
-        ("create", "make this cluster's first key and certificate"),
-        ("rotate", "make the next ones, to be handed out before they are used"),
-        ("activate", "use the newest ones from now on"),
-        ("show", "list all certificates, until when they are good, and their fingerprints"),
-        ("trust", "believe another cluster's certificate"),
-        ("revoke", "believe a certificate no more"),
+        ("create", "create this cluster's first key and certificate"),
+        ("rotate", "create the next key and certificate, to be distributed before they are activated"),
+        ("activate", "use the newest key and certificate from now on"),
+        ("show", "list all certificates with their expiry times and fingerprints"),
+        ("trust", "trust another cluster's certificate"),
+        ("revoke", "stop trusting a certificate"),
     ):
         action = actions.add_parser(name, help=text)
         action.add_argument("--dir", required=True, metavar="DIR", help="the directory of this cluster's keys")
         if name in ("create", "rotate"):
-            action.add_argument("--days", type=float, default=90.0, metavar="N", help="good for so long (default 90)")
+            action.add_argument("--days", type=float, default=90.0, metavar="N", help="validity in days (default 90)")
         if name == "create":
             action.add_argument("--cluster", required=True, metavar="NAME", help="this cluster's name")
         if name == "activate":
-            action.add_argument("generation", nargs="?", metavar="N", help="another than the newest, such as 0001")
+            action.add_argument(
+                "generation", nargs="?", metavar="N", help="the generation to use, such as 0001 (default: the newest)"
+            )
         if name == "trust":
-            action.add_argument("files", nargs="+", metavar="FILE", help="certificates as the others handed them over")
+            action.add_argument("files", nargs="+", metavar="FILE", help="certificate files from the other clusters")
         if name == "revoke":
-            action.add_argument("fingerprint", metavar="FINGERPRINT", help="its beginning, at least 8 digits")
-    settle = verbs.add_parser(
-        "settle", help="declare a cluster lost for good: the gangs that it may run are home's again",
-        description="Nothing can tell a cluster that is gone from one that cannot be reached. If it still runs a gang "
-        "that is settled, that gang runs twice, and its results may be written twice. Make sure its machines are off.",
+            action.add_argument(
+                "fingerprint",
+                metavar="FINGERPRINT",
+                help="the first digits of the certificate's fingerprint, at least 8",
+            )
+    settle = subcommands.add_parser(
+        "settle", help="declare a cluster permanently lost, and take back the gangs that it may run",
+        description="A cluster that is lost looks the same from here as one that cannot be reached. If it still runs a "
+        "gang that is settled, the gang runs twice, and its results may be written twice. Make sure that the machines "
+        "of the lost cluster are off.",
     )  # fmt: skip
     settle.add_argument("--config", required=True, metavar="FILE", help="the settings of a controller of this cluster")
-    settle.add_argument("--cluster", required=True, metavar="NAME", help="the cluster that is lost")
-    settle.add_argument("--confirm", metavar="TEXT", help="the sentence that is asked for, given beforehand")
+    settle.add_argument("--cluster", required=True, metavar="NAME", help="the lost cluster")
+    settle.add_argument("--confirm", metavar="TEXT", help="the confirmation sentence, instead of entering it")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run the verb; return its exit status."""
+    """Run the subcommand and return the exit status."""
     if arguments.verb == "settle":
         return _settle(arguments)
     try:
@@ -59,7 +68,7 @@
         print(f"grebestand: federation: needs the extra 'federation' ({e.name} is not installed)", file=sys.stderr)
         return 1
     try:
-        return _keys(arguments)
+        return _manage_keys(arguments)
     except keys.KeyFileError as e:
         print(f"grebestand: federation: {e}", file=sys.stderr)
         return 2
@@ -68,28 +77,29 @@
         return 1
 
 
-def _keys(arguments: argparse.Namespace) -> int:
+def _manage_keys(arguments: argparse.Namespace) -> int:
+    """Run `federation keys` and return the exit status."""
     from ..federation import keys
 
     root, now = Path(arguments.dir), dt.datetime.now(dt.UTC)
     if arguments.action in ("create", "rotate"):
         if not 0 < arguments.days <= 3650:
-            raise keys.KeyFileError("--days: must be above 0 and at most 3650")
+            raise keys.KeyFileError(f"--days: must be above 0 and at most 3650, not {arguments.days:g}")
         if arguments.action == "create":
-            made = keys.create(root, arguments.cluster, arguments.days, now)
+            certificate = keys.create(root, arguments.cluster, arguments.days, now)
         else:
-            made = keys.rotate(root, arguments.days, now)
-        print(f"{made}: hand this file to the other clusters' operators")
+            certificate = keys.rotate(root, arguments.days, now)
+        print(f"{certificate}: send this file to the operators of the other clusters")
         if arguments.action == "rotate":
-            print("once they believe it, 'grebestand federation keys activate' uses it")
+            print("once they trust the new certificate, activate it with 'grebestand federation keys activate'")
     elif arguments.action == "activate":
         print(f"generation {keys.activate(root, arguments.generation)} is in use")
     elif arguments.action == "trust":
         for file in arguments.files:
-            print(f"{keys.trust(root, Path(file))}: believed")
+            print(f"{keys.trust(root, Path(file))}: trusted")
     elif arguments.action == "revoke":
-        gone = keys.revoke(root, arguments.fingerprint)
-        print(f"{gone.fingerprint[:16]} of {gone.cluster} is not believed any more")
+        revoked = keys.revoke(root, arguments.fingerprint)
+        print(f"{revoked.fingerprint[:16]} of {revoked.cluster} is no longer trusted")
     else:
         for s in keys.show(root, now):
             print(f"{s.state:8} {s.cluster:12} until {s.until:%Y-%m-%d %H:%M} UTC  {s.fingerprint[:32]}  {s.file}")
@@ -97,6 +107,7 @@
 
 
 def _settle(arguments: argparse.Namespace) -> int:
+    """Run `federation settle` and return the exit status."""
     from ..clients.http import HttpTransport
     from ..clients.kv_store import KeyValueStoreClient, StoreError
     from ..federation.settlement import remote_gangs, settle
@@ -116,24 +127,24 @@
         if not gangs:
             print(f"no gang of this cluster is in {arguments.cluster}")
             return 0
-        for g in gangs:
-            print(f"{g.ref}: {g.tasks} tasks, reservation {g.id}")
-        wanted = f"{arguments.cluster} is lost and runs nothing"
+        for gang in gangs:
+            print(f"{gang.ref}: {gang.tasks} tasks, reservation {gang.id}")
+        sentence = f"{arguments.cluster} is lost and runs nothing"
         print(
-            f"These {len(gangs)} gangs will start here again. If {arguments.cluster} still runs one of them, it runs "
-            f"twice.\nTo go on, write: {wanted}"
+            f"These {len(gangs)} gangs will start here again. If {arguments.cluster} still runs one of them, that gang "
+            f"runs twice.\nTo continue, enter: {sentence}"
         )
-        if (arguments.confirm if arguments.confirm is not None else sys.stdin.readline().strip()) != wanted:
+        if (arguments.confirm if arguments.confirm is not None else sys.stdin.readline().strip()) != sentence:
             print("grebestand: federation: not confirmed; nothing was changed", file=sys.stderr)
             return 1
-        by, changed = getpass.getuser(), 0
-        for g in gangs:
-            if settle(state, g, by):
-                print(f"{g.ref}: home again")
-                changed += 1
+        user, settled_count = getpass.getuser(), 0
+        for gang in gangs:
+            if settle(state, gang, user):
+                print(f"{gang.ref}: home again")
+                settled_count += 1
             else:
-                print(f"{g.ref}: has changed meanwhile, left as it is")
-        return 0 if changed == len(gangs) else 1
+                print(f"{gang.ref}: not settled, as its record has changed meanwhile")
+        return 0 if settled_count == len(gangs) else 1
     except StoreError as e:
         print(f"grebestand: federation: the state service does not answer: {e}", file=sys.stderr)
         return 1
--- a/src/grebestand/commands/rehearse.py
+++ b/src/grebestand/commands/rehearse.py
@@ -1,4 +1,4 @@
-"""`grebestand rehearse` and `grebestand check-history`."""
+"""`grebestand rehearse`, which runs fault and load tests, and `grebestand check-history`, which checks a history."""
 
 from __future__ import annotations
 
@@ -12,51 +12,57 @@
 from pathlib import Path
 from typing import TypeVar
 
-T = TypeVar("T")
+Outcome = TypeVar("Outcome")
 
 
-def add(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add the verbs `rehearse` and `check-history` to the command line."""
-    verb = commands.add_parser("rehearse", help="run real controllers on loopback under faults, and check it")
-    verb.add_argument(
+def add_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
+    """Add the subcommands `rehearse` and `check-history` to the command line."""
+    parser = commands.add_parser("rehearse", help="run a fault or load test on loopback and check the results")
+    parser.add_argument(
         "name", choices=("federation", "clusters", "scale"),
-        help="federation: real controllers of 2 to 4 clusters; clusters: the decisions of 2 to 50, on simulated time; "
-        "scale: real controllers of one cluster under the load of thousands of hollow workers",
+        help="federation: real controllers of 2 to 4 clusters with injected faults; clusters: decisions of 2 to 50 "
+        "clusters in simulated time; scale: real controllers of one cluster under the load of thousands of emulated "
+        "workers",
     )  # fmt: skip
-    verb.add_argument("--seed", type=int, default=7, metavar="N", help="what is drawn: gangs, faults (default 7)")
-    verb.add_argument("--clusters", type=int, default=2, metavar="N", help="how many (default 2)")
-    verb.add_argument("--load", type=float, default=1.0, metavar="L", help="of simulated clusters (default 1)")
-    verb.add_argument("--gangs", type=int, default=30, metavar="N", help="how many (default 30)")
-    verb.add_argument("--machines", type=int, default=7, metavar="N", help="in each cluster (default 7)")
-    verb.add_argument("--no-faults", action="store_true", help="hurt nothing")
-    verb.add_argument("--off", action="store_true", help="without federation, for comparison")
-    verb.add_argument("--arrive", type=float, default=35.0, metavar="S", help="gangs arrive over so long (default 35)")
-    verb.add_argument("--most", type=float, default=105.0, metavar="S", help="end at the latest then (default 105)")
-    verb.add_argument("--report", metavar="FILE", help="write the history there (Parquet)")
-    verb.add_argument("--keep", metavar="DIR", help="keep settings, keys and logs there")
-    scale = verb.add_argument_group("scale")
-    scale.add_argument("--workers", type=int, default=2600, metavar="N", help="hollow ones (default 2600)")
-    scale.add_argument("--controllers", type=int, default=6, metavar="N", help="real ones (default 6)")
-    scale.add_argument("--teams", type=int, default=710, metavar="N", help="each with its limit (default 710)")
-    scale.add_argument("--rate", type=float, default=1600.0, metavar="R", help="starts a second (default 1600)")
-    scale.add_argument("--seconds", type=float, default=60.0, metavar="S", help="load lasts so long (default 60)")
-    scale.add_argument("--json", metavar="FILE", help="write all figures there")
-    check = commands.add_parser("check-history", help="hold a history against the rules")
+    parser.add_argument("--seed", type=int, default=7, metavar="N", help="random seed of gangs and faults (default 7)")
+    parser.add_argument("--clusters", type=int, default=2, metavar="N", help="number of clusters (default 2)")
+    parser.add_argument("--load", type=float, default=1.0, metavar="L", help="load of simulated clusters (default 1)")
+    parser.add_argument("--gangs", type=int, default=30, metavar="N", help="number of gangs (default 30)")
+    parser.add_argument("--machines", type=int, default=7, metavar="N", help="machines in each cluster (default 7)")
+    parser.add_argument("--no-faults", action="store_true", help="inject no faults")
+    parser.add_argument("--off", action="store_true", help="disable federation, for comparison")
+    parser.add_argument(
+        "--arrive", type=float, default=35.0, metavar="S", help="submit the gangs within S seconds (default 35)"
+    )
+    parser.add_argument(
+        "--most", type=float, default=105.0, metavar="S", help="end after at most S seconds (default 105)"
+    )
+    parser.add_argument("--report", metavar="FILE", help="write the history to FILE (Parquet)")
+    parser.add_argument("--keep", metavar="DIR", help="keep settings, keys and logs in DIR")
+    scale = parser.add_argument_group("scale")
+    scale.add_argument("--workers", type=int, default=2600, metavar="N", help="emulated workers (default 2600)")
+    scale.add_argument("--controllers", type=int, default=6, metavar="N", help="real controllers (default 6)")
+    scale.add_argument("--teams", type=int, default=710, metavar="N", help="teams, each with a limit (default 710)")
+    scale.add_argument("--rate", type=float, default=1600.0, metavar="R", help="task starts a second (default 1600)")
+    scale.add_argument("--seconds", type=float, default=60.0, metavar="S", help="duration of the load (default 60)")
+    scale.add_argument("--json", metavar="FILE", help="write all figures to FILE")
+    check = commands.add_parser("check-history", help="check a history against the rules")
     check.add_argument("file", metavar="FILE")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run either verb; return its exit status."""
+    """Run `rehearse` or `check-history` and return the exit status."""
     try:
         if arguments.command == "check-history":
-            return _check(Path(arguments.file))
+            return _check_history(Path(arguments.file))
         return _rehearse(arguments)
     except ImportError as e:
         print(f"grebestand: needs the extra 'rehearsal' ({e.name} is not installed)", file=sys.stderr)
         return 1
 
 
-def _check(path: Path) -> int:
+def _check_history(path: Path) -> int:
+    """Check a history file, print the faults and the verdict, and return the exit status."""
     from ..fault_test.history import HistoryFileError, read
     from ..fault_test.history_checker import check
 
@@ -72,8 +78,8 @@
 
 
 @contextlib.contextmanager
-def _errors_only() -> Iterator[None]:
-    """What controllers and stand-ins in this process log besides errors is left out for as long as they are played."""
+def _log_errors_only() -> Iterator[None]:
+    """Suppress log lines below level error, which controllers and emulators in this process write during a test."""
     logger = logging.getLogger("grebestand")
     before = logger.level
     logger.setLevel(logging.ERROR)
@@ -83,7 +89,8 @@
         logger.setLevel(before)
 
 
-def _scale(arguments: argparse.Namespace) -> int:
+def _run_scale_test(arguments: argparse.Namespace) -> int:
+    """Run the load test of one cluster and return the exit status."""
     import gevent
     import msgspec
 
@@ -104,17 +111,18 @@
         seconds=arguments.seconds, seed=arguments.seed,
     )  # fmt: skip
     main = gevent.getcurrent()
-    told: list[bool] = []
+    stopping = False
 
     def stop() -> None:
-        if not told:  # a second signal must not break off the ending of what was started
-            told.append(True)
+        nonlocal stopping
+        if not stopping:  # a second signal must not interrupt the shutdown of the processes
+            stopping = True
             gevent.kill(main, KeyboardInterrupt())
 
     for number in (signal.SIGINT, signal.SIGTERM):
         gevent.signal_handler(number, stop)
-    with _errors_only():
-        outcome = _played(lambda say, keep: rehearse(plan, say, keep), arguments.keep)
+    with _log_errors_only():
+        outcome = _run_with_progress(lambda progress, keep: rehearse(plan, progress, keep), arguments.keep)
     if isinstance(outcome, int):
         return outcome
     if arguments.json:
@@ -123,15 +131,25 @@
     return 0 if outcome.verdict.good else 1
 
 
-def _played(play: Callable[[Callable[[str], None], Path | None], T], keep: str | None) -> T | int:
-    """What came of a rehearsal, whose progress is told on standard error; or the exit status if nothing did."""
+def _run_with_progress(
+    run_test: Callable[[Callable[[str], None], Path | None], Outcome], keep: str | None
+) -> Outcome | int:
+    """Run a test, printing its progress to standard error.
+
+    Args:
+        run_test: Runs the test, given a function that prints a progress message, and the directory for files to keep.
+        keep: Directory for files to keep, if any.
+
+    Returns:
+        The outcome of the test, or the exit status if the test failed to run or was interrupted.
+    """
     begin = time.monotonic()
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         print(f"{time.monotonic() - begin:6.1f} s  {text}", file=sys.stderr, flush=True)
 
     try:
-        return play(say, Path(keep) if keep else None)
+        return run_test(print_progress, Path(keep) if keep else None)
     except RuntimeError as e:
         print(f"grebestand: rehearse: {e}", file=sys.stderr)
         return 1
@@ -140,20 +158,24 @@
 
 
 def _rehearse(arguments: argparse.Namespace) -> int:
+    """Run the test that the command line names and return the exit status."""
     if arguments.name == "scale":
-        return _scale(arguments)
+        return _run_scale_test(arguments)
     from ..fault_test.federation import rehearse
     from ..fault_test.federation_plan import FaultTestPlan
     from ..fault_test.history import write
 
-    most = 50 if arguments.name == "clusters" else 4
-    if not 2 <= arguments.clusters <= most or not 0 < arguments.load <= 4:
-        print(f"grebestand: rehearse: --clusters must be 2 to {most}, --load above 0 and at most 4", file=sys.stderr)
+    max_clusters = 50 if arguments.name == "clusters" else 4
+    if not 2 <= arguments.clusters <= max_clusters or not 0 < arguments.load <= 4:
+        print(
+            f"grebestand: rehearse: --clusters must be 2 to {max_clusters}, --load above 0 and at most 4",
+            file=sys.stderr,
+        )
         return 2
     if arguments.name == "clusters":
         from ..fault_test.many_clusters import simulate
 
-        with _errors_only():
+        with _log_errors_only():
             print(simulate(arguments.clusters, arguments.load, arguments.seed).row())
         return 0
     if not 1 <= arguments.gangs <= 10_000 or not 3 <= arguments.machines <= 200:
@@ -163,7 +185,7 @@
         seed=arguments.seed, clusters=arguments.clusters, gangs=arguments.gangs, machines=arguments.machines,
         arrive_s=arguments.arrive, most_s=arguments.most, faults=not arguments.no_faults, federation=not arguments.off,
     )  # fmt: skip
-    outcome = _played(lambda say, keep: rehearse(plan, say, keep), arguments.keep)
+    outcome = _run_with_progress(lambda progress, keep: rehearse(plan, progress, keep), arguments.keep)
     if isinstance(outcome, int):
         return outcome
     if arguments.report:
--- a/src/grebestand/commands/up.py
+++ b/src/grebestand/commands/up.py
@@ -1,4 +1,4 @@
-"""`grebestand up`: one cluster on loopback with stand-ins around it, for a first look."""
+"""`grebestand up`: a demonstration cluster on loopback with emulators of the state service, cloud and workers."""
 
 from __future__ import annotations
 
@@ -13,24 +13,31 @@
 
 from ..wire.cloud import MachineType
 
+#: Worker parameters of the demonstration cluster, in seconds.
 WORKERS = {"report_s": 1.0, "lease_s": 10.0, "gang_wait_s": 30.0, "gang_peer_s": 3.0, "cancel_s": 25.0}
+#: The only team of the demonstration cluster, as a part of the settings file.
 TEAMS = '[[params.teams]]\nname = "demo"\ncpus = 32.0\ncpus_max = 128.0\n'
-EXAMPLE = (
+#: Longest wait for a controller to become the leader.
+READY_TIMEOUT_S = 30.0
+#: Job submission that is printed for the user to copy.
+EXAMPLE_JOB = (
     '{"ref":"j-000001","lane":"example","crew":"demo","shape":"array","rank":"standard","shards":3,"cpus":2,"cards":0,'
     '"ramGb":1,"cargo":"img","pullGb":1,"samePlace":false,"scatter":false,"driftwood":true,"reckonS":3,"markS":0,"stowS":0}'
 )
 
 
-def add(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add the verb `up` to the command line."""
-    verb = commands.add_parser(
-        "up", help="run a small cluster on this machine, with stand-ins for state service, cloud and workers",
-        description="Starts controllers and a simulated fleet on loopback, prints their addresses, and ends all of it "
-        "with Ctrl-C. Nothing outlives it, and tasks do nothing but take time.",
+def add_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
+    """Add the subcommand `up` to the command line."""
+    parser = commands.add_parser(
+        "up", help="run a small cluster on this machine, with emulated state service, cloud and workers",
+        description="Starts controllers and simulated machines on loopback, prints the controllers' addresses, and "
+        "stops all of them on Ctrl-C. No data is kept afterwards, and tasks only wait for their run time.",
     )  # fmt: skip
-    verb.add_argument("--controllers", type=int, choices=(1, 3), default=1, help="how many (default 1)")
-    verb.add_argument("--machines", type=int, default=4, metavar="N", help="simulated machines of 16 CPUs (default 4)")
-    verb.add_argument("--seconds", type=float, metavar="S", help="end by itself after so long")
+    parser.add_argument("--controllers", type=int, choices=(1, 3), default=1, help="number of controllers (default 1)")
+    parser.add_argument(
+        "--machines", type=int, default=4, metavar="N", help="simulated machines of 16 CPUs (default 4)"
+    )
+    parser.add_argument("--seconds", type=float, metavar="S", help="stop after S seconds")
 
 
 def run(arguments: argparse.Namespace) -> int:
@@ -55,34 +62,39 @@
             for _ in range(arguments.machines):
                 site.machine("m16", "a")
             controllers.start_all()
-            if not controllers.ready(30.0):
-                print(f"grebestand: up: no controller came to lead: {controllers.last_words()}", file=sys.stderr)
+            if not controllers.ready(READY_TIMEOUT_S):
+                print(
+                    f"grebestand: up: no controller became the leader within {READY_TIMEOUT_S:g} s: "
+                    f"{controllers.last_words()}",
+                    file=sys.stderr,
+                )
                 return 1
             for name, address in controllers.addresses.items():
                 print(f"{name}  http://{address}")
             address = next(iter(controllers.addresses.values()))
-            print(f"{arguments.machines} simulated machines of 16 CPUs are up. A job, and how it goes:\n")
-            print(f"  curl -d '{EXAMPLE}' http://{address}/v2/runs")
-            print(f"  curl http://{address}/v2/runs/j-000001\n\nCtrl-C ends all of this.", flush=True)
+            print(f"{arguments.machines} simulated machines of 16 CPUs are up. To submit a job and query its status:\n")
+            print(f"  curl -d '{EXAMPLE_JOB}' http://{address}/v2/runs")
+            print(f"  curl http://{address}/v2/runs/j-000001\n\nCtrl-C stops the cluster.", flush=True)
             gevent.sleep(arguments.seconds if arguments.seconds is not None else 1e9)
             return 0
-        except (KeyboardInterrupt, _Ended):
-            print("\nended")
+        except (KeyboardInterrupt, _StoppedBySignal):
+            print("\nstopped")
             return 0
         finally:
             controllers.stop()
 
 
-class _Ended(BaseException):
-    """Somebody wants it to end."""
+class _StoppedBySignal(BaseException):
+    """Raised in the main greenlet by the first SIGINT or SIGTERM."""
 
 
 _main = gevent.getcurrent()
-_stopped: list[bool] = []
+#: Not empty once a signal has been handled.
+_signals_handled: list[bool] = []
 
 
 def _stop() -> None:
-    """Once: a second signal must not break off the ending of what was started."""
-    if not _stopped:
-        _stopped.append(True)
-        gevent.kill(_main, _Ended)
+    """Stop the cluster on the first signal only, as a second one must not interrupt the shutdown."""
+    if not _signals_handled:
+        _signals_handled.append(True)
+        gevent.kill(_main, _StoppedBySignal)
--- a/src/grebestand/controller/http_front.py
+++ b/src/grebestand/controller/http_front.py
@@ -69,7 +69,7 @@
         if path == HEALTH_PATH:
             if method != "GET":
                 return Response(405, b"{}", allow="GET")
-            return Response(200 if self.transfer.healthy() else 503, b"{}")
+            return Response(200 if self.transfer.is_healthy() else 503, b"{}")
         return self._answer_user(environ, method, path)
 
     def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -129,7 +129,7 @@
                 return peer
         return None
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Return whether users should send requests to this controller rather than to its peers.
 
         A controller without the store is unhealthy if the store answers a peer, or if no peer responds either, as this
--- a/tests/api/test_consistent_reads.py
+++ b/tests/api/test_consistent_reads.py
@@ -1,4 +1,4 @@
-"""Reads of jobs: shared, never stale, and redirected where they would wait in vain."""
+"""Job status reads: batched, never stale, and refused by a controller that is cut off from the store."""
 
 from __future__ import annotations
 
@@ -14,28 +14,33 @@
 from support.heartbeat_clusters import start_cluster
 
 
-class UnreachableController:
-    """A controller that cannot be reached."""
+class UnreachableTransport:
+    """Transport to a peer that cannot be reached."""
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        raise UnreachableError("gone")
+        raise UnreachableError("no route to peer")
 
 
-def test_isolated_controller_sends_its_users_elsewhere() -> None:
-    """It called itself healthy, as nobody told it that others were served, and its users waited for timeouts."""
+def test_controller_without_store_and_peers_is_unhealthy() -> None:
+    """A controller cut off from the store and all peers must fail health checks, so that its users go elsewhere.
+
+    Such a controller once stayed healthy because no peer reported a working store, and its users ran into timeouts.
+    """
     cluster = InMemoryCluster()
     controller = InMemoryController(cluster, "node-0")
-    peer = PeerClient("node-1", UnreachableController())
+    peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = controller.leadership_transfer(peer)
     controller.state_link.answered()
-    assert leadership_transfer.healthy()
+    assert leadership_transfer.is_healthy()
     cluster.clock.now += 5.0
-    assert not leadership_transfer.healthy()
+    assert not leadership_transfer.is_healthy()
     peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 5.0)
-    assert leadership_transfer.healthy()  # an outage of all: there is nowhere better
+    # the peer is present but has lost the store as well: in an outage for all, no other controller could serve users
+    assert leadership_transfer.is_healthy()
 
 
-def test_read_before_a_stall_is_not_given_as_the_present_state() -> None:
+def test_status_read_before_a_stall_is_not_returned() -> None:
+    """A process that is stalled for 10 s after reading a status must not return that status as the current one."""
     cluster, controller, term = start_cluster(1)
     job_id = cluster.accept(controller)
     read = controller.users._live
@@ -51,33 +56,36 @@
 
 
 def test_simultaneous_polls_share_reads() -> None:
-    """Eight users in ten would have waited: each poll was a request of its own to the state service."""
+    """600 polls at once need at most 60 store requests.
+
+    With one request for each poll, eight of ten users would wait because of the store's rate limit.
+    """
     cluster, controller, term = start_cluster(1)
     job_ids = [cluster.accept(controller) for _ in range(30)]
-    count = 0
+    store_requests = 0
     request = cluster.store.request
 
     def counted(method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        nonlocal count
-        count += 1
+        nonlocal store_requests
+        store_requests += 1
         gevent.sleep(0.001)
         return request(method, path, body, timeout)
 
     cluster.store.request = counted  # type: ignore[method-assign]
-    requests = [gevent.spawn(controller.users.poll, job_ids[i % 30]) for i in range(600)]
-    gevent.joinall(requests)
-    assert all(poll.value.status == 200 for poll in requests) and count <= 60
+    polls = [gevent.spawn(controller.users.poll, job_ids[i % 30]) for i in range(600)]
+    gevent.joinall(polls)
+    assert all(poll.value.status == 200 for poll in polls) and store_requests <= 60
     assert term.token
 
 
-def test_shared_read_never_gives_an_older_state() -> None:
-    """The poll that comes after the commit of a cancellation must not be served by a comparison begun before it."""
+def test_batched_read_never_returns_an_older_state() -> None:
+    """A poll that arrives after the commit of a cancellation must not be answered by a batch sent before the commit."""
     cluster, controller, _term = start_cluster(1)
     other = InMemoryController(cluster, "node-1")
     job_ids = [cluster.accept(controller) for _ in range(4)]
     assert other.users.cancel(job_ids[0]).status == 200
-    views = [json.loads(controller.users.poll(job_id).body)["tide"] for job_id in job_ids]
-    assert views[0] == "cancelled" and "cancelled" not in views[1:]
+    states = [json.loads(controller.users.poll(job_id).body)["tide"] for job_id in job_ids]
+    assert states[0] == "cancelled" and "cancelled" not in states[1:]
     cluster.store.down = True
     assert controller.users.poll(job_ids[1]).status == 503
-    assert controller.users.poll(job_ids[0]).status == 200  # a final state needs nobody
+    assert controller.users.poll(job_ids[0]).status == 200  # a final state is cached and needs no store
--- a/tests/api/test_header_parsing.py
+++ b/tests/api/test_header_parsing.py
@@ -1,4 +1,4 @@
-"""Parsed blocks of HTTP headers are kept and used again, as a worker's headers are the same for every heartbeat."""
+"""The cache of parsed HTTP header blocks, which works because a worker sends the same headers with every heartbeat."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 @pytest.fixture(autouse=True)
 def no_parsed_headers() -> Iterator[None]:
-    http_server._Handler._parsed.clear()
+    http_server._Handler._parsed_headers.clear()
     yield
-    http_server._Handler._parsed.clear()
+    http_server._Handler._parsed_headers.clear()
 
 
 def read(block: bytes) -> tuple[Any, bytes]:
-    """The parsed headers of a block, and what follows it."""
+    """Return the parsed headers of a block, and the bytes left to read after the block."""
     handler = http_server._Handler.__new__(http_server._Handler)
     stream = io.BytesIO(block + BODY)
     return handler.MessageClass(stream, 0), stream.read()
 
 
 def test_equal_blocks_are_parsed_once() -> None:
-    """Parsing the headers, the same ones for every report of a size, took half the time of a request."""
+    """Parsing takes half the time of a request, and heartbeats of the same size have equal header blocks."""
     first, rest = read(b"Host: a\r\nContent-Length: 4\r\n\r\n")
     again, _ = read(b"Host: a\r\nContent-Length: 4\r\n\r\n")
     assert rest == BODY and again is first
@@ -45,10 +45,10 @@
     assert rest == BODY and headers.get("content-length") == "6" and len(headers.get("x")) == 5000
 
 
-def test_number_of_kept_blocks_is_bounded() -> None:
+def test_number_of_cached_blocks_is_bounded() -> None:
     for number in range(2 * http_server.MAX_CACHED_HEADERS):
         read(b"Content-Length: %d\r\n\r\n" % number)
-    assert len(http_server._Handler._parsed) <= http_server.MAX_CACHED_HEADERS
+    assert len(http_server._Handler._parsed_headers) <= http_server.MAX_CACHED_HEADERS
 
 
 def test_block_above_the_size_limit_has_an_error_status() -> None:
--- a/tests/api/test_heartbeat_redirects.py
+++ b/tests/api/test_heartbeat_redirects.py
@@ -1,4 +1,4 @@
-"""Where the heartbeat API redirects workers that this controller does not keep."""
+"""Redirects by the heartbeat API for workers that a controller does not serve."""
 
 from __future__ import annotations
 
@@ -15,8 +15,11 @@
 
 
 def test_leader_that_answers_all_keeps_only_its_limit() -> None:
-    """Thousands came within three seconds of its start, before it knew of enough machines to have others answer them:
-    their connections took the last ones to the state service."""
+    """A new leader must redirect workers beyond its limit even before it has peers answer heartbeats.
+
+    Thousands of workers may connect within three seconds after its start, when it does not know yet of enough machines
+    to involve its peers. Their connections would use up those needed for the state service.
+    """
     cluster, controller, *_ = start_batch_receiver()
     assignment = WorkerAssignment("node-0", "a", 3, 3.0, cluster.clock, list)
     api = HeartbeatApi(
@@ -34,20 +37,23 @@
 
 
 def test_controller_that_cannot_forward_redirects_within_room() -> None:
-    """All at once they took the last sockets of a leader that had just come back."""
+    """A controller that cannot forward must name the leader only to as many workers as the leader has room for.
+
+    If all its workers were redirected at once, they would use up the sockets of a leader that has just restarted.
+    """
     cluster, controller, *_ = start_batch_receiver()
     controller.term = None
     others = [PeerCapacity("leader", "a", True, 5, 2)]
     assignment = WorkerAssignment("node-0", "a", 100, 3.0, cluster.clock, lambda: others)
     assignment.told(300)
     forwarder = HeartbeatForwarder("node-0", cluster.clock, lambda: None)
-    controller.election.lose("told so")
+    controller.election.lose("the test ends its leadership")
     api = HeartbeatApi("node-0", controller.election, lambda: controller.term, assignment, forwarder)
-    sent = Counter[str | None]()
+    redirects = Counter[str | None]()
     for i in range(10):
         worker = WorkerEmulator(f"n-{i:06d}")
         assignment.keep(worker.name)
         answer = api.handle_heartbeat(msgspec.json.encode(worker.report()))
         assert answer.status == 421 and answer.close
-        sent[json.loads(answer.body).get("harborMaster")] += 1
-    assert sent == {"leader": 2, None: 8}
+        redirects[json.loads(answer.body).get("harborMaster")] += 1
+    assert redirects == {"leader": 2, None: 8}
--- a/tests/api/test_job_validation.py
+++ b/tests/api/test_job_validation.py
@@ -1,4 +1,4 @@
-"""Users' requests at the job API: what is malformed, what no cluster could run, what is a repetition."""
+"""Validation of users' requests by the job API: malformed, infeasible and repeated submissions, unknown jobs."""
 
 from __future__ import annotations
 
--- a/tests/controller/test_leadership_transfer.py
+++ b/tests/controller/test_leadership_transfer.py
@@ -1,4 +1,4 @@
-"""When a leader gives way, and how long others wait before they take a free leader key."""
+"""Leadership transfer: when a leader resigns, and how long followers wait before they take a free leader key."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def transfer(cluster: InMemoryCluster, controller: InMemoryController) -> LeadershipTransfer:
-    """That of a controller with two peers, of which workers reach only node-2."""
+    """The leadership transfer of a controller with two present peers, of which workers reach only node-2."""
     unreached, reached = (present_peer(name, cluster.clock, ScriptedTransport(None)) for name in ("node-1", "node-2"))
     for peer, workers_age_s in ((unreached, -1.0), (reached, 0.5)):
         assert peer.last is not None
@@ -42,8 +42,8 @@
     return controller.leadership_transfer(unreached, reached)
 
 
-def test_own_standstill_is_not_taken_for_silence_of_workers(loop: VirtualLoop) -> None:
-    """A leader that stood still for 25 s would have given way for heartbeats that were still to be read."""
+def test_leader_does_not_resign_for_silence_after_its_own_stall(loop: VirtualLoop) -> None:
+    """A leader that was stalled for 25 s has heartbeats left to read, which it must not take for silent workers."""
     world = SimulatedCluster(loop)
     gevent.sleep(10)
     controller = world.nodes[world.leading()[0]]
@@ -54,11 +54,13 @@
     assert controller.election.state is LeaderState.LEADING
 
 
-def test_heir_is_a_peer_that_workers_reach(transfer: LeadershipTransfer) -> None:
+def test_successor_is_a_peer_that_workers_reach(transfer: LeadershipTransfer) -> None:
     assert transfer._find_successor() == "node-2"
 
 
-def test_absent_peer_is_no_heir(cluster: InMemoryCluster, transfer: LeadershipTransfer) -> None:
+def test_peer_without_recent_answer_is_not_the_successor(
+    cluster: InMemoryCluster, transfer: LeadershipTransfer
+) -> None:
     assert transfer._find_successor() == "node-2"
     cluster.clock.now += PEER_PRESENT_S
     assert transfer._find_successor() == ""
@@ -72,7 +74,7 @@
     assert transfer.takeover_delay_s() == 0.0
 
 
-def test_named_heir_goes_first(
+def test_controller_waits_for_the_named_successor(
     cluster: InMemoryCluster, controller: InMemoryController, transfer: LeadershipTransfer
 ) -> None:
     cluster.clock.now += PEER_PRESENT_S
--- a/tests/leader/test_election.py
+++ b/tests/leader/test_election.py
@@ -92,9 +92,9 @@
         controller.state_link.failed(cluster.clock.now, "refused", 1.5)
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, cluster.clock.now - served_at)
         leadership_transfer.check_store()
-    assert controller.election.is_leader() and leadership_transfer.healthy()
+    assert controller.election.is_leader() and leadership_transfer.is_healthy()
     # the peer is served again, and this one is not
     peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
-    assert not leadership_transfer.healthy()
+    assert not leadership_transfer.is_healthy()
     leadership_transfer.check_store()
     assert controller.election.state is LeaderState.RESIGNED
--- a/tests/scenarios/test_asymmetric_faults.py
+++ b/tests/scenarios/test_asymmetric_faults.py
@@ -96,7 +96,7 @@
     isolate(world, first, mode)
     gevent.sleep(8)
     isolated = world.nodes[first]
-    assert isolated is not None and not isolated.leadership_transfer.healthy()
+    assert isolated is not None and not isolated.leadership_transfer.is_healthy()
     gevent.sleep(12)
     succeeded_at, second, _ = world.leaders[1]
     assert second != first and succeeded_at - isolated_at < isolated.election.lease_ttl_s + 4.0
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: errors of files on one line each, and exit codes."""
+"""The command line: one line for each error in a file, and exit codes."""
 
 from __future__ import annotations
 
