--- a/src/grebestand/cluster_state/machine.py
+++ b/src/grebestand/cluster_state/machine.py
@@ -30,7 +30,7 @@
         "blocked_until",
         "capacity",
         "change_count",
-        "drain",
+        "drain_reason",
         "empty_since",
         "epoch",
         "error_at",
@@ -134,7 +134,7 @@
         self.error_at = -math.inf
         self.error_jobs: set[str] = set()
         #: Why it is drained, if it is.
-        self.drain: str | None = None
+        self.drain_reason: str | None = None
         #: When the provider takes it back.
         self.terminates_at = math.inf
         #: Gigabytes of each image in its cache, the least recently used first.
@@ -191,7 +191,7 @@
                 del self.image_fetches[job.image]  # nothing waits for it any more, so the worker gives up the fetch
         elif job.image in self.images:
             self.images.move_to_end(job.image)  # used until now
-        if allocation.stop is not None:
+        if allocation.stop_reason is not None:
             self.stopping_count -= 1
         del self.allocations[allocation.name]
         if not self.allocations:
