--- a/src/grebestand/controller/leader_loop.py
+++ b/src/grebestand/controller/leader_loop.py
@@ -93,7 +93,7 @@
         """
         term = self.current_term.term
         if term is None or not term.loaded:
-            self.election.move(LeaderState.LOADING, "lease renewed after a pause; records still to be loaded")
+            self.election.change_state(LeaderState.LOADING, "lease renewed after a pause; records still to be loaded")
             return
         term.job_watch.catch_up()
         # while `catch_up` was reading, the term may have ended or a worker may have reported a higher fencing token
@@ -102,4 +102,4 @@
             and self.election.state is LeaderState.PAUSED
             and not self.election.challenging_token
         ):
-            self.election.move(LeaderState.LEADING, "lease renewed after a pause; cancellations read")
+            self.election.change_state(LeaderState.LEADING, "lease renewed after a pause; cancellations read")
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -245,7 +245,7 @@
         except StoreError as error:
             log.info(LogEvent("leader_key_not_removed", controller=notice.name, token=notice.token, reason=error))
 
-    def takeover_delay_s(self) -> float:
+    def campaign_delay_s(self) -> float:
         """Return how long the leader key has to be free before this controller takes the key, in seconds.
 
         A controller that workers have reached recently does not wait. Workers contact followers only after the leader
--- a/src/grebestand/controller/peer_events.py
+++ b/src/grebestand/controller/peer_events.py
@@ -44,7 +44,7 @@
 
     def on_leader_restarted(self, name: str) -> None:
         """Handle the restart of the leader named `name`, whose term ended with its earlier process."""
-        self.election.ended(name)
+        self.election.record_leader_restart(name)
 
     def on_peer_recovered(self) -> None:
         """Wake requests that wait for a peer which was unresponsive and now answers or refuses connections."""
--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -99,7 +99,7 @@
         self.clock = clock
         self.rng = rng
 
-    def on_leadership_changed(self, previous: LeaderState, current: LeaderState) -> None:
+    def on_election_state_changed(self, previous: LeaderState, current: LeaderState) -> None:
         """Begin or end a term after the election changed from state `previous` to `current`."""
         self.write_budget.adjust(current)
         term = self.current_term.term
@@ -124,7 +124,7 @@
             return
         if self.election.state is LeaderState.LOADING:
             self.assignment_loop.decide_assignment_mode(term)
-            self.election.move(LeaderState.LEADING, "records loaded")
+            self.election.change_state(LeaderState.LEADING, "records loaded")
         for step in term_steps(term, self.features):
             gevent.spawn(self._repeat, term, step.run, step.pause_s)
         gevent.spawn(self._run_ticks, term)
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -220,9 +220,9 @@
     foundation: Foundation, term_runner: TermRunner, transfer: LeadershipTransfer, peer_api: PeerApi
 ) -> None:
     election = foundation.election
-    election.on_state_changed = term_runner.on_leadership_changed
-    election.on_leadership_news = foundation.leadership_changes.notify_all
-    election.patience = transfer.takeover_delay_s
+    election.on_state_changed = term_runner.on_election_state_changed
+    election.on_leadership_changed = foundation.leadership_changes.notify_all
+    election.campaign_delay_s = transfer.campaign_delay_s
     election.cancellation_horizon.cancellations_confirmed_up_to = peer_api.cancellations_confirmed_up_to
 
 
--- a/tests/controller/test_leadership_transfer.py
+++ b/tests/controller/test_leadership_transfer.py
@@ -71,7 +71,7 @@
 ) -> None:
     cluster.clock.now += PEER_PRESENT_S
     controller.workers_link.answered()
-    assert transfer.takeover_delay_s() == 0.0
+    assert transfer.campaign_delay_s() == 0.0
 
 
 def test_controller_waits_for_the_named_successor(
@@ -79,6 +79,6 @@
 ) -> None:
     cluster.clock.now += PEER_PRESENT_S
     controller.workers_link.answered()
-    assert transfer.takeover_delay_s() == 0.0
+    assert transfer.campaign_delay_s() == 0.0
     transfer.handle_resignation(ResignationNotice("node-1", 5, "node-2"))
-    assert transfer.takeover_delay_s() > 0.0 and controller.election.state is LeaderState.FOLLOWING
+    assert transfer.campaign_delay_s() > 0.0 and controller.election.state is LeaderState.FOLLOWING
