--- a/src/grebestand/controller/foundation.py
+++ b/src/grebestand/controller/foundation.py
@@ -48,7 +48,7 @@
 #: Share of the cloud's request rate that a controller uses, and its largest burst as seconds of the whole rate. The
 #: rate is not divided among the controllers, as nearly all cloud requests are sent by the leader.
 CLOUD_SHARE, CLOUD_BURST_S = 0.8, 1.0
-#: Part of the store's size limit of a value that stays unused, as the limit includes what encloses the value.
+#: Part of the store's size limit of a value that stays unused, as the limit also covers the encoding around the value.
 VALUE_RESERVE_BYTES = 16
 #: Time limit for connecting to a peer; shorter than the second between two status exchanges.
 PEER_CONNECT_TIMEOUT_S = 0.8
--- a/src/grebestand/controller/leader_loop.py
+++ b/src/grebestand/controller/leader_loop.py
@@ -1,4 +1,4 @@
-"""Follows the current leader, or renews this controller's own leader lease, and resigns when a peer leads better."""
+"""Follows the current leader, or renews this controller's leader lease and resigns if a peer should lead instead."""
 
 from __future__ import annotations
 
--- a/src/grebestand/controller/link_probes.py
+++ b/src/grebestand/controller/link_probes.py
@@ -20,7 +20,7 @@
 PROBE_TIMEOUT_S = 1.0
 #: Interval between two probes of the store: the shortest one, and the longest random part added to it.
 STORE_PROBE_INTERVAL_S, STORE_PROBE_JITTER_S = 0.8, 0.4
-#: The same for probes of workers, in heartbeat intervals.
+#: Interval between two probes of workers, in heartbeat intervals: the shortest one, and the longest random addition.
 WORKER_PROBE_INTERVALS, WORKER_PROBE_JITTER_INTERVALS = 0.4, 0.2
 
 
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -41,8 +41,8 @@
 from .term_factory import TermFactory
 from .term_runner import TermRunner
 
-#: Conditions that a transaction may have for each change that it may have. The store allows one more, which is left as
-#: a margin.
+#: Ratio of the number of conditions in a batched read to the number of changes that a transaction may have. The store
+#: allows a higher ratio for conditions; the difference is left as a margin.
 CONDITIONS_PER_CHANGE = 3
 
 
