--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -74,7 +74,7 @@
     def decide_assignment_mode(self, term: Term) -> None:
         """Decide on the leader whether all controllers answer heartbeats: by policy, or if one cannot serve all."""
         machines = len(term.inventory.machines) if self.directory.peers else 0
-        wanted = assignment_enabled(term.assignment_wanted, self.assignment.machines > 0, machines)
+        wanted = assignment_enabled(term.wants_heartbeat_assignment, self.assignment.machines > 0, machines)
         self.assignment.told(machines if wanted or machines > self.max_workers else 0)
 
     def on_peer_status(self, status: PeerStatus) -> None:
--- a/src/grebestand/controller/cancellations.py
+++ b/src/grebestand/controller/cancellations.py
@@ -47,7 +47,7 @@
         """Stop a cancelled job in this controller's term, if there is one whose records are loaded."""
         term = self.current_term.loaded()
         if term is not None:
-            term.job_watch.removed(job_id, self.clock())
+            term.job_watch.apply_removal(job_id, self.clock())
 
     def recent(self) -> list[str]:
         """Return the ids of recently cancelled jobs for the next status, oldest first, and drop older entries."""
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -46,13 +46,13 @@
         super().__init__(context)
         self.direct = direct
         #: every machine that was on record when the term began has been reconciled
-        self.proved = False
+        self.all_reconciled = False
         #: indices of machines with a query under way
         self.queries_under_way: set[int] = set()
 
     def check(self, now: float) -> None:
         """Release the unseen tasks of jobs whose possible holders have all been reconciled."""
-        if self.proved:
+        if self.all_reconciled:
             return
         reconciled, self.inventory.newly_reconciled = self.inventory.newly_reconciled, []
         for index in reconciled:
@@ -60,7 +60,7 @@
                 self._stop_incomplete_gang(job, now)
         if self.inventory.unreconciled_count:
             return
-        self.proved = True
+        self.all_reconciled = True
         log.info(LogEvent("machines_reconciled", token=self.token, after_s=now - self.context.started_at))
         self.registry.changed = True
 
@@ -69,7 +69,7 @@
         if job.gang and job.live and job.allocations and len(job.allocations) < job.spec.tasks:
             self.dispatch.stop_job(job, "gang incomplete after takeover", 0.0, now)
 
-    def to_query(self, now: float) -> list[Machine]:
+    def select_machines_to_query(self, now: float) -> list[Machine]:
         """Return the machines to query now: unreconciled ones, and those whose heartbeats are contradictory."""
         inventory = self.inventory
         wanted, inventory.to_query = inventory.to_query, set()
@@ -85,7 +85,7 @@
         inventory.to_query = wanted - {m.index for m in chosen}
         return chosen
 
-    def ask(self, machine: Machine) -> None:
+    def query(self, machine: Machine) -> None:
         """Show a machine this term's token; its answer says what it runs, and that requests arrive there.
 
         Unwanted tasks are stopped at once: until its next heartbeat they would keep it from being reconciled.
--- a/tests/controller/test_leadership_transfer.py
+++ b/tests/controller/test_leadership_transfer.py
@@ -49,7 +49,7 @@
     controller = world.nodes[world.leading()[0]]
     assert controller is not None and controller.term is not None
     controller.leadership_transfer.checked_workers_at -= 25.0
-    controller.term.heartbeat_handler.last_heard_at -= 25.0
+    controller.term.heartbeat_handler.last_heartbeat_at -= 25.0
     controller.leadership_transfer.check_workers()
     assert controller.election.state is LeaderState.LEADING
 
