--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -173,12 +173,12 @@
             self._silence_resignations = min(self._silence_resignations + 1, MAX_BACKOFF_STEPS)
             self.workers_link.silent(0.0, 0.0)
             self.resign(f"no heartbeat from any worker for {silence_s:.1f} s", self._find_successor())
-        elif handler.heard_in_term and now - handler.last_heard_at < self.heartbeat_interval_s:
+        elif handler.heartbeat_received_in_term and now - handler.last_heartbeat_at < self.heartbeat_interval_s:
             self._silence_resignations = 0
 
     def _silence_limit_s(self, term: Term) -> float:
         """Return the silence of all workers, in seconds, after which the leader counts as cut off from them."""
-        many = term.heartbeat_handler.heard_in_term and len(term.inventory.machines) >= MANY_MACHINES
+        many = term.heartbeat_handler.heartbeat_received_in_term and len(term.inventory.machines) >= MANY_MACHINES
         intervals = MANY_MACHINES_SILENCE_INTERVALS if many else SILENCE_INTERVALS
         return intervals * self.heartbeat_interval_s * (1 + self._silence_resignations)
 
@@ -212,7 +212,7 @@
         """Return the duration of overload after which the leader resigns, in seconds."""
         limit_s = OVERLOAD_RESIGN_AFTER_S * (1 + self._overload_resignations)
         term = self.term()
-        if term is not None and not term.machine_reconciliation.proved:
+        if term is not None and not term.machine_reconciliation.all_reconciled:
             return limit_s * RECONCILING_DELAY_FACTOR
         return limit_s
 
--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -200,8 +200,8 @@
 
         Each request runs in a greenlet of its own, so that a worker that does not respond delays no other request.
         """
-        for machine in term.machine_reconciliation.to_query(now):
-            gevent.spawn(term.machine_reconciliation.ask, machine)
+        for machine in term.machine_reconciliation.select_machines_to_query(now):
+            gevent.spawn(term.machine_reconciliation.query, machine)
         urgent, term.dispatch.urgent = term.dispatch.urgent, set()
         for index in urgent:
             ready = term.inventory.at(index)
--- a/tests/api/test_heartbeat_redirects.py
+++ b/tests/api/test_heartbeat_redirects.py
@@ -47,7 +47,7 @@
     assignment = WorkerAssignment("node-0", "a", 100, 3.0, cluster.clock, lambda: others)
     assignment.told(300)
     forwarder = HeartbeatForwarder("node-0", cluster.clock, lambda: None)
-    controller.election.lose("the test ends its leadership")
+    controller.election.end_term("the test ends its leadership")
     api = HeartbeatApi("node-0", controller.election, lambda: controller.term, assignment, forwarder)
     redirects = Counter[str | None]()
     for i in range(10):
