--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -61,8 +61,8 @@
         self.sockets = foundation.connections
         self.spread = parts.relay.assignment
         self.receiver = parts.relay.receiver
-        self.peers = parts.peer_api
-        self.users = parts.job_api
+        self.peer_api = parts.peer_api
+        self.job_api = parts.job_api
         self.direct_commands = parts.direct_commands
         self.leadership_transfer = parts.leadership_transfer
         self.http_front = parts.http_front
@@ -117,7 +117,7 @@
         """Listen on all addresses, spawn all loops, and serve requests until the process ends."""
         server = listen_bounded(self.settings.listen, "serve_on", self.app, self.sockets, self.spread.ended)
         peer_connections = max(MIN_PEER_CONNECTIONS, self.sockets.from_peers)
-        listen(self.settings.peer_listen, "peer_listen", self.peers.app, peer_connections).start()
+        listen(self.settings.peer_listen, "peer_listen", self.peer_api.app, peer_connections).start()
         for extra in self.features.listeners:
             listen(extra.address, extra.field, extra.app, extra.connections, extra.gate).start()
         self.begin()
