--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -89,7 +89,7 @@
 
     def cancel(self, ref: str) -> bool:
         """Cancel a job as if a user had requested it; return whether the job is completed or cancelled now."""
-        return self.users.cancel(ref).status == 200
+        return self.job_api.cancel(ref).status == 200
 
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
         """Send a message to the peer that is the leader by both the leader key and the peer's latest status.
@@ -101,7 +101,7 @@
         Returns:
             The peer's answer, or None if no such peer is known or the peer did not answer.
         """
-        for peer in self.peers.peers:
+        for peer in self.peer_api.peers:
             if peer.last is not None and peer.last.token and peer.name == self.election.leader:
                 return peer.send(path, body)
         return None
--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -117,7 +117,7 @@
         """Load the records of a term, then lead and spawn the term's loops, unless the term ends before."""
         self._load(term)
         if self._is_current(term):
-            term.status_broadcast.learn_images(self.peer_api.find_cached_images())
+            term.status_broadcast.restore_cached_images(self.peer_api.find_cached_images())
         while self._is_current(term) and self.election.state is LeaderState.PAUSED:
             gevent.sleep(PAUSED_POLL_S)
         if not self._is_current(term):
