--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -104,7 +104,7 @@
         self.store = store
         self.batched_reads = batched_reads
         self.teams = {team.name: team for team in teams}
-        self.value_bytes = max_value_bytes
+        self.max_value_bytes = max_value_bytes
         self.wall_clock = wall_clock
         self.clock = clock
         self.machine_types = machine_types
@@ -240,7 +240,7 @@
         """
         spec = decode_spec(body)
         record = _json.encode(LiveJobRecord(spec, self.wall_clock()))
-        if len(record) > self.value_bytes:
+        if len(record) > self.max_value_bytes:
             raise MalformedError("the job's description is too large to be kept")
         check_can_run(spec, self.teams, self.machine_types())
         refusal = self.features.refusal(spec)
--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -33,7 +33,7 @@
 #: Time without a response after which workers are no longer redirected to a peer.
 UNRESPONSIVE_TOLERATED_S = 2.0
 #: Interval of the leader's messages that list which machines cache which images.
-IMAGES_S = 5.0
+CACHED_IMAGES_INTERVAL_S = 5.0
 #: How long a cancellation is repeated in each status message.
 CANCELLATION_KEPT_S = 30.0
 #: Maximum number of cancellations in a status message; the oldest are left out.
@@ -228,7 +228,7 @@
         seen_up_to = (peer.acknowledged_at if known_at >= peer.acknowledged_since else -math.inf for peer in self.peers)
         return min(seen_up_to, default=self.clock())
 
-    def hangs(self, name: str) -> bool:
+    def is_unresponsive(self, name: str) -> bool:
         """Return whether a peer has neither answered nor refused status exchanges for `UNRESPONSIVE_TOLERATED_S`."""
         now = self.clock()
         return any(
@@ -245,7 +245,7 @@
 
     # requests from peers ----------------------------------------------------------------------------------
 
-    def answer(self, path: str, body: bytes) -> bytes | None:
+    def handle_message(self, path: str, body: bytes) -> bytes | None:
         """Process a message from a peer.
 
         Args:
@@ -288,7 +288,7 @@
     def app(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
         """Answer one request of a peer, as a WSGI application."""
         try:
-            answer = self.answer(environ.get("PATH_INFO", ""), environ["wsgi.input"].read(MAX_MESSAGE_BYTES))
+            answer = self.handle_message(environ.get("PATH_INFO", ""), environ["wsgi.input"].read(MAX_MESSAGE_BYTES))
         except (msgspec.DecodeError, BatchRefusedError, OSError):
             start_response("400 Bad Request", [])
             return [b""]
--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -20,8 +20,8 @@
 
 log = logging.getLogger(__name__)
 
-#: read by tools/capacity.py
-RENEW_S, TELL_S = RENEW_INTERVAL_S, BROADCAST_DELAY_S
+#: Intervals that tools/capacity.py computes the load of renewals and broadcasts from.
+LEASE_RENEW_INTERVAL_S, CANCELLATION_BROADCAST_DELAY_S = RENEW_INTERVAL_S, BROADCAST_DELAY_S
 #: Minimum limit of connections from peers, even if the connection plan has fewer.
 MIN_PEER_CONNECTIONS = 64
 
@@ -58,9 +58,9 @@
         self.store = foundation.clients.store
         self.store_transport = foundation.clients.store_transport
         self.overload = foundation.overload
-        self.sockets = foundation.connections
-        self.spread = parts.relay.assignment
-        self.receiver = parts.relay.receiver
+        self.connections = foundation.connections
+        self.worker_assignment = parts.relay.assignment
+        self.batch_receiver = parts.relay.receiver
         self.peer_api = parts.peer_api
         self.job_api = parts.job_api
         self.direct_commands = parts.direct_commands
@@ -108,19 +108,21 @@
 
     # loops and servers ------------------------------------------------------------------------------------
 
-    def begin(self) -> None:
+    def start_loops(self) -> None:
         """Spawn all loops, each of which runs until the process ends."""
         for loop in self._loops:
             gevent.spawn(loop)
 
     def serve(self) -> None:
         """Listen on all addresses, spawn all loops, and serve requests until the process ends."""
-        server = listen_bounded(self.settings.listen, "serve_on", self.app, self.sockets, self.spread.ended)
-        peer_connections = max(MIN_PEER_CONNECTIONS, self.sockets.from_peers)
+        server = listen_bounded(
+            self.settings.listen, "serve_on", self.app, self.connections, self.worker_assignment.ended
+        )
+        peer_connections = max(MIN_PEER_CONNECTIONS, self.connections.from_peers)
         listen(self.settings.peer_listen, "peer_listen", self.peer_api.app, peer_connections).start()
         for extra in self.features.listeners:
             listen(extra.address, extra.field, extra.app, extra.connections, extra.gate).start()
-        self.begin()
+        self.start_loops()
         gevent.spawn(collect_garbage_by_time, gevent.sleep, self._has_spare_time)
         log.info(LogEvent("controller_started", controller=self.name, address=self.settings.listen))
         server.serve_forever()
--- a/src/grebestand/controller/http_front.py
+++ b/src/grebestand/controller/http_front.py
@@ -28,19 +28,19 @@
     def __init__(
         self,
         *,
-        users: JobApi,
-        workers: HeartbeatApi,
+        job_api: JobApi,
+        heartbeat_api: HeartbeatApi,
         transfer: LeadershipTransfer,
         overload: OverloadMonitor,
         workers_link: LinkHealth,
     ) -> None:
-        self.users = users
-        self.workers = workers
+        self.job_api = job_api
+        self.heartbeat_api = heartbeat_api
         self.transfer = transfer
         self.overload = overload
         self.workers_link = workers_link
         #: Number of user requests in progress.
-        self.users_busy = 0
+        self.active_user_requests = 0
 
     def app(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
         """Answer one request, as a WSGI application."""
@@ -81,7 +81,7 @@
             surplus: Whether `connection` exceeds the number of connections that the server keeps.
         """
         self.workers_link.answered()
-        return self.workers.handle_heartbeat(body, connection, surplus)
+        return self.heartbeat_api.handle_heartbeat(body, connection, surplus)
 
     def _answer_user(self, environ: dict[str, Any], method: str, path: str) -> Response:
         """Answer a user's request, or reject it with status 503 if connections or processing time are short.
@@ -90,10 +90,10 @@
         """
         if environ.get("grebestand.surplus"):
             return Response(503, b'{"error":"no connection is free"}', retry_after=1, close=True)
-        if not self.overload.admits(self.users_busy, poll=method == "GET"):
+        if not self.overload.admits(self.active_user_requests, poll=method == "GET"):
             return Response(503, b'{"error":"overloaded"}', retry_after=1)
-        self.users_busy += 1
+        self.active_user_requests += 1
         try:
-            return self.users.route(method, path, partial(read_body, environ))
+            return self.job_api.route(method, path, partial(read_body, environ))
         finally:
-            self.users_busy -= 1
+            self.active_user_requests -= 1
--- a/src/grebestand/controller/peer_loops.py
+++ b/src/grebestand/controller/peer_loops.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from ..api.peer_api import IMAGES_S, PeerApi
+from ..api.peer_api import CACHED_IMAGES_INTERVAL_S, PeerApi
 from ..clients.peer import PeerClient
 from ..flow_control.overload import OverloadMonitor
 from ..leader.election import LeaderElection
@@ -45,7 +45,7 @@
     def run(self) -> None:
         """Send the cached images while this controller leads and has spare capacity, until the process ends."""
         while True:
-            gevent.sleep(IMAGES_S)
+            gevent.sleep(CACHED_IMAGES_INTERVAL_S)
             term = self.current_term.loaded()
             if term is not None and self.election.is_leader() and self.overload.spare:
                 self.peer_api.send_images(term.status_broadcast.cached_images())
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -78,7 +78,7 @@
     job_api = _build_job_api(foundation, peer_api)
     heartbeat_api = HeartbeatApi(
         settings.name, foundation.election, foundation.current_term.get, relay.assignment, relay.forwarder,
-        peer_api.hangs, foundation.leadership_changes.wait,
+        peer_api.is_unresponsive, foundation.leadership_changes.wait,
     )  # fmt: skip
     direct_commands = DirectCommandSender(runtime, foundation.connections.direct)
     transfer = _build_leadership_transfer(foundation, peer_api)
@@ -94,8 +94,8 @@
         )
     )
     http_front = HttpFront(
-        users=job_api,
-        workers=heartbeat_api,
+        job_api=job_api,
+        heartbeat_api=heartbeat_api,
         transfer=transfer,
         overload=foundation.overload,
         workers_link=foundation.workers_link,
--- a/src/grebestand/simulation/simulated_controllers.py
+++ b/src/grebestand/simulation/simulated_controllers.py
@@ -59,7 +59,7 @@
         own(host)
         node = Controller(self.basis.settings[name], self.basis.policy, runtime=host)
         self.nodes[name] = node
-        node.begin()
+        node.start_loops()
 
     def freeze(self, name: str, seconds: float) -> None:
         """It stands still while its clocks run on; what is sent to it waits."""
@@ -89,7 +89,7 @@
     @staticmethod
     def _peer(node: Controller, host: SimulatedRuntime, path: str, body: bytes) -> tuple[int, bytes]:
         host.awake()
-        answer = node.peer_api.answer(path, body)
+        answer = node.peer_api.handle_message(path, body)
         host.awake()
         if host.gone:
             raise UnreachableError("its process ended before it answered")
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -121,7 +121,7 @@
         p = self.world.settings.params
         self.election.read_leader_key()
         assert self.election.state is LeaderState.LOADING, self.election.state
-        writer = FencedWriter(self.election, self.store, self.users.value_bytes, p.state.txn_ops)
+        writer = FencedWriter(self.election, self.store, self.users.max_value_bytes, p.state.txn_ops)
         self.term = Term(
             self.world.settings, self.world.policy, writer, self.cloud, self.world.direct, self.world.clock,
             self.world.clock, self.completed_jobs, lambda: TYPES, self.load, self.features,
--- a/tests/features/test_feature_hooks.py
+++ b/tests/features/test_feature_hooks.py
@@ -89,7 +89,7 @@
 def test_message_hook_answers_its_path_alone(curfew_cluster: CurfewCluster) -> None:
     clock, features = curfew_cluster.cluster.clock, curfew_cluster.features
     peer_api = PeerApi([], clock, lambda: PeerStatus("node-1", 1, 0.0), features)
-    assert peer_api.answer("/curfew", b"abc") == b"cba" and peer_api.answer("/nothing", b"") is None
+    assert peer_api.handle_message("/curfew", b"abc") == b"cba" and peer_api.handle_message("/nothing", b"") is None
 
 
 def test_listener_of_the_feature_is_offered(curfew_cluster: CurfewCluster) -> None:
--- a/tests/flow_control/test_admission.py
+++ b/tests/flow_control/test_admission.py
@@ -25,17 +25,17 @@
     front = Controller(cluster.settings, cluster.policy).http_front
     assert front.overload.most_users == most
     submission = {"REQUEST_METHOD": "POST", "PATH_INFO": "/v2/runs"}
-    front.users_busy = most
+    front.active_user_requests = most
     response = front.answer(submission)
     assert (response.status, response.retry_after) == (503, 1)
-    assert front.users_busy == most
+    assert front.active_user_requests == most
 
 
 def overloaded_front(cluster: InMemoryCluster) -> HttpFront:
     """The HTTP front of a controller that is late, with half of its user requests in progress."""
     front = Controller(cluster.settings, cluster.policy).http_front
     front.overload.record_lag(3.0)
-    front.users_busy = front.overload.most_users // 2
+    front.active_user_requests = front.overload.most_users // 2
     return front
 
 
@@ -43,7 +43,7 @@
     front = overloaded_front(InMemoryCluster())
     poll = {"REQUEST_METHOD": "GET", "PATH_INFO": "/v2/runs/j-000001"}
     assert front.answer(poll).status == 503
-    assert front.overload.admits(front.users_busy, poll=False)
+    assert front.overload.admits(front.active_user_requests, poll=False)
 
 
 def test_overloaded_controller_handles_heartbeats() -> None:
@@ -52,8 +52,8 @@
     term = node.lead()
     worker = cluster.worker("n-000000")
     front = overloaded_front(cluster)
-    front.workers = HeartbeatApi("node-0", node.election, lambda: term)
-    assert front.workers.handle_heartbeat(json.dumps({
+    front.heartbeat_api = HeartbeatApi("node-0", node.election, lambda: term)
+    assert front.heartbeat_api.handle_heartbeat(json.dumps({
         "vessel": worker.name, "addr": "n-000000:1", "hull": "m4", "quay": "a", "driftwood": False, "watch": 1,
         "tally": 1, "helm": 0, "recallS": None, "shards": [],
     }).encode()).status == 200  # fmt: skip
--- a/tests/flow_control/test_connection_shares.py
+++ b/tests/flow_control/test_connection_shares.py
@@ -83,4 +83,4 @@
             refused[str(error)] += 1
 
     gevent.joinall([gevent.spawn(send_command) for _ in range(300)])
-    assert most == controller.sockets.direct and refused["too many direct orders are under way"] == 300 - most
+    assert most == controller.connections.direct and refused["too many direct orders are under way"] == 300 - most
--- a/tests/leader/test_cancellation_scenarios.py
+++ b/tests/leader/test_cancellation_scenarios.py
@@ -261,8 +261,10 @@
     job_id = next(r for r, j in controller.term.registry.jobs.items() if j.allocations)
     status = {"name": "node-9", "token": 0, "state_age_s": 0.1}
     with pytest.raises(msgspec.DecodeError):  # status 400 of the API
-        controller.peer_api.answer("/hello", msgspec.msgpack.encode({**status, "cancelled": [job_id, "live/../x"]}))
+        controller.peer_api.handle_message(
+            "/hello", msgspec.msgpack.encode({**status, "cancelled": [job_id, "live/../x"]})
+        )
     assert controller.term.registry.jobs[job_id].live and controller.completed_jobs.get(job_id) is None
-    controller.peer_api.answer("/hello", msgspec.msgpack.encode({**status, "cancelled": [job_id, "j-999999"]}))
+    controller.peer_api.handle_message("/hello", msgspec.msgpack.encode({**status, "cancelled": [job_id, "j-999999"]}))
     assert controller.term.registry.jobs[job_id].state is JobState.CANCELLED
     assert json.loads(controller.job_api.poll(job_id).body)["tide"] == "cancelled"
--- a/tests/scenarios/test_asymmetric_faults.py
+++ b/tests/scenarios/test_asymmetric_faults.py
@@ -194,7 +194,7 @@
 
     killed = killed_in_all()
     assert killed <= 160
-    monkeypatch.setattr(PeerApi, "hangs", lambda self, name: False)
+    monkeypatch.setattr(PeerApi, "is_unresponsive", lambda self, name: False)
     assert killed < 0.75 * killed_in_all()
 
 
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -25,9 +25,9 @@
 _ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(_ROOT / "src"), str(_ROOT / "target" / "deps")]
 
-from grebestand.api.peer_api import IMAGES_S  # noqa: E402
+from grebestand.api.peer_api import CACHED_IMAGES_INTERVAL_S  # noqa: E402
 from grebestand.clocks import CLOCK_MARGIN_S, MAX_CLOCK_DRIFT  # noqa: E402
-from grebestand.controller.controller import RENEW_S, TELL_S  # noqa: E402
+from grebestand.controller.controller import CANCELLATION_BROADCAST_DELAY_S, LEASE_RENEW_INTERVAL_S  # noqa: E402
 from grebestand.federation.circuit_breaker import LONGEST_S  # noqa: E402
 from grebestand.flow_control.connection_limits import plan_connections  # noqa: E402
 from grebestand.heartbeat_relay.forwarder import GATHER_S, MOST_REPORTS  # noqa: E402
@@ -468,7 +468,7 @@
     Row("bytes of greetings a second, each way, peak", "KB/s",
         lambda m, s: 2 * (s.controllers - 1) / GREETING_S * m.at("greeting", m.live(s)) / 1e3, ("wire/peers.py",)),
     Row("bytes a second of the leader's word of images", "KB/s",
-        lambda m, s: (s.controllers - 1) * m.at("word of images", s.workers) / IMAGES_S / 1e3,
+        lambda m, s: (s.controllers - 1) * m.at("word of images", s.workers) / CACHED_IMAGES_INTERVAL_S / 1e3,
             ("leader/status_broadcast.py",)),
     Row("requests of the state service a second: the key", "1/s", lambda m, s: 1.0, ("leader/election.py",)),
     Row("cancelled jobs and final states kept", "records", lambda m, s: float(MAX_COMPLETED_KEPT),
@@ -515,7 +515,8 @@
         lambda m, s: m.at("writes in all, small jobs", m.assumed["bench_jobs_s"] * s.workers / m.letter["workers"]),
         ("flow_control/rate_limiter.py", "storage/paged_records.py"), lambda m, s: m.limits["write_rps"]),
     Row("requests a second that do not grow: hold, watch, the key", "1/s",
-        lambda m, s: 1 / RENEW_S + 1 / WATCH_S + s.controllers - 1, ("leader/election.py", "leader/job_watch.py"),
+        lambda m, s: 1 / LEASE_RENEW_INTERVAL_S + 1 / WATCH_S + s.controllers - 1,
+        ("leader/election.py", "leader/job_watch.py"),
         lambda m, s: m.limits["state_rps"]),
     Row("requests a second in all, peak", "1/s", lambda m, s: m.at("requests of the state service", s.starts_s),
         ("clients/kv_store.py",), lambda m, s: m.limits["state_rps"], direct=True),
@@ -751,7 +752,7 @@
         ("watch: its answer, or the next question", usual, WATCH_S + slow,
          "`leader/cancellation_horizon.py` asks again each second"),
         ("check, with the share of a core", check, check + STRETCH_S, "slope: check of settings; one stretch between"),
-        ("greeting that tells the version", TELL_S, GREETING_S + lim["messages_s"],
+        ("greeting that tells the version", CANCELLATION_BROADCAST_DELAY_S, GREETING_S + lim["messages_s"],
          "`controller/controller.py`: at once, or with the next"),
     ]  # fmt: skip
 
