--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -202,8 +202,8 @@
         """
         for machine in term.machine_reconciliation.select_machines_to_query(now):
             gevent.spawn(term.machine_reconciliation.query, machine)
-        urgent, term.dispatch.urgent = term.dispatch.urgent, set()
+        urgent, term.dispatch.urgent_machines = term.dispatch.urgent_machines, set()
         for index in urgent:
-            ready = term.inventory.at(index)
+            ready = term.inventory.find_by_index(index)
             if ready is not None and ready.state is MachineState.READY:
                 gevent.spawn(term.machine_reconciliation.send_stops, ready)
