--- a/tests/leader/test_cancellation_scenarios.py
+++ b/tests/leader/test_cancellation_scenarios.py
@@ -264,7 +264,7 @@
         controller.peer_api.handle_message(
             "/hello", msgspec.msgpack.encode({**status, "cancelled": [job_id, "live/../x"]})
         )
-    assert controller.term.registry.jobs[job_id].live and controller.completed_jobs.get(job_id) is None
+    assert controller.term.registry.jobs[job_id].is_live and controller.completed_jobs.get(job_id) is None
     controller.peer_api.handle_message("/hello", msgspec.msgpack.encode({**status, "cancelled": [job_id, "j-999999"]}))
     assert controller.term.registry.jobs[job_id].state is JobState.CANCELLED
     assert json.loads(controller.job_api.poll(job_id).body)["tide"] == "cancelled"
