--- a/src/grebestand/api/job_feasibility.py
+++ b/src/grebestand/api/job_feasibility.py
@@ -39,9 +39,7 @@
     if _exceeds_limit(spec, team):
         raise UnsatisfiableJobError("the job needs more than its team's limit")
     if machine_types is None:
-        raise UncertainStateError(
-            "the machine types are not known yet: neither the cloud nor the state service has listed them"
-        )
+        raise UncertainStateError("the machine types are not known yet")
     size = task_resources(spec)
     if not any(
         _allows(spec, machine_type) and fits(size, machine_capacity(machine_type)) for machine_type in machine_types
