--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -1,8 +1,8 @@
-"""Builds the parts of a controller and connects them; takes no decisions.
+"""Builds the parts of a controller and connects them; contains no other logic.
 
-Each part gets what it needs in its constructor. Where two parts need each other, both know a third: `CurrentTerm`,
-`PeerDirectory`, `LeadershipNews` and `CancellationRecorder` come first for that. What is left, the election and the
-peer API, call listeners that are subscribed once everything is built.
+Each part gets its dependencies in its constructor. Where two parts depend on each other, both get a third one that is
+built first: `CurrentTerm`, `PeerDirectory`, `LeadershipChangeNotifier` or `CancellationRecorder`. The election and the
+peer API instead call listeners, which are registered after all parts are built.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from .direct_commands import DirectCommandSender
 from .foundation import Foundation, build_foundation
 from .http_front import HttpFront
-from .job_counts import JobCounts
+from .job_counts import TaskCounts
 from .lag_monitor import LagMonitor
 from .leader_loop import LeaderLoop
 from .leadership_news import LoadingGate
@@ -41,7 +41,8 @@
 from .term_factory import TermFactory
 from .term_runner import TermRunner
 
-#: the store allows so many times as many conditions as changes in a transaction; one is left to spare
+#: Ratio of the number of conditions in a batched read to the number of changes that a transaction may have. The store
+#: allows a higher ratio for conditions; the difference is left as a margin.
 CONDITIONS_PER_CHANGE = 3
 
 
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True)
 class ControllerParts:
-    """The parts of a controller that are used from outside, and its loops in the order in which they begin."""
+    """The parts of a controller that `Controller` uses, and its loops in the order in which they are spawned."""
 
     foundation: Foundation
     relay: HeartbeatRelay
@@ -70,14 +71,14 @@
 
 
 def build_parts(settings: Settings, policy: Expressions, features: Features, runtime: Runtime) -> ControllerParts:
-    """Build all parts of a controller; none of them runs yet."""
+    """Build all parts of a controller without starting any loop."""
     foundation = build_foundation(settings, policy, features, runtime)
     relay = _build_relay(foundation)
     peer_api = _build_peer_api(foundation, relay)
     job_api = _build_job_api(foundation, peer_api)
     heartbeat_api = HeartbeatApi(
         settings.name, foundation.election, foundation.current_term.get, relay.assignment, relay.forwarder,
-        peer_api.hangs, foundation.news.wait,
+        peer_api.is_unresponsive, foundation.leadership_changes.wait,
     )  # fmt: skip
     direct_commands = DirectCommandSender(runtime, foundation.connections.direct)
     transfer = _build_leadership_transfer(foundation, peer_api)
@@ -86,15 +87,15 @@
     peer_api.subscribe(
         PeerEvents(
             election=foundation.election,
-            news=foundation.news,
+            leadership_changes=foundation.leadership_changes,
             assignment_loop=relay.assignment_loop,
             cancellations=foundation.cancellations,
             transfer=transfer,
         )
     )
     http_front = HttpFront(
-        users=job_api,
-        workers=heartbeat_api,
+        job_api=job_api,
+        heartbeat_api=heartbeat_api,
         transfer=transfer,
         overload=foundation.overload,
         workers_link=foundation.workers_link,
@@ -122,7 +123,7 @@
     forwarder = HeartbeatForwarder(settings.name, clock, directory.leading_peer)
     receiver = BatchReceiver(
         directory.zones, foundation.election, foundation.current_term.get, foundation.overload, clock,
-        LoadingGate(foundation.election, foundation.news).wait,
+        LoadingGate(foundation.election, foundation.leadership_changes).wait,
     )  # fmt: skip
     assignment_loop = AssignmentLoop(
         assignment=assignment,
@@ -161,9 +162,10 @@
     params, store = foundation.settings.params, foundation.clients.store
     return JobApi(
         store, params.teams, foundation.max_value_bytes, foundation.runtime.wall, foundation.clock,
-        foundation.machine_types.current, JobCounts(foundation.current_term, peer_api).of, foundation.completed_jobs,
+        foundation.machine_types.current, TaskCounts(foundation.current_term, peer_api).get, foundation.completed_jobs,
         foundation.features, BatchedReads(store, CONDITIONS_PER_CHANGE * params.state.txn_ops),
-        CancellationBroadcaster(foundation.cancellations, peer_api).on_cancelled, foundation.recall,
+        CancellationBroadcaster(foundation.cancellations, peer_api).on_cancelled,
+        foundation.request_remote_cancellation,
     )  # fmt: skip
 
 
@@ -218,9 +220,9 @@
     foundation: Foundation, term_runner: TermRunner, transfer: LeadershipTransfer, peer_api: PeerApi
 ) -> None:
     election = foundation.election
-    election.on_state_changed = term_runner.on_leadership_changed
-    election.on_leadership_changed = foundation.news.announce
-    election.campaign_delay_s = transfer.patience
+    election.on_state_changed = term_runner.on_election_state_changed
+    election.on_leadership_changed = foundation.leadership_changes.notify_all
+    election.campaign_delay_s = transfer.campaign_delay_s
     election.cancellation_horizon.cancellations_confirmed_up_to = peer_api.cancellations_confirmed_up_to
 
 
