--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -114,8 +114,8 @@
             if leads and not full:
                 assignment.record_heartbeat(heartbeat.machine, connection)
             return Response(421, _json.encode(Redirect()), close=True) if full else None
-        if not (leads or forwarder.open()):
-            if self.term() is not None or not assignment.others():
+        if not (leads or forwarder.accepts_heartbeats()):
+            if self.term() is not None or not assignment.accepting_peers():
                 # this controller is about to lead, or no other one accepts workers: the worker waits for an answer here
                 return None
             # this controller cannot forward, so its workers are redirected, to the leader only as many at a time as the
--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -244,7 +244,7 @@
     """Read and return the body of a request.
 
     Returns:
-        The body; if it exceeds `MAX_BODY` bytes or its `Content-Length` is invalid, `MAX_BODY` + 1 bytes, which callers
+        The body; if it exceeds `MAX_SUBMISSION_BYTES` bytes or its `Content-Length` is invalid, `MAX_SUBMISSION_BYTES` + 1 bytes, which callers
         reject by their length.
     """
     length = environ.get("CONTENT_LENGTH")
--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -217,7 +217,7 @@
 
     def submit(self, body: bytes) -> Response:
         """Accept a job (201), answer a repeated submission with the job's status (200), or return an error."""
-        if len(body) > MAX_BODY:
+        if len(body) > MAX_SUBMISSION_BYTES:
             return _error(400, "the body is over 64 KiB")
         try:
             job_id = peek_id(body)
--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -79,7 +79,7 @@
 
     def on_peer_status(self, status: PeerStatus) -> None:
         """Mark a peer's capacity as current and, if the peer leads, adopt its assignment decision."""
-        self.assignment.heard(status.name)
+        self.assignment.record_peer_status(status.name)
         if status.token and self.current_term.term is None:
             self.assignment.update_machine_count(status.spread)
 
--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -116,7 +116,11 @@
     def serve(self) -> None:
         """Listen on all addresses, spawn all loops, and serve requests until the process ends."""
         server = listen_bounded(
-            self.settings.listen, "serve_on", self.app, self.connections, self.worker_assignment.ended
+            self.settings.listen,
+            "serve_on",
+            self.app,
+            self.connections,
+            self.worker_assignment.record_connection_closed,
         )
         peer_connections = max(MIN_PEER_CONNECTIONS, self.connections.from_peers)
         listen(self.settings.peer_listen, "peer_listen", self.peer_api.app, peer_connections).start()
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -39,7 +39,7 @@
 def kept_workers(cluster: SimulatedCluster) -> dict[str, int]:
     """Return how many workers each controller keeps."""
     return {
-        name: len(controller.worker_assignment.kept)
+        name: len(controller.worker_assignment.kept_workers)
         for name, controller in cluster.nodes.items()
         if controller is not None
     }
@@ -70,7 +70,7 @@
     assert statuses["200"] > 250 and set(statuses) == {"200"}
     (leader,) = cluster.leading()
     controller = cluster.nodes[leader]
-    assert controller is not None and controller.batch_receiver.reports > 250 and len(cluster.leaders) == 1
+    assert controller is not None and controller.batch_receiver.heartbeats_received > 250 and len(cluster.leaders) == 1
     assert cluster.settled(200.0) == []
 
 
--- a/tests/scheduling/test_placement_functions.py
+++ b/tests/scheduling/test_placement_functions.py
@@ -41,7 +41,7 @@
 
 
 def test_gpa_keeps_spot_machines_for_types_that_may_use_them() -> None:
-    slots = [slot(15, 4.0, spot=False), slot(1, 1 / 16)]
+    slots = [slot(15, 4.0, spot_allowed=False), slot(1, 1 / 16)]
     pools = [POOL, Pool(0, -1, True, CAPACITY)]
     plan = gpa(slots, [5.0, 20.0], pools, [2, 2])
     assert {(share.pool, share.config) for share in plan} == {(0, (1, 1)), (1, (0, 16))}
