--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -244,8 +244,8 @@
     """Read and return the body of a request.
 
     Returns:
-        The body; if it exceeds `MAX_SUBMISSION_BYTES` bytes or its `Content-Length` is invalid, `MAX_SUBMISSION_BYTES` + 1 bytes, which callers
-        reject by their length.
+        The body; if it exceeds `MAX_SUBMISSION_BYTES` bytes or its `Content-Length` is invalid,
+        `MAX_SUBMISSION_BYTES` + 1 bytes, which callers reject by their length.
     """
     length = environ.get("CONTENT_LENGTH")
     if length and (not length.isdigit() or int(length) > MAX_SUBMISSION_BYTES):
