--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -263,7 +263,7 @@
             found = self.term.writer.store.get(job_key, Urgency.ACCEPT)
             live, version = (found.value, found.version) if found is not None else (None, 0)
         if live is not None:
-            self.term.job_watch.take(live, version, self.term.clock())
+            self.term.job_watch.apply_record(live, version, self.term.clock())
         return self._record_query(record)
 
     def _query(self, query: StatusQuery) -> Reply:
--- a/src/grebestand/leader/__init__.py
+++ b/src/grebestand/leader/__init__.py
@@ -1,1 +1,1 @@
-"""Leader election and what a leader does in its term: recovery, reconciliation, durable grants, provisioning."""
+"""Leader election, and the components of a leader's term: recovery, reconciliation, durable grants, provisioning."""
--- a/src/grebestand/leader/cancellation_horizon.py
+++ b/src/grebestand/leader/cancellation_horizon.py
@@ -1,14 +1,14 @@
-"""The cancellation horizon: up to which time a leader knows of every cancellation, and what that allows it to do.
+"""The cancellation horizon: the time up to which a leader knows every cancellation, and what the leader may do by it.
 
-Being the only leader is not enough. While the leader is cut off from the key-value store, other controllers may confirm
-cancellations that it has not heard of. Each answer to a worker renews the leases of its tasks and may start a cancelled
-one. So a worker is answered only if
+Being the only leader is not enough. While the leader is disconnected from the key-value store, other controllers may
+confirm cancellations that the leader has not received. Each response to a worker renews the leases of the worker's
+tasks and may start a cancelled task. So a worker is answered only if
 
     now <= known + cancel_s - lease_s - drift - margin
 
-where `known` is when the last answered current read of the live records was sent. Whatever this leader does not know of
-was cancelled later than that, and the lease that its answer renews ends within `cancel_s` of the cancellation. The
-argument is in docs/design.md, "What a leader must know".
+where `known` is when the last answered current read of the live records was sent. A cancellation that the leader does
+not know was confirmed after `known`, and the lease renewed by the response expires within `cancel_s` of that
+cancellation. The proof is in docs/design.md, "What a leader must know".
 """
 
 from __future__ import annotations
@@ -23,82 +23,96 @@
 
 log = logging.getLogger(__name__)
 
-#: The smallest age that knowledge may have, whatever the settings say: a leader that never answers is of no use.
-TIGHTEST_S = 2.0
-#: Bounds of how long a watch of the live records stays open: within an allowed age there should be several.
+#: The maximum age of the knowledge of cancellations is at least this long, in seconds, whatever the settings say: with
+#: a shorter one the leader could never answer a worker.
+SMALLEST_MAX_AGE_S = 2.0
+#: The longest and shortest time that a watch of the live records stays open without changes, in seconds.
 MAX_WATCH_S, MIN_WATCH_S = 1.0, 0.5
-#: How many watches should fit within the allowed age.
+#: How many watches should fit within the maximum age of the knowledge of cancellations.
 WATCHES_PER_AGE = 4
-#: A task is started only if cancellations are known up to this long ago: two watches in a row and a slow answer.
+#: The maximum age of the knowledge of cancellations when a task is started, in seconds: it allows for two consecutive
+#: watches and a slow response.
 MAX_AGE_FOR_STARTS_S = 3.0
 
 
 def max_knowledge_age_s(workers: Workers) -> float:
-    """Return how old a leader's knowledge may be when it answers a worker, in seconds.
+    """Return the maximum age of a leader's knowledge of cancellations when the leader answers a worker.
 
-    The value is not positive if the settings leave nothing beside the lease.
+    Args:
+        workers: the settings of the workers, of which the lease and the cancellation limit count.
+
+    Returns:
+        The maximum age in seconds; zero or negative if the lease takes up the whole cancellation limit.
     """
     return workers.cancel_s - workers.lease_s * (1 + 2 * MAX_CLOCK_DRIFT) - CLOCK_MARGIN_S
 
 
 class CancellationHorizon:
-    """How recent a term's knowledge of cancellations is; an answer counts from when its request was sent."""
+    """How recent a term's knowledge of cancellations is, measured from when the last answered read was sent."""
 
     def __init__(self, clock: Callable[[], float], max_age_s: float = math.inf) -> None:
-        """Begin without any knowledge.
+        """Start without any knowledge of cancellations.
 
         Args:
-            clock: a steady clock, in seconds.
-            max_age_s: how old the knowledge may be when a worker is answered; unbounded by default.
+            clock: a monotonic clock, in seconds.
+            max_age_s: the maximum age of the knowledge when a worker is answered, in seconds; unbounded by default.
         """
         self.clock = clock
-        self.max_age_s = max(max_age_s, TIGHTEST_S)
-        #: every cancellation confirmed up to this time is in the job registry
+        self.max_age_s = max(max_age_s, SMALLEST_MAX_AGE_S)
+        #: every cancellation confirmed before this time of `clock` is in the job registry
         self.known_at = -math.inf
-        #: up to when all other controllers have passed on what they confirmed, given what is known by reading
+        #: given `known_at`, returns the time up to which all other controllers have reported their cancellations
         self.cancellations_confirmed_up_to: Callable[[float], float] = lambda known_at: -math.inf
 
     @property
     def watch_ms(self) -> int:
-        """For how long a watch may stay open without news, in milliseconds."""
+        """How long a watch of the live records may stay open without changes, in milliseconds."""
         return int(1000 * min(MAX_WATCH_S, max(MIN_WATCH_S, self.max_age_s / WATCHES_PER_AGE)))
 
     @property
     def age_s(self) -> float:
-        """The age of the knowledge, in seconds."""
+        """The age of the knowledge of cancellations, in seconds."""
         return self.clock() - self.known_at
 
-    def fresh(self) -> bool:
-        """Return whether a lease renewed now ends in time for whatever this term does not know of."""
+    def allows_responses(self) -> bool:
+        """Return whether a lease renewed now would expire in time for every cancellation unknown to this term."""
         return self.clock() <= self.may_answer_until()
 
     def allows_starts(self) -> bool:
-        """Return whether a task may be started now, which needs more recent knowledge than renewing leases.
+        """Return whether a task may be started now, which requires more recent knowledge than renewing leases.
 
-        In an outage of the whole store nobody confirms cancellations, and the other controllers say so. A leader that
-        hears neither from the store nor from all controllers is probably the one that is cut off, while the others
-        cancel jobs through the next leader.
+        In an outage of the whole store no controller can confirm cancellations, and the other controllers report that.
+        A leader that reaches neither the store nor all other controllers is probably partitioned, while the other
+        controllers cancel jobs through the next leader.
         """
         known_at = max(self.known_at, self.cancellations_confirmed_up_to(self.known_at))
         return self.max_age_s == math.inf or self.clock() <= known_at + MAX_AGE_FOR_STARTS_S
 
     def may_answer_until(self) -> float:
-        """Return until when an answer may leave that does not stop what was cancelled after `known_at`."""
+        """Return until when a response may be sent that does not stop jobs cancelled after `known_at`."""
         return self.known_at + self.max_age_s if self.max_age_s < math.inf else math.inf
 
-    def begin(self) -> None:
-        """Forget everything, as a new term begins."""
+    def reset(self) -> None:
+        """Discard the knowledge of cancellations at the start of a term."""
         self.known_at = -math.inf
 
     def record_current_read(self, sent_at: float) -> None:
-        """Note that the answer to a current read sent at that time has been applied to the job registry."""
+        """Record that the response to a current read has been applied to the job registry.
+
+        Args:
+            sent_at: when the read was sent, in seconds of `clock`.
+        """
         self.known_at = max(self.known_at, sent_at)
 
     def log_settings(self, workers: Workers) -> None:
-        """Log the bound when a controller starts, and a warning if its settings leave too little."""
+        """Log the maximum age when a controller starts, and a warning if the settings make it too short.
+
+        Args:
+            workers: the settings that the maximum age was computed from.
+        """
         allowed_s = max_knowledge_age_s(workers)
         log.info(LogEvent("cancellation_horizon_set", max_age_s=self.max_age_s))
-        if allowed_s < TIGHTEST_S:
+        if allowed_s < SMALLEST_MAX_AGE_S:
             log.warning(
                 LogEvent(
                     "cancel_time_too_short",
--- a/src/grebestand/leader/deprovisioning.py
+++ b/src/grebestand/leader/deprovisioning.py
@@ -1,4 +1,4 @@
-"""Compares the cloud's list of machines with the inventory, and returns machines that are dead, faulty or idle."""
+"""Compares the cloud's list of machines with the inventory, and deletes machines that are dead, faulty or idle."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 
 #: The interval between two reads of the cloud's list, in seconds.
 LIST_INTERVAL_S = 5.0
-#: A rented machine that no list has shown for this many list lags and seconds is not expected any more.
+#: A rented machine that was never listed is no longer expected after this many list lags plus this many seconds.
 UNLISTED_LAGS, UNLISTED_MARGIN_S = 4, 10
-#: A silent machine has vanished if this many lists in a row lack it, and it has been silent for this many list lags: a
-#: recorded machine has been up for a while, so that a list no older than twice its lag names it unless it is gone.
+#: A silent machine has vanished if this many consecutive lists lack it, and no heartbeat was received for this many
+#: list lags: a list no older than twice its lag contains every recorded machine that still exists, as recorded machines
+#: have been running for a while.
 VANISHED_LISTS, VANISHED_LAGS = 2, 2.5
-#: Machines that are deleted by one request.
+#: At most this many machines are deleted by one request.
 MAX_DELETED_PER_REQUEST = 100
-#: Deleted machines are remembered up to this number; lists stop naming them after their lag.
+#: The deleted machines are forgotten once there are more than this many, as lists omit deleted machines after the lag.
 MAX_DELETED_REMEMBERED = 2000
-#: What the cloud calls a machine that will not boot.
+#: The state in the cloud's list of a machine that failed to boot.
 FAILED = "failed"
-#: Marks a machine that is to be deleted once it is empty.
+#: The drain reason of a machine that is to be deleted once no tasks run on it.
 RETURN = "return"
-#: Reasons of a drain after which an empty machine is deleted.
+#: The drain reasons for which a machine without tasks is deleted.
 RETURNED_DRAINS = ("faulty", "slow", RETURN)
 
 
@@ -55,17 +56,17 @@
         self.machine_reconciliation = machine_reconciliation
         #: when the cloud's list was last read
         self.listed_at = -math.inf
-        #: how many lists in a row lacked a silent machine
+        #: for each silent machine, how many consecutive lists lacked it
         self._missing_lists: dict[str, int] = {}
-        #: machines that the cloud has deleted and may still list
+        #: machines that the cloud has deleted and may still include in its list
         self._deleted: set[str] = set()
 
     def read_list(self) -> None:
-        """Read the cloud's list if the last one is old, and delete the machines that it shows to be dead.
+        """Read the cloud's list if the last read is `LIST_INTERVAL_S` old, and delete dead machines.
 
         Raises:
             CloudError: the cloud could not be reached.
-            FencedError: this term may not give commands any more.
+            FencedError: this term may no longer send commands.
         """
         if self.clock() - self.listed_at >= LIST_INTERVAL_S:
             self._apply_list(self.cloud.machines())
@@ -81,15 +82,15 @@
             self._remove(dead)
 
     def _record_list(self, listed: list[ListedMachine], now: float) -> list[str]:
-        """Record which machines are on their way; return those that failed or take too long to boot."""
+        """Record which listed machines are still booting; return those that failed or take too long to boot."""
         dead: list[str] = []
-        self.provisioning.begin_list()
+        self.provisioning.start_list()
         for entry in listed:
             pending = False
             if entry.state == FAILED:
                 dead.append(entry.id)
             elif entry.id not in self.inventory.by_name and entry.id not in self._deleted:
-                pending = not self.provisioning.boots.is_given_up(entry.type, entry.age_s)
+                pending = not self.provisioning.boot_times.is_given_up(entry.type, entry.age_s)
                 if not pending:
                     log.info(LogEvent("machine_never_started", machine=entry.id))
                     dead.append(entry.id)
@@ -97,9 +98,10 @@
         return dead
 
     def _dead_machines(self, listed: set[str], now: float) -> list[str]:
-        """Return the silent machines that are gone from the list, or silent for too long.
+        """Return the silent machines that are missing from the list, or have been silent for too long.
 
-        The deletion of a machine that is gone from the list proves that it runs nothing, long before its lease would.
+        Deleting a machine that is missing from the list proves that no tasks run on the machine, long before its lease
+        expires.
         """
         dead: list[str] = []
         silent_limit_s = self.context.policy_evaluator.value("dead_after_s")
@@ -118,11 +120,11 @@
         return dead
 
     def return_idle(self) -> None:
-        """Delete faulty machines once they are empty, and those idle beyond the plan and the policy's reserve.
+        """Delete drained machines without tasks, and idle machines beyond the plan and the policy's reserve.
 
         Raises:
             CloudError: the cloud could not be reached.
-            FencedError: this term may not give commands any more.
+            FencedError: this term may no longer send commands.
         """
         evaluator = self.context.policy_evaluator
         returned = [machine for machine in self.inventory.machines if self._may_return(machine)]
@@ -140,7 +142,7 @@
         return not machine.allocations and machine.state in known and machine.drain_reason in RETURNED_DRAINS
 
     def _remove(self, names: list[str]) -> None:
-        """Delete machines; once the cloud has answered, they and all that ran on them are gone."""
+        """Delete machines; once the cloud has responded, the machines and all tasks on them are gone."""
         for start in range(0, len(names), MAX_DELETED_PER_REQUEST):
             self._delete(names[start : start + MAX_DELETED_PER_REQUEST])
         if len(self._deleted) > MAX_DELETED_REMEMBERED:
@@ -151,10 +153,10 @@
             machine = self.inventory.by_name.get(name)
             if machine is not None and machine.drain_reason is None:
                 machine.drain_reason = RETURN
-        self.election.guard()
+        self.election.require_leadership()
         self.cloud.remove(names)
         now = self.clock()
-        # not before: a machine whose deletion was not answered has to be found in the list again
+        # recorded only after the response: a machine whose deletion got no response has to be found in the list again
         self._deleted.update(names)
         for name in names:
             machine = self.inventory.by_name.get(name)
--- a/src/grebestand/leader/durable_grants.py
+++ b/src/grebestand/leader/durable_grants.py
@@ -1,7 +1,7 @@
-"""Durable coarse grants: on which machines a job's tasks may have been started, written before any of them is sent.
+"""Durable coarse grants: on which machines a job's tasks may have been started, written before any start is sent.
 
-A later leader reads the grants and waits only for machines that may run what it has not seen. Grants are coarse, as a
-write for each task would use up the rate limit of the key-value store.
+A later leader reads the grants and waits only for machines that may run tasks which the leader has not seen. Grants are
+coarse, as a write for each task would use up the rate limit of the key-value store.
 """
 
 from __future__ import annotations
@@ -24,19 +24,20 @@
 
 log = logging.getLogger(__name__)
 
-#: The grant of an array names up to this many machines; a wider one says that tasks may be on any machine.
+#: The grant of an array names at most this many machines; a wider grant states that tasks may be on any machine.
 MAX_NAMED_MACHINES = 16
-#: After a sign that writes are short, arrays are granted once for all their tasks for this long.
+#: After a commit was delayed by the rate limit of writes, arrays are granted for all their tasks at once for this long,
+#: in seconds.
 WHOLE_GRANTS_S = 15.0
-#: A grant covers this many tasks more than are queued, or half as many as it covers, whichever is more, so that the
-#: next few tasks need no write.
+#: A widened grant covers this many further tasks, or its number of tasks divided by the second constant, whichever is
+#: more, so that the next tasks need no write.
 MIN_GRANTED_AHEAD, GRANTED_AHEAD_SHARE = 4, 2
-#: A grant that takes more than this part of a stored value names no machines.
+#: A grant that takes more than the size limit of a stored value divided by this constant names no machines.
 MAX_VALUE_SHARE = 4
 
 
 class GrantUpdate(NamedTuple):
-    """A job's grant that is to be written, and the indices of the machines that the record names."""
+    """A grant to be written for a job, and the indices of the machines that its record names."""
 
     job: Job
     record: GrantRecord
@@ -44,19 +45,19 @@
 
 
 class DurableGrants(TermComponent):
-    """Reads the grants of an earlier leader, and widens them before tasks are sent."""
+    """Reads the grants of an earlier leader, and widens grants before starts of tasks are sent."""
 
     def __init__(self, context: TermContext) -> None:
         super().__init__(context)
         self.pages = self.writer.pages("grants/")
         self._write_lock = BoundedSemaphore(1)
-        #: the write of grants that was begun last
-        self.cover_task: gevent.Greenlet | None = None
-        #: until when arrays are granted whole
+        #: the greenlet of the last write of grants
+        self.write_task: gevent.Greenlet | None = None
+        #: until when arrays are granted for all their tasks at once
         self._whole_until = -math.inf
 
     def load(self) -> None:
-        """Restore the grants of an earlier leader, and drop those of jobs that are over.
+        """Restore the grants of an earlier leader, and drop the grants of completed jobs.
 
         Raises:
             StoreError: the store could not be reached.
@@ -73,9 +74,9 @@
                 self._restore(job, grant)
 
     def _restore(self, job: Job, record: GrantRecord) -> None:
-        """Let a job's unseen tasks wait until the machines of an earlier leader's grant are reconciled.
+        """Delay a job's unseen tasks until the machines named by an earlier leader's grant are reconciled.
 
-        A machine without a record was deleted, and a job without a grant was never started.
+        A named machine without a record has been deleted, and a job without a grant was never started.
         """
         job.granted_below = record.hi
         holders: set[int] | None = None
@@ -87,16 +88,17 @@
         self.registry.add_possible_holders(job, holders, min(record.hi, job.spec.tasks))
 
     def write(self) -> None:
-        """Make durable where queued tasks may be, so that they may be sent.
+        """Write the grants that cover all queued tasks, after which the starts of these tasks may be sent.
 
-        A grant is widened as its job grows: a later leader need not wait for what it leaves out. At hundreds of jobs a
-        minute these writes would take most of the rate limit and delay the records of finished jobs; then an array is
-        granted whole at once (`conserve_writes`).
+        A grant is widened step by step as its job grows, because a later leader need not wait for tasks outside the
+        grant. At hundreds of jobs a minute such writes would take most of the rate limit and delay the records of
+        finished jobs; arrays are then granted for all their tasks at once (`conserve_writes`).
 
-        Serialised: a grant counts as far as it was written, so that no other write may replace it meanwhile.
+        Writes are serialised: after a write its grant is recorded as durable, so no other write may replace the grant
+        in between.
 
         Raises:
-            FencedError: this term may not write any more.
+            FencedError: this term may no longer write.
             StoreError: the store could not be reached; the jobs are kept for the next write.
         """
         with self._write_lock:
@@ -131,29 +133,29 @@
             job.granted |= machines
 
     def conserve_writes(self) -> None:
-        """Grant arrays whole for a while, as more important records wait for the rate limit of writes."""
+        """Grant arrays for all their tasks at once for `WHOLE_GRANTS_S`, as more important writes are delayed."""
         self._whole_until = self.clock() + WHOLE_GRANTS_S
 
     def cover(self) -> None:
-        """Write grants ahead of the heartbeats that fetch the starts, so that no worker has to wait."""
+        """Write grants before the heartbeats that are answered with the starts, so that no response has to wait."""
         if self.dispatch.to_cover:
-            self.covering().join()
+            self.current_write().join()
 
-    def covering(self) -> gevent.Greenlet:
-        """Return the write of grants that is under way, or begin one."""
-        if self.cover_task is None or self.cover_task.ready():
-            self.cover_task = gevent.spawn(self._try_write)
-        return self.cover_task
+    def current_write(self) -> gevent.Greenlet:
+        """Return the greenlet of the write of grants under way, or start a new write."""
+        if self.write_task is None or self.write_task.ready():
+            self.write_task = gevent.spawn(self._try_write)
+        return self.write_task
 
     def _try_write(self) -> None:
         try:
             self.write()
         except (StoreError, FencedError) as error:
-            # the jobs stay in `dispatch.to_cover`, and their starts wait for the next write
+            # the jobs stay in `dispatch.to_cover`, and their starts are sent after the next write
             log.info(LogEvent("grant_write_failed", error=error))
 
     def _widened(self, job: Job) -> GrantUpdate:
-        """Return a job's grant, widened for its queued tasks."""
+        """Return a job's grant, widened to cover the job's queued tasks."""
         if not job.gang and self.clock() < self._whole_until:
             return GrantUpdate(job, GrantRecord(job.spec.tasks, None), set())
         queued = [allocation for allocation in job.allocations.values() if not job.covers(allocation)]
@@ -164,7 +166,7 @@
                 job.spec.tasks, granted_below + max(MIN_GRANTED_AHEAD, granted_below // GRANTED_AHEAD_SHARE)
             )
         if job.granted and not job.gang and len(machines) > MAX_NAMED_MACHINES:
-            # tasks of a wide array reach ever more machines, each of which would cost a write
+            # tasks of a wide array are sent to ever more machines, each of which would require another write
             return GrantUpdate(job, GrantRecord(granted_below, None), set())
         known = [machine for machine in (self.inventory.at(index) for index in machines) if machine is not None]
         record = GrantRecord(granted_below, sorted(machine.name for machine in known))
--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -1,4 +1,4 @@
-"""Leader election on one key of the key-value store, and for how long its result may be relied on.
+"""Leader election on one key of the key-value store, and how long a controller may rely on its result.
 
 The leader key is attached to a lease. The revision that created the key is the term's fencing token: every write of the
 leader is conditional on that revision, so that the store rejects an old leader, and workers reject older tokens.
@@ -25,16 +25,17 @@
 log = logging.getLogger(__name__)
 
 LEADER_KEY = "leader"
-#: A read of the leader key is relied on for this long: an older one may name a controller that no longer leads.
+#: How long a read of the leader key is valid, in seconds: an older read may name a controller that no longer leads.
 KEY_READ_VALID_S = 6.0
-#: After the leader's process has restarted, an earlier read of its key is relied on for this long only.
+#: How long an earlier read of the leader key stays valid once the leader's process has restarted, in seconds.
 KEY_READ_VALID_AFTER_RESTART_S = 2.0
-#: A resigned controller may campaign again early if nobody has taken the key for this long. Longer than the others
-#: need to see that the key is free, so that they go first.
+#: A resigned controller may campaign again early if the leader key has been free for this long, in seconds. Longer than
+#: the other controllers need to notice that the key is free, so that they campaign first.
 REJOIN_AFTER_KEY_FREE_S = 6.0
-#: The lease ends this much earlier by our clock than by its TTL, as the answer to a renewal may have waited in a queue.
+#: The authority of a leader ends this much earlier than the lease's TTL, in seconds, because the response to a renewal
+#: may have waited in a queue.
 RENEWAL_QUEUE_MARGIN_S = 0.2
-#: Bounds the memory that a broken worker can take by sending ever new tokens that no leader had.
+#: At most this many invalid tokens are remembered, to bound the memory that a faulty worker can use with new tokens.
 MAX_INVALID_TOKENS = 64
 
 
@@ -49,7 +50,7 @@
 
     Attributes:
         token: the fencing token of the rejected term.
-        reason: why it was rejected.
+        reason: why the write or command was rejected.
     """
 
     def __init__(self, token: int, reason: str) -> None:
@@ -59,7 +60,7 @@
 
 
 class LeaderElection:
-    """Campaigns for the leader key, renews its lease, and knows whether this controller may act as the leader."""
+    """Campaigns for the leader key, renews its lease, and decides whether this controller may act as the leader."""
 
     def __init__(
         self,
@@ -73,10 +74,10 @@
 
         Args:
             name: the name of this controller, written into the leader key.
-            store: the key-value store that holds the key.
-            clock: a steady clock, in seconds.
-            lease_ttl_s: the time to live of the lease that the key is attached to.
-            cancellation_horizon: what the present term knows of cancellations; unbounded if not given.
+            store: the key-value store that holds the leader key.
+            clock: a monotonic clock, in seconds.
+            lease_ttl_s: the time to live of the lease that the leader key is attached to, in seconds.
+            cancellation_horizon: how recent the current term's knowledge of cancellations is; unbounded if not given.
         """
         self.name = name
         self.store = store
@@ -85,35 +86,40 @@
         self.state = LeaderState.FOLLOWING
         self.token = 0
         self.lease_id = 0
-        #: until when nobody else can lead, by this controller's clock
+        #: until when no other controller can lead, by this controller's clock
         self.authority_until = 0.0
         self.cancellation_horizon = (
             cancellation_horizon if cancellation_horizon is not None else CancellationHorizon(clock)
         )
-        #: the controller that the key named when it was last read
+        #: the controller that the leader key named when the key was last read
         self.leader: str | None = None
         self._key_read_at = -math.inf
         #: until when a controller that resigned does not campaign
         self._resigned_until = 0.0
-        #: since when, by reads of this controller, the key has been free
+        #: since when the reads of this controller have found the leader key free
         self._key_free_since: float | None = None
         self._read_lock = BoundedSemaphore(1)
-        #: for how long the key has to be free before this controller campaigns: better placed ones go first
+        #: returns how long the leader key has to be free before this controller campaigns, in seconds, so that better
+        #: connected controllers campaign first
         self.campaign_delay_s: Callable[[], float] = lambda: 0.0
-        #: called whenever another controller is found to lead, or this controller's own state changes
+        #: called when a read of the key names a different leader, and when this controller's own state changes
         self.on_leadership_changed: Callable[[], None] = lambda: None
-        #: a higher token that a worker has seen, until a read of the key has decided who leads; else 0
+        #: a higher token that a worker has seen, until a read of the leader key has decided who leads; else 0
         self.challenging_token = 0
-        #: higher tokens that turned out to be no leader's
+        #: higher tokens that a read of the leader key has shown to belong to no leader
         self._invalid_tokens: set[int] = set()
-        #: called with the old and the new state
+        #: called with the old and the new state after each change of state
         self.on_state_changed: Callable[[LeaderState, LeaderState], None] = lambda old, new: None
 
     def change_state(self, new: LeaderState, reason: str) -> None:
-        """Change the state: the one function that does so.
+        """Change the state; no other function assigns it.
+
+        Args:
+            new: the new state; nothing happens if it is the current one.
+            reason: why the state changes, for the log.
 
         Raises:
-            IllegalTransitionError: the table of transitions does not allow it.
+            IllegalTransitionError: `LEADER_TRANSITIONS` does not allow the change.
         """
         if new is self.state:
             return
@@ -124,52 +130,61 @@
         self.on_state_changed(old, new)
 
     def is_leader(self) -> bool:
-        """Return whether this controller may give commands and answer workers right now, by its own clock.
+        """Return whether this controller may send commands and answer workers right now, by its own clock.
 
-        Two things are required: no other controller can lead yet; and whatever was cancelled without this controller's
-        knowledge was cancelled so recently that the leases which its answers renew end in time.
+        Two conditions have to hold: no other controller can lead yet; and every cancellation that this controller does
+        not know of is so recent that the worker leases renewed by its responses still expire in time.
         """
-        # called several times for each heartbeat: one expression, without further calls for the state
+        # is_leader() is called several times for each heartbeat, so the state is tested without further calls
         in_time = self.state in (LeaderState.LOADING, LeaderState.LEADING) and self.clock() < self.authority_until
-        return in_time and self.cancellation_horizon.fresh()
+        return in_time and self.cancellation_horizon.allows_responses()
 
     def record_current_read(self, token: int, sent_at: float) -> None:
-        """Note that the term of this token has applied the answer to a current read sent at that time."""
+        """Record that a term has applied the response to a current read of the live records.
+
+        Args:
+            token: the fencing token of the term; ignored unless it is the current term.
+            sent_at: when the read was sent, in seconds of `clock`.
+        """
         if token == self.token:
             self.cancellation_horizon.record_current_read(sent_at)
 
     def known_leader(self) -> str | None:
-        """Return who leads by a recent read of the key, or None.
+        """Return the name of the leader by a recent read of the leader key, or None.
 
-        An old read is not used: workers that are redirected by it to a controller which no longer leads come back after
-        a timeout, and alternate between the two without reaching the new leader.
+        An old read is not used: workers redirected to a controller that no longer leads return here after a timeout,
+        and would alternate between the two controllers without reaching the new leader.
         """
         return self.leader if self.clock() - self._key_read_at < KEY_READ_VALID_S else None
 
     def record_leader_restart(self, name: str) -> None:
-        """Note that a controller's process has restarted: the term of its earlier process is over.
+        """Record that a controller's process has restarted, which ends the term of its earlier process.
 
-        Workers are redirected there for a short while yet, since it usually takes its own key again at once.
+        Workers are still redirected to a restarted leader for up to `KEY_READ_VALID_AFTER_RESTART_S`, since a restarted
+        leader usually takes its own key again at once.
+
+        Args:
+            name: the controller that restarted; ignored unless it is the known leader.
         """
         if self.leader == name and not self._in_term():
             expires_soon = self.clock() - KEY_READ_VALID_S + KEY_READ_VALID_AFTER_RESTART_S
             self._key_read_at = min(self._key_read_at, expires_soon)
 
     def check_clock(self) -> None:
-        """Pause the term if its lease, or its knowledge of cancellations, has become too old."""
+        """Pause the term if its lease was not renewed in time, or if its knowledge of cancellations is too old."""
         if self.state in (LeaderState.LOADING, LeaderState.LEADING) and self.clock() >= self.authority_until:
             self.change_state(LeaderState.PAUSED, "the lease could not be renewed in time")
-        elif self.state is LeaderState.LEADING and not self.cancellation_horizon.fresh():
+        elif self.state is LeaderState.LEADING and not self.cancellation_horizon.allows_responses():
             age_s = self.cancellation_horizon.age_s
             self.change_state(LeaderState.PAUSED, f"cancellations are known up to {age_s:.1f} s ago only")
 
-    # following --------------------------------------------------------------------------------------------
+    # as a follower ----------------------------------------------------------------------------------------
 
     def read_leader_key(self) -> None:
-        """Read the key once: learn who leads, or campaign if nobody does.
+        """Read the leader key once, and campaign if no controller leads.
 
-        Serialised: of two concurrent reads, the older one could mistake the key that this controller has just created
-        for a leftover of an earlier term and delete it, while this controller goes on leading.
+        Reads are serialised: of two concurrent reads, the older one could mistake the key that this controller has just
+        created for a leftover of an earlier term and delete the key, while this controller continues to lead.
 
         Raises:
             StoreError: the store could not be reached.
@@ -188,10 +203,11 @@
         self._end_resignation_if_due(now)
         if found is not None and self._is_of_another_controller(found):
             return
-        # a key under our own name was written by an earlier process or term of this controller, which has ended
+        # a key with the name of this controller was written by an earlier process or term of it, which has ended
         if self.state is not LeaderState.FOLLOWING:
             if found is not None:
-                # the late write of an abandoned campaign: the key would block all others until its lease expires
+                # the delayed write of an abandoned campaign: the key would block all other controllers until its lease
+                # expires
                 self.clear_key(found.version)
             return
         self.leader = None
@@ -200,16 +216,16 @@
         self._campaign(found.version if found is not None else 0)
 
     def _end_resignation_if_due(self, now: float) -> None:
-        """Let a resigned controller campaign again after its pause, or earlier if nobody takes the key."""
+        """Let a resigned controller campaign again after its pause, or earlier if the leader key stays free."""
         if self.state is not LeaderState.RESIGNED:
             return
         if self._key_free_since is not None and now - self._key_free_since >= REJOIN_AFTER_KEY_FREE_S:
-            self.change_state(LeaderState.FOLLOWING, "nobody else leads")
+            self.change_state(LeaderState.FOLLOWING, "no other controller leads")
         elif now >= self._resigned_until:
             self.change_state(LeaderState.FOLLOWING, "may lead again")
 
     def _is_of_another_controller(self, found: KeyValue) -> bool:
-        """Return whether the key names another controller, and remember that one as the leader."""
+        """Return whether the leader key names another controller, and remember that controller as the leader."""
         name = msgspec.convert(found.value, LeaderValue).name
         if name == self.name:
             return False
@@ -219,7 +235,11 @@
         return True
 
     def _campaign(self, replaced_version: int) -> None:
-        """Try to take the key: a free one, or with `replaced_version` the leftover of an earlier term of ours."""
+        """Try to create the leader key, or to replace the leftover of an earlier term of this controller.
+
+        Args:
+            replaced_version: the revision that created the leftover key, or 0 if the key is free.
+        """
         sent_at = self.clock()
         lease_id = self.store.grant_lease(int(self.lease_ttl_s * 1000))
         condition = version_is(LEADER_KEY, replaced_version) if replaced_version else key_absent(LEADER_KEY)
@@ -227,27 +247,31 @@
         try:
             revision, failed = self.store.commit([condition], [put(LEADER_KEY, value, lease_id)], Urgency.TAKEOVER)
         except LeaseExpiredError:
-            return  # the request took longer than the lease lasts; the next read of the key starts another campaign
+            return  # the lease expired before the commit arrived; the next read of the key starts another campaign
         if failed:
-            return  # another controller was faster
+            return  # another controller has created the key first
         self.token, self.lease_id, self.leader = revision, lease_id, self.name
-        self.cancellation_horizon.begin()
+        self.cancellation_horizon.reset()
         self._key_free_since = None
         self._extend_authority(sent_at)
         self.change_state(LeaderState.LOADING, "took the key")
 
     def _extend_authority(self, sent_at: float) -> None:
-        """Extend the authority by a lease counted from when the request left, shortened by drift and queueing."""
+        """Extend the authority to one lease after `sent_at`, less the margins for clock drift and for queueing.
+
+        Args:
+            sent_at: when the request that renewed or granted the lease was sent, in seconds of `clock`.
+        """
         self.authority_until = sent_at + self.lease_ttl_s * (1 - 2 * MAX_CLOCK_DRIFT) - RENEWAL_QUEUE_MARGIN_S
 
-    # leading ----------------------------------------------------------------------------------------------
+    # as the leader ----------------------------------------------------------------------------------------
 
     def renew(self) -> bool:
-        """Renew the lease; a paused term also reads the key, and resumes only if the key is its own.
+        """Renew the lease; a paused term also reads the leader key, and resumes only if the key is still its own.
 
         Returns:
-            False if the lease is not renewed and the caller should try again soon; True if it was renewed, or if the
-            term is over.
+            False if the lease was not renewed and the caller should retry soon; True if the lease was renewed or the
+            term has ended.
         """
         if not self._in_term():
             return False
@@ -269,13 +293,13 @@
             self.check_clock()
             return False
         if not key_is_ours:
-            self._lose_term(token, "the key is another's")
+            self._lose_term(token, "another controller owns the key")
             return True
         if token != self.token or not self._in_term():
-            return True  # the term ended while the lease was renewed
+            return True  # the term ended while the lease was being renewed
         if self.challenging_token:
             if not key_was_read:
-                return False  # the challenge came while the lease was renewed
+                return False  # a worker sent the higher token while the lease was being renewed
             self._dismiss_challenge()
         self._extend_authority(sent_at)
         return True
@@ -284,22 +308,26 @@
         return self.state in (LeaderState.LOADING, LeaderState.LEADING, LeaderState.PAUSED)
 
     def _lose_term(self, token: int, reason: str) -> None:
-        """End the term of this token, unless another one has begun meanwhile."""
+        """End the term of a token, unless another term of this controller has begun since."""
         if token == self.token:
             self.end_term(reason)
 
     def end_term(self, reason: str) -> None:
-        """End the term, as the key is no longer this controller's."""
+        """End the current term, if any, because this controller no longer owns the leader key."""
         if self._in_term():
             self.authority_until = 0.0
             self.leader = None
             self.change_state(LeaderState.FOLLOWING, reason)
 
     def challenge(self, token: int, reason: str) -> None:
-        """Pause the term, as somebody has seen a higher token, until a read of the key has decided who leads.
+        """Pause the term until a read of the leader key has decided who leads, because a worker has a higher token.
 
-        Tokens are revisions of the store. One that no leader ever had comes from a broken worker; it is remembered, so
-        that it pauses the term only once.
+        Tokens are revisions of the store. A token that no leader ever had comes from a faulty worker; such a token is
+        remembered, so that it pauses the term only once.
+
+        Args:
+            token: the higher token.
+            reason: which worker sent the token, for the log.
         """
         if token in self._invalid_tokens or not self._in_term():
             return
@@ -307,17 +335,21 @@
         self.change_state(LeaderState.PAUSED, reason)
 
     def _dismiss_challenge(self) -> None:
-        """Ignore the challenging token from now on: the key, read after it was seen, is this term's."""
+        """Ignore the challenging token from now on: the leader key was read after the token and is this term's."""
         log.warning(LogEvent("invalid_token_ignored", invalid_token=self.challenging_token, token=self.token))
         if len(self._invalid_tokens) < MAX_INVALID_TOKENS:
             self._invalid_tokens.add(self.challenging_token)
         self.challenging_token = 0
 
     def resign(self, reason: str, pause_s: float) -> int:
-        """End the term on purpose and do not campaign for `pause_s` seconds.
+        """End the term deliberately, so that another controller can lead.
+
+        Args:
+            reason: why this controller resigns, for the log.
+            pause_s: how long this controller does not campaign afterwards, in seconds.
 
         Returns:
-            The token that was given up; the caller removes the key with it (`clear_key`).
+            The token of the ended term, with which the caller deletes the leader key (`clear_key`).
         """
         token = self.token
         self.authority_until = 0.0
@@ -327,18 +359,21 @@
         return token
 
     def clear_key(self, token: int) -> None:
-        """Delete the key of a term that its leader has ended, if it is still that term's.
+        """Delete the leader key of a term that has ended, unless another term has replaced the key.
+
+        Args:
+            token: the fencing token of the ended term.
 
         Raises:
             StoreError: the store could not be reached.
         """
         self.store.commit([version_is(LEADER_KEY, token)], [delete(LEADER_KEY)], Urgency.TAKEOVER)
 
-    def guard(self) -> None:
+    def require_leadership(self) -> None:
         """Check that this controller may act as the leader.
 
         Raises:
-            FencedError: it may not.
+            FencedError: this controller may not act as the leader.
         """
         if not self.is_leader():
             raise FencedError(self.token, "not leading")
--- a/src/grebestand/leader/fenced_writes.py
+++ b/src/grebestand/leader/fenced_writes.py
@@ -1,4 +1,4 @@
-"""The writes of a leader's term, each of which fails as a whole once another term has begun."""
+"""Writes of a leader's term to the key-value store, each of which is rejected once another term has begun."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Writes to the key-value store under the fencing token of one term."""
 
     def __init__(self, election: LeaderElection, store: KeyValueStoreClient, value_bytes: int, txn_ops: int) -> None:
-        """Bind the writer to the term that the election is in now.
+        """Bind the writer to the current term of an election.
 
         Args:
             election: the election that this controller has won.
@@ -28,18 +28,23 @@
         self.txn_ops = txn_ops
 
     def is_leader(self) -> bool:
-        """Return whether this term may give commands right now."""
+        """Return whether this term may write and send commands right now."""
         return self.election.is_leader() and self.election.token == self.token
 
     def commit(self, conditions: list[Condition], changes: list[Change], urgency: Urgency) -> tuple[int, list[str]]:
-        """Commit changes if the conditions hold and this term is still the current one.
+        """Commit changes if all conditions hold and this term is still the current one.
+
+        Args:
+            conditions: the conditions besides that on the leader key.
+            changes: the changes to commit in one transaction.
+            urgency: the priority of the transaction in the rate limiter.
 
         Returns:
-            The new revision and no keys; or 0 and the keys whose conditions failed.
+            The new revision and an empty list; or 0 and the keys whose conditions failed.
 
         Raises:
-            FencedError: this term may not write, or another one has begun.
-            StoreError: the store could not be reached; the changes may have been made.
+            FencedError: this term may not write, or another term has begun.
+            StoreError: the store could not be reached; the changes may have been committed.
         """
         if not self.is_leader():
             raise FencedError(self.token, "not leading")
@@ -50,7 +55,7 @@
         return version, failed
 
     def pages(self, prefix: str) -> PagedRecords:
-        """Return paged records below a key prefix, written by this term."""
+        """Return paged records under a key prefix, whose writes are fenced by this term."""
         return PagedRecords(prefix, self.value_bytes, self.txn_ops, self.commit, self._version_of)
 
     def _version_of(self, key: str) -> int:
--- a/src/grebestand/leader/job_audit.py
+++ b/src/grebestand/leader/job_audit.py
@@ -1,8 +1,8 @@
-"""Audits all live jobs at a slow pace: each has to be startable, allocated, delayed with an end, or unreconciled.
+"""Audits all live jobs periodically: each has to be startable, allocated, delayed for a bounded time, or unreconciled.
 
-The cluster state is kept up to date by events. One that is lost, or a fault of this program, could leave a job waiting
-for something that never comes. So every job is checked over and over, in memory and against its record; a defect is
-logged and repaired by a fresh read, a few at a time.
+The cluster state is updated by events. A lost event, or a bug in this program, could leave a job waiting for an event
+that never arrives. So every job is checked repeatedly, in memory and against its stored record; a defect is logged and
+repaired, for records by reading a few of them again.
 """
 
 from __future__ import annotations
@@ -24,36 +24,38 @@
 
 #: The interval between two reads of a page of live records, in seconds.
 PAGE_INTERVAL_S = 5.0
-#: Records that are read again after one page; the others follow when the page is read the next time.
+#: At most this many records are read again after one page; the others are read again after the next read of the page.
 MAX_RECORDS_REREAD = 4
-#: A start that takes longer than this many leases is unexplained: by then its machine has confirmed it or expired.
+#: The machine of a start that takes longer than this many leases is queried: by then the machine should have confirmed
+#: the start, or its lease should have expired.
 START_LEASES = 3.0
-#: A job found only on record waits for this many leases, until every machine has sent what it runs or has expired.
+#: A job found only in the stored records is delayed for this many leases: by then every machine has reported its tasks,
+#: or its lease has expired.
 DELAY_LEASES = 1.5
-#: The list of waiting tasks is checked if a job has waited for this long without a start, in seconds.
+#: The waiting tasks of a job are checked if none of its tasks has been started for this long, in seconds.
 QUIET_S = 60.0
-#: No part of the scheduler delays a job for longer, in seconds.
+#: The longest delay that any component of the scheduler sets for a job, in seconds.
 MAX_DELAY_S = 120.0
-#: Sorts after every key that begins with the prefix of live records.
+#: Sorts after every key with the prefix of live records.
 END_OF_LIVE_KEYS = "live0"
 
 
 class JobAudit(TermComponent):
-    """Finds and repairs jobs that wait for nothing."""
+    """Finds and repairs jobs that wait for an event that will not occur."""
 
     def __init__(self, context: TermContext, job_watch: JobWatch, completed_jobs: CompletedJobs) -> None:
         super().__init__(context)
         self.job_watch = job_watch
         self.completed_jobs = completed_jobs
         self._page_read_at = -math.inf
-        #: the last key of the page that was read last, or empty at the beginning
+        #: the last key of the last page that was read, or empty before the first page
         self._last_key = ""
         self._quiet_turn = 0
         #: the number of defects repaired so far
         self.defects_repaired = 0
 
     def step(self) -> None:
-        """Check all jobs in memory, the waiting tasks of one quiet job, and now and then a page of records.
+        """Check all jobs in memory, the waiting tasks of one quiet job, and every `PAGE_INTERVAL_S` a page of records.
 
         Raises:
             StoreError: the store could not be reached.
@@ -66,7 +68,7 @@
                 if self._is_quiet(job, now):
                     quiet.append(job)
         if quiet:
-            # checking the tasks of a job of 100,000 takes a while: one job each time
+            # checking a job of 100,000 tasks is expensive, so that each step checks a single job
             self._quiet_turn += 1
             self._check_waiting_tasks(quiet[self._quiet_turn % len(quiet)])
         if now - self._page_read_at >= PAGE_INTERVAL_S:
@@ -102,7 +104,7 @@
             self.registry.move_allocation(allocation, AllocationState.GONE, now)
         elif allocation.name not in machine.allocations:
             self._log_defect(job, f"{machine.name} lacks the allocation of task {allocation.index}")
-            self.inventory.add_allocation(machine, allocation)  # the next heartbeat says whether the task is there
+            self.inventory.add_allocation(machine, allocation)  # the next heartbeat shows whether the task runs there
         elif machine.state is MachineState.LEASE_EXPIRED:
             self._log_defect(job, f"task {allocation.index} is allocated to {machine.name}, whose lease has expired")
             self.inventory.release(machine, allocation, now)
@@ -110,7 +112,7 @@
             allocation.state in (AllocationState.QUEUED, AllocationState.SENT)
             and now - allocation.decided_at > START_LEASES * self.inventory.lease_s
         ):
-            self.inventory.to_query.add(machine.index)  # only the machine itself can explain it
+            self.inventory.to_query.add(machine.index)  # only the worker knows whether the task runs
 
     def _is_unreconciled(self, index: int) -> bool:
         machine = self.inventory.at(index)
@@ -119,7 +121,7 @@
     def _check_waiting_tasks(self, job: Job) -> None:
         """Check that every waiting task is either listed as returned or beyond the cursor of fresh tasks."""
         if job.gang:
-            return  # allocated as a whole, by its number of tasks
+            return  # all tasks of a gang are allocated together, by their number
         returned = {
             index
             for index in job.returned
@@ -139,36 +141,43 @@
             ]
             self.registry.changed = True
 
-    # against the records ----------------------------------------------------------------------------------
+    # against the stored records ---------------------------------------------------------------------------
 
     def _read_page(self) -> None:
-        """Compare one page of the live records with the registry."""
-        watched = self.job_watch.watched
+        """Compare one page of the live records with the job registry."""
+        applied_revision = self.job_watch.applied_revision
         after = self._last_key
         page = self.writer.store.page(LIVE_PREFIX, after, Urgency.PROGRESS)
         more = page.more and bool(page.items)
         self._last_key = page.items[-1].key if more else ""
         up_to = self._last_key if more else END_OF_LIVE_KEYS
-        unknown = self._unknown_jobs(page, watched)
-        missing = self._missing_jobs(page, watched, after, up_to)
+        unknown = self._unknown_jobs(page, applied_revision)
+        missing = self._missing_jobs(page, applied_revision, after, up_to)
         if missing:
-            # most likely cancelled between the last answer of the watch and this page
+            # these jobs were most likely cancelled between the last response of the watch and the read of this page
             self.job_watch.catch_up()
             missing = [job_id for job_id in missing if job_id in self.registry.jobs and self.registry.jobs[job_id].live]
         for job_id in (unknown + missing)[:MAX_RECORDS_REREAD]:
             self._read_again(job_id)
 
-    def _unknown_jobs(self, page: KeyValuePage, watched: int) -> list[str]:
-        """Return the jobs of a page that the registry lacks, without those that the watch has still to bring."""
-        listed = [pair.key.removeprefix(LIVE_PREFIX) for pair in page.items if pair.version <= watched]
+    def _unknown_jobs(self, page: KeyValuePage, applied_revision: int) -> list[str]:
+        """Return the jobs of a page that the registry lacks, except changes that the watch has yet to return."""
+        listed = [pair.key.removeprefix(LIVE_PREFIX) for pair in page.items if pair.version <= applied_revision]
         return [
             job_id for job_id in listed if job_id not in self.registry.jobs and self.completed_jobs.get(job_id) is None
         ]
 
-    def _missing_jobs(self, page: KeyValuePage, watched: int, after: str, up_to: str) -> list[str]:
-        """Return the live jobs of the registry that a page should list, given the range of its keys, and does not."""
+    def _missing_jobs(self, page: KeyValuePage, applied_revision: int, after: str, up_to: str) -> list[str]:
+        """Return the live jobs of the registry that are missing from a page, given the range of keys of the page.
+
+        Args:
+            page: the page of live records.
+            applied_revision: the revision up to which the watch had been applied before the page was read.
+            after: the key after which the page begins.
+            up_to: the last key that the page covers.
+        """
         listed = {pair.key for pair in page.items}
-        known_to_both = min(watched, page.revision)
+        known_to_both = min(applied_revision, page.revision)
         return [
             job_id
             for job_id, job in self.registry.jobs.items()
@@ -179,7 +188,7 @@
         ]
 
     def _read_again(self, job_id: str) -> None:
-        """Decide by a fresh read of one record whether the job is live."""
+        """Read the record of one job again, and repair the job registry by it."""
         found = self.writer.store.get(live_key(job_id), Urgency.PROGRESS)
         now = self.clock()
         job = self.registry.jobs.get(job_id)
@@ -190,18 +199,18 @@
             return
         if job is not None or self.completed_jobs.get(job_id) is not None:
             return
-        self.job_watch.take(found.value, found.version, now)
+        self.job_watch.apply_record(found.value, found.version, now)
         self._log_defect(self.registry.jobs[job_id], "it was on record and not in the registry")
         self._delay_until_seen(self.registry.jobs[job_id], now)
-        # read once more: a job that is cancelled by now must not run
+        # read once more, as a job that was cancelled in the meantime must not run
         if self.writer.store.get(live_key(job_id), Urgency.PROGRESS) is None:
             self.job_watch.apply_removal(job_id, self.clock())
 
     def _delay_until_seen(self, job: Job, now: float) -> None:
-        """Delay a job that may already run somewhere.
+        """Delay a job whose tasks may already run on some machine.
 
-        Within a lease each machine has sent what it runs or has expired; those of an earlier term that are unreconciled
-        have to be reconciled first.
+        Within a lease each machine has reported its tasks, or its lease has expired. Unreconciled machines of an
+        earlier term have to be reconciled first.
         """
         job.retry_at = now + DELAY_LEASES * self.inventory.lease_s
         unreconciled = {machine.index for machine in self.inventory.unreconciled()}
--- a/src/grebestand/leader/job_completion.py
+++ b/src/grebestand/leader/job_completion.py
@@ -1,4 +1,4 @@
-"""Completes jobs: moves the record of a finished one from live to completed, and drops what only live jobs need."""
+"""Completes jobs: replaces the live record of a finished job by a final one, and drops its grants and progress."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-#: A completion that takes this long has waited for the rate limit of writes, in seconds.
+#: A commit that takes this long was delayed by the rate limit of writes, in seconds.
 SLOW_COMMIT_S = 1.0
 
 
@@ -47,7 +47,7 @@
         """Complete all finished jobs, each in one transaction.
 
         Raises:
-            FencedError: this term may not write any more.
+            FencedError: this term may no longer write.
             StoreError: the store could not be reached; the remaining jobs are completed by the next call.
         """
         for job in list(self.registry.finishing.values()):
@@ -66,11 +66,11 @@
         self._log_completion(job, record, now - job.accepted_at)
 
     def _commit(self, job: Job) -> CompletedJobRecord:
-        """Commit the final record of a job, and return the record that is durable.
+        """Commit the final record of a job, and return the final record that the store holds.
 
         Raises:
-            FencedError: this term may not write any more.
-            StoreError: the store could not be reached, or has neither a live nor a final record.
+            FencedError: this term may no longer write.
+            StoreError: the store could not be reached, or has neither a live nor a final record of the job.
         """
         job_id = job.spec.id
         record = CompletedJobRecord(JobStatus.DONE, job.spec.tasks)
@@ -85,7 +85,7 @@
                 self.grants.conserve_writes()
         if not failed:
             return record
-        # either an earlier try of this commit was carried out after all, or a user's cancellation came first
+        # either an earlier attempt of this commit did succeed, or a user's cancellation was committed first
         found = self.writer.store.get(completed_key(job_id), Urgency.DONE)
         if found is None:
             raise StoreError(f"{job_id} is neither live nor over", possibly_applied=True)
@@ -103,6 +103,6 @@
             )
 
     def drop_records(self, job: Job) -> None:
-        """Drop what is stored of a job only while it is live; until then readers ignore it, as the job is over."""
+        """Drop the grants and the progress of a completed job, which readers ignore until they are deleted."""
         self.grants.pages.drop(job.spec.id, soon=False)
         self.progress.drop(job)
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -1,4 +1,4 @@
-"""Follows the live records: jobs that any controller accepted, and removals by whichever controller cancelled them."""
+"""Watches the live job records: jobs accepted by any controller, and removals by the controller that cancelled them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 LIVE_PREFIX = "live/"
-#: The oldest age of a job that is believed, in seconds: its record has another machine's time of day.
+#: Larger ages of jobs are clamped to this, in seconds, as the time in a record comes from another machine's clock.
 MAX_JOB_AGE_S = 86400.0
 
 
@@ -28,18 +28,18 @@
     def __init__(self, context: TermContext, job_completion: JobCompletion) -> None:
         super().__init__(context)
         self.job_completion = job_completion
-        #: the revision up to which changes have been applied
-        self.watched = 0
-        #: when the last read of all records was sent
+        #: the revision of the store up to which changes have been applied
+        self.applied_revision = 0
+        #: when the last read of all live records was sent
         self._read_sent_at = -math.inf
 
-    def take(self, value: object, version: int, now: float) -> None:
-        """Apply a live record: add a job, or note that it is no longer assigned to another cluster.
+    def apply_record(self, value: object, version: int, now: float) -> None:
+        """Apply a live record: add its job, or record that the job is no longer assigned to another cluster.
 
         Args:
             value: the value of the record's key.
-            version: the revision that wrote it.
-            now: the time of the steady clock.
+            version: the revision that wrote the key.
+            now: the current time of the monotonic clock, in seconds.
         """
         record = msgspec.convert(value, LiveJobRecord)
         known = self.registry.jobs.get(record.spec.id)
@@ -47,8 +47,8 @@
             self._update(known, record, version)
             return
         if self.job_completion.completed_jobs.get(record.spec.id) is not None:
-            # written before the job was over, and its removal is still to come: added now, the job could be started
-            # after its user was told that it is cancelled
+            # the record was written before the job was completed, and its removal has not been received yet: a job
+            # added now could be started after its user was notified of the cancellation
             return
         age_s = min(max(0.0, self.context.wall() - record.at), MAX_JOB_AGE_S)
         job = self.registry.add(record.spec, version, now - age_s, now)
@@ -58,31 +58,31 @@
             job.abroad, job.runs_remotely = record.abroad, True
 
     def _update(self, job: Job, record: LiveJobRecord, version: int) -> None:
-        """Bring a job back from another cluster, by this leader's own change or as operators gave that cluster up."""
+        """Reclaim a job from another cluster, after a write of this leader or once operators abandoned that cluster."""
         if job.abroad is not None and record.abroad is None and version > job.version:
             job.version, job.abroad, job.runs_remotely = version, None, False
             self.registry.changed = True
 
     def watch(self) -> None:
-        """Apply changes of the live records, waiting for some as long as the cancellation horizon permits.
+        """Apply changes of the live records, waiting for changes as long as the cancellation horizon permits.
 
         Raises:
-            StoreError: the store could not be reached, or its answer is contradictory.
+            StoreError: the store could not be reached, or its response is contradictory.
         """
         self._follow(self.election.cancellation_horizon.watch_ms)
 
     def catch_up(self) -> None:
-        """Apply changes by a current read, which a term does before it answers again after a pause.
+        """Apply changes with a read that does not wait, which a term has to do before it resumes after a pause.
 
-        The open watch may answer only later, and until then what was cancelled during the pause could be started.
+        The open watch may be answered later, and until then tasks cancelled during the pause could be started.
 
         Raises:
-            StoreError: the store could not be reached, or its answer is contradictory.
+            StoreError: the store could not be reached, or its response is contradictory.
         """
         self._follow(0)
 
     def _follow(self, wait_ms: int) -> None:
-        sent_at, since = self.clock(), self.watched
+        sent_at, since = self.clock(), self.applied_revision
         try:
             changes = self.writer.store.changes(LIVE_PREFIX, since, wait_ms)
         except RevisionCompactedError:
@@ -92,25 +92,32 @@
             raise StoreError(f"revision {changes.revision} after {since}: that cannot be", possibly_applied=False)
         now = self.clock()
         for event in changes.events:
-            # two reads may be under way: the older one must not undo what the newer one has applied
-            if event.version > self.watched:
+            # two reads may be under way: the older read must not undo changes that the newer read has applied
+            if event.version > self.applied_revision:
                 self._apply_event(event, now)
-        self.watched = max(self.watched, changes.revision)
+        self.applied_revision = max(self.applied_revision, changes.revision)
         self.election.record_current_read(self.token, sent_at)
 
     def _apply_event(self, event: ChangeEvent, now: float) -> None:
         if event.put is not None:
-            self.take(event.value, event.version, now)
+            self.apply_record(event.value, event.version, now)
         elif event.delete is not None:
             self.apply_removal(event.delete.removeprefix(LIVE_PREFIX), now)
 
     def apply_removal(self, job_id: str, now: float) -> None:
-        """Apply the removal of a live record: whoever removed it has cancelled the job."""
+        """Apply the removal of a live record by another controller, which means that the job was cancelled.
+
+        Args:
+            job_id: the job whose record was removed.
+            now: the current time of the monotonic clock, in seconds.
+        """
         job = self.registry.jobs.get(job_id)
         if job is None or not job.live:
-            return  # known already, or CLOSING: this leader's own commit, or one whose failure tells what happened
+            # the removal is known already, or the job is CLOSING: then this leader has removed the record itself, or
+            # its own commit fails and it reads the final record of the other controller
+            return
         log.info(LogEvent("job_cancelled", job_id=job_id))
-        # it was live at the horizon, so no user was told before then that it is cancelled
+        # the job was live at the cancellation horizon, so no user was notified of its cancellation before then
         job.may_answer_until = self.election.cancellation_horizon.may_answer_until()
         self.dispatch.cancel(job, now)
         self.job_completion.drop_records(job)
@@ -118,8 +125,11 @@
     def read_all(self, now: float) -> set[str]:
         """Read all live records; the watch continues from the revision of the first page.
 
+        Args:
+            now: the current time of the monotonic clock, in seconds.
+
         Returns:
-            The ids of the jobs that are live.
+            The ids of the live jobs.
 
         Raises:
             StoreError: the store could not be reached.
@@ -131,27 +141,27 @@
             first_revision = first_revision or page.revision
             for pair in page.items:
                 live.add(pair.key.removeprefix(LIVE_PREFIX))
-                self.take(pair.value, pair.version, now)
-        self.watched = first_revision
+                self.apply_record(pair.value, pair.version, now)
+        self.applied_revision = first_revision
         self._read_sent_at = sent_at
         return live
 
-    def begin(self) -> None:
-        """Count the last read of all records as current, once jobs that ended meanwhile have been removed."""
+    def finish_full_read(self) -> None:
+        """Remove jobs that were completed during the last read of all records, and record that read as current."""
         completed = self.job_completion.completed_jobs
         for job_id in [job_id for job_id in self.registry.jobs if completed.get(job_id) is not None]:
             self.apply_removal(job_id, self.clock())
         self.election.record_current_read(self.token, self._read_sent_at)
 
     def _reread(self) -> None:
-        """Read everything again, as the store no longer keeps the changes since the last read."""
+        """Read all live records again, as the store has compacted the changes since the last read."""
         now = self.clock()
         live = self.read_all(now)
         removed = [
             job_id
             for job_id, job in self.registry.jobs.items()
-            if job.live and job_id not in live and job.version <= self.watched
+            if job.live and job_id not in live and job.version <= self.applied_revision
         ]
         for job_id in removed:
             self.apply_removal(job_id, now)
-        self.begin()
+        self.finish_full_read()
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciles the machines of an earlier term: asks each what it runs, and releases what is known to run nowhere."""
+"""Reconciles the machines of an earlier term: queries their tasks, and releases tasks known to run on no machine."""
 
 from __future__ import annotations
 
@@ -19,39 +19,49 @@
 
 #: Where workers accept direct commands.
 DIRECT_PATH = "/do"
-#: Machines queried at a time: with hundreds at once, heartbeats would have to wait.
-MOST_ASKED = 60
-#: The least time between two queries to one machine, in seconds.
+#: At most this many machines are queried at a time: hundreds of concurrent queries would delay heartbeats.
+MAX_QUERIES = 60
+#: The minimum interval between two queries to one machine, in seconds.
 QUERY_INTERVAL_S = 1.4
-#: Requests of one query: the first may be answered under an older epoch, the next stops what is unwanted.
+#: At most this many requests are sent in one query: the first may be answered under an older epoch, and a further one
+#: stops unwanted tasks.
 MAX_REQUESTS_PER_QUERY = 3
 HTTP_OK = 200
 
 
 class DirectRequest(Protocol):
-    """Sends a request to a worker's own address."""
+    """A function that sends a request directly to a worker's address."""
 
     def __call__(self, address: str, path: str, body: bytes, /) -> tuple[int, bytes]:
-        """Return the status and the body of the answer.
+        """Return the HTTP status and the body of the response.
+
+        Args:
+            address: the host and port of the worker.
+            path: the path of the request.
+            body: the body of the request.
 
         Raises:
-            UnreachableError: no answer came.
+            UnreachableError: the worker did not respond.
         """
 
 
 class MachineReconciliation(TermComponent):
-    """Finds out what machines on record run, by their heartbeats and by direct queries."""
+    """Determines which tasks the recorded machines run, by heartbeats and by direct queries."""
 
     def __init__(self, context: TermContext, direct: DirectRequest) -> None:
         super().__init__(context)
         self.direct = direct
-        #: every machine that was on record when the term began has been reconciled
+        #: whether every machine that was recorded when the term began has been reconciled
         self.all_reconciled = False
         #: indices of machines with a query under way
         self.queries_under_way: set[int] = set()
 
     def check(self, now: float) -> None:
-        """Release the unseen tasks of jobs whose possible holders have all been reconciled."""
+        """Release the unseen tasks of jobs whose possible holders have all been reconciled.
+
+        Args:
+            now: the current time of the monotonic clock, in seconds.
+        """
         if self.all_reconciled:
             return
         reconciled, self.inventory.newly_reconciled = self.inventory.newly_reconciled, []
@@ -65,17 +75,21 @@
         self.registry.changed = True
 
     def _stop_incomplete_gang(self, job: Job, now: float) -> None:
-        """Stop a gang of which some tasks run nowhere: the others would wait for them in vain."""
+        """Stop a gang some of whose tasks run on no machine, as its other tasks cannot proceed without them."""
         if job.gang and job.live and job.allocations and len(job.allocations) < job.spec.tasks:
             self.dispatch.stop_job(job, "gang incomplete after takeover", 0.0, now)
 
     def select_machines_to_query(self, now: float) -> list[Machine]:
-        """Return the machines to query now: unreconciled ones, and those whose heartbeats are contradictory."""
+        """Return the machines to query now: unreconciled ones, not reachable ones, and those marked in `to_query`.
+
+        Args:
+            now: the current time of the monotonic clock, in seconds.
+        """
         inventory = self.inventory
         wanted, inventory.to_query = inventory.to_query, set()
         due = inventory.unreconciled()
         due += [m for m in inventory.machines if m.reception is not Reception.REACHABLE or m.index in wanted]
-        free_queries = max(0, MOST_ASKED - len(self.queries_under_way))
+        free_queries = max(0, MAX_QUERIES - len(self.queries_under_way))
         ready = [
             m
             for m in dict.fromkeys(due)
@@ -86,9 +100,10 @@
         return chosen
 
     def query(self, machine: Machine) -> None:
-        """Show a machine this term's token; its answer says what it runs, and that requests arrive there.
+        """Send a machine this term's token; the response lists the machine's tasks and proves that requests arrive.
 
-        Unwanted tasks are stopped at once: until its next heartbeat they would keep it from being reconciled.
+        Unwanted tasks are stopped at once, as they would delay the reconciliation of the machine until its next
+        heartbeat.
         """
         if machine.index in self.queries_under_way:
             return
@@ -123,11 +138,11 @@
                 known = machine.epoch, machine.sequence
 
     def _send(self, machine: Machine, epoch: int, commands: list[Command]) -> tuple[int, Heartbeat]:
-        """Send direct commands and return the status and the heartbeat of the answer.
+        """Send direct commands, and return the HTTP status and the heartbeat of the response.
 
         Raises:
-            UnreachableError: no answer came.
-            msgspec.DecodeError: the answer holds no heartbeat.
+            UnreachableError: the worker did not respond.
+            msgspec.DecodeError: the response contains no valid heartbeat.
         """
         body = msgspec.json.encode(DirectCommands(self.token, epoch, commands))
         status, answer = self.direct(machine.addr, DIRECT_PATH, body)
@@ -139,24 +154,25 @@
             self.inventory.change_reception(machine, Reception.UNREACHABLE, reason, self.clock())
 
     def apply_direct_answer(self, machine: Machine, heartbeat: Heartbeat, known: tuple[int, int]) -> None:
-        """Apply the heartbeat with which a machine answered a direct request.
+        """Apply the heartbeat that a machine returned in response to a direct request.
 
         Args:
-            machine: the machine that was asked.
-            heartbeat: its answer.
+            machine: the machine that received the request.
+            heartbeat: the heartbeat in the response of the machine.
             known: the machine's last known epoch and sequence when the request was sent.
         """
         now = self.clock()
         if heartbeat.machine != machine.name or machine.state is MachineState.GONE:
             return
         if (heartbeat.epoch, heartbeat.sequence) <= known:
-            # it was made after the request, so it is no late copy: the worker has restarted its counters
+            # the heartbeat was created after the request, so that it is no delayed copy: the worker has restarted its
+            # counters
             self.context.reconciler.restarted(machine, heartbeat.epoch, now)
         self.context.reconciler.read(heartbeat, now, solicited=True)
         self.check(now)
 
     def send_stops(self, machine: Machine) -> None:
-        """Send those stops to a worker that should not wait for its next heartbeat."""
+        """Send requested stops directly to a worker, without waiting for the worker's next heartbeat."""
         commands: list[Command] = self.context.command_builder.requested_stops(machine)
         if not commands or machine.epoch == 0:
             return
@@ -168,7 +184,7 @@
         try:
             _, heartbeat = self._send(machine, machine.epoch, commands)
         except (UnreachableError, msgspec.DecodeError) as error:
-            # the answer to its next heartbeat carries the same stops
+            # the response to the next heartbeat of the worker includes the same stops
             log.debug(LogEvent("direct_stop_failed", machine=machine.name, error=error))
             return
         if self.writer.is_leader():
--- a/src/grebestand/leader/machine_records.py
+++ b/src/grebestand/leader/machine_records.py
@@ -1,4 +1,4 @@
-"""Stores which machines there are: only recorded ones get tasks, so that a later leader knows where to look."""
+"""Records which machines exist: only recorded machines get tasks, so that a later leader can reconcile them all."""
 
 from __future__ import annotations
 
@@ -12,14 +12,17 @@
 
 
 class MachineRecords(TermComponent):
-    """Restores the machines that an earlier leader recorded, and records new ones."""
+    """Restores the machines that an earlier leader recorded, and records new machines."""
 
     def __init__(self, context: TermContext) -> None:
         super().__init__(context)
         self.pages = self.writer.pages("machines/")
 
     def load(self, now: float) -> None:
-        """Restore all recorded machines; each is unreconciled until its state is known.
+        """Restore all recorded machines; each is unreconciled until its tasks are known.
+
+        Args:
+            now: the current time of the monotonic clock, in seconds.
 
         Raises:
             StoreError: the store could not be reached.
@@ -34,7 +37,7 @@
         """Record new machines, after which they may get tasks.
 
         Raises:
-            FencedError: this term may not write any more.
+            FencedError: this term may no longer write.
             StoreError: the store could not be reached; the machines are recorded by the next call.
         """
         unrecorded = [machine for machine in self.inventory.machines if self._should_record(machine)]
@@ -44,7 +47,7 @@
         now = self.clock()
         for machine in unrecorded:
             if machine.state is MachineState.GONE:
-                continue  # deleted during the write, and its record was dropped
+                continue  # the machine was deleted during the write, and its record was dropped
             machine.recorded = True
             if machine.state is MachineState.NEW and machine.token == self.token:
                 self.inventory.move(machine, MachineState.READY, now)
@@ -52,8 +55,8 @@
     def _should_record(self, machine: Machine) -> bool:
         """Return whether a machine is new and certain to exist.
 
-        It exists if its worker has seen this term's token, or none at all. Any other heartbeat may be the late copy of
-        a machine that has been deleted, which must not be recorded again.
+        A machine exists if its worker has received this term's token, or no token at all. Any other heartbeat may be a
+        delayed copy from a machine that has been deleted, which must not be recorded again.
         """
         if machine.recorded or machine.state is not MachineState.NEW:
             return False
--- a/src/grebestand/leader/provisioning.py
+++ b/src/grebestand/leader/provisioning.py
@@ -1,7 +1,7 @@
-"""Rents the machines that the plan lacks, each request under a name that is on record before the cloud is asked.
+"""Rents the machines that the plan lacks; the name of each rental request is stored before the request is sent.
 
-A request of an earlier leader may or may not have been carried out. Since the cloud treats a repeated name as the same
-request, a later leader settles it by repeating it.
+A request of an earlier leader may or may not have been executed. Since the cloud treats a repeated name as the same
+request, a later leader settles a request by repeating it.
 """
 
 from __future__ import annotations
@@ -28,24 +28,26 @@
 log = logging.getLogger(__name__)
 
 RENT_PREFIX = "rent/"
-#: How many machines one request asks for: within these bounds, the shortage divided by the zones.
-FEWEST_RENTED, MAX_MACHINES_PER_REQUEST = 10, 50
-#: Requests to the cloud in one step, so that other requests to the cloud need not wait for long.
+#: The smallest and largest number of machines in one rental request, which is otherwise the shortage divided by the
+#: number of zones.
+MIN_MACHINES_PER_REQUEST, MAX_MACHINES_PER_REQUEST = 10, 50
+#: At most this many rental requests are sent in one step, so that other requests to the cloud are not delayed.
 MAX_REQUESTS_PER_STEP = 6
-#: After refusals in a row, a pool is not asked again for this time for each of them, counting up to the maximum.
+#: After consecutive refusals, no request is sent to a pool for this time multiplied by their number, in seconds; at
+#: most this many refusals count.
 REFUSAL_BACKOFF_S, MAX_COUNTED_REFUSALS = 10.0, 3
 
-#: The boot time of a type that the cloud has not described yet, in seconds.
+#: The assumed boot time of a machine type that the cloud has not described yet, in seconds.
 UNKNOWN_BOOT_S = 60.0
-#: The number of boots from which the usual boot time of a type is known, and the quantile that it is.
+#: The number of observed boots of a machine type from which its usual boot time is estimated, and the quantile used.
 MIN_BOOT_SAMPLES, USUAL_BOOT_QUANTILE = 8, 0.9
-#: The usual boot time is at least this many times what the cloud states, which is the middle of a wide range.
+#: The usual boot time is at least this many times the boot time stated by the cloud, which is the middle of a wide
+#: range.
 STATED_BOOT_FACTOR = 1.5
-#: A boot is late after the first many times the usual time, and its machine is replaced once; after the second many
-#: times it is given up.
+#: A machine is late and replaced once after the first multiple of its usual boot time, and given up after the second.
 LATE_BOOT_FACTOR, GIVEN_UP_BOOT_FACTOR = 1.5, 3.0
-#: Of the expected machines, one in this many may be replaced at a time, but always the minimum: where all are late,
-#: their replacements would be late as well.
+#: At most one in this many expected machines is replaced at a time, but always up to the minimum: where all machines
+#: are late, their replacements would be late as well.
 REPLACED_SHARE, MIN_REPLACED = 4, 2
 
 
@@ -55,13 +57,13 @@
     type: str
     zone: str
     spot: bool
-    #: when it was asked for, by this controller's clock
+    #: when the machine was requested, in seconds of this controller's monotonic clock
     since: float
 
 
 @dataclass(frozen=True)
 class PoolKey:
-    """Machines that the cloud rents out alike, by the indices of their type and zone."""
+    """A pool of identical machines for rent: the indices of their type and zone, and whether they are spot machines."""
 
     kind: int
     zone: int
@@ -70,26 +72,29 @@
 
 @dataclass(frozen=True)
 class ExpectedMachines:
-    """How many machines may be counted on that have not sent a heartbeat, and how many are late by zone."""
+    """How many machines without a heartbeat are expected to boot, and how many machines are late by zone."""
 
     count: int
     late_by_zone: dict[int, int]
 
 
 class BootTimes:
-    """How long machines of each type take until their first heartbeat, as far as this term has seen."""
+    """The times until the first heartbeat observed in this term, by machine type."""
 
     def __init__(self, inventory: MachineInventory, registry: JobRegistry) -> None:
         self.inventory = inventory
         self.registry = registry
         self.sketches = DurationSketches()
 
-    def learn(self, machine_type: str, seconds: float) -> None:
-        """Add one observed boot."""
+    def add(self, machine_type: str, seconds: float) -> None:
+        """Add an observed boot time, in seconds."""
         self.sketches.add(machine_type, seconds)
 
     def usual_s(self, machine_type: str) -> float:
-        """Return what nine in ten boots take at most, in seconds, and never less than what the cloud states."""
+        """Return the boot time, in seconds, that nine in ten machines of a type do not exceed.
+
+        Never less than `STATED_BOOT_FACTOR` times the boot time stated by the cloud.
+        """
         described = self.inventory.machine_types.get(self.registry.machine_types.find(machine_type) or 0)
         stated_s = STATED_BOOT_FACTOR * (described.boot_s if described is not None else UNKNOWN_BOOT_S)
         if self.sketches.count(machine_type) < MIN_BOOT_SAMPLES:
@@ -101,28 +106,33 @@
         return now - pending.since > LATE_BOOT_FACTOR * self.usual_s(pending.type)
 
     def is_given_up(self, machine_type: str, age_s: float) -> bool:
-        """Return whether a machine of this age that has sent no heartbeat is not expected to boot any more."""
+        """Return whether a machine without a heartbeat is no longer expected to boot.
+
+        Args:
+            machine_type: the name of the machine's type.
+            age_s: the age of the machine, in seconds.
+        """
         return age_s > GIVEN_UP_BOOT_FACTOR * self.usual_s(machine_type)
 
 
 class Provisioning(TermComponent):
-    """Rents machines, and knows which of them are on their way."""
+    """Rents machines, and tracks rented machines until their first heartbeat."""
 
     def __init__(self, context: TermContext, cloud: CloudClient) -> None:
         super().__init__(context)
         self.cloud = cloud
-        #: machines that the cloud has promised and not listed yet, and listed ones, both without a heartbeat
+        #: machines without a heartbeat: those rented and not listed yet, and those in the cloud's last list
         self.expected: dict[str, PendingMachine] = {}
         self.listed_pending: dict[str, PendingMachine] = {}
-        self.boots = BootTimes(self.inventory, self.registry)
-        #: until when a pool is not asked again, and how often in a row it was refused
+        self.boot_times = BootTimes(self.inventory, self.registry)
+        #: until when no request is sent to a pool, and the number of consecutive refusals
         self.refused_until: dict[PoolKey, float] = {}
         self.refusals: dict[PoolKey, int] = {}
-        #: the number of requests of this term
+        #: the number of rental requests of this term
         self.request_count = 0
-        #: requests that are on record and not settled
+        #: stored requests that are not settled
         self.unsettled: dict[str, RentalRecord] = {}
-        #: keys of records of settled requests, to be deleted
+        #: keys of the records of settled requests, which are to be deleted
         self.settled_keys: set[str] = set()
 
     def load(self) -> None:
@@ -134,56 +144,64 @@
         for pair in self.writer.store.pairs(RENT_PREFIX):
             self.unsettled[pair.key.removeprefix(RENT_PREFIX)] = msgspec.convert(pair.value, RentalRecord)
 
-    def replay(self) -> None:
-        """Repeat the requests of an earlier leader, which it may or may not have sent.
+    def repeat_unsettled_requests(self) -> None:
+        """Repeat the unsettled requests, which an earlier leader may or may not have sent.
 
         Raises:
             CloudError: the cloud could not be reached.
-            FencedError: this term may not write any more.
+            FencedError: this term may no longer write.
         """
         for name, record in list(self.unsettled.items()):
-            self._rent_under(name, record)
+            self._rent_as(name, record)
 
-    def arrived(self, name: str) -> None:
-        """Note the first heartbeat of a machine."""
+    def record_first_heartbeat(self, name: str) -> None:
+        """Record the first heartbeat of a machine and its boot time."""
         pending = self.expected.pop(name, None) or self.listed_pending.pop(name, None)
         if pending is not None:
-            self.boots.learn(pending.type, self.clock() - pending.since)
+            self.boot_times.add(pending.type, self.clock() - pending.since)
 
-    def begin_list(self) -> None:
-        """Forget what the cloud's last list showed, as another one is about to be recorded."""
+    def start_list(self) -> None:
+        """Discard the machines of the cloud's last list, before another list is recorded."""
         self.listed_pending = {}
 
     def record_listed(self, entry: ListedMachine, now: float, *, pending: bool) -> None:
-        """Note a machine of the cloud's list, so that it does not count as promised any more.
+        """Record a machine of the cloud's list, which is then no longer waiting to be listed.
 
         Args:
             entry: the machine as listed.
-            now: the time of the steady clock.
-            pending: whether it has sent no heartbeat and is still expected to.
+            now: the current time of the monotonic clock, in seconds.
+            pending: whether the machine has sent no heartbeat and is still expected to boot.
         """
         promised = self.expected.pop(entry.id, None)
         if pending:
-            # the listed age is that at the time which the list describes, so a promised machine keeps its own
+            # the listed age is outdated by the lag of the list, so that a machine rented here keeps its own time
             listed = PendingMachine(entry.type, entry.zone, entry.spot, now - entry.age_s)
             self.listed_pending[entry.id] = promised or listed
 
     def forget_unlisted(self, now: float, limit_s: float) -> None:
-        """Do not expect machines any more that were promised longer ago than the limit, and never listed."""
+        """Stop expecting machines that were rented longer ago than a limit and have not been listed.
+
+        Args:
+            now: the current time of the monotonic clock, in seconds.
+            limit_s: how long a rented machine may remain unlisted, in seconds.
+        """
         for name in [name for name, promised in self.expected.items() if now - promised.since > limit_s]:
             del self.expected[name]
 
-    def coming(self, now: float) -> ExpectedMachines:
-        """Return how many machines are on their way.
+    def expected_machines(self, now: float) -> ExpectedMachines:
+        """Return how many machines are expected to boot.
 
-        A late one is replaced, so it does not count any more; but only some of them are replaced at a time.
+        A late machine that is replaced does not count; only some of the late machines are replaced at a time.
+
+        Args:
+            now: the current time of the monotonic clock, in seconds.
         """
         pending = {
             name: machine
             for name, machine in (self.listed_pending | self.expected).items()
             if name not in self.inventory.by_name
         }
-        late = [machine for machine in pending.values() if self.boots.is_late(machine, now)]
+        late = [machine for machine in pending.values() if self.boot_times.is_late(machine, now)]
         late_by_zone: dict[int, int] = {}
         for machine in late:
             zone = self.registry.zones.index(machine.zone)
@@ -192,16 +210,16 @@
         return ExpectedMachines(len(pending) - replaced, late_by_zone)
 
     def rent(self) -> None:
-        """Ask the cloud for what the plan lacks, in all pools that fit, until that is on its way.
+        """Request the machines that the plan lacks, from all suitable pools, until enough machines are expected.
 
         Raises:
             CloudError: the cloud could not be reached; the request is repeated by the next step.
-            FencedError: this term may not write any more.
+            FencedError: this term may no longer write.
             StoreError: the store could not be reached.
         """
         requests = 0
         for shortage, zone in self._pools_to_ask():
-            lack = shortage.count - self.coming(self.clock()).count
+            lack = shortage.count - self.expected_machines(self.clock()).count
             if lack <= 0 or requests >= MAX_REQUESTS_PER_STEP:
                 return
             if self.refused_until.get(PoolKey(shortage.machine_type, zone, shortage.spot), 0.0) > self.clock():
@@ -210,21 +228,23 @@
                 type=self.registry.machine_types.name(shortage.machine_type),
                 zone=self.registry.zones.name(zone),
                 spot=shortage.spot,
-                count=min(lack, max(FEWEST_RENTED, min(MAX_MACHINES_PER_REQUEST, lack // len(set(shortage.zones))))),
+                count=min(
+                    lack, max(MIN_MACHINES_PER_REQUEST, min(MAX_MACHINES_PER_REQUEST, lack // len(set(shortage.zones))))
+                ),
             )
-            # a name is never used again with another record: the first request may be carried out late
+            # a name is never reused for another record, as the first request may still be executed later
             self.request_count += 1
-            self._rent_under(f"r-{self.token}-{self.request_count}", record)
+            self._rent_as(f"r-{self.token}-{self.request_count}", record)
             requests += 1
 
     def _pools_to_ask(self) -> Iterator[tuple[CapacityShortage, int]]:
-        """Yield shortages with their zones: first those with few late machines, then those with few machines."""
+        """Yield each shortage with its zones, those with the fewest late machines first, then the fewest machines."""
         allow_spot = bool(self.context.policy_evaluator.value("rent_spot"))
         for shortage in self.context.scheduler.scale_out.shortages:
             if shortage.spot and not allow_spot:
                 continue
             machines_by_zone = self._machines_by_zone(shortage.zones)
-            late_by_zone = self.coming(self.clock()).late_by_zone
+            late_by_zone = self.expected_machines(self.clock()).late_by_zone
             by_preference = sorted(
                 (late_by_zone.get(zone, 0), machines, zone) for zone, machines in machines_by_zone.items()
             )
@@ -238,14 +258,14 @@
                 counts[machine.zone] += 1
         return counts
 
-    def _rent_under(self, name: str, record: RentalRecord) -> None:
-        """Rent machines under a name that is on record first, so that no later leader uses it for anything else."""
+    def _rent_as(self, name: str, record: RentalRecord) -> None:
+        """Rent machines under a request name, which is stored first so that a later leader can settle the request."""
         if name not in self.unsettled:
-            self._put_on_record(name, record)
-        self.election.guard()
+            self._store_request(name, record)
+        self.election.require_leadership()
         now = self.clock()
         rented: list[str] = []
-        with contextlib.suppress(NoCapacityError):  # a refusal, like fewer machines than were asked for
+        with contextlib.suppress(NoCapacityError):  # a refusal counts as zero machines
             rented = self.cloud.rent(RentRequest(name, record.type, record.zone, record.spot, record.count))
         for machine in rented:
             if machine not in self.inventory.by_name:
@@ -254,14 +274,14 @@
         self.unsettled.pop(name, None)
         self.settled_keys.add(f"{RENT_PREFIX}{name}")
 
-    def _put_on_record(self, name: str, record: RentalRecord) -> None:
+    def _store_request(self, name: str, record: RentalRecord) -> None:
         """Store a new request.
 
-        It is urgent: one change for up to fifty machines must not wait behind grants and progress in a burst.
+        The write is urgent: one change for up to fifty machines must not wait behind grants and progress in a burst.
 
         Raises:
-            FencedError: this term may not write any more.
-            StoreError: the store could not be reached, or has the name already.
+            FencedError: this term may no longer write.
+            StoreError: the store could not be reached, or already has a request of this name.
         """
         key = f"{RENT_PREFIX}{name}"
         _, failed = self.writer.commit([key_absent(key)], [put(key, msgspec.to_builtins(record))], Urgency.TAKEOVER)
@@ -270,7 +290,7 @@
         self.unsettled[name] = record
 
     def _record_outcome(self, record: RentalRecord, rented: int, now: float) -> None:
-        """Back off from a pool that gave fewer machines than were asked for."""
+        """Log the outcome of a request, and back off from a pool that provided fewer machines than requested."""
         pool = PoolKey(
             self.registry.machine_types.index(record.type), self.registry.zones.index(record.zone), record.spot
         )
@@ -294,7 +314,7 @@
         """Delete the records of settled requests, as many as fit a transaction.
 
         Raises:
-            FencedError: this term may not write any more.
+            FencedError: this term may no longer write.
             StoreError: the store could not be reached; the records are deleted by a later call.
         """
         keys = list(self.settled_keys)[: self.writer.txn_ops]
--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -1,6 +1,6 @@
-"""Decides when targets are computed and scheduling passes are made, and divides them into slices.
+"""Decides when targets are computed and scheduling passes are run, and divides both into slices.
 
-Between slices, and for a while after each computation, the leader answers workers and users instead.
+Between slices, and for a rest after each computation, the leader answers workers and users.
 """
 
 from __future__ import annotations
@@ -18,25 +18,26 @@
 
 log = logging.getLogger(__name__)
 
-#: New jobs bring the next computation of targets forward, but not closer than this to the last one, in seconds.
-ARRIVAL_GAP_S = 1.0
-#: After a computation of targets, and after a pass, the loop rests this many times as long as it took. A pass rests
-#: longer, as starts ride on heartbeats and a later pass delays them little: with a small factor, cheaper passes only
-#: mean more of them, and take the same share of a core.
-TARGETS_REST_FACTOR, PASS_REST = 6.0, 15.0
+#: New jobs trigger a computation of targets early, but at least this long after the last one, in seconds.
+MIN_TARGETS_INTERVAL_S = 1.0
+#: After a computation of targets, and after a pass, the loop rests for the time that it took multiplied by this factor.
+#: The factor of a pass is larger, as starts are sent in responses to heartbeats and a later pass hardly delays them:
+#: with a small factor, cheaper passes would only run more often and take the same share of a core.
+TARGETS_REST_FACTOR, PASS_REST_FACTOR = 6.0, 15.0
 #: The longest rest after a pass, in seconds.
 MAX_REST_S = 2.0
-#: A pass shorter than the first had nothing to do and needs no rest; one shorter than the second is light.
-TRIFLE_S, LIGHT_S = 0.001, 0.01
-#: The least time between the beginnings of two passes, after a light and after a longer one, in seconds; arrays fill
-#: what a heartbeat frees without a pass.
-LIGHT_GAP_S, PASS_GAP_S = 0.25, 0.5
-#: A computation lets other greenlets run after this long, in seconds.
+#: A pass shorter than the first duration had no work and needs no rest; a pass shorter than the second is light. Both
+#: are in seconds.
+EMPTY_PASS_S, LIGHT_PASS_S = 0.001, 0.01
+#: The minimum time from the start of a pass to the start of the next, after a light pass and after a longer pass, in
+#: seconds; arrays use the capacity that a heartbeat frees without waiting for a pass.
+MIN_LIGHT_PASS_INTERVAL_S, MIN_PASS_INTERVAL_S = 0.25, 0.5
+#: The duration of a slice, after which a computation yields to other greenlets, in seconds.
 SLICE_S = 0.04
 
 
 class SchedulingLoop(TermComponent):
-    """Runs at most one computation at a time: of targets, or a pass."""
+    """Runs at most one computation at a time: a computation of targets or a scheduling pass."""
 
     def __init__(
         self, context: TermContext, machine_reconciliation: MachineReconciliation, overload: OverloadMonitor
@@ -45,28 +46,34 @@
         self.machine_reconciliation = machine_reconciliation
         self.overload = overload
         self.scheduler = context.scheduler
-        #: the earliest times of the next pass and of the next targets
+        #: the earliest times of the next pass and of the next computation of targets
         self.next_pass_at = self.next_targets_at = -math.inf
-        #: the computation under way, and what to call when it is complete
+        #: the computation under way, and the function to call when the computation is complete
         self._work: Steps | None = None
         self._on_complete: Callable[[], None] = lambda: None
-        #: when the computation began, and how long its slices have taken so far
+        #: when the computation under way began, and how long its slices have taken so far, in seconds
         self._began_at = self._spent_s = 0.0
         self._durations_logged_at = self.clock()
 
     @property
     def busy(self) -> bool:
-        """Whether a computation is under way and has to be continued."""
+        """Whether a computation is under way, so that `run_slice` has to continue it."""
         return self._work is not None
 
     def step(self, now: float) -> None:
-        """Begin the computation that is due, if any, with its first slice; called at each heartbeat."""
+        """Start a computation if one is due, and run its first slice; called for each heartbeat.
+
+        Args:
+            now: the current time of the monotonic clock, in seconds.
+        """
         if self.busy or self.election.state is not LeaderState.LEADING:
             return
         registry = self.registry
         since = now - self.scheduler.targets_updated_at
-        # the greedy algorithm updates at every arrival; here an arrival brings the next update forward
-        due = since >= self.scheduler.context.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
+        # the greedy algorithm updates targets at every arrival of a job; here an arrival only brings the update forward
+        due = since >= self.scheduler.context.policy_values.period_s or (
+            registry.arrived and since >= MIN_TARGETS_INTERVAL_S
+        )
         if due and now >= self.next_targets_at:
             registry.arrived = False
             self._begin(self._compute_targets(now), self._finish_targets)
@@ -85,7 +92,7 @@
         self.run_slice()
 
     def run_slice(self) -> None:
-        """Run one more slice of the computation under way, if any."""
+        """Run the next slice of the computation under way, if any."""
         work = self._work
         if work is None:
             return
@@ -93,7 +100,7 @@
             self._work = None
             return
         self.scheduler.context.slice_number += 1
-        # what the computation itself changes is no reason for another one; what others change between slices is
+        # changes made by the computation itself do not require another computation; changes made between slices do
         changed = self.registry.changed
         slice_began_at = self.clock()
         unfinished = False
@@ -122,7 +129,9 @@
 
     def _finish_pass(self) -> None:
         self.context.sketches.add("pass", self._spent_s)
-        if self._spent_s < TRIFLE_S:
+        if self._spent_s < EMPTY_PASS_S:
             return
-        gap_s = LIGHT_GAP_S if self._spent_s < LIGHT_S else PASS_GAP_S
-        self.next_pass_at = max(self._began_at + gap_s, self.clock() + min(PASS_REST * self._spent_s, MAX_REST_S))
+        gap_s = MIN_LIGHT_PASS_INTERVAL_S if self._spent_s < LIGHT_PASS_S else MIN_PASS_INTERVAL_S
+        self.next_pass_at = max(
+            self._began_at + gap_s, self.clock() + min(PASS_REST_FACTOR * self._spent_s, MAX_REST_S)
+        )
--- a/src/grebestand/leader/status_broadcast.py
+++ b/src/grebestand/leader/status_broadcast.py
@@ -1,4 +1,4 @@
-"""What a leader sends the other controllers for display and for its successor: task counts and cached images."""
+"""What a leader sends to the other controllers, for display and for its successor: task counts and cached images."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from ..wire.peers import CachedImages
 from .term_context import TermComponent, TermContext
 
-#: Addresses of workers that are sent, for other controllers to see whether they reach them.
+#: At most this many addresses of workers are sent, with which other controllers test whether they can reach workers.
 MAX_SAMPLES = 4
-#: Of one zone, no more than half of them, so that a fault of one zone is not taken for one of all.
+#: At most half of the addresses are of one zone, so that a failure of one zone is not mistaken for a failure of all.
 MAX_SAMPLES_PER_ZONE = MAX_SAMPLES // 2
-#: Random machines that are looked at for one sample.
+#: How many random machines are tried for each sampled address.
 DRAWS_PER_SAMPLE = 4
-#: How old the counts of tasks may be, in seconds: all controllers ask for them each second.
+#: How long the counts of tasks are cached, in seconds: each controller requests them every second.
 MAX_COUNTS_AGE_S = 1.0
 
 
 class StatusBroadcast(TermComponent):
-    """Prepares what the other controllers are sent; nothing of it decides anything."""
+    """Prepares the data sent to the other controllers, on which no decision about jobs depends."""
 
     def __init__(self, context: TermContext) -> None:
         super().__init__(context)
@@ -29,7 +29,7 @@
         self._counted_at = -math.inf
 
     def counts(self) -> dict[str, tuple[int, int]]:
-        """Return the numbers of done and of running tasks, by the ids of jobs that have any."""
+        """Return the numbers of done and running tasks by job id, for jobs that have any."""
         now = self.clock()
         if now - self._counted_at >= MAX_COUNTS_AGE_S:
             self._counted_at = now
@@ -41,7 +41,11 @@
         return self._counts
 
     def sample_addresses(self, rng: random.Random) -> list[str]:
-        """Return the addresses of a few ready workers, drawn at random and mixed from several zones."""
+        """Return the addresses of a few ready workers, drawn at random from several zones.
+
+        Args:
+            rng: the source of random numbers.
+        """
         machines = self.inventory.machines
         by_zone: dict[int, list[str]] = {}
         for _ in range(min(len(machines), DRAWS_PER_SAMPLE * MAX_SAMPLES)):
@@ -56,7 +60,7 @@
         return list(dict.fromkeys(mixed))[:MAX_SAMPLES]
 
     def cached_images(self) -> CachedImages:
-        """Return which images are thought to be on which machines."""
+        """Return which images are assumed to be cached on which machines."""
         images = self.registry.images
         return CachedImages(
             names=[images.name(index) for index in range(len(images))],
@@ -65,7 +69,11 @@
         )
 
     def restore_cached_images(self, cached: CachedImages) -> None:
-        """Adopt what an earlier leader knew of cached images, as heartbeats do not list them."""
+        """Restore an earlier leader's record of cached images, as heartbeats do not list images.
+
+        Args:
+            cached: the images and machines as sent by the earlier leader.
+        """
         indices = [self.registry.image(name, gb) for name, gb in zip(cached.names, cached.gigabytes, strict=True)]
         for name, image_positions in cached.machines.items():
             machine = self.inventory.by_name.get(name)
--- a/src/grebestand/leader/task_progress.py
+++ b/src/grebestand/leader/task_progress.py
@@ -1,4 +1,4 @@
-"""Stores which tasks of arrays are done; only once that is durable may workers forget their results."""
+"""Stores which tasks of arrays are done; workers may discard the results of tasks only once that is durable."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from ..flow_control.rate_limiter import Urgency
 from .term_context import TermComponent, TermContext
 
-#: Progress is collected for this long before it is written, so that one write serves many tasks, in seconds.
+#: How long progress is collected before it is written, in seconds, so that one write covers many tasks.
 PROGRESS_AGE_S = 1.5
 
 
 class _DirtyChunk(NamedTuple):
-    """A part of a job's progress that is to be written."""
+    """A chunk of a job's progress that is to be written."""
 
     since: float
     job: Job
     number: int
-    #: the bits of done tasks at the time of the write
+    #: the bits of the done tasks when the chunk was put on its page
     bits: bytes
 
 
 class TaskProgress(TermComponent):
-    """Keeps the bits of done tasks durable, in chunks that fit a stored value."""
+    """Stores the bits of done tasks durably, in chunks that fit into a stored value."""
 
     def __init__(self, context: TermContext) -> None:
         super().__init__(context)
         self.pages = self.writer.pages("progress/")
 
     def load(self) -> None:
-        """Restore the progress that an earlier leader stored, and drop that of jobs that are over.
+        """Restore the progress that an earlier leader stored, and drop the progress of completed jobs.
 
         Raises:
             StoreError: the store could not be reached.
@@ -54,10 +54,10 @@
             self.pages.drop(f"{job.spec.id}/{chunk}", soon=False)
 
     def save(self) -> None:
-        """Write the chunks that have been changed for a while, and note which tasks are durable by that.
+        """Write chunks that changed at least `PROGRESS_AGE_S` ago, and record their tasks as durable.
 
         Raises:
-            FencedError: this term may not write any more.
+            FencedError: this term may no longer write.
             StoreError: the store could not be reached; the chunks are kept for the next call.
         """
         now = self.clock()
@@ -69,7 +69,11 @@
             self._record_durable(chunk, now)
 
     def _collect(self, now: float) -> list[_DirtyChunk]:
-        """Put the chunks that are due on their pages."""
+        """Put the chunks that are due on their pages, and return them.
+
+        Args:
+            now: the current time of the monotonic clock, in seconds.
+        """
         chunk_bytes = self._chunk_bytes()
         chunks: list[_DirtyChunk] = []
         for job in self.registry.jobs.values():
--- a/src/grebestand/leader/term.py
+++ b/src/grebestand/leader/term.py
@@ -1,6 +1,6 @@
-"""One term of a leader: its parts, and how they recover the state that an earlier leader left.
+"""One term of a leader: its components, and the recovery of the state that an earlier leader stored.
 
-Each part offers steps which the loops of `controller` run; tests call them directly with a manual clock.
+Each component provides steps that the loops in `controller` run. Tests call the steps directly with a manual clock.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Term:
-    """A leader's work under one fencing token, from reading the records to answering workers."""
+    """Everything that a leader does under one fencing token, from reading the stored records to answering workers."""
 
     def __init__(
         self,
@@ -54,20 +54,20 @@
         overload: OverloadMonitor,
         features: Features,
     ) -> None:
-        """Begin a term with an empty state; `load` reads the records.
+        """Begin a term with an empty cluster state; `load` reads the stored records.
 
         Args:
             settings: the settings of the platform.
             policy: the policy's expressions.
             writer: the fenced writer of this term.
-            cloud: the client of the cloud that rents machines out.
+            cloud: the client of the cloud API that rents and deletes machines.
             direct: sends a request to a worker's own address.
-            clock: a steady clock, in seconds.
+            clock: a monotonic clock, in seconds.
             wall: the time of day, in seconds since the epoch.
-            completed_jobs: this controller's memory of jobs that are over, which outlasts the term.
-            machine_types: returns the cloud's machine types, or None while they are not known.
-            overload: how busy this controller is.
-            features: the hooks of the features that are on.
+            completed_jobs: this controller's cache of completed jobs, which outlives the term.
+            machine_types: returns the cloud's machine types, or None while the types are not known.
+            overload: measures the load of this controller.
+            features: the hooks of the enabled features.
         """
         self.settings = settings
         self.writer = writer
@@ -93,7 +93,7 @@
         self._build_components()
 
     def _build_components(self) -> None:
-        """Build all parts over an empty state, from which each attempt at loading starts."""
+        """Build all components over an empty cluster state, from which each attempt of `load` starts."""
         context = self.context = TermContext(self._environment)
         self.registry, self.inventory, self.dispatch = context.registry, context.inventory, context.dispatch
         self.command_builder, self.scheduler = context.command_builder, context.scheduler
@@ -131,9 +131,9 @@
         self.loaded = False
 
     def load(self) -> None:
-        """Recover the state from the records, from the beginning if an earlier attempt failed.
+        """Recover the cluster state from the stored records, from the beginning if an earlier attempt failed.
 
-        The watch of the live jobs starts at the revision of their first page, so that no change is missed.
+        The watch of the live job records starts at the revision of their first page, so that no change is missed.
 
         Raises:
             StoreError: the store could not be reached; `load` may be called again.
@@ -153,7 +153,7 @@
         self.inventory.count_unreconciled()
         now = self.clock()
         self._restart_leases(now)
-        self.job_watch.begin()
+        self.job_watch.finish_full_read()
         self.loaded = True
         log.info(
             LogEvent(
@@ -163,7 +163,7 @@
         self.machine_reconciliation.check(now)
 
     def _close_finished_jobs(self, now: float) -> None:
-        """Start the completion of jobs whose tasks were all done when the earlier leader ended."""
+        """Start the completion of jobs whose tasks were all done when the earlier term ended."""
         for job in list(self.registry.jobs.values()):
             if job.unfinished() == 0:
                 self.registry.move_job(job, JobState.CLOSING, now)
@@ -174,45 +174,61 @@
             record.load(pages, dict(pages.load(self.writer.store.pairs(record.prefix))))
 
     def _restart_leases(self, now: float) -> None:
-        """Assume that an earlier leader answered every machine just now: their leases end at the latest from here."""
+        """Count the lease of every machine from `now`, as an earlier leader may have renewed it until just before."""
         for machine in self.inventory.machines:
             machine.last_response_at = now
-        self.heartbeat_handler.restart_silence(now)
+        self.heartbeat_handler.reset_silence(now)
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """Return the answer to a heartbeat, or None while this controller may not answer."""
+        """Return the response to a heartbeat, or None while this controller may not answer workers."""
         if not self.loaded:
-            # an answer would renew the leases of cancelled tasks and could not stop them (`cancellation_horizon`)
+            # before loading, a response would renew leases of cancelled tasks without stopping them; `may_answer` is
+            # called for its check of the token only
             self.heartbeat_handler.may_answer(heartbeat)
             return None
         return self.heartbeat_handler.handle(heartbeat)
 
     def begin_heartbeat(self, heartbeat: Heartbeat) -> PendingResponse | HeartbeatResponse | None:
-        """Apply a heartbeat, to be answered by `finish_heartbeat`, so that several share one wait for grants."""
+        """Apply a heartbeat that `finish_heartbeat` will answer, so that several heartbeats share one wait for grants.
+
+        Returns:
+            A pending response; the response itself if the heartbeat is outdated or its machine is gone; None while this
+            controller may not answer workers.
+        """
         if not self.loaded:
             self.heartbeat_handler.may_answer(heartbeat)
             return None
-        return self.heartbeat_handler.begin(heartbeat)
+        return self.heartbeat_handler.apply(heartbeat)
 
     def wait_for_grants(self, begun: Iterable[PendingResponse | HeartbeatResponse | None]) -> None:
-        """Wait a short while for the grants of the tasks that these answers are to start."""
-        self.heartbeat_handler.cover([response for response in begun if isinstance(response, PendingResponse)])
+        """Wait up to a fixed limit for durable grants of the tasks that the pending responses are to start.
+
+        Args:
+            begun: what `begin_heartbeat` returned for each heartbeat.
+        """
+        self.heartbeat_handler.wait_for_grants(
+            [response for response in begun if isinstance(response, PendingResponse)]
+        )
 
     def finish_heartbeat(self, pending: PendingResponse) -> HeartbeatResponse | None:
-        """Return the answer to a heartbeat that was begun, or None if this controller may not answer any more."""
-        return self.heartbeat_handler.finish(pending)
+        """Return the response to an applied heartbeat, or None if this controller may no longer answer workers."""
+        return self.heartbeat_handler.respond(pending)
 
     def wants_heartbeat_assignment(self, machines: float) -> bool:
-        """Return whether, by the policy, with so many machines every controller is to answer heartbeats."""
+        """Return whether the policy has every controller receive heartbeats, rather than the leader alone.
+
+        Args:
+            machines: the number of machines that the policy is evaluated for.
+        """
         evaluator = self.context.policy_evaluator
         return bool(evaluator.policy.value("spread_reports", {**evaluator.variables(), "machines": machines}))
 
     def step_machines(self) -> None:
-        """Settle rental requests, read the cloud's list, and return and rent machines.
+        """Settle rental requests, read the cloud's list of machines, delete unneeded machines and rent missing ones.
 
         Raises:
             CloudError: the cloud could not be reached.
-            FencedError: this term may not write any more.
+            FencedError: this term may no longer write.
             StoreError: the store could not be reached.
         """
         if not self.inventory.machine_types:
@@ -220,17 +236,17 @@
             if types is None:
                 return
             self.inventory.learn_types(types)
-        self.provisioning.replay()
+        self.provisioning.repeat_unsettled_requests()
         self.deprovisioning.read_list()
         self.deprovisioning.return_idle()
         if self.context.policy_evaluator.value("rent"):
             self.provisioning.rent()
 
     def save_features(self) -> None:
-        """Write the records that features have changed.
+        """Write the records that features have changed to the store.
 
         Raises:
-            FencedError: this term may not write any more.
+            FencedError: this term may no longer write.
             StoreError: the store could not be reached.
         """
         for pages in self.feature_records.values():
--- a/src/grebestand/leader/term_context.py
+++ b/src/grebestand/leader/term_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a leader's term share: the cluster state, the fenced writer, the clocks and the scheduler."""
+"""What the components of a term share: the cluster state, the fenced writer, the clocks and the scheduler."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
 from ..settings.platform import Settings
 from .fenced_writes import FencedWriter
 
-#: Bounds of a chunk of task progress, in bytes before its encoding.
+#: The smallest and largest size of a chunk of task progress, in bytes before base64 encoding.
 MIN_CHUNK_BYTES, MAX_CHUNK_BYTES = 16, 8192
-#: What the key, quotes and braces of a stored chunk may take of its value, in bytes.
+#: The part of a stored value that the key, quotes and braces of a chunk may take, in bytes.
 CHUNK_OVERHEAD_BYTES = 128
-#: Base64 writes three bytes as four characters.
+#: Base64 encodes three bytes as four characters.
 BASE64_EFFICIENCY = 3 / 4
 
 
 @dataclass(frozen=True)
 class TermEnvironment:
-    """What a term is given by its controller and shares with its parts."""
+    """What the controller passes to a term, and the term shares with its components."""
 
     settings: Settings
     policy: Expressions
     writer: FencedWriter
-    #: a steady clock, in seconds
+    #: a monotonic clock, in seconds
     clock: Callable[[], float]
     #: the time of day, in seconds since the epoch
     wall: Callable[[], float]
-    #: when the term began, by `clock`
+    #: when the term began, in seconds of `clock`
     started_at: float
     features: Features
 
 
 class TermContext:
-    """The shared objects of one term, all of them empty at first."""
+    """The objects that the components of one term share; the cluster state is empty at first."""
 
     def __init__(self, environment: TermEnvironment) -> None:
         """Build an empty cluster state and the scheduler over it."""
@@ -93,16 +93,20 @@
 
 
 def _chunk_bytes(value_bytes: int) -> int:
-    """Return how many bytes of task progress fit into a stored value, in base64 and with what surrounds it."""
+    """Return how many bytes of task progress fit into a stored value as base64, with key, quotes and braces.
+
+    Args:
+        value_bytes: the largest size of a stored value, in bytes.
+    """
     fitting = int((value_bytes - CHUNK_OVERHEAD_BYTES) * BASE64_EFFICIENCY)
     return max(MIN_CHUNK_BYTES, min(MAX_CHUNK_BYTES, fitting))
 
 
 class TermComponent:
-    """Base of the parts of a term, each of which has one job over the same context."""
+    """Base class of the components of a term, which share one context."""
 
     def __init__(self, context: TermContext) -> None:
-        """Keep the context, and direct references to what most parts need."""
+        """Keep the context, and direct references to the objects that most components use."""
         self.context = context
         self.writer = context.writer
         self.election = context.election
--- a/tests/heartbeat_relay/test_batch_receiver.py
+++ b/tests/heartbeat_relay/test_batch_receiver.py
@@ -77,7 +77,7 @@
     def slow_wait(begun: object) -> None:
         cluster.clock.now += 30.0
 
-    monkeypatch.setattr(term, "cover_heartbeats", slow_wait)
+    monkeypatch.setattr(term, "wait_for_grants", slow_wait)
     assert responses_to(receiver, msgspec.json.encode(workers[0].report())) == [(503, b"")]
 
 
@@ -88,7 +88,7 @@
         cluster.clock.now += BATCH_TIMEOUT_S + 0.1
         term.election.renew()
 
-    monkeypatch.setattr(term, "cover_heartbeats", slow_wait)
+    monkeypatch.setattr(term, "wait_for_grants", slow_wait)
     before = [machine.last_response_at for machine in term.inventory.machines]
     assert responses_to(receiver, *(msgspec.json.encode(worker.report()) for worker in workers)) == [(503, b"")] * 3
     assert [machine.last_response_at for machine in term.inventory.machines] == before
--- a/tests/leader/test_cancellation_horizon.py
+++ b/tests/leader/test_cancellation_horizon.py
@@ -1,10 +1,10 @@
-"""The rule of the cancellation horizon alone."""
+"""Unit tests of the cancellation horizon."""
 
 from __future__ import annotations
 
 import pytest
 
-from grebestand.leader.cancellation_horizon import TIGHTEST_S, CancellationHorizon, max_knowledge_age_s
+from grebestand.leader.cancellation_horizon import SMALLEST_MAX_AGE_S, CancellationHorizon, max_knowledge_age_s
 from grebestand.settings.platform import Workers
 from grebestand.simulation.single_controller_cluster import ManualClock
 
@@ -16,18 +16,18 @@
 def test_knowledge_counts_from_when_the_read_was_sent() -> None:
     clock = ManualClock()
     horizon = CancellationHorizon(clock, 29.0)
-    assert not horizon.fresh()
+    assert not horizon.allows_responses()
     horizon.record_current_read(clock.now - 5.0)
     clock.now += 23.9
-    assert horizon.fresh()
+    assert horizon.allows_responses()
     clock.now += 0.2
-    assert not horizon.fresh()
-    # an older answer that comes later changes nothing
+    assert not horizon.allows_responses()
+    # the response to an older read that arrives later changes nothing
     horizon.record_current_read(clock.now - 40.0)
-    assert not horizon.fresh()
+    assert not horizon.allows_responses()
     horizon.record_current_read(clock.now)
-    horizon.begin()
-    assert not horizon.fresh()  # a new term knows nothing yet
+    horizon.reset()
+    assert not horizon.allows_responses()  # a new term knows no cancellations yet
 
 
 def test_bound_follows_from_settings_and_is_logged(caplog: pytest.LogCaptureFixture) -> None:
@@ -42,7 +42,7 @@
 def test_too_short_cancel_time_keeps_tightest_bound_and_names_fields(caplog: pytest.LogCaptureFixture) -> None:
     settings = worker_settings(60.0, 30.0)
     horizon = CancellationHorizon(ManualClock(), max_knowledge_age_s(settings))
-    assert horizon.max_age_s == TIGHTEST_S and horizon.watch_ms == 500
+    assert horizon.max_age_s == SMALLEST_MAX_AGE_S and horizon.watch_ms == 500
     horizon.log_settings(settings)
     (warning,) = [r.getMessage() for r in caplog.records if r.levelname == "WARNING"]
     assert "params.workers.cancel_s" in warning and "params.workers.lease_s" in warning
--- a/tests/leader/test_cancellation_scenarios.py
+++ b/tests/leader/test_cancellation_scenarios.py
@@ -1,4 +1,4 @@
-"""Cancellations that a leader does not know of: it alone is cut off from the store, then nobody reaches it."""
+"""Cancellations that a leader does not know: only the leader loses the store, then the store is down for everyone."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def cancel_some_jobs(cluster: SimulatedCluster, share: float = 0.7) -> None:
-    """Let the users of a share of the jobs cancel them now."""
+    """Have the users cancel a share of the jobs now."""
     for job in cluster.jobs.values():
         if not job.over and cluster.luck.random() < share:
             job.cancel_at = min(job.cancel_at, cluster.loop.time)
@@ -49,7 +49,15 @@
 def store_gap(
     cluster: SimulatedCluster, link_mode: LinkMode, gap_s: float, outage_s: float, refused_s: float = 14.0
 ) -> None:
-    """Cut the leader alone off from the store while users cancel elsewhere; then nobody is served."""
+    """Disconnect only the leader from the store while users cancel through other controllers; then stop the store.
+
+    Args:
+        cluster: the simulated cluster.
+        link_mode: how the link between the leader and the store fails.
+        gap_s: how long only the leader is disconnected, in seconds.
+        outage_s: how long the store is down afterwards, in seconds.
+        refused_s: how long the link of the leader fails, in seconds.
+    """
     (first,) = cluster.leading()
     cluster.links.set(first, STATE, link_mode)
     gevent.spawn_later(refused_s, cluster.links.set, first, STATE, LinkMode.OPEN)
@@ -88,7 +96,7 @@
 
 
 def delay_watches(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The watch is answered only seconds after the store is reached again."""
+    """Delay each watch by 3 s, so that it is answered only seconds after the store is reachable again."""
     watch = JobWatch.watch
 
     def slowly(self: JobWatch) -> None:
@@ -99,29 +107,29 @@
 
 
 def ignore_cancellation_hints(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Leave out what other controllers and polls of users tell a leader: a help on which no rule rests."""
+    """Disable the cancellation hints from peers and from polls of users, on which no guarantee depends."""
     monkeypatch.setattr(CancellationRecorder, "record_from_peer", lambda *_: None)
     monkeypatch.setattr(CancellationRecorder, "stop_in_term", lambda *_: None)
 
 
 def disable_cancellation_horizon(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Broken on purpose: only the leader lease limits renewals and starts."""
-    monkeypatch.setattr(CancellationHorizon, "fresh", lambda self: True)
+    """Deliberate defect: only the leader lease limits renewals and starts."""
+    monkeypatch.setattr(CancellationHorizon, "allows_responses", lambda self: True)
     monkeypatch.setattr(CancellationHorizon, "allows_starts", lambda self: True)
 
 
 def skip_catch_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Broken on purpose: a leader that resumes goes on with the state that it had."""
+    """Deliberate defect: a leader that resumes continues with its old state."""
     monkeypatch.setattr(JobWatch, "catch_up", lambda self: None)
 
 
 def disable_record_audit(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Leave out the audit of records, which is no part of the argument."""
+    """Disable the audit of records, on which the guarantee does not depend."""
     monkeypatch.setattr(JobAudit, "_read_page", lambda self: None)
 
 
 def resume_after_outage(loop: VirtualLoop) -> list[str]:
-    """Run a leader that keeps its key through refusals and an outage; return the rules that were broken."""
+    """Run a leader that keeps its key through refusals and an outage; return the violated invariants."""
     cluster = SimulatedCluster(loop, seed=1, machines=48)
     cluster.task_s = (100.0, 160.0)
     for _ in range(60):
@@ -129,12 +137,15 @@
     gevent.sleep(20)
     store_gap(cluster, LinkMode.REFUSED, 1.2, 63.0, refused_s=8.0)
     gevent.sleep(40)
-    assert len(cluster.leaders) == 1  # it is the same term
+    assert len(cluster.leaders) == 1  # the leader is still in the same term
     return cluster.broken()
 
 
 def test_resumed_leader_reads_before_it_answers(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It started 29 cancelled tasks 65 s after their users had been told, since its watch had not spoken yet."""
+    """Guards against starting cancelled tasks after a pause, before the watch of the live records has been answered.
+
+    A resumed leader started 29 cancelled tasks, 65 s after their users had been notified of the cancellation.
+    """
     delay_watches(monkeypatch)
     ignore_cancellation_hints(monkeypatch)
     assert resume_after_outage(loop) == []
@@ -147,7 +158,7 @@
 
 
 def run_with_silent_watches(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Run a leader whose lease is renewed and whose watches are never answered, while users cancel elsewhere."""
+    """Run a leader whose lease is renewed but whose watches time out, while users cancel through other controllers."""
     cluster = busy_cluster(loop, seed=3)
     (first,) = cluster.leading()
     controller = cluster.nodes[first]
@@ -199,7 +210,7 @@
     (first,) = cluster.leading()
     gevent.spawn_later(20.0, inject_fault, cluster, first, fault)
     if fault == "successor":
-        # nor does any controller reach it, so that another one leads before the outage and again after it
+        # no controller reaches the first leader either, so another one leads before the outage and again after it
         for other in cluster.controllers:
             cluster.links.set(first, other, LinkMode.HELD)
         store_gap(cluster, LinkMode.REFUSED, 16.0, 63.0, refused_s=30.0)
@@ -240,7 +251,7 @@
 def test_wrong_poll_answers_are_detected(
     loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch, cancels: bool, tide: str, found: str
 ) -> None:
-    """Broken on purpose: every poll gets the same answer."""
+    """Deliberate defect: every poll gets the same response."""
     cluster = SimulatedCluster(loop, seed=2, machines=4)
     cluster.task_s = (60.0, 90.0)
     job_id = cluster.submit("blue", 3)
--- a/tests/leader/test_cancellations.py
+++ b/tests/leader/test_cancellations.py
@@ -11,7 +11,7 @@
 
 
 def test_answer_to_older_token_stops_completed_task() -> None:
-    """It renewed the lease of a cancelled task and stopped nothing; each new leader would have done so once."""
+    """Guards against renewing the lease of a cancelled task without stopping the task, once by each new leader."""
     cluster = InMemoryCluster()
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("state", [TaskPhase.FETCHING, TaskPhase.WAITING, TaskPhase.RUNNING, TaskPhase.SAVING])
 def test_cancelled_task_is_ended_in_every_phase(state: TaskPhase) -> None:
-    """Cancelled through another controller: its machine is answered while that is allowed, then stopped first."""
+    """The machine of a job cancelled through another controller is answered up to the horizon, then stopped first."""
     cluster = InMemoryCluster()
     controller, other = InMemoryController(cluster, "node-0"), InMemoryController(cluster, "node-1")
     worker = cluster.worker("n-000000")
@@ -38,12 +38,12 @@
     cluster.handle_heartbeat(term, worker)
     assert json.loads(other.users.cancel(job_id).body)["tide"] == "cancelled"
     cluster.clock.now += 28.0
-    controller.election.authority_until = cluster.clock.now + 10.0  # its lease is renewed, and it learns nothing
+    controller.election.authority_until = cluster.clock.now + 10.0  # renewed, without any read
     assert cluster.handle_heartbeat(term, worker) is not None and len(worker.running()) == 2
     cluster.clock.now += 2.0
     assert cluster.handle_heartbeat(term, worker) is None
     term.job_watch.catch_up()
-    # an answer would renew its lease for too long if the worker did not obey
+    # a response would renew the worker's lease for too long if the worker did not execute the stop
     assert cluster.handle_heartbeat(term, worker) is None
     (machine,) = term.inventory.machines
     term.machine_reconciliation.send_stops(machine)
--- a/tests/leader/test_deprovisioning.py
+++ b/tests/leader/test_deprovisioning.py
@@ -22,7 +22,7 @@
 
 
 def test_unlisted_machine_is_reconciled_by_its_deletion() -> None:
-    """A spot machine taken before a takeover must not hold up others for a whole lease."""
+    """A spot machine that the cloud reclaimed before a takeover must not delay other tasks for a whole lease."""
     cluster, _controller, _term, connected, cut_off, job_id, _cut_off_tasks = start_partly_unreachable_job()
     _successor, new_term = fail_over(cluster, "node-1")
     cluster.cloud.listed = [
--- a/tests/leader/test_durable_grants.py
+++ b/tests/leader/test_durable_grants.py
@@ -10,7 +10,10 @@
 
 
 def test_heartbeat_is_answered_before_its_grants_are_written(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With the write budget used up, reports once stood in line for grants until most workers had fallen silent."""
+    """Guards against heartbeats that wait for grants while the write rate limit is used up.
+
+    The delayed heartbeats once timed out for most workers.
+    """
     cluster, controller, term, (worker,) = start_cluster(1)
     job_id = cluster.accept(controller)
     release = gevent.event.Event()
@@ -21,15 +24,15 @@
         response = cluster.handle_heartbeat(term, worker)
         assert response is not None and not worker.started
         release.set()
-        assert term.grants.cover_task is not None
-        term.grants.cover_task.join()
+        assert term.grants.write_task is not None
+        term.grants.write_task.join()
     assert job_id in cluster.records("grants/")
     cluster.settle(term, 1)
     assert worker.started
 
 
 def test_grant_of_wide_array_ends_without_machine_names() -> None:
-    """Its tasks come to ever more machines, and one write for each used up what the state service allows."""
+    """Guards against one write for each new machine of a wide array, which used up the rate limit of the store."""
     cluster, controller, term, _workers = start_cluster(40)
     job_id = cluster.accept(controller, shards=1000, cpus=8.0, ramGb=1.0)
     before = cluster.store.revision
--- a/tests/leader/test_election.py
+++ b/tests/leader/test_election.py
@@ -18,9 +18,9 @@
 def test_old_leader_is_fenced_by_its_clock_and_by_the_store() -> None:
     cluster, controller, term, (worker,) = start_cluster(1)
     _successor, _new_term = fail_over(cluster, "node-1")
-    # its clock says so first
+    # the authority of the old leader has expired by its own clock
     assert term.handle_heartbeat(worker.report()) is None
-    # and if that clock were wrong, the store would refuse its write
+    # if the clock of the old leader were wrong, the store would reject its write
     controller.election.authority_until = cluster.clock.now + 100
     with pytest.raises(FencedError):
         term.writer.commit([], [put("x", 1)], Urgency.DONE)
@@ -40,7 +40,7 @@
     assert controller.election.state is LeaderState.PAUSED
     assert term.handle_heartbeat(worker.report()) is None
     cluster.store.down = False
-    for lease_id in cluster.store.holds:  # after an outage all leases have their full time again
+    for lease_id in cluster.store.holds:  # the store restarts all leases after an outage
         cluster.store.holds[lease_id] = (12.0, cluster.clock.now + 12.0)
     assert controller.election.renew()
     controller.election.change_state(LeaderState.LEADING, "test")
@@ -60,26 +60,29 @@
 
 
 def test_resigned_leader_is_replaced_at_once_and_does_not_return_early() -> None:
-    """Used where workers or the state service reach others but not the leader."""
+    """A leader resigns where workers or the store reach other controllers but not the leader."""
     cluster, controller, term, (worker,) = start_cluster(1)
     token = controller.election.resign("no worker reports", 20.0)
-    assert term.handle_heartbeat(worker.report()) is None  # nothing more is answered, whatever the key says
+    assert term.handle_heartbeat(worker.report()) is None  # no heartbeat is answered, whatever the leader key names
     peer = InMemoryController(cluster, "node-1")
     peer.election.clear_key(token)
     peer.lead()
     assert peer.election.token > token
     controller.election.read_leader_key()
     assert (controller.election.state.name, controller.election.leader) == ("RESIGNED", "node-1")
-    peer.election.clear_key(token)  # a repeated notice: the new key is another's and stays
+    peer.election.clear_key(token)  # a repeated notice does not delete the key of the new term
     assert cluster.store.data["leader"][1] == peer.election.token
     cluster.clock.now += 21.0
     controller.election.read_leader_key()
-    assert controller.election.state.name == "LOADING"  # the peer's lease expired; this one may lead again
+    assert controller.election.state.name == "LOADING"  # the peer's lease has expired and the pause is over
 
 
 def test_leader_resigns_for_served_peer_but_not_in_outage_for_all() -> None:
-    """Two seconds into an outage a leader gave way to a peer that had been served last, a second after it. Its
-    authority ended ten seconds early, and with it the leases of 5300 tasks."""
+    """Guards against a resignation in an outage of the whole store, in favour of a peer that was served slightly later.
+
+    Two seconds into an outage a leader resigned because a peer had been served one second after the leader. The
+    authority of the leader ended ten seconds early, and the leases of 5300 tasks expired.
+    """
     cluster, controller, _term, _workers = start_cluster(1)
     silent = InMemoryCluster().store
     silent.request = lambda *_: (503, b"")  # type: ignore[method-assign]
@@ -93,7 +96,7 @@
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, cluster.clock.now - served_at)
         leadership_transfer.check_store()
     assert controller.election.is_leader() and leadership_transfer.healthy()
-    # the peer is served again, and this one is not
+    # the store answers the peer again, and not this controller
     peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
     assert not leadership_transfer.healthy()
     leadership_transfer.check_store()
--- a/tests/leader/test_failover.py
+++ b/tests/leader/test_failover.py
@@ -1,4 +1,4 @@
-"""What a new leader starts, and what it waits for, after the earlier one vanished."""
+"""Which tasks a new leader starts at once after a failover, and which tasks wait for reconciliation."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def test_failover_waits_for_unreachable_machine() -> None:
-    """Guards against running a task twice: a silent machine may still run what the last leader gave it."""
+    """Guards against running a task twice: a silent machine may still run tasks started by the last leader."""
     cluster, _controller, _term, connected, cut_off, job_id, cut_off_tasks = start_partly_unreachable_job(24)
     successor, new_term = fail_over(cluster, "node-1")
     cluster.settle(new_term, 2)
     assert new_term.registry.jobs[job_id].possible_holders
     assert not cut_off_tasks & set(connected.running())
-    # a job accepted in this term cannot be anywhere yet and need not wait
+    # a job accepted in the new term cannot run on any machine yet and need not wait
     cluster.accept(successor, shards=1, crew="red", cpus=0.5)
     took_over = cluster.clock.now
     while cluster.clock.now < took_over + 17.0:
@@ -29,7 +29,7 @@
 
 
 def test_only_granted_tasks_wait_for_unreachable_machine() -> None:
-    """After a takeover nothing waits where the records prove that a task is nowhere else."""
+    """After a failover a job does not wait if the records prove that its tasks run on no unreachable machine."""
     cluster, controller, term, (connected, cut_off) = start_cluster()
     small = cluster.accept(controller, shards=1)
     cluster.settle(term)
@@ -60,8 +60,11 @@
 
 @pytest.mark.parametrize("rule", ["samePlace", "scatter"])
 def test_zone_bound_tasks_wait_for_unseen_tasks(rule: str) -> None:
-    """Beyond the grant they could run at once, but where a job's tasks have to share a zone, or to be spread over
-    zones, those on a machine that cannot be reached count too: a new leader started the rest in another zone."""
+    """Guards against a new leader that starts the remaining tasks of a zone-bound job in another zone.
+
+    Tasks beyond the grant could start at once, but if the tasks of a job have to share a zone, or to be spread over
+    zones, the tasks on an unreachable machine count too.
+    """
     cluster = InMemoryCluster()
     cut_off = cluster.worker("n-000000", zone="a")
     controller = InMemoryController(cluster, "node-0")
@@ -83,7 +86,7 @@
 
 
 def test_task_returned_during_reconciliation_is_not_lost() -> None:
-    """Proof once replaced the list of returned tasks, and one above the old grant would never have run again."""
+    """Guards against reconciliation replacing the list of returned tasks, which lost a task above the old grant."""
     cluster, controller, term, (connected, cut_off) = start_cluster()
     wide = cluster.accept(controller, shards=200, cpus=1.0, ramGb=0.1)
     cluster.settle(term, 8)
@@ -115,7 +118,7 @@
 
 
 def test_unreconciled_machine_of_unknown_size_exhausts_team_limit() -> None:
-    """Guards against a leader that took over before it knew the machine types and put a team over its limit."""
+    """Guards against exceeding a team limit in a failover before the machine types are known."""
     cluster, controller, term, (connected, cut_off) = start_cluster()
     wide = cluster.accept(controller, shards=200, cpus=1.0, ramGb=0.1, crew="red")
     cluster.settle(term, 8)
--- a/tests/leader/test_job_acceptance.py
+++ b/tests/leader/test_job_acceptance.py
@@ -1,4 +1,4 @@
-"""An accepted job is durable, whatever happens to the answer or to the controller."""
+"""An accepted job is durable even if the response is lost or the controller crashes."""
 
 from __future__ import annotations
 
--- a/tests/leader/test_job_audit_repairs.py
+++ b/tests/leader/test_job_audit_repairs.py
@@ -1,4 +1,4 @@
-"""The audit of jobs finds what the cluster state has lost."""
+"""The audit of jobs finds and repairs defects of the cluster state."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     allocation = next(iter(job.allocations.values()))
     machine = term.inventory.at(allocation.machine)
     assert machine is not None
-    del machine.allocations[allocation.name]  # broken on purpose: the machine is deleted, and the allocation stays
+    del machine.allocations[allocation.name]  # deliberate defect: the machine is deleted, and the allocation stays
     del cluster.workers[machine.name]
     term.deprovisioning._remove([machine.name])
     for _ in range(6):
@@ -27,7 +27,7 @@
 def test_job_of_an_unread_record_runs_once_it_can_run_nowhere_else() -> None:
     cluster, controller, term = start_cluster(2)
     job_id = cluster.accept(controller, shards=2)
-    job = term.registry.jobs.pop(job_id)  # broken on purpose
+    job = term.registry.jobs.pop(job_id)  # deliberate defect: the job is not in the registry
     term.registry.teams[job.team].used[:] = [0, 0]
     for _ in range(20):
         cluster.settle(term, 1)
@@ -45,7 +45,7 @@
     cluster, controller, term = start_cluster(1)
     job_id = cluster.accept(controller, shards=2)
     cluster.settle(term, 2)
-    cluster.store.data.pop(f"live/{job_id}")  # removed, and the watch told nothing
+    cluster.store.data.pop(f"live/{job_id}")  # removed without a change event for the watch
     cluster.settle(term, 1)
     for _ in range(4):
         term.job_audit.step()
@@ -58,7 +58,7 @@
     job_id = cluster.accept(controller, shards=40)
     cluster.settle(term, 2)
     job = term.registry.jobs[job_id]
-    job.first_unallocated = 40  # broken on purpose: passed over
+    job.first_unallocated = 40  # deliberate defect: the cursor skips all waiting tasks
     worker = cluster.workers["n-000000"]
     for _ in range(16):
         for task in worker.running()[:1]:
--- a/tests/leader/test_job_completion.py
+++ b/tests/leader/test_job_completion.py
@@ -1,4 +1,4 @@
-"""How jobs become done: the commit, its races, and what is dropped afterwards."""
+"""Completion of jobs: the final commit, its races, and the records dropped afterwards."""
 
 from __future__ import annotations
 
@@ -60,4 +60,4 @@
     assert not term.registry.jobs and not worker.tasks
     assert not [k for k in cluster.store.data if k.startswith("live/")]
     assert len(term.progress.pages) == len(term.grants.pages) == 0
-    assert len(cluster.records("progress/")) + len(cluster.records("grants/")) < 5  # left until a page is written again
+    assert len(cluster.records("progress/")) + len(cluster.records("grants/")) < 5  # until pages are rewritten
--- a/tests/leader/test_job_watch.py
+++ b/tests/leader/test_job_watch.py
@@ -1,4 +1,4 @@
-"""Following the live records: contradictory and late answers."""
+"""The watch of the live records: contradictory and delayed responses."""
 
 from __future__ import annotations
 
@@ -15,28 +15,30 @@
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
     known_at = controller.election.cancellation_horizon.known_at
-    term.job_watch.watched = 500
+    term.job_watch.applied_revision = 500
     monkeypatch.setattr(controller.store, "changes", lambda *_: answer)
     with pytest.raises(StoreError):
         term.job_watch.catch_up()
-    assert controller.election.cancellation_horizon.known_at == known_at and term.job_watch.watched == 500
+    assert controller.election.cancellation_horizon.known_at == known_at and term.job_watch.applied_revision == 500
 
 
 def test_late_older_answer_brings_no_job_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A watch and a read may be under way at once; the job was put by the one and removed by the other."""
+    """Guards against a delayed watch response that restores a job which a concurrent read has removed."""
     cluster = InMemoryCluster()
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    before = term.job_watch.watched
+    before = term.job_watch.applied_revision
     job_id = cluster.accept(controller)
     early = controller.store.changes("live/", before, 0)
     controller.users.cancel(job_id)
     term.job_watch.catch_up()
     monkeypatch.setattr(controller.store, "changes", lambda *_: early)
-    with pytest.raises(StoreError):  # and it is an earlier state than is known
+    with pytest.raises(StoreError):  # the response has an older revision than the applied one
         term.job_watch.watch()
     assert job_id not in term.registry.jobs
-    controller.election.cancellation_horizon.begin()
-    monkeypatch.setattr(controller.store, "changes", lambda *_: ChangeEvents(term.job_watch.watched, early.events))
-    term.job_watch.watch()  # current, and lists what is known: taken again, the job would stay for ever
+    controller.election.cancellation_horizon.reset()
+    monkeypatch.setattr(
+        controller.store, "changes", lambda *_: ChangeEvents(term.job_watch.applied_revision, early.events)
+    )
+    term.job_watch.watch()  # current, but repeats an old event: applying it would restore the job for ever
     assert job_id not in term.registry.jobs and controller.election.cancellation_horizon.known_at == cluster.clock.now
--- a/tests/leader/test_machine_reconciliation.py
+++ b/tests/leader/test_machine_reconciliation.py
@@ -6,7 +6,7 @@
 
 
 def test_queries_under_way_are_bounded() -> None:
-    """Hundreds of connections in the first second of a term kept the workers' own reports waiting."""
+    """Guards against hundreds of connections in the first second of a term, which delayed the workers' heartbeats."""
     cluster, _controller, term, _workers = start_cluster(80)
     _successor, term = fail_over(cluster, "node-1")
     first = term.machine_reconciliation.select_machines_to_query(cluster.clock.now)
--- a/tests/leader/test_provisioning.py
+++ b/tests/leader/test_provisioning.py
@@ -31,7 +31,7 @@
 
 
 def test_whole_shortage_is_requested_in_one_step() -> None:
-    """At one request a step, a day that began with half its machines took 20 s to ask for the rest."""
+    """Guards against one rental request per step: requesting half of the machines of a cluster took 20 s."""
     cluster = InMemoryCluster(SETTINGS.replace("cpus_max = 64.0", "cpus_max = 6400.0"), rules="rent = true\n")
     cluster.worker("n-000000")
     controller = InMemoryController(cluster, "node-0")
@@ -45,7 +45,7 @@
     lack = max(s.count for s in term.scheduler.scale_out.shortages)
     assert lack > 40
     term.step_machines()
-    # zone a gave less than was asked for; zone b and the other kind of machine were asked in the same step
+    # zone a provided fewer machines than requested; zone b and spot machines were requested in the same step
     assert len(term.provisioning.expected) == 12
     assert term.provisioning.request_count == 4 and set(term.provisioning.refused_until) == {
         PoolKey(0, zone, spot) for zone in (0, 1) for spot in (False, True)
@@ -53,7 +53,7 @@
 
 
 def test_rental_records_are_more_urgent_than_grants(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In a burst the writes of grants left none for the records of rentals, and the machines came 40 s late."""
+    """Guards against writes of grants delaying the records of rentals in a burst, which rented machines 40 s late."""
     cluster = InMemoryCluster(rules="rent = true\n")
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
--- a/tests/leader/test_scheduling_loop.py
+++ b/tests/leader/test_scheduling_loop.py
@@ -1,4 +1,4 @@
-"""When targets are computed and passes are made."""
+"""When targets are computed and scheduling passes run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_heartbeat_fills_freed_capacity_between_passes() -> None:
-    """On hundreds of machines a full pass at each report took the leader's whole core."""
+    """Guards against a full pass for each heartbeat, which took the leader's whole core with hundreds of machines."""
     cluster, controller, term, (worker,) = start_cluster(1)
     job_id = cluster.accept(controller, shards=40, cpus=1.0, ramGb=1.0)
     cluster.settle(term, 3)
@@ -23,7 +23,7 @@
     cluster.clock.now += 1.0
     cluster.handle_heartbeat(term, worker)
     assert len(worker.running()) == 16 and len(worker.started) == 20
-    # what a user cancels meanwhile is not started from the old queue
+    # tasks of a job cancelled between passes are not started
     assert controller.users.cancel(job_id).status == 200
     term.job_watch.watch()
     worker.finish(worker.running()[0])
@@ -54,7 +54,7 @@
 
 
 def test_pass_that_outlasts_authority_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A controller that is stopped or slowed down while it computes finds out only when it looks at its clock."""
+    """A controller that is paused during a pass has to notice afterwards that its authority has expired."""
     cluster, controller, term, (worker,) = start_cluster(1)
     job_id = cluster.accept(controller)
     full_pass_steps = term.scheduler.full_pass_steps
--- a/tests/leader/test_status_broadcast.py
+++ b/tests/leader/test_status_broadcast.py
@@ -1,4 +1,4 @@
-"""What a leader sends the other controllers."""
+"""Data that a leader sends to the other controllers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def test_successor_knows_cached_images() -> None:
-    """Reports do not tell; without this a successor sent gangs to machines that had to fetch for half a minute."""
+    """Heartbeats do not list images: without the broadcast a successor started gangs on machines without the image.
+
+    These machines had to fetch the image for half a minute.
+    """
     cluster, controller, term, (connected, cut_off) = start_cluster()
     first = cluster.accept(controller, cargo="big", pullGb=40.0)
     cluster.settle(term, 3)
--- a/tests/leader/test_task_progress.py
+++ b/tests/leader/test_task_progress.py
@@ -11,7 +11,7 @@
     cluster.settle(term)
     workers[0].finish(f"{job_id}/0")
     response = cluster.handle_heartbeat(term, workers[0])
-    # not durable yet, so the worker keeps it
+    # the result is not durable yet, so the worker must not forget it
     assert response is not None and not [c for c in response.commands if c.op == "forget"]
     _successor, new_term = fail_over(cluster, "node-0")
     cluster.settle(new_term, 2)
--- a/tests/leader/test_unbooted_machines.py
+++ b/tests/leader/test_unbooted_machines.py
@@ -7,7 +7,7 @@
 
 
 def test_machine_that_never_boots_is_replaced_once_elsewhere_and_given_up() -> None:
-    """It counted as coming for four minutes and kept its replacement from being rented for as long."""
+    """Guards against a machine that never boots counting as expected for four minutes, without a replacement."""
     cluster, controller, term = start_cluster(1, rules="keep_empty = 0\n")
     requests: list[dict[str, object]] = []
 
@@ -26,8 +26,8 @@
         term.step_machines()
         times += [cluster.clock.now] * (len(requests) - before)
     boot = TYPES[0].boot_s
-    assert times[1] - times[0] < 2.5 * boot  # replaced, not after they were given up
+    assert times[1] - times[0] < 2.5 * boot  # late machines are replaced before they are given up
     assert len({wanted["quay"] for wanted in requests[:2]}) == 2
     first = next(iter(cluster.cloud.requests.values()))
-    assert set(first) <= set(cluster.cloud.deleted)  # and no longer paid
-    assert len(requests) <= 6  # no herd
+    assert set(first) <= set(cluster.cloud.deleted)  # given-up machines are deleted, to stop paying for them
+    assert len(requests) <= 6  # replacements do not multiply
--- a/tests/scenarios/test_absent_machines.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -415,7 +415,7 @@
 def trust_old_knowledge(monkeypatch: pytest.MonkeyPatch) -> None:
     """Knowledge of cancellations is never too old, and no peer tells of new ones."""
     monkeypatch.setattr(CancellationRecorder, "record_from_peer", lambda self, job_ids: None)
-    monkeypatch.setattr(CancellationHorizon, "fresh", lambda self: True)
+    monkeypatch.setattr(CancellationHorizon, "allows_responses", lambda self: True)
     extend = LeaderElection._extend_authority
     monkeypatch.setattr(LeaderElection, "_extend_authority", lambda self, sent: extend(self, sent + 60.0))
 
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -32,9 +32,15 @@
 from grebestand.flow_control.connection_limits import plan_connections  # noqa: E402
 from grebestand.heartbeat_relay.forwarder import GATHER_S, MOST_REPORTS  # noqa: E402
 from grebestand.heartbeat_relay.worker_assignment import SHARE_SLACK  # noqa: E402
-from grebestand.leader.machine_reconciliation import MOST_ASKED  # noqa: E402
+from grebestand.leader.machine_reconciliation import MAX_QUERIES  # noqa: E402
 from grebestand.leader.provisioning import MAX_MACHINES_PER_REQUEST  # noqa: E402
-from grebestand.leader.scheduling_loop import ARRIVAL_GAP_S, MAX_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST_FACTOR  # noqa: E402
+from grebestand.leader.scheduling_loop import (  # noqa: E402
+    MAX_REST_S,
+    MIN_PASS_INTERVAL_S,
+    MIN_TARGETS_INTERVAL_S,
+    PASS_REST_FACTOR,
+    TARGETS_REST_FACTOR,
+)
 from grebestand.settings import policy  # noqa: E402
 from grebestand.settings.platform import Quota  # noqa: E402
 from grebestand.storage.completed_jobs import MAX_COMPLETED_KEPT  # noqa: E402
@@ -277,11 +283,11 @@
         one after the other with their rests, and targets as often as arrivals bring them forward."""
         w = s.workers
         one_pass, targets = self.at("full pass", w), self.at("targets", w)
-        passes = one_pass / max(PASS_GAP_S, one_pass + min(PASS_REST * one_pass, MAX_REST_S))
+        passes = one_pass / max(MIN_PASS_INTERVAL_S, one_pass + min(PASS_REST_FACTOR * one_pass, MAX_REST_S))
         return (
             self.reports(s) * self.at("report with an end", w) / 1000
             + passes
-            + targets / max(ARRIVAL_GAP_S, (1 + TARGETS_REST_FACTOR) * targets)
+            + targets / max(MIN_TARGETS_INTERVAL_S, (1 + TARGETS_REST_FACTOR) * targets)
         )
 
     def answer_commands(self, s: Size) -> float:
@@ -763,8 +769,8 @@
     lim = m.limits
     one_pass = (
         "next pass",
-        PASS_GAP_S / 2,
-        PASS_GAP_S,
+        MIN_PASS_INTERVAL_S / 2,
+        MIN_PASS_INTERVAL_S,
         f"`leader/scheduling_loop.py`; up to {MAX_REST_S:g} s where much waits",
     )
     found = [
@@ -796,7 +802,7 @@
 def urgent_cases(m: Model) -> list[tuple[str, list[tuple[str, float, float, str]]]]:
     """The cases of urgent work: a title, and the parts of its delay."""
     room, gang, t = int(m.assumed["start_room"]), int(m.letter["gang"]), m.limits["report_s"]
-    orders = math.ceil(gang / MOST_ASKED) * 2 * m.limits["messages_s"]
+    orders = math.ceil(gang / MAX_QUERIES) * 2 * m.limits["messages_s"]
     stops = awaited(m, lambda x: cleared(x - orders, t) ** gang)
     every = awaited(m, lambda x: reported(x, gang, gang, t))
     return [
@@ -831,7 +837,11 @@
     for k in (2**i for i in range(gang.bit_length())):
         usual, most = awaited(m, lambda x, k=k: reported(x, k, k, t))  # type: ignore[misc]
         chances = [reported(left, k, k * n, t) for n in (1, 2, 4, 8)]
-        chances += [held(left, 2.2, t) ** k, held(left, HELD_S, t) ** k, cleared(left - PASS_GAP_S / 2, t) ** k]
+        chances += [
+            held(left, 2.2, t) ** k,
+            held(left, HELD_S, t) ** k,
+            cleared(left - MIN_PASS_INTERVAL_S / 2, t) ** k,
+        ]
         rows.append([str(k), f"{usual:.2f}", f"{most:.2f}", *(f"{c:.3f}" for c in chances)])
     yield from table(
         ["tasks, one a machine", "wait for all: half, s", "99%, s", "all of k machines", "k of 2k", "k of 4k",
@@ -925,15 +935,15 @@
         [f"{t['fail_day']} failures a day", show(t["fail_day"] * tasks) + " a day", f"{lapse:.1f}",
          f"{show(2 * t['fail_day'])} requests of the cloud a day", "`cluster_state/machine_inventory.py`", WORKED_OUT],
         [f"a rack or switch, {rack} machines", show(rack * tasks), f"{lapse:.1f}, then room",
-         f"{writes(rack)} writes, {rents(rack)} requests of the cloud, {math.ceil(rack / MOST_ASKED)} round of direct "
+         f"{writes(rack)} writes, {rents(rack)} requests of the cloud, {math.ceil(rack / MAX_QUERIES)} round of direct "
          "questions", "`leader/machine_reconciliation.py`, `storage/paged_records.py`", WORKED_OUT],
         [f"a zone, {show(zone)} machines", show(zone * tasks),
          f"{lapse:.1f}, then {rents(zone) / budget:.1f} to ask the cloud, then boots",
          f"{writes(zone)} writes, {rents(zone)} requests of the cloud, "
-         f"{math.ceil(zone / MOST_ASKED)} rounds of direct questions", "`leader/provisioning.py`", WORKED_OUT],
+         f"{math.ceil(zone / MAX_QUERIES)} rounds of direct questions", "`leader/provisioning.py`", WORKED_OUT],
         ["the same, the leader in it", "the same, and those of answers under way: "
          + told(m, "starts lost with the leader"), f"{hold:.1f} until the hold ends, then taking over",
-         f"{math.ceil(region / MOST_ASKED)} rounds of direct questions to show the token", "`leader/election.py`",
+         f"{math.ceil(region / MAX_QUERIES)} rounds of direct questions to show the token", "`leader/election.py`",
          OPEN],
         ["an answering controller", "of answers under way: " + told(m, "starts lost with the leader"),
          "up to 4, its workers' wait, then 1", f"{show(region / m.split['controllers'])} connections anew",
