--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -51,17 +51,17 @@
             # added now could be started after its user was notified of the cancellation
             return
         age_s = min(max(0.0, self.context.wall() - record.at), MAX_JOB_AGE_S)
-        job = self.registry.add(record.spec, version, now - age_s, now)
-        job.wait_since = now
-        job.guest = record.guest
+        job = self.registry.add_job(record.spec, version, now - age_s, now)
+        job.waiting_since = now
+        job.is_guest = record.guest
         if record.abroad is not None:
-            job.abroad, job.runs_remotely = record.abroad, True
+            job.remote_assignment, job.runs_remotely = record.abroad, True
 
     def _update(self, job: Job, record: LiveJobRecord, version: int) -> None:
         """Reclaim a job from another cluster, after a write of this leader or once operators abandoned that cluster."""
-        if job.abroad is not None and record.abroad is None and version > job.version:
-            job.version, job.abroad, job.runs_remotely = version, None, False
-            self.registry.changed = True
+        if job.remote_assignment is not None and record.abroad is None and version > job.record_revision:
+            job.record_revision, job.remote_assignment, job.runs_remotely = version, None, False
+            self.registry.changed_since_scheduling = True
 
     def watch(self) -> None:
         """Apply changes of the live records, waiting for changes as long as the cancellation horizon permits.
@@ -112,7 +112,7 @@
             now: the current time of the monotonic clock, in seconds.
         """
         job = self.registry.jobs.get(job_id)
-        if job is None or not job.live:
+        if job is None or not job.is_live:
             # the removal is known already, or the job is CLOSING: then this leader has removed the record itself, or
             # its own commit fails and it reads the final record of the other controller
             return
@@ -160,7 +160,7 @@
         removed = [
             job_id
             for job_id, job in self.registry.jobs.items()
-            if job.live and job_id not in live and job.version <= self.applied_revision
+            if job.is_live and job_id not in live and job.record_revision <= self.applied_revision
         ]
         for job_id in removed:
             self.apply_removal(job_id, now)
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -72,11 +72,11 @@
             return
         self.all_reconciled = True
         log.info(LogEvent("machines_reconciled", token=self.token, after_s=now - self.context.started_at))
-        self.registry.changed = True
+        self.registry.changed_since_scheduling = True
 
     def _stop_incomplete_gang(self, job: Job, now: float) -> None:
         """Stop a gang some of whose tasks run on no machine, as its other tasks cannot proceed without them."""
-        if job.gang and job.live and job.allocations and len(job.allocations) < job.spec.tasks:
+        if job.is_gang and job.is_live and job.allocations and len(job.allocations) < job.spec.tasks:
             self.dispatch.stop_job(job, "gang incomplete after takeover", 0.0, now)
 
     def select_machines_to_query(self, now: float) -> list[Machine]:
@@ -87,13 +87,13 @@
         """
         inventory = self.inventory
         wanted, inventory.to_query = inventory.to_query, set()
-        due = inventory.unreconciled()
+        due = inventory.unreconciled_machines()
         due += [m for m in inventory.machines if m.reception is not Reception.REACHABLE or m.index in wanted]
         free_queries = max(0, MAX_QUERIES - len(self.queries_under_way))
         ready = [
             m
             for m in dict.fromkeys(due)
-            if m.index not in self.queries_under_way and now - m.asked_at >= QUERY_INTERVAL_S
+            if m.index not in self.queries_under_way and now - m.last_queried_at >= QUERY_INTERVAL_S
         ]
         chosen = ready[:free_queries]
         inventory.to_query = wanted - {m.index for m in chosen}
@@ -108,7 +108,7 @@
         if machine.index in self.queries_under_way:
             return
         self.queries_under_way.add(machine.index)
-        machine.asked_at = self.clock()
+        machine.last_queried_at = self.clock()
         try:
             self._query(machine)
         finally:
@@ -167,8 +167,8 @@
         if (heartbeat.epoch, heartbeat.sequence) <= known:
             # the heartbeat was created after the request, so that it is no delayed copy: the worker has restarted its
             # counters
-            self.context.reconciler.restarted(machine, heartbeat.epoch, now)
-        self.context.reconciler.read(heartbeat, now, solicited=True)
+            self.context.reconciler.record_worker_restart(machine, heartbeat.epoch, now)
+        self.context.reconciler.reconcile(heartbeat, now, solicited=True)
         self.check(now)
 
     def send_stops(self, machine: Machine) -> None:
--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -72,13 +72,13 @@
         since = now - self.scheduler.targets_updated_at
         # the greedy algorithm updates targets at every arrival of a job; here an arrival only brings the update forward
         due = since >= self.scheduler.context.policy_values.period_s or (
-            registry.arrived and since >= MIN_TARGETS_INTERVAL_S
+            registry.job_added_since_scheduling and since >= MIN_TARGETS_INTERVAL_S
         )
         if due and now >= self.next_targets_at:
-            registry.arrived = False
+            registry.job_added_since_scheduling = False
             self._begin(self._compute_targets(now), self._finish_targets)
-        if not self.busy and registry.changed and now >= self.next_pass_at:
-            registry.changed = False
+        if not self.busy and registry.changed_since_scheduling and now >= self.next_pass_at:
+            registry.changed_since_scheduling = False
             self._begin(self.scheduler.full_pass_steps(now), self._finish_pass)
 
     def _compute_targets(self, now: float) -> Steps:
@@ -101,7 +101,7 @@
             return
         self.scheduler.context.slice_number += 1
         # changes made by the computation itself do not require another computation; changes made between slices do
-        changed = self.registry.changed
+        changed = self.registry.changed_since_scheduling
         slice_began_at = self.clock()
         unfinished = False
         try:
@@ -112,7 +112,7 @@
         finally:
             if not unfinished:
                 self._work = None
-            self.registry.changed = changed
+            self.registry.changed_since_scheduling = changed
             took_s = self.clock() - slice_began_at
             self._spent_s += took_s
             self.context.sketches.add("stretch", took_s)
@@ -125,7 +125,7 @@
             self._durations_logged_at = self.clock()
             self.context.stragglers.remove_deleted_machines()
             log.info(LogEvent("durations_measured", durations=self.context.sketches.tell()))
-        self.registry.changed = True
+        self.registry.changed_since_scheduling = True
 
     def _finish_pass(self) -> None:
         self.context.sketches.add("pass", self._spent_s)
--- a/tools/account.py
+++ b/tools/account.py
@@ -53,21 +53,21 @@
 #: parts that never yield, so that a clock around them tells what they take
 PARTS: list[tuple[type, list[str]]] = [
     (PeerStatusComposer, ["compose"]),
-    (HeartbeatReconciler, ["read"]),
-    (CommandBuilder, ["commands"]),
+    (HeartbeatReconciler, ["reconcile"]),
+    (CommandBuilder, ["build_commands"]),
     (MachineInventory, ["detect_silent_machines"]),
     (JobRegistry, ["mark_guaranteed"]),
     (SchedulingLoop, ["step", "run_slice"]),
     (MachineReconciliation, ["check"]),
     (StatusBroadcast, ["cached_images"]),
-    (Scheduler, ["full_pass_steps", "retarget_steps", "fill"]),
-    (TemplateTargets, ["set"]),
-    (ScaleOut, ["measure"]),
-    (ImageLocality, ["measure"]),
+    (Scheduler, ["full_pass_steps", "update_targets_steps", "fill"]),
+    (TemplateTargets, ["update"]),
+    (ScaleOut, ["update_shortages"]),
+    (ImageLocality, ["update"]),
     (Migration, ["migrate"]),
-    (GangScheduling, ["place", "offers"]),
+    (GangScheduling, ["place", "candidates_on"]),
     (Placement, ["place", "_preempt_for"]),
-    (PendingReasons, ["tell"]),
+    (PendingReasons, ["log_if_due"]),
 ]
 
 
