--- a/src/grebestand/leader/job_audit.py
+++ b/src/grebestand/leader/job_audit.py
@@ -137,7 +137,7 @@
         if len(returned) + fresh < job.waiting_count():
             self._log_defect(job, "some of its waiting tasks are not listed")
             seen = range(job.first_unallocated)
-            # the last one is taken first, so that the order of tasks is kept
+            # tasks are taken from the end of the list, so that the reversed list keeps the order of tasks
             job.requeued_tasks = [
                 index for index in reversed(seen) if not job.is_done(index) and index not in job.allocations
             ]
