--- a/src/grebestand/storage/__init__.py
+++ b/src/grebestand/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Records in the key-value store: their forms, their keys, and pages that many small records share."""
+"""Records in the key-value store: their types, their keys, and the packing of many small records into few keys."""
--- a/src/grebestand/storage/job_records.py
+++ b/src/grebestand/storage/job_records.py
@@ -1,4 +1,4 @@
-"""Stored records of jobs: one for a live job and one for a completed job, never both at a time."""
+"""Stored records of jobs. A job has either a `LiveJobRecord` or a `CompletedJobRecord`, never both at a time."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
     """The record of an accepted job that is neither done nor cancelled.
 
     Attributes:
-        spec: The job as its user described it.
-        at: Time of day of acceptance, in seconds since the epoch.
-        abroad: The cluster that runs the gang, or may come to run it. While it is set, no task of the job may start in
-            this cluster.
-        guest: Whether the job is a gang of another cluster. Such a gang is never offered to a further cluster.
+        spec: The specification that the user submitted.
+        at: Time at which the job was accepted, in seconds since the Unix epoch.
+        abroad: The remote cluster that this gang is assigned to: the cluster runs the gang, or may start it. While
+            `abroad` is set, no task of the job may start in this cluster. None if there is no remote assignment.
+        guest: Whether the job is a gang that another cluster assigned to this one. Such a gang is never offered to a
+            third cluster.
     """
 
     spec: JobSpec
@@ -32,7 +33,7 @@
 
     Attributes:
         state: `JobStatus.DONE` or `JobStatus.CANCELLED`.
-        tasks: Number of tasks known to have succeeded when the record was written.
+        tasks: Number of tasks that were known to have succeeded when the record was written.
     """
 
     state: JobStatus
@@ -54,8 +55,13 @@
 ) -> tuple[list[Condition], list[Change]]:
     """Return the conditions and changes of the transaction that completes a job.
 
-    The transaction deletes the live record and writes the completed one. It fails if the live record no longer has
-    `version`, or if the job is completed already.
+    The transaction deletes the live record and writes the completed record.
+
+    Args:
+        job_id: ID of the job.
+        version: Expected version of the live record. The transaction fails if the live record has another version or
+            if the job has a completed record.
+        record: The final state to write.
     """
     return (
         [version_is(live_key(job_id), version), key_absent(completed_key(job_id))],
--- a/src/grebestand/storage/leader_records.py
+++ b/src/grebestand/storage/leader_records.py
@@ -1,4 +1,4 @@
-"""Records that a leader stores for its successors: machines, possible allocations and pending rentals."""
+"""Records that a leader stores so that the next leader can recover: machines, possible allocations, pending rentals."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class MachineRecord(msgspec.Struct, array_like=True):
-    """A machine of the inventory, stored under its name.
+    """A machine of the inventory. The record is stored under the name of the machine.
 
     Attributes:
         type: Name of the machine type.
-        zone: Zone in which the machine stands.
-        spot: Whether the cloud may reclaim the machine.
-        addr: Address of the machine's worker, as `host:port`.
+        zone: Name of the zone that the machine is in.
+        spot: Whether the machine is a spot machine, which the cloud may reclaim.
+        addr: Address of the worker on the machine, as `host:port`.
     """
 
     type: str
@@ -22,11 +22,13 @@
 
 
 class GrantRecord(msgspec.Struct, array_like=True):
-    """The machines on which tasks of a job may have been started.
+    """The machines on which a leader may have started tasks of a job.
+
+    A grant is stored before the tasks are started, so that a new leader knows where tasks may be running.
 
     Attributes:
         hi: Upper bound (exclusive) of the task indexes that may have been started.
-        machines: Names of the machines concerned; None stands for any machine.
+        machines: Names of the machines on which these tasks may have been started. None means any machine.
     """
 
     hi: int
@@ -40,11 +42,11 @@
 
 
 class RentalRecord(msgspec.Struct):
-    """A request to the cloud for machines whose outcome is not settled yet.
+    """A request to rent machines from the cloud, stored until the outcome of the request is known.
 
     Attributes:
         type: Name of the machine type.
-        zone: Zone in which the machines are to stand.
+        zone: Name of the zone in which machines are requested.
         spot: Whether spot machines are requested.
         count: Number of machines requested.
     """
--- a/src/grebestand/storage/paged_records.py
+++ b/src/grebestand/storage/paged_records.py
@@ -1,9 +1,10 @@
 """Many small records packed into few keys of the key-value store, which limits writes per second and value sizes.
 
-A page is one key whose value is a map of records, filled up to the size limit of a value. Every write of a page is
-conditional on the version that this process last knew of it, so that a transaction that is executed after its sender
-has given up on it cannot overwrite a newer page. A record that outgrows its page is first copied to another page and
-leaves the old one only when the copy is durable. A reader may therefore find a record twice and has to merge both.
+A page is one key whose value maps record names to records, up to the size limit of a value. Every write of a page is
+conditional on the last version of the page that this process knows. Without that condition, a transaction that timed
+out at its sender but is executed later could overwrite a newer page. A record that outgrows its page is copied to
+another page first, and is erased from the old page only after the copy is durable. A reader may therefore find two
+copies of a record and has to merge them.
 """
 
 from __future__ import annotations
@@ -20,38 +21,47 @@
 from ..flow_control.rate_limiter import Urgency
 from ..wire.store import Change, Condition, KeyValue
 
-#: commits a transaction and returns its revision and no keys, or 0 and the keys whose conditions failed
+#: Commits a transaction. Returns the new revision and no keys, or 0 and the keys whose conditions failed.
 Commit = Callable[[list[Condition], list[Change], Urgency], tuple[int, list[str]]]
 
-#: size of all pages in one transaction, in bytes; leaves space for its conditions, the leader's own and framing
+#: Maximum total size of the pages in one transaction. The size limit of a transaction also has to cover the conditions
+#: on the pages, the condition that only the current leader may write, and framing.
 TRANSACTION_BYTES = 56_000
-#: bytes of a value that stay unused, as the store may count framing that is not counted here
+#: Bytes of a value that stay unused, because the store may count framing that `_Page.size_bytes` does not include.
 PAGE_MARGIN_BYTES = 16
-#: the braces around an encoded page
+#: Size of the braces around an encoded page.
 EMPTY_PAGE_BYTES = 2
-#: the quotes around a record's name, its colon and its comma
+#: Size of the quotes around a record's name, the colon and the comma.
 RECORD_OVERHEAD_BYTES = 4
-#: A page has one writer, so only its own earlier writes, executed late, can fail a condition. A failure of this many
-#: attempts means that versions keep changing for another reason.
+#: A page has only one writer, so a version condition can fail only because an earlier write of this process was
+#: executed late. If this many attempts in a row fail, something else is changing the versions.
 MAX_SAVE_ATTEMPTS = 4
 
 
 class RecordTooLargeError(GrebestandError, ValueError):
-    """A record does not fit even an empty page.
+    """A record is larger than an empty page.
 
     Attributes:
-        name: The name of the record.
-        size_bytes: Its encoded size, including its name and overhead.
+        name: Name of the record.
+        size_bytes: Encoded size of the record, including its name and overhead.
+        max_bytes: Largest size of a record that fits an empty page.
     """
 
-    def __init__(self, name: str, size_bytes: int) -> None:
+    def __init__(self, name: str, size_bytes: int, max_bytes: int) -> None:
         self.name = name
         self.size_bytes = size_bytes
-        super().__init__(f"record {name} of {size_bytes} bytes fits no page")
+        self.max_bytes = max_bytes
+        super().__init__(f"record {name} takes {size_bytes} bytes, but a page has space for at most {max_bytes}")
 
 
 class _Page:
-    """The records of one key, its version in the store, and its encoded size in bytes."""
+    """One page in memory.
+
+    Attributes:
+        records: Encoded records on the page, by name.
+        version: Last known version of the page's key in the store; 0 if the key does not exist.
+        size_bytes: Encoded size of the page.
+    """
 
     __slots__ = ("records", "size_bytes", "version")
 
@@ -62,24 +72,24 @@
 
 
 def _record_size(name: str, body: bytes) -> int:
-    """Return the bytes that a record adds to its encoded page."""
+    """Return by how many bytes a record increases the encoded size of its page."""
     return len(name) + len(body) + RECORD_OVERHEAD_BYTES
 
 
 class PagedRecords:
-    """Records under one key prefix, changed in memory by `put` and `drop` and made durable by `save`."""
+    """Records under one key prefix. `put` and `drop` change them in memory; `save` makes the changes durable."""
 
     def __init__(
         self, prefix: str, value_bytes: int, txn_ops: int, commit: Commit, version_of: Callable[[str], int]
     ) -> None:
-        """Start without pages.
+        """Create an empty set of records. Pages that the store already holds are read by `load`.
 
         Args:
-            prefix: Key prefix of the pages; a page number follows it.
-            value_bytes: Size limit of a value in the store.
-            txn_ops: Limit on the changes of one transaction.
+            prefix: Key prefix of the pages. The key of a page is this prefix followed by the page number.
+            value_bytes: Maximum size of a value in the store, in bytes.
+            txn_ops: Maximum number of changes in one transaction.
             commit: Commits a transaction.
-            version_of: Reads the current version of a key, 0 if the key does not exist.
+            version_of: Reads the current version of a key from the store; returns 0 if the key does not exist.
         """
         self.prefix = prefix
         self._max_page_bytes = value_bytes - PAGE_MARGIN_BYTES
@@ -87,15 +97,17 @@
         self._commit = commit
         self._version_of = version_of
         self._pages: dict[int, _Page] = {}
-        #: by record, the page that holds its current value
+        #: number of the page that holds the current value of each record, by record name
         self._page_of: dict[str, int] = {}
-        #: by record, the pages that still hold an older copy of it
+        #: numbers of the pages that still hold an older copy of a record, by record name
         self._stale_copies: dict[str, set[int]] = {}
-        #: records that were loaded from two pages and not put since: only both copies together hold their value
+        #: Names of records that were loaded from two pages and not put since. No copy of such a record may be erased,
+        #: because only both copies together hold its value.
         self._unmerged: set[str] = set()
-        #: pages that differ from what is durable
+        #: numbers of the pages whose changes are not durable yet
         self._dirty: set[int] = set()
-        #: serialises saves: a page that is being written must not be written again on the version before
+        #: Allows one save at a time. A second write of a page during the first one would be conditional on the version
+        #: before the first write, and would fail.
         self._save_lock = BoundedSemaphore(1)
 
     def __len__(self) -> int:
@@ -103,9 +115,13 @@
         return len(self._page_of)
 
     def load(self, pairs: Iterable[KeyValue]) -> Iterator[tuple[str, Any]]:
-        """Take over the pages that the store holds, and yield every record with its value.
+        """Load the pages that the store holds, and yield the name and the value of every record.
 
-        A record that was being moved is yielded twice; the caller has to merge both values.
+        If the previous writer ended while it moved a record to another page, the record is yielded twice and the caller
+        has to merge both values.
+
+        Args:
+            pairs: The keys under the prefix, with their values and versions.
         """
         for pair in pairs:
             number = self._page_number(pair.key)
@@ -115,7 +131,7 @@
                 yield name, value
 
     def _load_record(self, page: _Page, number: int, name: str, body: bytes) -> None:
-        """Enter a record that was found on a page."""
+        """Register a record that the store holds on a page."""
         page.records[name] = msgspec.Raw(body)
         page.size_bytes += _record_size(name, body)
         if name in self._page_of:
@@ -125,15 +141,20 @@
             self._page_of[name] = number
 
     def put(self, name: str, value: Any) -> None:
-        """Set a record. It is durable once a `save` that began later has returned.
+        """Set the value of a record in memory. A `save` that begins after this call makes the value durable.
+
+        Args:
+            name: Name of the record.
+            value: New value, which has to be encodable as JSON.
 
         Raises:
-            RecordTooLargeError: The record does not fit an empty page.
+            RecordTooLargeError: The record is larger than an empty page.
         """
         body = msgspec.json.encode(value)
         size = _record_size(name, body)
-        if size + EMPTY_PAGE_BYTES > self._max_page_bytes:
-            raise RecordTooLargeError(name, size)
+        max_bytes = self._max_page_bytes - EMPTY_PAGE_BYTES
+        if size > max_bytes:
+            raise RecordTooLargeError(name, size, max_bytes)
         self._unmerged.discard(name)
         number = self._page_of.get(name)
         if number is None:
@@ -143,7 +164,7 @@
             self._add_to_page(self._choose_page(name, size), name, body)
 
     def _replace_in_page(self, number: int, name: str, body: bytes) -> bool:
-        """Replace a record on the page that holds it; return whether the new value fits there."""
+        """Replace a record on its page. Returns False and leaves the page unchanged if the new value does not fit."""
         page = self._pages[number]
         previous_size = _record_size(name, bytes(page.records[name]))
         if page.size_bytes - previous_size + _record_size(name, body) > self._max_page_bytes:
@@ -153,10 +174,10 @@
         return True
 
     def _choose_page(self, name: str, size: int) -> int:
-        """Return the number of a page with space for a record, a new one if there is none.
+        """Return the number of a page with space for a record, or an unused page number if no page has enough space.
 
-        Pages that have to be written anyway come first. A page that holds an older copy of the record is not chosen, as
-        the older copy may be the only durable one.
+        Pages with unsaved changes are preferred, because the next save writes them anyway. A page that holds an older
+        copy of the record is never chosen, because the older copy may be the only durable one.
         """
         excluded = self._stale_copies.get(name, ())
         for number in (*sorted(self._dirty), *sorted(self._pages)):
@@ -165,7 +186,7 @@
         return next(number for number in itertools.count() if number not in self._pages)
 
     def _add_to_page(self, number: int, name: str, body: bytes) -> None:
-        """Put a record on a page that has space for it, and remember the page as its current one."""
+        """Put a record on a page that has space for it, and make that page the current page of the record."""
         page = self._pages.setdefault(number, _Page())
         page.records[name] = msgspec.Raw(body)
         page.size_bytes += _record_size(name, body)
@@ -173,12 +194,12 @@
         self._dirty.add(number)
 
     def drop(self, name: str, soon: bool) -> None:
-        """Remove a record and all its copies.
+        """Remove all copies of a record from memory, and from the store with a later save.
 
         Args:
-            name: Name of the record; unknown names are ignored.
-            soon: Whether the next `save` has to make the removal durable. If not, the record stays in the store until
-                its page is written for another reason, so its readers have to ignore it.
+            name: Name of the record. An unknown name is ignored.
+            soon: Whether the next `save` makes the removal durable. If False, the record stays in the store until its
+                page is written for another reason, so a process that loads the pages has to ignore the record.
         """
         self._unmerged.discard(name)
         pages = self._stale_copies.pop(name, set())
@@ -187,7 +208,7 @@
             self._erase(page_number, name, soon)
 
     def _erase(self, number: int, name: str, soon: bool) -> None:
-        """Remove a record from one page, and mark the page for the next `save` if `soon`."""
+        """Remove a record from one page. If `soon` is set, the next `save` writes the page."""
         page = self._pages[number]
         body = page.records.pop(name, None)
         if body is not None:
@@ -196,24 +217,26 @@
                 self._dirty.add(number)
 
     def save(self, urgency: Urgency) -> None:
-        """Make every change before the call durable.
+        """Make every change that was made before this call durable.
+
+        Args:
+            urgency: Priority of the transactions at the rate limiters.
 
         Raises:
-            StoreError: A transaction failed or its outcome is unknown; the pages concerned remain marked for the next
-                save.
+            StoreError: A transaction failed or its outcome is unknown. Its pages remain marked for the next save.
         """
         with self._save_lock:
-            due = sorted(self._dirty)
-            for start in range(0, len(due), self._pages_per_transaction):
-                self._save_pages(due[start : start + self._pages_per_transaction], urgency)
+            dirty = sorted(self._dirty)
+            for start in range(0, len(dirty), self._pages_per_transaction):
+                self._save_pages(dirty[start : start + self._pages_per_transaction], urgency)
 
     def _save_pages(self, numbers: list[int], urgency: Urgency) -> None:
-        """Write pages in one transaction, again if their versions turn out to be outdated."""
+        """Write pages in one transaction, and retry if the known versions of the pages were outdated."""
         for _ in range(MAX_SAVE_ATTEMPTS):
-            self._dirty.difference_update(numbers)  # before the commit, so that changes during it mark the pages anew
+            self._dirty.difference_update(numbers)  # a change during the commit marks its page as dirty again
             try:
                 written = self._try_to_write(numbers, urgency)
-            except BaseException:  # also a kill of the greenlet: the pages must not pass for durable
+            except BaseException:  # including GreenletExit: the pages are not known to be durable
                 self._dirty.update(numbers)
                 raise
             if written:
@@ -222,7 +245,7 @@
         raise StoreError(f"pages {self.prefix} change too often", possibly_applied=True)
 
     def _try_to_write(self, numbers: list[int], urgency: Urgency) -> bool:
-        """Commit pages on the versions known of them; if a condition fails, read its key's version and return False."""
+        """Commit pages if their versions are the known ones. Otherwise, read the changed versions and return False."""
         snapshots = {number: dict(self._pages[number].records) for number in numbers}
         version, failed = self._commit(
             [version_is(self._key(number), self._pages[number].version) for number in numbers],
@@ -230,7 +253,7 @@
             urgency,
         )
         for key in failed:
-            # an earlier write whose answer was lost has been executed after all
+            # an earlier write of this process was executed, but its response was lost
             self._pages[self._page_number(key)].version = self._version_of(key)
         if failed:
             return False
@@ -240,10 +263,10 @@
         return True
 
     def _erase_stale_copies(self, number: int, written: dict[str, msgspec.Raw]) -> None:
-        """Erase older copies of the records that have become durable with a page."""
+        """Erase the older copies of the records that a committed write of a page has made durable."""
         candidates = written.keys() & self._stale_copies.keys() - self._unmerged
         records = self._pages[number].records
-        # a value that was put during the commit is another object than the one written, and not durable yet
+        # a value that was put during the commit is not the object that was written, and is not durable yet
         durable = [name for name in candidates if self._page_of.get(name) == number and records[name] is written[name]]
         for name in durable:
             for stale_number in self._stale_copies.pop(name):
@@ -254,5 +277,5 @@
         return f"{self.prefix}{number}"
 
     def _page_number(self, key: str) -> int:
-        """Return the number of the page that a key holds."""
+        """Return the number of the page that is stored under a key."""
         return int(key.removeprefix(self.prefix))
--- a/tests/storage/test_completed_jobs.py
+++ b/tests/storage/test_completed_jobs.py
@@ -1,4 +1,4 @@
-"""The cache of final states: it answers what it remembers, and its size is bounded."""
+"""The cache of final states of completed jobs: lookups and the bound on its size."""
 
 from __future__ import annotations
 
--- a/tests/storage/test_paged_records.py
+++ b/tests/storage/test_paged_records.py
@@ -1,4 +1,4 @@
-"""Records on shared pages: few writes, and no late transaction undoes a newer one."""
+"""Many records on shared pages: few writes, no lost updates by late transactions, no lost records on moves."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DelayingStore(KeyValueStoreEmulator):
-    """A store that may delay transactions: their sender gets no response, and they are executed when released."""
+    """A store that can delay transactions: the sender gets no response, and `release` executes them later."""
 
     def __init__(self, clock: ManualClock) -> None:
         super().__init__(clock)
@@ -42,7 +42,7 @@
 
 
 def paged_records(store: KeyValueStoreEmulator, value_bytes: int = 4096, txn_ops: int = 12) -> PagedRecords:
-    """Records on the store that are not loaded yet."""
+    """Return the records of the store, not loaded yet."""
     store_client = client(store)
 
     def version_of(key: str) -> int:
@@ -53,12 +53,12 @@
 
 
 def small_pages(store: KeyValueStoreEmulator) -> PagedRecords:
-    """Records on pages that hold two small records each, one page a transaction."""
+    """Return records on pages with space for two small records each, with one page per transaction."""
     return paged_records(store, value_bytes=SMALL_VALUE_BYTES, txn_ops=1)
 
 
 def load(store: KeyValueStoreEmulator, records: PagedRecords | None = None) -> dict[str, list[object]]:
-    """All values of each record that the store holds, loaded into `records` or into new ones."""
+    """Load the store into `records` (by default, into new ones), and return all values of each record by name."""
     loaded: dict[str, list[object]] = {}
     records = records if records is not None else paged_records(store)
     for name, value in records.load(client(store).pairs(PREFIX)):
@@ -67,13 +67,13 @@
 
 
 def save_until_clean(records: PagedRecords) -> None:
-    """Save often enough for stale copies to be erased from all pages as well."""
+    """Save until stale copies are erased from all pages: each save may mark further pages as dirty."""
     for _ in range(3):
         records.save(Urgency.ACCEPT)
 
 
 def test_hundreds_of_records_take_a_few_writes() -> None:
-    """At one write a record, hundreds of machines took most of a minute to be recorded at 20 writes a second."""
+    """With one write per record, recording hundreds of machines took most of a minute at 20 writes per second."""
     store = KeyValueStoreEmulator(ManualClock())
     records = paged_records(store)
     for i in range(500):
@@ -95,7 +95,7 @@
 
 
 def test_late_transaction_does_not_undo_a_newer_one() -> None:
-    """The sender gave the first write up and wrote more; the first one must not come back over it."""
+    """A write that timed out at its sender and is executed after a newer write must not overwrite the newer one."""
     store = DelayingStore(ManualClock())
     records = paged_records(store)
     records.put("a", 1)
@@ -124,7 +124,7 @@
 
 
 def store_with_moved_record() -> KeyValueStoreEmulator:
-    """A store whose writer has ended between the two writes that move record `b` to another page."""
+    """Return a store whose writer ended between the two writes that move record `b` to another page."""
     store = DelayingStore(ManualClock())
     records = small_pages(store)
     records.put("a", "x" * 100)
@@ -136,7 +136,7 @@
 
 
 def test_record_that_outgrows_its_page_is_never_absent() -> None:
-    """It moves to another page; a leader that ends between the two writes leaves it on both, never on neither."""
+    """If a leader ends between the two writes that move a record to another page, both pages hold the record."""
     store = store_with_moved_record()
     assert load(store) == {"a": ["x" * 100], "b": ["y" * 100, "z" * 180]}
 
@@ -153,13 +153,16 @@
 
 def test_record_too_large_for_any_page_is_refused() -> None:
     records = paged_records(KeyValueStoreEmulator(ManualClock()), value_bytes=SMALL_VALUE_BYTES)
-    with pytest.raises(ValueError, match="fits no page") as refused:
+    with pytest.raises(ValueError, match="record a takes 307 bytes, but a page has space for at most 238") as refused:
         records.put("a", "x" * 300)
     assert isinstance(refused.value, RecordTooLargeError) and refused.value.name == "a"
 
 
 def test_copies_of_a_record_loaded_twice_stay_until_it_is_put() -> None:
-    """A successor joins both; writing the older copy's page for another record once erased the newer, wider one."""
+    """Only both copies together hold the value of a record that was being moved when its writer ended.
+
+    Writing the page of the older copy for another record must not erase the newer copy before they are merged.
+    """
     store = DelayingStore(ManualClock())
     records = small_pages(store)
     records.put("a", "x" * 100)
@@ -174,6 +177,6 @@
     successor.put("a", "z" * 100)
     save_until_clean(successor)
     assert load(store) == {**both_copies, "a": ["z" * 100]}
-    successor.put("b", "joined")
+    successor.put("b", "merged")
     save_until_clean(successor)
-    assert load(store) == {"a": ["z" * 100], "b": ["joined"]}
+    assert load(store) == {"a": ["z" * 100], "b": ["merged"]}
