--- a/src/grebestand/clients/__init__.py
+++ b/src/grebestand/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the key-value store, the cloud and other controllers, over HTTP, and the runtime that they depend on."""
+"""HTTP clients of the key-value store, the cloud and other controllers, and the runtime that they depend on."""
--- a/src/grebestand/clients/cloud.py
+++ b/src/grebestand/clients/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud that rents machines."""
+"""Client of the cloud API that rents out machines."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 Message = TypeVar("Message")
 
-#: limit on the wait at the rate limiter, and on the request after it
+#: Limit on the wait at the rate limiter. The request after the wait has the same limit.
 REQUEST_TIMEOUT_S = 5.0
-#: path of the list of machines, in pages of 500
+#: path of the list of rented machines, which is read in pages of 500
 LIST_PATH = "/machines?page=500"
-#: bytes of an unexpected response that go into the text of an error
+#: maximum number of bytes of an unexpected response that are quoted in an error text
 MAX_QUOTED_BYTES = 100
 
 
 class CloudError(GrebestandError):
-    """The cloud gave no usable response; the request may have been executed.
+    """The cloud gave no usable response. The request may have been executed.
 
     Attributes:
         reason: Why there is no usable response.
@@ -35,7 +35,7 @@
 
 
 class NoCapacityError(GrebestandError):
-    """The cloud has no machines to rent of a type in a zone.
+    """The cloud has no machines of a type left to rent in a zone.
 
     Attributes:
         machine_type: Name of the machine type.
@@ -51,7 +51,10 @@
 
 
 class CloudClient:
-    """Requests to the cloud, within its rate limit. Every method raises `CloudError` without a usable response."""
+    """Sends requests to the cloud, within its rate limit.
+
+    Every method raises `CloudError` if the cloud gives no usable response.
+    """
 
     def __init__(self, transport: Transport, rate_limiter: RateLimiter) -> None:
         """Bind the client to its connections and its rate limiter."""
@@ -63,10 +66,12 @@
         return self._decode(*self._call("GET", "/flavors", None, Urgency.TAKEOVER), MachineTypes).types
 
     def rent(self, request: RentRequest) -> list[str]:
-        """Rent machines and return their names; a repeated request with the same name rents none anew.
+        """Rent machines and return their names.
+
+        Repeating a request with the same request name returns the same machines and rents no further ones.
 
         Raises:
-            NoCapacityError: The cloud has no such machines to rent.
+            NoCapacityError: The cloud has no machines of the requested type left in the requested zone.
         """
         status, body = self._call("POST", "/machines", request, Urgency.ACCEPT)
         if status == HTTPStatus.SERVICE_UNAVAILABLE and b"no capacity" in body:
@@ -74,24 +79,24 @@
         return self._decode(status, body, Rented).machines
 
     def remove(self, names: list[str]) -> None:
-        """Return machines to the cloud; names of machines that are gone already are ignored."""
+        """End the rental of machines. Names of machines that no longer exist are ignored."""
         status, body = self._call("POST", "/machines/delete", MachineNames(machines=names), Urgency.DONE)
         self._check_status(status, body)
 
     def machines(self) -> list[ListedMachine]:
-        """Return the machines that are rented, as the cloud lists them; its list may lag behind."""
-        found: list[ListedMachine] = []
+        """Return the rented machines as the cloud lists them. The list may lag behind recent changes."""
+        listed: list[ListedMachine] = []
         since = ""
         while True:
             path = LIST_PATH + (f"&since={since}" if since else "")
             page = self._decode(*self._call("GET", path, None, Urgency.PROGRESS), MachineList)
-            found.extend(page.machines)
+            listed.extend(page.machines)
             if not page.more or not page.machines:
-                return found
+                return listed
             since = page.machines[-1].id
 
     def _call(self, method: str, path: str, message: msgspec.Struct | None, urgency: Urgency) -> tuple[int, bytes]:
-        """Send a request within the rate limit, and return the status and the body of its response."""
+        """Send a request within the rate limit, and return the status and the body of the response."""
         data = b"" if message is None else msgspec.json.encode(message)
         try:
             self._rate_limiter.take(urgency, 1, patience_s=REQUEST_TIMEOUT_S)
@@ -101,13 +106,13 @@
 
     @staticmethod
     def _check_status(status: int, body: bytes) -> None:
-        """Raise `CloudError` for a status that says that the request has failed."""
+        """Raise `CloudError` unless the status is 200."""
         if status != HTTPStatus.OK:
-            raise CloudError(f"status {status}: {body[:MAX_QUOTED_BYTES]!r}")
+            raise CloudError(f"expected status 200 from the cloud, got {status}: {body[:MAX_QUOTED_BYTES]!r}")
 
     @classmethod
     def _decode(cls, status: int, body: bytes, message_type: type[Message]) -> Message:
-        """Return the message that a response holds."""
+        """Decode the body of a response, after a check of its status."""
         cls._check_status(status, body)
         try:
             return msgspec.json.decode(body, type=message_type)
--- a/src/grebestand/clients/http.py
+++ b/src/grebestand/clients/http.py
@@ -1,7 +1,8 @@
-"""HTTP requests to other services, with a limit on the whole duration of each request.
+"""HTTP requests to other services, with a timeout on the whole duration of each request.
 
-geventhttpclient keeps the connections. Its own timeouts count from packet to packet, so that a server which sends a
-byte now and then could block a caller forever without the limit here.
+Connections are pooled by geventhttpclient, whose own timeouts apply between two packets. A server that sends a byte now
+and then would never exceed those timeouts and could block a caller forever, so `HttpTransport` adds a timeout on the
+whole request.
 """
 
 from __future__ import annotations
@@ -16,16 +17,17 @@
 
 from ..errors import GrebestandError
 
-#: connections that a transport keeps, unless its user asks for another number
+#: default size of the connection pool of a transport
 DEFAULT_CONNECTIONS = 8
-#: limit on the time to establish a connection
+#: default timeout for establishing a connection
 CONNECT_TIMEOUT_S = 1.5
-#: geventhttpclient's limit between two packets; longer than any request may last, so that the request's limit decides
+#: Timeout of geventhttpclient between two packets. Longer than the timeout of any request, so that the timeout on the
+#: whole request takes effect first.
 PACKET_TIMEOUT_S = 70.0
 
 
 class UnreachableError(GrebestandError):
-    """No response: the request may have been executed, or may be executed later.
+    """A server gave no response. The request may have been executed, or may be executed later.
 
     Attributes:
         reason: Why there is no response.
@@ -46,10 +48,10 @@
             method: HTTP method.
             path: Path with query.
             body: Body of the request, possibly empty.
-            timeout: Limit on the whole duration in seconds.
+            timeout: Limit on the whole duration of the request, in seconds.
 
         Raises:
-            UnreachableError: There was no response within the limit.
+            UnreachableError: There was no response within `timeout` seconds.
         """
 
 
@@ -64,14 +66,15 @@
         connect_s: float = CONNECT_TIMEOUT_S,
         tls: SSLContext | None = None,
     ) -> None:
-        """Prepare the pool; connections are opened on demand.
+        """Create the pool. Connections are opened on demand.
 
         Args:
-            host: Host name or address of the server; an IPv6 address stands in brackets.
+            host: Host name or IP address of the server; an IPv6 address is in brackets.
             port: TCP port of the server.
-            connections: Maximum number of connections; further requests wait.
-            connect_s: Limit on the time to establish a connection, in seconds.
-            tls: Use TLS with this context, which alone decides which server is accepted; no host name is verified.
+            connections: Maximum number of connections. Requests wait while all connections are in use.
+            connect_s: Timeout for establishing a connection, in seconds.
+            tls: TLS context for the connections; None for plain HTTP. Only this context decides which server
+                certificates are accepted: host names are not verified.
         """
         tls_options: dict[str, Any] = {}
         if tls is not None:
@@ -88,20 +91,20 @@
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         """Send a request as `Transport.request` describes."""
-        limit = gevent.Timeout(timeout)
-        limit.start()
+        request_timeout = gevent.Timeout(timeout)
+        request_timeout.start()
         try:
             response = self._client.request(method, path, body)
             data = bytes(response.read())
             return int(response.status_code), data
         except gevent.Timeout as error:
-            if error is not limit:  # a limit that a caller has set around this request
+            if error is not request_timeout:  # a timeout that a caller has set around this call
                 raise
-            raise UnreachableError("timeout") from None
+            raise UnreachableError(f"timeout after {timeout:g} s: {method} {path}") from None
         except (OSError, RuntimeError, ValueError, ConcurrentObjectUseError, HTTPException) as error:
             raise UnreachableError(str(error)) from error
         finally:
-            limit.close()
+            request_timeout.close()
 
     def close(self) -> None:
         """Close all connections."""
--- a/src/grebestand/clients/peer.py
+++ b/src/grebestand/clients/peer.py
@@ -17,27 +17,30 @@
 
 Message = TypeVar("Message")
 
-#: limit on a message, unless the caller sets another one
+#: default limit on the duration of a request to a peer
 MESSAGE_TIMEOUT_S = 1.0
 
 
 class PeerClient:
-    """Sends messages to another controller, and keeps what is known of it. Times are of the steady clock, in seconds.
+    """Sends messages to a peer, another controller of the same cluster, and holds the last known state of the peer.
+
+    All times are in seconds on the monotonic clock. The owner of the client updates the attributes.
 
     Attributes:
-        name: Name of the controller.
-        transport: Connections to it.
-        last: Its last response to a status exchange, or None if there has been none.
-        last_heard_at: When that response was received.
-        told_at: When the request was sent that it answered last.
-        told_from: Since when its responses have followed each other so closely that every cancellation it confirmed was
-            in one of them.
-        hangs_since: Since when status requests time out without being refused, which means that its process or machine
-            has stopped; infinite while they do not.
+        name: Name of the peer.
+        transport: Connections to the peer.
+        last: Last response of the peer to a status exchange, or None if there has been no response.
+        last_heard_at: Time at which the last response was received.
+        acknowledged_at: Latest time at which a status request was sent that the peer answered.
+        acknowledged_since: Start of the period in which status responses have arrived without a gap. Every cancellation
+            that the peer confirmed in this period was in one of the responses.
+        unresponsive_since: Time at which the first of the status requests was sent that have timed out since the peer
+            last answered or refused a request. Requests that time out instead of being refused mean that the process or
+            the machine of the peer is paused. Infinite while requests do not time out.
     """
 
     def __init__(self, name: str, transport: Transport) -> None:
-        """Bind the client to its connections; nothing is known of the controller yet."""
+        """Create a client of a peer whose state is not known yet."""
         self.name = name
         self.transport = transport
         self.last: PeerStatus | None = None
@@ -47,7 +50,16 @@
         self.unresponsive_since = math.inf
 
     def send(self, path: str, body: bytes, timeout: float = MESSAGE_TIMEOUT_S) -> bytes | None:
-        """Send an encoded message; return the encoded response, or None if there is none within `timeout` seconds."""
+        """Send an encoded message.
+
+        Args:
+            path: Path at the peer.
+            body: Encoded message.
+            timeout: Limit on the request in seconds.
+
+        Returns:
+            The encoded response, or None if the peer did not respond in time or responded with a status other than 200.
+        """
         try:
             status, response = self.transport.request("POST", path, body, timeout)
         except UnreachableError as error:
@@ -59,7 +71,17 @@
     def tell(
         self, path: str, message: msgspec.Struct, response_type: type[Message], timeout: float = MESSAGE_TIMEOUT_S
     ) -> Message | None:
-        """Send a message and return the response, or None if there is none that can be decoded."""
+        """Send a message and decode the response.
+
+        Args:
+            path: Path at the peer.
+            message: Message to send, which is encoded as MessagePack.
+            response_type: Type of the expected response.
+            timeout: Limit on the request in seconds.
+
+        Returns:
+            The response, or None if there was no response or it could not be decoded.
+        """
         response = self.send(path, msgspec.msgpack.encode(message), timeout)
         try:
             return None if response is None else msgspec.msgpack.decode(response, type=response_type)
--- a/src/grebestand/clients/runtime.py
+++ b/src/grebestand/clients/runtime.py
@@ -1,4 +1,7 @@
-"""What a controller needs of its environment: clocks, randomness and transports. Simulations provide their own."""
+"""The runtime environment of a controller: clocks, random numbers and transports.
+
+A simulation replaces `SystemRuntime` by an implementation with virtual time and simulated connections.
+"""
 
 from __future__ import annotations
 
@@ -11,35 +14,45 @@
 
 
 class Runtime(Protocol):
-    """The environment of a controller.
+    """The runtime environment of a controller.
 
     Attributes:
-        rng: Source of all random draws.
+        rng: Random number generator for all random choices of the controller.
     """
 
     rng: random.Random
 
     def clock(self) -> float:
-        """Return the steady clock, in seconds since an arbitrary moment."""
+        """Return the time of the monotonic clock, in seconds since an arbitrary point in time."""
 
     def wall(self) -> float:
-        """Return the time of day, in seconds since the epoch."""
+        """Return the wall-clock time, in seconds since the Unix epoch."""
 
     def connect(self, address: str, field: str, connections: int, connect_s: float = CONNECT_TIMEOUT_S) -> Transport:
-        """Return a transport to a server that gets many requests.
+        """Return a transport with a pool of connections, for a server that receives many requests.
 
         Args:
             address: Address of the server, as `host:port`.
-            field: Name of the settings field that holds the address, for errors.
+            field: Name of the settings field that holds the address, for error texts.
             connections: Maximum number of connections.
-            connect_s: Limit on the time to establish a connection, in seconds.
+            connect_s: Timeout for establishing a connection, in seconds.
 
         Raises:
             SettingsError: The address is malformed.
         """
 
     def once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        """Send one request over a connection of its own, as `Transport.request` describes.
+        """Send one request over a new connection, which is closed afterwards.
+
+        Args:
+            method: HTTP method.
+            address: Address of the server, as `host:port`.
+            path: Path with query.
+            body: Body of the request, possibly empty.
+            timeout: Limit on the whole duration of the request, in seconds.
+
+        Returns:
+            The status and the body of the response.
 
         Raises:
             UnreachableError: There was no response within `timeout` seconds, or the address is malformed.
@@ -47,18 +60,18 @@
 
 
 class SystemRuntime:
-    """The environment of a controller on a real machine: the system's clocks, and HTTP over TCP."""
+    """The runtime environment of a controller on a real machine: system clocks, and HTTP over TCP."""
 
     def __init__(self) -> None:
-        """Seed the randomness from the system."""
+        """Seed the random number generator from the operating system."""
         self.rng = random.Random()
 
     def clock(self) -> float:
-        """Return the system's monotonic clock."""
+        """Return the time of the system's monotonic clock, in seconds."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """Return the system's time of day."""
+        """Return the system's wall-clock time, in seconds since the Unix epoch."""
         return time.time()
 
     def connect(self, address: str, field: str, connections: int, connect_s: float = CONNECT_TIMEOUT_S) -> Transport:
--- a/src/grebestand/controller/wiring.py
+++ b/src/grebestand/controller/wiring.py
@@ -207,7 +207,7 @@
         factory=factory,
         assignment_loop=relay.assignment_loop,
         peer_api=peer_api,
-        write_budget=StoreWriteBudget(clients.store.writes, params.state.write_rps, params.nodes),
+        write_budget=StoreWriteBudget(clients.store.write_limiter, params.state.write_rps, params.nodes),
         features=foundation.features,
         clock=foundation.clock,
         rng=foundation.runtime.rng,
