--- a/src/grebestand/flow_control/__init__.py
+++ b/src/grebestand/flow_control/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that a controller imposes on itself: request rates, connections, work under overload, garbage collection."""
+"""Limits that a controller imposes on itself: request rates, connections, load shedding and garbage collection."""
--- a/src/grebestand/flow_control/connection_limits.py
+++ b/src/grebestand/flow_control/connection_limits.py
@@ -1,4 +1,7 @@
-"""The distribution of a controller's sockets, so that no kind of connection can use up the share of another."""
+"""The distribution of a controller's sockets over the kinds of connections.
+
+Each kind of connection has a limit of its own, so that no kind can exhaust the sockets that another kind needs.
+"""
 
 from __future__ import annotations
 
@@ -6,40 +9,59 @@
 
 from ..settings.platform import Quota
 
-#: connections to the key-value store for requests and for watches, and to the cloud
-STATE_REQUESTS, STATE_WATCHES, CLOUD = 24, 4, 4
-#: connections to and from each other controller for status exchange, and for requests to the store on behalf of another
-GREETINGS, RELAYED = 2, 24
+#: connections to the key-value store for requests
+STATE_REQUESTS = 24
+#: connections to the key-value store for watches
+STATE_WATCHES = 4
+#: connections to the cloud
+CLOUD = 4
+#: connections in each direction for status exchange, per peer
+GREETINGS = 2
+#: Maximum number of proxied requests to the key-value store in progress. A requesting controller opens up to this many
+#: connections to its proxy, and a proxy executes at most this many requests at a time.
+RELAYED = 24
 #: batches of heartbeats that one controller may have in flight to the leader
 BATCHES = 4
-#: controllers that may proxy requests at a time: the connections to a previous one may still be open
-HELPERS = 2
-#: connections for commands that are sent directly to workers; at most this part of the quota
-DIRECT, DIRECT_DIVISOR = 100, 12
+#: Number of peers to which connections for proxied requests may be open at a time. After a change of the proxy, the
+#: connections to the previous one may still be open.
+MAX_PROXIES = 2
+#: connections for commands that are sent directly to workers
+MAX_DIRECT_COMMANDS = 100
+#: direct commands get at most the quota of connections divided by this
+DIRECT_COMMANDS_DIVISOR = 12
 #: file descriptors for listeners, files and the event loop
-SPARE = 48
-#: connections beyond those that are served, whose clients are told at once to go elsewhere or to come back later
-TURNED_AWAY, TURNED_AWAY_DIVISOR = 32, 32
+RESERVED_FILE_DESCRIPTORS = 48
+#: Connections that are accepted beyond the served ones. Their clients get one response at once, which redirects them or
+#: asks them to retry later.
+MAX_SURPLUS_CONNECTIONS = 32
+#: surplus connections get at most the quota of connections divided by this
+SURPLUS_DIVISOR = 32
 #: connections that the kernel queues until they are accepted
-BACKLOG, BACKLOG_DIVISOR = 128, 16
-#: connections that are served even with a quota that leaves fewer, as a controller could do nothing useful below
+MAX_BACKLOG = 128
+#: the backlog gets at most the quota of connections divided by this
+BACKLOG_DIVISOR = 16
+#: Minimum number of served connections, even if the quota leaves fewer. A controller with fewer connections could do no
+#: useful work.
 MIN_SERVING = 50
-#: part of the served connections that is reserved for users
-USERS = 0.125
+#: share of the served connections that is reserved for users
+USER_SHARE = 0.125
 
 
 @dataclass(frozen=True)
 class ConnectionPlan:
-    """Numbers of connections; together they stay within the quota.
+    """Maximum number of connections of each kind.
+
+    All kinds together stay within the quota of the controller, unless the quota leaves fewer than `MIN_SERVING` served
+    connections.
 
     Attributes:
-        peers: To all other controllers.
-        from_peers: From all other controllers. Each may proxy its requests here, and come again for those that it has
-            given up on.
-        direct: To workers, for direct commands.
-        serving: From workers and users together.
-        turned_away: From workers and users beyond `serving`, which get one response and are closed.
-        backlog: Queued by the kernel until they are accepted.
+        peers: Connections to all peers, which are the other controllers of the cluster.
+        from_peers: Connections from all peers. Any peer may use this controller as its proxy to the key-value store,
+            and may send a new request while the connection of one that timed out is still open.
+        direct: Connections to workers, for direct commands.
+        serving: Connections from workers and users that are served.
+        turned_away: Surplus connections from workers and users beyond `serving`. Each gets one response and is closed.
+        backlog: Connections that the kernel queues until they are accepted.
         workers: The part of `serving` that workers may use.
     """
 
@@ -52,16 +74,21 @@
     workers: int
 
 
-def plan_connections(quota: Quota, others: int) -> ConnectionPlan:
-    """Return the distribution for a controller that has `others` controllers beside it."""
+def plan_connections(quota: Quota, peer_count: int) -> ConnectionPlan:
+    """Return the distribution of a controller's connections.
+
+    Args:
+        quota: Resource limits of the controller.
+        peer_count: Number of other controllers in the cluster.
+    """
     max_connections = quota.max_connections
-    peers = others * (GREETINGS + BATCHES) + min(others, HELPERS) * RELAYED
-    from_peers = others * (GREETINGS + RELAYED + BATCHES)
-    direct = min(DIRECT, max_connections // DIRECT_DIVISOR)
-    turned_away = min(TURNED_AWAY, max_connections // TURNED_AWAY_DIVISOR)
-    backlog = min(BACKLOG, max_connections // BACKLOG_DIVISOR)
+    peers = peer_count * (GREETINGS + BATCHES) + min(peer_count, MAX_PROXIES) * RELAYED
+    from_peers = peer_count * (GREETINGS + RELAYED + BATCHES)
+    direct = min(MAX_DIRECT_COMMANDS, max_connections // DIRECT_COMMANDS_DIVISOR)
+    turned_away = min(MAX_SURPLUS_CONNECTIONS, max_connections // SURPLUS_DIVISOR)
+    backlog = min(MAX_BACKLOG, max_connections // BACKLOG_DIVISOR)
     store_and_cloud = STATE_REQUESTS + STATE_WATCHES + CLOUD
-    reserved = store_and_cloud + peers + from_peers + direct + SPARE + turned_away + backlog
+    reserved = store_and_cloud + peers + from_peers + direct + RESERVED_FILE_DESCRIPTORS + turned_away + backlog
     serving = max(MIN_SERVING, max_connections - reserved)
     return ConnectionPlan(
         peers=peers,
@@ -70,5 +97,5 @@
         serving=serving,
         turned_away=turned_away,
         backlog=backlog,
-        workers=serving - int(USERS * serving),
+        workers=serving - int(USER_SHARE * serving),
     )
--- a/src/grebestand/flow_control/rate_limiter.py
+++ b/src/grebestand/flow_control/rate_limiter.py
@@ -1,4 +1,4 @@
-"""A rate limiter: a token bucket whose waiting callers are served by priority."""
+"""A rate limiter: a token bucket that serves waiting callers by priority."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 from ..errors import GrebestandError
 
-#: with more callers waiting than this, requests of low priority are refused at once: their turn would not come in time
+#: If more callers than this are waiting, callers of low priority are rejected at once, because they would time out.
 MAX_WAITING = 400
-#: patience of a caller that names none
+#: default limit on the wait for tokens
 DEFAULT_PATIENCE_S = 2.0
-#: shortest delay of the timer that serves waiting callers, so that rounding cannot make it spin
+#: Minimum delay of the timer that serves waiting callers. Without it, a delay that is rounded to zero could restart the
+#: timer in a busy loop.
 MIN_TIMER_S = 0.002
-#: tokens by which the bucket may fall short of an amount through rounding
+#: tokens by which the bucket may fall short of a requested amount due to rounding
 ROUNDING_TOKENS = 1e-9
 
 
 class Urgency(IntEnum):
-    """Priority of a request that waits at a rate limiter; lower values are served first."""
+    """Priority of a caller of a rate limiter. Callers with lower values are served first."""
 
     #: renewal of the leader lease
     HOLD = 0
-    #: recovery after a failover
+    #: recovery of the state by a new leader
     TAKEOVER = 1
-    #: a decision that a user waits for, such as the acceptance of a job
+    #: changes that a user waits for, such as the acceptance of a job
     ACCEPT = 2
     #: completion of jobs
     DONE = 3
@@ -39,10 +40,10 @@
 
 
 class RateLimitedError(GrebestandError):
-    """A caller's turn did not come within its patience.
+    """A caller did not get its tokens in time, or was rejected because too many callers are waiting.
 
     Attributes:
-        urgency: The priority of the caller.
+        urgency: Priority of the caller.
     """
 
     def __init__(self, urgency: Urgency) -> None:
@@ -51,52 +52,70 @@
 
 
 class _Waiter(NamedTuple):
-    """A caller that waits for its turn; waiters are ordered by urgency, then by arrival."""
+    """A waiting caller. Waiters are ordered by urgency, then by arrival.
+
+    Attributes:
+        urgency: Priority of the caller.
+        arrival: Sequence number of the caller.
+        amount: Number of tokens that the caller waits for.
+        granted: Set once the tokens have been taken for the caller.
+    """
 
     urgency: int
     arrival: int
     amount: float
-    turn: AsyncResult
+    granted: AsyncResult
 
 
 class RateLimiter:
-    """A token bucket. `take` waits for its turn, and urgent callers overtake others."""
+    """A token bucket. `take` waits for tokens, and waiting callers are served in the order of their urgency."""
 
     def __init__(
         self,
         rate: float,
         burst: float,
-        now: Callable[[], float],
-        later: Callable[[float, Callable[[], None]], None],
+        clock: Callable[[], float],
+        call_later: Callable[[float, Callable[[], None]], None],
     ) -> None:
         """Start with a full bucket.
 
         Args:
             rate: Tokens that are added per second.
-            burst: Capacity of the bucket in tokens; at least 1 is used.
-            now: Returns the steady clock in seconds.
-            later: Calls a function after a number of seconds.
+            burst: Capacity of the bucket in tokens; values below 1 count as 1.
+            clock: Returns the time of the monotonic clock in seconds.
+            call_later: Calls a function after a number of seconds.
         """
         self.rate = rate
         self.burst = max(burst, 1.0)
-        self._now = now
-        self._later = later
+        self._clock = clock
+        self._call_later = call_later
         self._tokens = self.burst
-        self._refilled_at = now()
+        self._refilled_at = clock()
         self._waiting: list[_Waiter] = []
-        self._arrivals = 0
+        self._arrival_count = 0
         self._timer_pending = False
 
     def set_rate(self, rate: float, burst: float) -> None:
-        """Change the rate and the capacity from now on."""
+        """Change the rate and the capacity of the bucket.
+
+        Args:
+            rate: Tokens that are added per second from now on.
+            burst: Capacity of the bucket in tokens; values below 1 count as 1.
+        """
         self._refill()
         self.rate, self.burst = rate, max(burst, 1.0)
 
     def take(self, urgency: Urgency, amount: float = 1.0, patience_s: float = DEFAULT_PATIENCE_S) -> None:
-        """Take tokens, waiting for them if necessary. An amount above the capacity counts as the capacity.
+        """Take tokens from the bucket, and wait for them if necessary.
+
+        Args:
+            urgency: Priority of the caller.
+            amount: Number of tokens. An amount above the capacity counts as the capacity.
+            patience_s: Maximum wait in seconds.
 
         Raises:
-            RateLimitedError: The tokens were not available within `patience_s` seconds, or too many callers wait.
+            RateLimitedError: The tokens were not available within `patience_s` seconds, or the urgency is low and more
+                than `MAX_WAITING` callers are waiting.
         """
         self._refill()
         amount = min(amount, self.burst)
@@ -105,41 +124,41 @@
             return
         if len(self._waiting) > MAX_WAITING and urgency >= Urgency.PROGRESS:
             raise RateLimitedError(urgency)
-        self._wait_for_turn(urgency, amount, patience_s)
+        self._wait_for_tokens(urgency, amount, patience_s)
 
-    def _wait_for_turn(self, urgency: Urgency, amount: float, patience_s: float) -> None:
+    def _wait_for_tokens(self, urgency: Urgency, amount: float, patience_s: float) -> None:
         """Wait until `_serve` has taken the tokens for this caller."""
-        self._arrivals += 1
-        waiter = _Waiter(int(urgency), self._arrivals, amount, AsyncResult())
+        self._arrival_count += 1
+        waiter = _Waiter(int(urgency), self._arrival_count, amount, AsyncResult())
         heapq.heappush(self._waiting, waiter)
         self._start_timer()
-        # the turn may come while a caller whose patience has ended is on its way back from `wait`
-        if not waiter.turn.wait(timeout=patience_s) and not waiter.turn.ready():
+        # `_serve` may grant the tokens after the wait has timed out but before this greenlet runs again
+        if not waiter.granted.wait(timeout=patience_s) and not waiter.granted.ready():
             if waiter in self._waiting:
                 self._waiting.remove(waiter)
                 heapq.heapify(self._waiting)
             raise RateLimitedError(urgency)
 
     def _refill(self) -> None:
-        """Add the tokens for the time that has passed."""
-        now = self._now()
+        """Add the tokens for the time since the last refill."""
+        now = self._clock()
         self._tokens = min(self.burst, self._tokens + (now - self._refilled_at) * self.rate)
         self._refilled_at = now
 
     def _start_timer(self) -> None:
-        """Make sure that `_serve` runs when the first waiter's tokens are available."""
+        """Schedule `_serve` for when the first waiter's tokens are available, unless it is scheduled already."""
         if self._timer_pending or not self._waiting:
             return
         self._timer_pending = True
         missing = max(0.0, self._waiting[0].amount - self._tokens)
-        self._later(max(MIN_TIMER_S, missing / self.rate), self._serve)
+        self._call_later(max(MIN_TIMER_S, missing / self.rate), self._serve)
 
     def _serve(self) -> None:
-        """Give waiting callers their turns, in order, as far as the tokens suffice."""
+        """Take tokens for waiting callers, in their order, until the bucket does not hold enough for the next one."""
         self._timer_pending = False
         self._refill()
         while self._waiting and self._tokens + ROUNDING_TOKENS >= self._waiting[0].amount:
             waiter = heapq.heappop(self._waiting)
             self._tokens -= waiter.amount
-            waiter.turn.set(True)
+            waiter.granted.set(True)
         self._start_timer()
--- a/tests/flow_control/test_admission.py
+++ b/tests/flow_control/test_admission.py
@@ -17,25 +17,25 @@
 
 
 @pytest.mark.parametrize(
-    ("cpu", "memory_mb", "sockets", "most"), [(0.05, 4096, 8000, 20), (1.0, 16, 8000, 16), (1.0, 4096, 160, 20)]
+    ("cpu", "memory_mb", "sockets", "limit"), [(0.05, 4096, 8000, 20), (1.0, 16, 8000, 16), (1.0, 4096, 160, 20)]
 )
-def test_limit_on_user_requests_follows_the_quota(cpu: float, memory_mb: float, sockets: int, most: int) -> None:
-    """Bodies of 64 KiB, connections and waiting requests: none of them may end a small process in a burst."""
+def test_limit_on_user_requests_follows_the_quota(cpu: float, memory_mb: float, sockets: int, limit: int) -> None:
+    """In a burst, request bodies, connections and waiting requests must not exhaust a small process."""
     cluster = InMemoryCluster(settings_with_quota(cpu, memory_mb, sockets))
     front = Controller(cluster.settings, cluster.policy).http_front
-    assert front.overload.most_users == most
+    assert front.overload.max_user_requests == limit
     submission = {"REQUEST_METHOD": "POST", "PATH_INFO": "/v2/runs"}
-    front.users_busy = most
+    front.users_busy = limit
     response = front.answer(submission)
     assert (response.status, response.retry_after) == (503, 1)
-    assert front.users_busy == most
+    assert front.users_busy == limit
 
 
 def overloaded_front(cluster: InMemoryCluster) -> HttpFront:
-    """The HTTP front of a controller that is late, with half of its user requests in progress."""
+    """Return the HTTP front of an overloaded controller with half of its admissible user requests in progress."""
     front = Controller(cluster.settings, cluster.policy).http_front
     front.overload.record_lag(3.0)
-    front.users_busy = front.overload.most_users // 2
+    front.users_busy = front.overload.max_user_requests // 2
     return front
 
 
--- a/tests/flow_control/test_connection_shares.py
+++ b/tests/flow_control/test_connection_shares.py
@@ -1,4 +1,4 @@
-"""Shares of connections: within the quota, with some of their own for direct commands."""
+"""The distribution of connections: within the quota, with separate shares for surplus clients and direct commands."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 @pytest.mark.parametrize("quota", [800, 1000, 1752, 2470])
-@pytest.mark.parametrize("others", [0, 2, 5])
-def test_all_shares_together_stay_within_the_quota(quota: int, others: int) -> None:
-    shares = plan_connections(Quota(max_connections=quota), others)
-    beyond = shares.turned_away + shares.backlog
-    assert shares.serving + beyond + shares.peers + shares.from_peers + shares.direct < quota
-    assert 0 < shares.workers < shares.serving
+@pytest.mark.parametrize("peer_count", [0, 2, 5])
+def test_all_shares_together_stay_within_the_quota(quota: int, peer_count: int) -> None:
+    plan = plan_connections(Quota(max_connections=quota), peer_count)
+    not_served = plan.turned_away + plan.backlog
+    assert plan.serving + not_served + plan.peers + plan.from_peers + plan.direct < quota
+    assert 0 < plan.workers < plan.serving
 
 
 def test_surplus_connection_is_answered_once_and_closed() -> None:
@@ -46,41 +46,42 @@
     server.start()
     try:
         request = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-        held, beyond = (socket.create_connection(("127.0.0.1", server.server_port)) for _ in range(2))
-        held.sendall(request)
-        assert held.recv(4096).startswith(b"HTTP/1.1 200")
-        beyond.sendall(request)
-        answer = b"".join(iter(lambda: beyond.recv(4096), b""))
-        assert answer.startswith(b"HTTP/1.1 503") and len(ended) == 1
-        held.sendall(request)
-        assert held.recv(4096).startswith(b"HTTP/1.1 200")
-        held.close()
+        served, surplus = (socket.create_connection(("127.0.0.1", server.server_port)) for _ in range(2))
+        served.sendall(request)
+        assert served.recv(4096).startswith(b"HTTP/1.1 200")
+        surplus.sendall(request)
+        response = b"".join(iter(lambda: surplus.recv(4096), b""))
+        assert response.startswith(b"HTTP/1.1 503") and len(ended) == 1
+        served.sendall(request)
+        assert served.recv(4096).startswith(b"HTTP/1.1 200")
+        served.close()
     finally:
         server.stop(1)
 
 
-def test_direct_commands_have_connections_of_their_own(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_direct_commands_are_limited_to_their_connections(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     cluster = SimulatedCluster(loop, machines=2)
     controller: Controller | None = cluster.nodes["node-0"]
     assert controller is not None
-    open_now, most = 0, 0
+    open_connections, max_open_connections = 0, 0
 
     def hanging(method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        nonlocal open_now, most
-        open_now += 1
-        most = max(most, open_now)
+        nonlocal open_connections, max_open_connections
+        open_connections += 1
+        max_open_connections = max(max_open_connections, open_connections)
         gevent.sleep(timeout)
-        open_now -= 1
+        open_connections -= 1
         raise UnreachableError("timeout")
 
     monkeypatch.setattr(controller.runtime, "once", hanging)
-    refused = Counter[str]()
+    errors = Counter[str]()
 
     def send_command() -> None:
         try:
             controller.direct_commands.send("n-000000:1", "/do", b"{}")
         except UnreachableError as error:
-            refused[str(error)] += 1
+            errors[str(error)] += 1
 
     gevent.joinall([gevent.spawn(send_command) for _ in range(300)])
-    assert most == controller.sockets.direct and refused["too many direct orders are under way"] == 300 - most
+    assert max_open_connections == controller.sockets.direct
+    assert errors["too many direct orders are under way"] == 300 - max_open_connections
--- a/tests/flow_control/test_overload_monitor.py
+++ b/tests/flow_control/test_overload_monitor.py
@@ -13,8 +13,8 @@
 from grebestand.state_machines import LoadState
 
 
-def state_after(monitor: OverloadMonitor, late_s: float) -> LoadState:
-    monitor.record_lag(late_s)
+def state_after(monitor: OverloadMonitor, lag_s: float) -> LoadState:
+    monitor.record_lag(lag_s)
     return monitor.state
 
 
@@ -24,7 +24,7 @@
     assert state_after(monitor, 0.05) is LoadState.NORMAL
     assert state_after(monitor, 0.3) is LoadState.STRAINED
     assert state_after(monitor, 2.5) is LoadState.OVERLOADED
-    # one quick moment does not mean that it is over
+    # one measurement without lag does not end the overload
     clock.now += RECOVERY_S / 2
     assert state_after(monitor, 0.0) is LoadState.OVERLOADED
     clock.now += RECOVERY_S
@@ -40,5 +40,5 @@
     assert record.levelno == logging.WARNING
     assert parse_log_event(record.getMessage()) == (
         "load_state_changed",
-        {"from": "NORMAL", "to": "STRAINED", "reason": "late by 0.50 s"},
+        {"from": "NORMAL", "to": "STRAINED", "reason": "lag of 0.50 s"},
     )
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -1,4 +1,4 @@
-"""Scenarios of a leader whose share of a processor does not suffice."""
+"""Scenarios of a leader that has too little processor time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def cluster_with_leader() -> tuple[InMemoryCluster, InMemoryController, Term, WorkerEmulator]:
-    """A leader and one machine that may be given tasks."""
+    """Return a cluster with a leader and one machine that accepts tasks."""
     cluster = InMemoryCluster()
     node = InMemoryController(cluster, "node-0")
     term = node.lead()
@@ -27,8 +27,12 @@
     return cluster, node, term, worker
 
 
-def test_late_leader_places_jobs_and_does_without_migration(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Longer rests for a late controller once made gangs, which start in full passes, wait three times as long."""
+def test_strained_leader_places_jobs_and_postpones_migration(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Placement is not slowed down by overload.
+
+    Gangs start in full scheduling passes. Longer pauses between the passes of a strained leader made gangs wait three
+    times as long.
+    """
     cluster, node, term, _ = cluster_with_leader()
     migrations: list[float] = []
     monkeypatch.setattr(term.scheduler.migration, "migrate", migrations.append)
@@ -43,7 +47,7 @@
 
 
 def test_leader_paused_beyond_its_lease_starts_nothing() -> None:
-    """A controller stopped for a minute finds its authority gone before it does anything else."""
+    """A leader that was paused for a minute detects that its lease has expired before it does anything else."""
     cluster, node, term, worker = cluster_with_leader()
     job_id = cluster.accept(node, shards=2)
     cluster.clock.now += 60.0
@@ -55,29 +59,36 @@
     assert not term.registry.jobs[job_id].running()
 
 
-def test_overloaded_leader_resigns_for_a_peer_that_is_not() -> None:
-    """Eight times slower for a minute, a leader that could still renew its hold let the leases of 3700 tasks end."""
+def test_overloaded_leader_resigns_if_a_peer_is_not_overloaded() -> None:
+    """A leader may be too slow for heartbeats although it still renews its own lease.
+
+    Slowed down eightfold for a minute, such a leader let the leases of 3,700 tasks expire.
+    """
     cluster = InMemoryCluster()
     node = InMemoryController(cluster, "node-0")
     node.lead()
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = node.leadership_transfer(peer)
     node.load.record_lag(2.0)
-    for passed_s, peer_load, stays in (
+    for elapsed_s, peer_load, stays_leader in (
         (3.0, LoadState.NORMAL, True),
         (4.0, LoadState.STRAINED, True),
         (0.0, LoadState.NORMAL, False),
     ):
-        cluster.clock.now += passed_s
+        cluster.clock.now += elapsed_s
         node.election.renew()
         node.load.record_lag(2.0)
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1, load=peer_load.value)
         leadership_transfer.check_overload()
-        assert node.election.is_leader() is stays
+        assert node.election.is_leader() is stays_leader
+
 
+def test_overloaded_leader_gets_limited_extra_time_during_failover() -> None:
+    """A new leader is overloaded while it reconciles machines, and must not resign early.
 
-def test_overloaded_leader_gets_more_time_during_failover_and_not_for_ever() -> None:
-    """With 2,600 machines it was late for seven seconds and gave way, and the next began with all of them again."""
+    With 2,600 machines, a new leader was overloaded for seven seconds and resigned. Its successor had to reconcile all
+    machines again.
+    """
     cluster = InMemoryCluster()
     node = InMemoryController(cluster, "node-0")
     term = node.lead()
@@ -98,7 +109,10 @@
 
 
 def test_simultaneous_heartbeats_share_a_few_passes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """After a cut of a zone hundreds of reports come within a second; a pass for each would answer none in time."""
+    """After a network partition of a zone, hundreds of heartbeats arrive within a second.
+
+    With a scheduling pass for each heartbeat, no heartbeat would be answered in time.
+    """
     cluster = InMemoryCluster()
     node = InMemoryController(cluster, "node-0")
     term = node.lead()
@@ -126,7 +140,7 @@
 
 
 def test_direct_response_after_lease_expiry_reconciles_nothing() -> None:
-    """A leader that is stopped while a machine answers its token may have been replaced before it reads the answer."""
+    """A leader that is paused during a direct query to a machine may lose its lease before it reads the response."""
     cluster, _node, _term, worker = cluster_with_leader()
     restarted = InMemoryController(cluster, "node-0")
     second_term = restarted.lead()
@@ -145,8 +159,12 @@
     assert not second_term.machine_reconciliation.queries_under_way
 
 
-def test_array_is_granted_once_while_completion_writes_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Widenings took nine tenths of the writes: 52 of some 400 finished jobs were recorded within two minutes."""
+def test_array_gets_one_grant_while_completion_writes_are_slow(monkeypatch: pytest.MonkeyPatch) -> None:
+    """While completion writes are slow, the whole array is granted in one write.
+
+    Grants that were widened step by step took nine tenths of the writes, so that only 52 of about 400 finished jobs
+    were recorded within two minutes.
+    """
     cluster, node, term, _ = cluster_with_leader()
     first_job = cluster.accept(node, shards=10)
     commit = type(term.writer).commit
--- a/tests/flow_control/test_rate_limiter.py
+++ b/tests/flow_control/test_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The rate limiter: urgent callers are served first, and patience ends."""
+"""The rate limiter: urgent callers are served first, and callers time out."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ManualTimers:
-    """Timers that run when the test says so."""
+    """Timers that run when the test calls `run_last`."""
 
     def __init__(self) -> None:
         self.pending: list[Callable[[], None]] = []
@@ -25,7 +25,7 @@
 
 
 def limiter_without_tokens(clock: ManualClock, timers: ManualTimers) -> RateLimiter:
-    """A limiter of one token a second whose only token is taken."""
+    """Return a limiter with one token per second whose only token has been taken."""
     limiter = RateLimiter(1.0, 1.0, clock, timers.later)
     limiter.take(Urgency.POLL)
     return limiter
@@ -40,7 +40,7 @@
         limiter.take(urgency)
         served.append(name)
 
-    callers = [gevent.spawn(take, u, name) for u, name in ((Urgency.POLL, "poll"), (Urgency.HOLD, "hold"))]
+    callers = [gevent.spawn(take, urgency, name) for urgency, name in ((Urgency.POLL, "poll"), (Urgency.HOLD, "hold"))]
     gevent.sleep(0)
     for _ in range(2):
         clock.now += 1.0
