--- a/src/grebestand/connectivity/__init__.py
+++ b/src/grebestand/connectivity/__init__.py
@@ -1,1 +1,1 @@
-"""Health of this controller's links, and access to the key-value store through another controller."""
+"""Health of a controller's network links, and access to the key-value store through a peer."""
--- a/src/grebestand/connectivity/link_health.py
+++ b/src/grebestand/connectivity/link_health.py
@@ -1,4 +1,4 @@
-"""Health of a controller's own links, to the key-value store and to the workers, as a state machine per link."""
+"""Health of a controller's links to the key-value store and to the workers, as one state machine per link."""
 
 from __future__ import annotations
 
@@ -13,20 +13,22 @@
 
 
 class LinkHealth:
-    """The state of one link, judged by the requests over it and their responses.
+    """The state of one link, derived from the outcomes of the requests over the link.
 
-    A link over which others send, such as the workers' heartbeats, is judged by its silence alone. Times are those of
-    `clock`, in seconds.
+    The state of a link over which this controller only receives requests, such as the heartbeats of workers, is derived
+    from the time since the last request. All times are in seconds on `clock`.
 
     Attributes:
-        name: Name of the link, for the log.
-        state: The current state. A link is suspect until something has come over it.
-        ok_at: When something last came over the link.
-        failed_at: When the first request was sent that has failed since; None if none has.
+        name: Name of the link in log messages.
+        clock: Returns the time of the monotonic clock in seconds.
+        state: Current state of the link. The state is `SUSPECT` until the first response or request is received.
+        ok_at: Time at which a response or request was last received over the link; minus infinity if there was none.
+        failed_at: Time at which the first of the requests was sent that have failed since `ok_at`; None if no request
+            has failed since then.
     """
 
     def __init__(self, name: str, clock: Callable[[], float]) -> None:
-        """Start with a link that nothing is known of."""
+        """Start in the state `SUSPECT`, as nothing is known of the link yet."""
         self.name = name
         self.clock = clock
         self.state = LinkState.SUSPECT
@@ -35,11 +37,11 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since something last came over the link."""
+        """Time in seconds since a response or request was last received over the link; infinite if there was none."""
         return self.clock() - self.ok_at
 
-    def move(self, new: LinkState, reason: str) -> None:
-        """Change the state; every change goes through this method."""
+    def change_state(self, new: LinkState, reason: str) -> None:
+        """Change the state. Every change goes through this method, which checks and logs the transition."""
         if new is self.state:
             return
         check_transition(LINK_TRANSITIONS, self.state, new, self.name)
@@ -47,37 +49,41 @@
         self.state = new
 
     def answered(self) -> None:
-        """Record that something came over the link. Called for every heartbeat, so the state is compared here."""
+        """Record that a response or request was received over the link.
+
+        Called for every heartbeat. The comparison with the current state avoids a call of `change_state` each time.
+        """
         self.ok_at, self.failed_at = self.clock(), None
         if self.state is not LinkState.UP:
-            self.move(LinkState.UP, "an answer came")
+            self.change_state(LinkState.UP, "a message was received")
 
-    def failed(self, sent: float, reason: str, down_after_s: float) -> None:
-        """Record that a request got no response or was refused.
+    def failed(self, sent_at: float, reason: str, down_after_s: float) -> None:
+        """Record that a request over the link got no response or was rejected.
 
         Args:
-            sent: When the request was sent.
-            reason: Why it failed.
-            down_after_s: The link is down once requests have been failing for this long.
+            sent_at: Time at which the request was sent.
+            reason: Why the request failed, for the log.
+            down_after_s: Time in seconds for which requests have to fail before the link is down.
         """
-        if sent < self.ok_at:
-            return  # a response that came after this request was sent is newer evidence
+        if sent_at < self.ok_at:
+            return  # a message that was received after this request was sent is newer evidence
         if self.failed_at is None:
-            self.failed_at = sent
+            self.failed_at = sent_at
         if self.state is LinkState.UP:
-            self.move(LinkState.SUSPECT, reason)
+            self.change_state(LinkState.SUSPECT, reason)
         if self.state is LinkState.SUSPECT and self.clock() - self.failed_at >= down_after_s:
-            self.move(LinkState.DOWN, reason)
+            self.change_state(LinkState.DOWN, reason)
 
-    def silent(self, doubtful_s: float, down_s: float) -> None:
-        """Judge a link by its silence.
+    def silent(self, suspect_after_s: float, down_after_s: float) -> None:
+        """Update the state of a link from the time since a message was last received over the link.
 
         Args:
-            doubtful_s: The link is suspect after this silence.
-            down_s: The link is down after this silence; a link over which nothing has ever come stays suspect.
+            suspect_after_s: Time in seconds without a message after which the link is suspect.
+            down_after_s: Time in seconds without a message after which the link is down. A link over which no message
+                was ever received stays suspect.
         """
         silence_s = self.age_s
-        if self.state is LinkState.UP and silence_s >= doubtful_s:
-            self.move(LinkState.SUSPECT, f"silent for {silence_s:.1f} s")
-        if self.state is LinkState.SUSPECT and down_s <= silence_s < math.inf:
-            self.move(LinkState.DOWN, f"silent for {silence_s:.1f} s")
+        if self.state is LinkState.UP and silence_s >= suspect_after_s:
+            self.change_state(LinkState.SUSPECT, f"silent for {silence_s:.1f} s")
+        if self.state is LinkState.SUSPECT and down_after_s <= silence_s < math.inf:
+            self.change_state(LinkState.DOWN, f"silent for {silence_s:.1f} s")
--- a/src/grebestand/errors.py
+++ b/src/grebestand/errors.py
@@ -1,11 +1,12 @@
 """The base class of the package's errors.
 
-Every error that the package raises on purpose derives from `GrebestandError`, ends in `Error` and keeps the data of its
-text as attributes. An error whose callers expect a standard class, such as `ValueError`, derives from that as well.
+The class of every error that the package raises deliberately derives from `GrebestandError`, has a name that ends in
+`Error`, and stores the data of the error text as attributes. If callers expect a standard exception, such as
+`ValueError`, the class derives from that exception as well.
 """
 
 from __future__ import annotations
 
 
 class GrebestandError(Exception):
-    """Base of all errors that this package raises on purpose."""
+    """Base class of all errors that this package raises deliberately."""
--- a/src/grebestand/log_events.py
+++ b/src/grebestand/log_events.py
@@ -1,10 +1,10 @@
-"""Structured log messages: one event name followed by `key=value` fields.
+"""Structured log messages: an event name followed by `key=value` fields.
 
-A message is logged as `log.info(LogEvent("job_accepted", job_id=job_id, tasks=26))` and appears after the usual prefix:
+The call `log.info(LogEvent("job_accepted", job_id=job_id, tasks=26))` logs a line such as this one:
 
     INFO grebestand.api: job_accepted job_id=j-17 tasks=26
 
-Values that are empty or contain whitespace, double quotes or equals signs are written as JSON strings.
+A value that is empty or contains whitespace, double quotes or equals signs is written as a JSON string.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from collections.abc import Set as AbstractSet
 from enum import Enum
 
-#: digits after the decimal point of a float, before trailing zeros are removed
+#: number of digits after the decimal point of a float; trailing zeros are removed
 FLOAT_DECIMALS = 3
 
 NEEDS_QUOTES = re.compile(r'[\s"=]')
@@ -23,20 +23,21 @@
 PLAIN_VALUE = r'[^\s"=]+'
 FIELD = re.compile(rf"(?P<key>\w+)=(?P<value>{QUOTED_VALUE}|{PLAIN_VALUE})")
 
-#: an event name as a whole word and at least one field, up to the end of the line
+#: an event name that is a whole word, followed by at least one field and the end of the line
 EVENT_WITH_FIELDS = re.compile(
     rf"(?<!\S)(?P<event>[A-Za-z]\w*)(?P<fields>(?: \w+=(?:{QUOTED_VALUE}|{PLAIN_VALUE}))+)\s*$"
 )
 
-#: an event without fields is recognized only as the single word behind level and logger
-EVENT_ALONE = re.compile(r"(?<!\S)[A-Z]+ \S+: (?P<event>[A-Za-z]\w*)\s*$")
+#: An event without fields is recognized only if it is a single word after the log level and the logger name. Otherwise,
+#: the last word of any line would be parsed as an event.
+EVENT_WITHOUT_FIELDS = re.compile(r"(?<!\S)[A-Z]+ \S+: (?P<event>[A-Za-z]\w*)\s*$")
 
 
 class LogEvent:
-    """A log message that is formatted only when its record is emitted.
+    """A log message that is formatted only if its log record is emitted.
 
-    Fields keep the order in which they were given, and fields that are None are omitted. One trailing underscore of a
-    key is removed, so that `class_` stands for the field `class`.
+    Fields are written in the order of the keyword arguments, and fields that are None are omitted. One trailing
+    underscore of a key is removed, so that the argument `class_` is written as the field `class`.
     """
 
     __slots__ = ("event", "fields")
@@ -55,14 +56,18 @@
 
 
 def parse_log_event(line: str) -> tuple[str, dict[str, str]] | None:
-    """Return the event name and the fields of a log line, or None if the line holds no event.
+    """Parse a log line.
 
-    Anything may precede the event. Values are returned as text, without quotes.
+    Args:
+        line: The log line. Any text may precede the event.
+
+    Returns:
+        The event name and the fields, with values as unquoted text, or None if the line contains no event.
     """
     match = EVENT_WITH_FIELDS.search(line)
     if match is None:
-        alone = EVENT_ALONE.search(line)
-        return None if alone is None else (alone["event"], {})
+        match_without_fields = EVENT_WITHOUT_FIELDS.search(line)
+        return None if match_without_fields is None else (match_without_fields["event"], {})
     try:
         fields = {field["key"]: _unquote(field["value"]) for field in FIELD.finditer(match["fields"])}
     except json.JSONDecodeError:
@@ -71,7 +76,7 @@
 
 
 def _format_value(value: object) -> str:
-    """Return a field's value as text, not yet quoted."""
+    """Return the value of a field as text, without quotes."""
     if isinstance(value, Enum):
         return value.name
     if isinstance(value, float):
@@ -92,12 +97,12 @@
 
 
 def _quote_if_needed(text: str) -> str:
-    """Return the text as a JSON string if it could not be read back otherwise."""
+    """Return the text as a JSON string if `parse_log_event` could not read it back otherwise."""
     return json.dumps(text) if not text or NEEDS_QUOTES.search(text) else text
 
 
 def _unquote(text: str) -> str:
-    """Return the text that a formatted value stands for."""
+    """Return the original text of a value that may be quoted."""
     if not text.startswith('"'):
         return text
     unquoted: str = json.loads(text)
--- a/src/grebestand/metrics/__init__.py
+++ b/src/grebestand/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics: distributions of durations, kept as quantile sketches of bounded size."""
+"""Metrics: distributions of durations as quantile sketches."""
--- a/tests/connectivity/test_leader_lease.py
+++ b/tests/connectivity/test_leader_lease.py
@@ -7,15 +7,18 @@
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
 
 
-def test_authority_counts_from_when_the_renewal_was_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """If a proxy counted from its own clock, a leader would give commands after its lease has expired."""
+def test_lease_validity_counts_from_when_the_renewal_was_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A renewal may be delayed on its way to the store, for example by a proxy.
+
+    If a leader counted the validity of its lease from the response, it would send commands after the lease has expired.
+    """
     cluster = InMemoryCluster()
     controller = InMemoryController(cluster, "node-0")
     controller.lead()
     keep_alive = controller.store.keep_alive
 
     def slow_keep_alive(lease: int) -> None:
-        cluster.clock.now += 2.0  # on its way through another controller
+        cluster.clock.now += 2.0  # the delay of a request through a proxy
         keep_alive(lease)
 
     monkeypatch.setattr(controller.store, "keep_alive", slow_keep_alive)
@@ -25,7 +28,11 @@
 
 
 def test_leader_is_unknown_once_the_key_cannot_be_read() -> None:
-    """Workers were sent to a controller that led no more and that sent them back: they never came to the leader."""
+    """A follower that cannot read the leader key must not redirect workers to the last known leader.
+
+    Workers were redirected to a controller that no longer led and that redirected them back, so that they never reached
+    the leader.
+    """
     cluster = InMemoryCluster()
     leader, follower = InMemoryController(cluster, "node-0"), InMemoryController(cluster, "node-1")
     leader.lead()
--- a/tests/connectivity/test_link_health.py
+++ b/tests/connectivity/test_link_health.py
@@ -1,4 +1,4 @@
-"""The state of one link, as requests and answers show it."""
+"""The state of one link, derived from the outcomes of requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def link(clock: ManualClock) -> LinkHealth:
-    """A link that is up."""
+    """Return a link that is up."""
     link = LinkHealth("state", clock)
     link.answered()
     clock.now += 1.0
@@ -26,7 +26,10 @@
 
 
 def state_of(link: LinkHealth) -> LinkState:
-    """Return the state; a call of its own, as mypy would take a second comparison of the attribute for unreachable."""
+    """Return the state of a link.
+
+    If a test compared the attribute twice, mypy would consider the second comparison unreachable.
+    """
     return link.state
 
 
@@ -43,7 +46,7 @@
     assert state_of(link) is LinkState.DOWN
 
 
-def test_first_answer_makes_link_up(link: LinkHealth, clock: ManualClock) -> None:
+def test_first_response_makes_link_up(link: LinkHealth, clock: ManualClock) -> None:
     link.failed(clock.now - 1.0, "timeout", DOWN_AFTER_S)
     clock.now += 0.6
     link.failed(clock.now, "timeout", DOWN_AFTER_S)
@@ -52,13 +55,13 @@
     assert state_of(link) is LinkState.UP
 
 
-def test_failure_of_request_sent_before_last_answer_is_ignored(link: LinkHealth, clock: ManualClock) -> None:
+def test_failure_of_request_sent_before_last_response_is_ignored(link: LinkHealth, clock: ManualClock) -> None:
     clock.now += 0.6
     link.answered()
     link.failed(clock.now - 3.0, "timeout", DOWN_AFTER_S)
     assert state_of(link) is LinkState.UP
 
 
-def test_link_never_goes_down_at_once(link: LinkHealth) -> None:
+def test_link_that_is_up_cannot_go_down_directly(link: LinkHealth) -> None:
     with pytest.raises(IllegalTransitionError):
-        link.move(LinkState.DOWN, "never at once")
+        link.change_state(LinkState.DOWN, "not allowed from UP")
--- a/tests/connectivity/test_partial_partitions.py
+++ b/tests/connectivity/test_partial_partitions.py
@@ -1,4 +1,4 @@
-"""Cut links between controllers on simulated time: who leads, what goes through whom, and what is never done."""
+"""Partial network partitions on simulated time: which controller leads, and which requests go through a proxy."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def cut_links(world: SimulatedCluster, links: list[tuple[str, str]], mode: LinkMode, seconds: float) -> None:
-    """Disturb links and let so much time pass."""
+    """Set the mode of links, and sleep for a number of seconds."""
     for one_end, other_end in links:
         world.links.set(one_end, other_end, mode)
     gevent.sleep(seconds)
@@ -37,15 +37,17 @@
 
 
 def proxied_requests(world: SimulatedCluster) -> list[int]:
-    """Return how many requests each controller has sent to the store through another one."""
-    return [controller.store_transport.relayed for controller in world.nodes.values() if controller is not None]
+    """Return how many requests each controller has sent to the store through a peer."""
+    return [
+        controller.store_transport.proxied_requests for controller in world.nodes.values() if controller is not None
+    ]
 
 
-# without the key-value store ------------------------------------------------------------------------------
+# a controller without the key-value store -------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("mode", [LinkMode.REFUSED, LinkMode.HELD, LinkMode.ASKS_LOST, LinkMode.ANSWERS_LOST])
-def test_leader_without_store_goes_on_through_a_peer(loop: VirtualLoop, mode: LinkMode) -> None:
+def test_leader_without_store_keeps_leading_through_a_proxy(loop: VirtualLoop, mode: LinkMode) -> None:
     world = SimulatedCluster(loop, seed=3)
     world.crowd(1.0, 90.0)
     gevent.sleep(20)
@@ -58,7 +60,7 @@
     assert not world.broken() and all(job.accepted_at is not None for job in world.jobs.values())
 
 
-def test_users_of_controller_without_store_are_served_through_a_peer(loop: VirtualLoop) -> None:
+def test_users_of_controller_without_store_are_served_through_a_proxy(loop: VirtualLoop) -> None:
     world = SimulatedCluster(loop, seed=4)
     gevent.sleep(20)
     follower = others_than(world, world.leading()[0])[0]
@@ -83,12 +85,15 @@
     assert len(world.leaders) == 1 and not world.broken()
 
 
-# without workers ------------------------------------------------------------------------------------------
+# a controller without workers -------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("peers_cut_off", [False, True])
 def test_leader_without_workers_resigns_with_or_without_peers(loop: VirtualLoop, peers_cut_off: bool) -> None:
-    """It kept the lead for 33 s while no peer answered, though it reached the state service all the time."""
+    """A leader that workers cannot reach has to resign even if it reaches the store.
+
+    Without a reachable peer, such a leader kept leading for 33 s.
+    """
     world = SimulatedCluster(loop, seed=5)
     world.crowd(1.0, 70.0)
     gevent.sleep(20)
@@ -103,21 +108,24 @@
     assert not world.killed and not world.broken()
 
 
-def test_peer_that_workers_reach_takes_the_key_before_one_that_they_do_not(loop: VirtualLoop) -> None:
-    """The lead went from one controller without workers to another, ten seconds each."""
+def test_peer_that_workers_reach_becomes_leader_before_one_that_they_do_not(loop: VirtualLoop) -> None:
+    """Leadership moved from one controller without workers to another, with ten seconds for each of them."""
     world = SimulatedCluster(loop, seed=6)
     world.crowd(1.0, 80.0)
     gevent.sleep(20)
     (leader,) = world.leading()
-    reached, unreached = others_than(world, leader)
-    links = [*links_to_workers(leader), *links_to_workers(unreached), (leader, unreached)]
+    reached_peer, unreached_peer = others_than(world, leader)
+    links = [*links_to_workers(leader), *links_to_workers(unreached_peer), (leader, unreached_peer)]
     cut_links(world, links, LinkMode.HELD, 50)
-    assert [name for _, name, _ in world.leaders] == [leader, reached]
+    assert [name for _, name, _ in world.leaders] == [leader, reached_peer]
     assert not world.broken()
 
 
-def test_controller_with_workers_leads_through_peers_with_the_store(loop: VirtualLoop) -> None:
-    """One reaches the workers and not the state service, two the other way round: nothing ran."""
+def test_controller_with_workers_leads_through_a_proxy_to_the_store(loop: VirtualLoop) -> None:
+    """One controller reaches the workers but not the store, and the other two reach the store but not the workers.
+
+    No task ran in this situation while only a controller with its own link to the store could lead.
+    """
     world = SimulatedCluster(loop, seed=7)
     world.crowd(1.0, 90.0)
     gevent.sleep(20)
@@ -145,7 +153,7 @@
 # the simulation -------------------------------------------------------------------------------------------
 
 
-def test_same_seed_gives_the_same_history_to_the_byte() -> None:
+def test_same_seed_gives_the_same_history_byte_for_byte() -> None:
     def history() -> str:
         with simulated() as loop:
             world = SimulatedCluster(loop, seed=11)
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""Log events are written in one form, and read back from it."""
+"""Log events: their format, and parsing them from log lines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Colour(enum.IntEnum):
-    """Members of an integer enumeration are written by name too."""
+    """Members of an integer enumeration are written by name, like those of other enumerations."""
 
     RED = 1
 
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize(
     "text", ["plain", "", "two words", 'a "b" c', "key=1 other=2", "x y=1", "a\\b\n\tc", "ä\u2028ö", "\\"]
 )
-def test_what_is_written_is_read_back(prefix: str, text: str) -> None:
+def test_written_event_is_parsed_back(prefix: str, text: str) -> None:
     line = f"{prefix}{LogEvent('job_accepted', job_id='j-17', class_=text, wait_s=3.2)}"
     assert len(line.splitlines()) == 1
     assert parse_log_event(line) == ("job_accepted", {"job_id": "j-17", "class": text, "wait_s": "3.2"})
@@ -91,10 +91,10 @@
         "",
     ],
 )
-def test_other_lines_hold_no_event(line: str) -> None:
+def test_other_lines_contain_no_event(line: str) -> None:
     assert parse_log_event(line) is None
 
 
-def test_an_event_without_fields_stands_alone_behind_the_logger() -> None:
+def test_event_without_fields_is_recognized_only_directly_after_the_logger_name() -> None:
     assert parse_log_event("12.5 c1 INFO grebestand.leader: lease_lost") == ("lease_lost", {})
     assert parse_log_event("lease_lost") is None
