--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -212,7 +212,7 @@
         ValueError: the address is malformed.
     """
     server = _BoundedServer(
-        parse_address(address, field), app, spawn=Pool(plan.serving + plan.turned_away), backlog=plan.backlog,
+        parse_address(address, field), app, spawn=Pool(plan.serving + plan.surplus), backlog=plan.backlog,
         log=None, error_log=_DebugLog(), handler_class=_Handler,
     )  # fmt: skip
     server.max_connections, server.on_end = plan.serving, on_end
--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -147,12 +147,12 @@
         Only answers count: they are as old as the request allows, while a message may have been delayed for minutes.
         """
         gap = (
-            sent_at - peer.acknowledged_at > STATUS_GAP_TOLERATED_S
+            sent_at - peer.answered_request_sent_at > STATUS_GAP_TOLERATED_S
             or len(status.cancelled) >= MAX_CANCELLATIONS_PER_STATUS
         )
         if peer.last is None or restarted or gap:
-            peer.acknowledged_since = self.clock()
-        peer.acknowledged_at = max(peer.acknowledged_at, sent_at)
+            peer.gapless_since = self.clock()
+        peer.answered_request_sent_at = max(peer.answered_request_sent_at, sent_at)
 
     def known_images(self) -> CachedImages:
         """Return which machine caches which images: from memory or, after a restart, from a peer that knows."""
@@ -182,7 +182,9 @@
         Only controllers confirm cancellations. Those that an earlier process of a peer confirmed without sending them
         were committed before the read, provided that the present process of the peer was heard before it.
         """
-        seen_up_to = (peer.acknowledged_at if known_at >= peer.acknowledged_since else -math.inf for peer in self.peers)
+        seen_up_to = (
+            peer.answered_request_sent_at if known_at >= peer.gapless_since else -math.inf for peer in self.peers
+        )
         return min(seen_up_to, default=self.clock())
 
     def hangs(self, name: str) -> bool:
@@ -213,7 +215,7 @@
         elif path == RESIGNATION_PATH:
             self._listener.on_peer_resigned(msgspec.msgpack.decode(body, type=ResignationNotice))
         elif path == STORE_PROXY_PATH:
-            return self.store_proxy.answer(body) if self.store_proxy is not None else None
+            return self.store_proxy.handle(body) if self.store_proxy is not None else None
         elif path == HEARTBEAT_BATCH_PATH:
             return self.answer_heartbeat_batch(body) if self.answer_heartbeat_batch is not None else None
         elif path in self.features.messages:
--- a/src/grebestand/api/read_batching.py
+++ b/src/grebestand/api/read_batching.py
@@ -87,7 +87,7 @@
         with self._slots:
             try:
                 # the batch stays open while it waits: whoever comes meanwhile is still in time
-                self.store.wait_to_read(Urgency.POLL, ANSWER_TIMEOUT_S)
+                self.store.wait_for_rate_limit(Urgency.POLL, ANSWER_TIMEOUT_S)
                 self._close(batch)
                 self._ask(batch)
             except StoreError as error:
--- a/src/grebestand/clients/cloud.py
+++ b/src/grebestand/clients/cloud.py
@@ -80,7 +80,7 @@
 
     def remove(self, names: list[str]) -> None:
         """End the rental of machines. Names of machines that no longer exist are ignored."""
-        status, body = self._call("POST", "/machines/delete", MachineNames(machines=names), Urgency.DONE)
+        status, body = self._call("POST", "/machines/delete", MachineNames(machines=names), Urgency.COMPLETION)
         self._check_status(status, body)
 
     def machines(self) -> list[ListedMachine]:
--- a/src/grebestand/clients/kv_store.py
+++ b/src/grebestand/clients/kv_store.py
@@ -126,7 +126,7 @@
         self.request_limiter = request_limiter
         self.write_limiter = write_limiter
 
-    def wait_to_read(self, urgency: Urgency, patience_s: float) -> None:
+    def wait_for_rate_limit(self, urgency: Urgency, patience_s: float) -> None:
         """Wait for the rate limiter of requests, on behalf of one `commit` without changes and with urgency None.
 
         Args:
@@ -202,7 +202,7 @@
         Args:
             conditions: Expected versions of keys.
             changes: Changes to make. Empty if the caller only wants to check the conditions.
-            urgency: Priority at the rate limiters, or None if the caller has called `wait_to_read` for this request.
+            urgency: Priority at the rate limiters, or None if `wait_for_rate_limit` was called for this request.
             timeout: Limit in seconds, first on the wait at each rate limiter and then on the request.
 
         Returns:
--- a/src/grebestand/clients/peer.py
+++ b/src/grebestand/clients/peer.py
@@ -31,8 +31,8 @@
         transport: Connections to the peer.
         last: Last response of the peer to a status exchange, or None if there has been no response.
         last_heard_at: Time at which the last response was received.
-        acknowledged_at: Latest time at which a status request was sent that the peer answered.
-        acknowledged_since: Start of the period in which status responses have arrived without a gap. Every cancellation
+        answered_request_sent_at: Latest time at which a status request was sent that the peer answered.
+        gapless_since: Start of the period in which status responses have arrived without a gap. Every cancellation
             that the peer confirmed in this period was in one of the responses.
         unresponsive_since: Time at which the first of the status requests was sent that have timed out since the peer
             last answered or refused a request. Requests that time out instead of being refused mean that the process or
@@ -45,8 +45,8 @@
         self.transport = transport
         self.last: PeerStatus | None = None
         self.last_heard_at = -math.inf
-        self.acknowledged_at = -math.inf
-        self.acknowledged_since = math.inf
+        self.answered_request_sent_at = -math.inf
+        self.gapless_since = math.inf
         self.unresponsive_since = math.inf
 
     def send(self, path: str, body: bytes, timeout: float = MESSAGE_TIMEOUT_S) -> bytes | None:
--- a/src/grebestand/connectivity/store_proxy.py
+++ b/src/grebestand/connectivity/store_proxy.py
@@ -71,9 +71,9 @@
             proxy = next(self._proxy_candidates(), None)
             if proxy is not None:
                 return self._request_through(proxy, method, path, body, timeout)
-        return self.ask(method, path, body, timeout)
+        return self.request_directly(method, path, body, timeout)
 
-    def ask(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+    def request_directly(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         """Send a request over the direct link, and record its outcome in the health of the link."""
         if path.startswith("/changes"):
             # The outcome of a watch says nothing about the link: the store delays its response while there are no
@@ -159,7 +159,7 @@
         self.store = store
         self.in_progress = 0
 
-    def answer(self, body: bytes) -> bytes:
+    def handle(self, body: bytes) -> bytes:
         """Execute an encoded `ProxiedRequest` and return the encoded `ProxiedResponse`."""
         request = msgspec.msgpack.decode(body, type=ProxiedRequest)
         return msgspec.msgpack.encode(self._handle(request))
@@ -172,7 +172,9 @@
         self.in_progress += 1
         try:
             timeout = max(MIN_TIMEOUT_S, 0.001 * request.timeout_ms)
-            status, body = self.store.ask(request.method, _with_limited_wait(request.path), request.body, timeout)
+            status, body = self.store.request_directly(
+                request.method, _with_limited_wait(request.path), request.body, timeout
+            )
             return ProxiedResponse(status, body)
         except UnreachableError:
             return ProxiedResponse(NO_RESPONSE, b"")
--- a/src/grebestand/controller/foundation.py
+++ b/src/grebestand/controller/foundation.py
@@ -16,11 +16,11 @@
 from ..features.hooks import Features
 from ..flow_control.connection_limits import (
     BATCHES,
-    CLOUD,
+    CLOUD_CONNECTIONS,
     GREETINGS,
     RELAYED,
-    STATE_REQUESTS,
-    STATE_WATCHES,
+    STORE_REQUEST_CONNECTIONS,
+    STORE_WATCH_CONNECTIONS,
     ConnectionPlan,
     plan_connections,
 )
@@ -142,7 +142,7 @@
         ProxiedStoreTransport(
             runtime.connect(settings.outside.state, "outside.state", connections), store_link, directory.all
         )
-        for connections in (STATE_REQUESTS, STATE_WATCHES)
+        for connections in (STORE_REQUEST_CONNECTIONS, STORE_WATCH_CONNECTIONS)
     )
     read_rate = params.state.rps * STORE_READ_SHARE / max(1, params.nodes)
     write_rate = params.state.write_rps * follower_share(params.nodes)
@@ -153,7 +153,7 @@
         limiter(write_rate, params.state.write_rps * STORE_BURST_S),
     )
     cloud = CloudClient(
-        runtime.connect(settings.outside.cloud, "outside.cloud", CLOUD),
+        runtime.connect(settings.outside.cloud, "outside.cloud", CLOUD_CONNECTIONS),
         limiter(params.cloud.rps * CLOUD_SHARE, params.cloud.rps * CLOUD_BURST_S),
     )
     return Clients(store_link, store_transport, store, cloud, directory)
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -181,7 +181,7 @@
 
         A leader that answers its workers too late lets their leases expire.
         """
-        overloaded_s = self.clock() - self.overload.since
+        overloaded_s = self.clock() - self.overload.state_entered_at
         if self.overload.state is not LoadState.OVERLOADED or overloaded_s < self._overload_patience_s():
             return
         for peer, status in self._present_peers(PEER_PRESENT_S):
--- a/src/grebestand/controller/link_probes.py
+++ b/src/grebestand/controller/link_probes.py
@@ -35,7 +35,7 @@
             if self.link.state is not LinkState.UP:
                 # the transport records the failure at the link
                 with contextlib.suppress(UnreachableError):
-                    self.transport.ask("GET", f"/store/{LEADER_KEY}", b"", PROBE_TIMEOUT_S)
+                    self.transport.request_directly("GET", f"/store/{LEADER_KEY}", b"", PROBE_TIMEOUT_S)
 
 
 class WorkerLinkProbe:
--- a/src/grebestand/federation/settlement.py
+++ b/src/grebestand/federation/settlement.py
@@ -102,6 +102,6 @@
             put(live_key(gang.ref), msgspec.to_builtins(live_record)),
             put(PREFIX + gang.id, msgspec.to_builtins(settled)),
         ],
-        Urgency.DONE,
+        Urgency.COMPLETION,
     )
     return not failed
--- a/src/grebestand/flow_control/connection_limits.py
+++ b/src/grebestand/flow_control/connection_limits.py
@@ -10,11 +10,11 @@
 from ..settings.platform import Quota
 
 #: connections to the key-value store for requests
-STATE_REQUESTS = 24
+STORE_REQUEST_CONNECTIONS = 24
 #: connections to the key-value store for watches
-STATE_WATCHES = 4
+STORE_WATCH_CONNECTIONS = 4
 #: connections to the cloud
-CLOUD = 4
+CLOUD_CONNECTIONS = 4
 #: connections in each direction for status exchange, per peer
 GREETINGS = 2
 #: Maximum number of proxied requests to the key-value store in progress. A requesting controller opens up to this many
@@ -60,7 +60,7 @@
             and may send a new request while the connection of one that timed out is still open.
         direct: Connections to workers, for direct commands.
         serving: Connections from workers and users that are served.
-        turned_away: Surplus connections from workers and users beyond `serving`. Each gets one response and is closed.
+        surplus: Surplus connections from workers and users beyond `serving`. Each gets one response and is closed.
         backlog: Connections that the kernel queues until they are accepted.
         workers: The part of `serving` that workers may use.
     """
@@ -69,7 +69,7 @@
     from_peers: int
     direct: int
     serving: int
-    turned_away: int
+    surplus: int
     backlog: int
     workers: int
 
@@ -85,17 +85,17 @@
     peers = peer_count * (GREETINGS + BATCHES) + min(peer_count, MAX_PROXIES) * RELAYED
     from_peers = peer_count * (GREETINGS + RELAYED + BATCHES)
     direct = min(MAX_DIRECT_COMMANDS, max_connections // DIRECT_COMMANDS_DIVISOR)
-    turned_away = min(MAX_SURPLUS_CONNECTIONS, max_connections // SURPLUS_DIVISOR)
+    surplus = min(MAX_SURPLUS_CONNECTIONS, max_connections // SURPLUS_DIVISOR)
     backlog = min(MAX_BACKLOG, max_connections // BACKLOG_DIVISOR)
-    store_and_cloud = STATE_REQUESTS + STATE_WATCHES + CLOUD
-    reserved = store_and_cloud + peers + from_peers + direct + RESERVED_FILE_DESCRIPTORS + turned_away + backlog
+    store_and_cloud = STORE_REQUEST_CONNECTIONS + STORE_WATCH_CONNECTIONS + CLOUD_CONNECTIONS
+    reserved = store_and_cloud + peers + from_peers + direct + RESERVED_FILE_DESCRIPTORS + surplus + backlog
     serving = max(MIN_SERVING, max_connections - reserved)
     return ConnectionPlan(
         peers=peers,
         from_peers=from_peers,
         direct=direct,
         serving=serving,
-        turned_away=turned_away,
+        surplus=surplus,
         backlog=backlog,
         workers=serving - int(USER_SHARE * serving),
     )
--- a/src/grebestand/flow_control/overload.py
+++ b/src/grebestand/flow_control/overload.py
@@ -45,7 +45,7 @@
 
     Attributes:
         state: The current load state.
-        since: Time at which the current load state was entered, in seconds on `clock`.
+        state_entered_at: Time at which the current load state was entered, in seconds on `clock`.
         max_user_requests: Maximum number of user requests in progress.
     """
 
@@ -58,9 +58,9 @@
         """
         self.clock = clock
         self.state = LoadState.NORMAL
-        self.since = clock()
+        self.state_entered_at = clock()
         #: time at which the lag was last high enough to keep the current load state
-        self._last_lag_at = self.since
+        self._last_lag_at = self.state_entered_at
         self.max_user_requests = _max_user_requests(quota)
 
     def change_state(self, new: LoadState, reason: str) -> None:
@@ -69,7 +69,7 @@
             return
         check_transition(LOAD_TRANSITIONS, self.state, new, "load")
         log.warning(LogEvent("load_state_changed", from_=self.state, to=new, reason=reason))
-        self.state, self.since = new, self.clock()
+        self.state, self.state_entered_at = new, self.clock()
 
     def record_lag(self, lag_s: float) -> None:
         """Update the load state after a measurement of the lag.
--- a/src/grebestand/flow_control/rate_limiter.py
+++ b/src/grebestand/flow_control/rate_limiter.py
@@ -32,7 +32,7 @@
     #: changes that a user waits for, such as the acceptance of a job
     ACCEPT = 2
     #: completion of jobs
-    DONE = 3
+    COMPLETION = 3
     #: progress of jobs and periodic audits
     PROGRESS = 4
     #: status requests
--- a/src/grebestand/leader/deprovisioning.py
+++ b/src/grebestand/leader/deprovisioning.py
@@ -159,7 +159,7 @@
         for name in names:
             machine = self.inventory.by_name.get(name)
             if machine is not None:
-                self.machine_records.pages.drop(name, soon=True)
+                self.machine_records.pages.remove(name, soon=True)
                 self.inventory.move(machine, MachineState.GONE, now)
             self._missing_lists.pop(name, None)
         self.machine_reconciliation.check(now)
--- a/src/grebestand/leader/durable_grants.py
+++ b/src/grebestand/leader/durable_grants.py
@@ -64,11 +64,11 @@
         grants: dict[str, GrantRecord] = {}
         for name, value in self.pages.load(self.writer.store.pairs(self.pages.prefix)):
             grant = msgspec.convert(value, GrantRecord)
-            grants[name] = grant.joined(grants[name]) if name in grants else grant
+            grants[name] = grant.union(grants[name]) if name in grants else grant
         for name, grant in grants.items():
             job = self.registry.jobs.get(name)
             if job is None:
-                self.pages.drop(name, soon=False)
+                self.pages.remove(name, soon=False)
             else:
                 self._restore(job, grant)
 
--- a/src/grebestand/leader/job_completion.py
+++ b/src/grebestand/leader/job_completion.py
@@ -79,14 +79,14 @@
             changes += hook(job, record)
         began = self.clock()
         try:
-            _, failed = self.writer.commit(conditions, changes, Urgency.DONE)
+            _, failed = self.writer.commit(conditions, changes, Urgency.COMPLETION)
         finally:
             if self.clock() - began >= SHORT_S:
                 self.grants.conserve_writes()
         if not failed:
             return record
         # either an earlier try of this commit was carried out after all, or a user's cancellation came first
-        found = self.writer.store.get(completed_key(job_id), Urgency.DONE)
+        found = self.writer.store.get(completed_key(job_id), Urgency.COMPLETION)
         if found is None:
             raise StoreError(f"{job_id} is neither live nor over", possibly_applied=True)
         return msgspec.convert(found.value, CompletedJobRecord)
@@ -104,5 +104,5 @@
 
     def drop_records(self, job: Job) -> None:
         """Drop what is stored of a job only while it is live; until then readers ignore it, as the job is over."""
-        self.grants.pages.drop(job.spec.id, soon=False)
+        self.grants.pages.remove(job.spec.id, soon=False)
         self.progress.drop(job)
--- a/src/grebestand/leader/task_progress.py
+++ b/src/grebestand/leader/task_progress.py
@@ -45,13 +45,13 @@
             else:
                 self.registry.load_done(job, int(chunk) * self._chunk_bytes(), base64.b64decode(value))
         for name in orphans:
-            self.pages.drop(name, soon=False)
+            self.pages.remove(name, soon=False)
 
     def drop(self, job: Job) -> None:
         """Drop all chunks of a job."""
         chunk_count = -(-job.spec.tasks // self.registry.chunk_bits)
         for chunk in range(chunk_count):
-            self.pages.drop(f"{job.spec.id}/{chunk}", soon=False)
+            self.pages.remove(f"{job.spec.id}/{chunk}", soon=False)
 
     def save(self) -> None:
         """Write the chunks that have been changed for a while, and note which tasks are durable by that.
--- a/src/grebestand/storage/leader_records.py
+++ b/src/grebestand/storage/leader_records.py
@@ -34,7 +34,7 @@
     hi: int
     machines: list[str] | None = None
 
-    def joined(self, other: GrantRecord) -> GrantRecord:
+    def union(self, other: GrantRecord) -> GrantRecord:
         """Return the smallest grant that covers both grants."""
         if self.machines is None or other.machines is None:
             return GrantRecord(max(self.hi, other.hi), None)
--- a/src/grebestand/storage/paged_records.py
+++ b/src/grebestand/storage/paged_records.py
@@ -26,7 +26,7 @@
 
 #: Maximum total size of the pages in one transaction. The size limit of a transaction also has to cover the conditions
 #: on the pages, the condition that only the current leader may write, and framing.
-TRANSACTION_BYTES = 56_000
+MAX_PAGE_BYTES_PER_TRANSACTION = 56_000
 #: Bytes of a value that stay unused, because the store may count framing that `_Page.size_bytes` does not include.
 PAGE_MARGIN_BYTES = 16
 #: Size of the braces around an encoded page.
@@ -77,7 +77,7 @@
 
 
 class PagedRecords:
-    """Records under one key prefix. `put` and `drop` change them in memory; `save` makes the changes durable."""
+    """Records under one key prefix. `put` and `remove` change them in memory; `save` makes the changes durable."""
 
     def __init__(
         self, prefix: str, value_bytes: int, txn_ops: int, commit: Commit, version_of: Callable[[str], int]
@@ -93,7 +93,7 @@
         """
         self.prefix = prefix
         self._max_page_bytes = value_bytes - PAGE_MARGIN_BYTES
-        self._pages_per_transaction = max(1, min(txn_ops, TRANSACTION_BYTES // value_bytes))
+        self._pages_per_transaction = max(1, min(txn_ops, MAX_PAGE_BYTES_PER_TRANSACTION // value_bytes))
         self._commit = commit
         self._version_of = version_of
         self._pages: dict[int, _Page] = {}
@@ -193,7 +193,7 @@
         self._page_of[name] = number
         self._dirty.add(number)
 
-    def drop(self, name: str, soon: bool) -> None:
+    def remove(self, name: str, soon: bool) -> None:
         """Remove all copies of a record from memory, and from the store with a later save.
 
         Args:
--- a/tests/connectivity/test_store_proxy.py
+++ b/tests/connectivity/test_store_proxy.py
@@ -49,7 +49,7 @@
     for _ in range(3):
         clock.now += DOWN_AFTER_S
         with pytest.raises(UnreachableError):
-            transport.ask("GET", "/store/a", b"", 1.0)
+            transport.request_directly("GET", "/store/a", b"", 1.0)
     assert transport.link.state is LinkState.DOWN
     for peer in peers:
         peer.last_heard_at = clock.now
@@ -110,7 +110,7 @@
     peer_transport = ScriptedTransport(proxied(200, b"{}"))
     transport = transport_with_link_down(clock, [present_peer("node-2", clock, peer_transport)])
     request = msgspec.msgpack.encode(ProxiedRequest("GET", "/store/a", b"", 1000))
-    response = msgspec.msgpack.decode(StoreProxyHandler(transport).answer(request), type=ProxiedResponse)
+    response = msgspec.msgpack.decode(StoreProxyHandler(transport).handle(request), type=ProxiedResponse)
     assert response.status == 503 and not peer_transport.requests
 
 
@@ -124,7 +124,7 @@
 
     handler = StoreProxyHandler(ProxiedStoreTransport(SlowStore(), LinkHealth("state", lambda: loop.time), list))
     request = msgspec.msgpack.encode(ProxiedRequest("GET", "/store/a", b"", 1000))
-    requests = [gevent.spawn(handler.answer, request) for _ in range(RELAYED + 5)]
+    requests = [gevent.spawn(handler.handle, request) for _ in range(RELAYED + 5)]
     gevent.joinall(requests)
     statuses = [msgspec.msgpack.decode(request.value, type=ProxiedResponse).status for request in requests]
     assert (statuses.count(200), statuses.count(503)) == (RELAYED, 5) and loop.time == 0.5
@@ -138,7 +138,7 @@
     direct = ScriptedTransport((200, b'{"logline":3,"events":[]}'))
     transport = ProxiedStoreTransport(direct, LinkHealth("state", clock), list)
     request = msgspec.msgpack.encode(ProxiedRequest("GET", "/changes?prefix=live/&since=3&waitMs=5000", b"", 7000))
-    StoreProxyHandler(transport).answer(request)
+    StoreProxyHandler(transport).handle(request)
     assert (
         direct.requests[0][1].endswith(f"&waitMs={MAX_PROXIED_WATCH_MS}") and transport.link.state is LinkState.SUSPECT
     )
--- a/tests/flow_control/test_connection_shares.py
+++ b/tests/flow_control/test_connection_shares.py
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("peer_count", [0, 2, 5])
 def test_all_shares_together_stay_within_the_quota(quota: int, peer_count: int) -> None:
     plan = plan_connections(Quota(max_connections=quota), peer_count)
-    not_served = plan.turned_away + plan.backlog
+    not_served = plan.surplus + plan.backlog
     assert plan.serving + not_served + plan.peers + plan.from_peers + plan.direct < quota
     assert 0 < plan.workers < plan.serving
 
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -170,7 +170,7 @@
     commit = type(term.writer).commit
 
     def slow_completion(self: object, conditions: object, changes: object, urgency: Urgency) -> object:
-        if urgency is Urgency.DONE:
+        if urgency is Urgency.COMPLETION:
             cluster.clock.now += SHORT_S
         return commit(self, conditions, changes, urgency)  # type: ignore[arg-type]
 
--- a/tests/leader/test_election.py
+++ b/tests/leader/test_election.py
@@ -23,7 +23,7 @@
     # and if that clock were wrong, the store would refuse its write
     controller.election.authority_until = cluster.clock.now + 100
     with pytest.raises(FencedError):
-        term.writer.commit([], [put("x", 1)], Urgency.DONE)
+        term.writer.commit([], [put("x", 1)], Urgency.COMPLETION)
     assert "x" not in cluster.store.data
     assert controller.election.state is LeaderState.FOLLOWING
 
--- a/tests/scenarios/test_cancellation_during_failover.py
+++ b/tests/scenarios/test_cancellation_during_failover.py
@@ -131,7 +131,7 @@
     world.crash(peer_name)
     back(world, peer_name)
     gevent.sleep(5.0)
-    assert peer.acknowledged_at > leader.clock() - 2.0 and not horizon.allows_starts()
+    assert peer.answered_request_sent_at > leader.clock() - 2.0 and not horizon.allows_starts()
     world.store.down = False
     gevent.sleep(2.0)
     assert horizon.allows_starts()
--- a/tests/scenarios/test_late_transactions.py
+++ b/tests/scenarios/test_late_transactions.py
@@ -37,7 +37,7 @@
     ]
     term = controller.lead()
     for conditions, changes in late_transactions:
-        _, failed_conditions = controller.store.commit(conditions, changes, Urgency.DONE)
+        _, failed_conditions = controller.store.commit(conditions, changes, Urgency.COMPLETION)
         assert failed_conditions
     assert cluster.store.data[f"over/{job_id}"][0]["state"] == "cancelled"
     assert f"live/{job_id}" not in cluster.store.data and cluster.store.data[LEADER_KEY][1] == term.token
--- a/tests/storage/test_paged_records.py
+++ b/tests/storage/test_paged_records.py
@@ -89,7 +89,7 @@
     for i in range(500):
         records.put(f"n-{i:06d}", ["atlas", "north", False, f"10.0.{i // 250}.{i % 250}:9000"])
     records.save(Urgency.TAKEOVER)
-    records.drop("n-000007", soon=True)
+    records.remove("n-000007", soon=True)
     records.save(Urgency.TAKEOVER)
     assert "n-000007" not in load(store)
 
