--- a/src/grebestand/federation/assignment_records.py
+++ b/src/grebestand/federation/assignment_records.py
@@ -43,7 +43,7 @@
         if found is None:
             return False
         record = msgspec.convert(found.value, LiveJobRecord)
-        job.version, job.abroad = found.version, record.abroad
+        job.version, job.abroad = found.version, record.remote_assignment
         return True
 
     def write_cancellation(self, job: Job) -> bool:
--- a/src/grebestand/federation/settlement.py
+++ b/src/grebestand/federation/settlement.py
@@ -67,11 +67,11 @@
         if not isinstance(pair.value, dict) or pair.value.get("abroad") is None:
             continue
         record = msgspec.convert(pair.value, LiveJobRecord)
-        if record.abroad is not None and record.abroad.cluster == cluster:
+        if record.remote_assignment is not None and record.remote_assignment.cluster == cluster:
             gang = RemoteGangRecord(
                 ref=record.spec.id,
                 cluster=cluster,
-                id=record.abroad.id,
+                id=record.remote_assignment.id,
                 tasks=record.spec.tasks,
                 version=pair.version,
                 record=record,
@@ -94,7 +94,7 @@
     Raises:
         StoreError: the store could not be reached.
     """
-    live_record = msgspec.structs.replace(gang.record, abroad=None)
+    live_record = msgspec.structs.replace(gang.record, remote_assignment=None)
     settled = Settled(gang.cluster, gang.ref, gang.id, by)
     _, failed = state.commit(
         [version_is(live_key(gang.ref), gang.version)],
--- a/src/grebestand/leader/durable_grants.py
+++ b/src/grebestand/leader/durable_grants.py
@@ -77,14 +77,14 @@
 
         A machine without a record was deleted, and a job without a grant was never started.
         """
-        job.granted_below = record.hi
+        job.granted_below = record.index_bound
         holders: set[int] | None = None
         job.granted = None
         if record.machines is not None:
             named = (self.inventory.by_name.get(name) for name in record.machines)
             holders = {machine.index for machine in named if machine is not None}
             job.granted = set(holders)
-        self.registry.add_possible_holders(job, holders, min(record.hi, job.spec.tasks))
+        self.registry.add_possible_holders(job, holders, min(record.index_bound, job.spec.tasks))
 
     def write(self) -> None:
         """Make durable where queued tasks may be, so that they may be sent.
@@ -124,7 +124,7 @@
     def _record_written(job: Job, record: GrantRecord, machines: set[int], now: float) -> None:
         if job.gang_start is not None:
             job.gang_start.covered = now
-        job.granted_below = max(job.granted_below, record.hi)
+        job.granted_below = max(job.granted_below, record.index_bound)
         if record.machines is None or job.granted is None:
             job.granted = None
         else:
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -50,16 +50,16 @@
             # written before the job was over, and its removal is still to come: added now, the job could be started
             # after its user was told that it is cancelled
             return
-        age_s = min(max(0.0, self.context.wall() - record.at), MAX_JOB_AGE_S)
+        age_s = min(max(0.0, self.context.wall() - record.accepted_at), MAX_JOB_AGE_S)
         job = self.registry.add(record.spec, version, now - age_s, now)
         job.wait_since = now
         job.guest = record.guest
-        if record.abroad is not None:
-            job.abroad, job.runs_remotely = record.abroad, True
+        if record.remote_assignment is not None:
+            job.abroad, job.runs_remotely = record.remote_assignment, True
 
     def _update(self, job: Job, record: LiveJobRecord, version: int) -> None:
         """Bring a job back from another cluster, by this leader's own change or as operators gave that cluster up."""
-        if job.abroad is not None and record.abroad is None and version > job.version:
+        if job.abroad is not None and record.remote_assignment is None and version > job.version:
             job.version, job.abroad, job.runs_remotely = version, None, False
             self.registry.changed = True
 
--- a/src/grebestand/storage/job_records.py
+++ b/src/grebestand/storage/job_records.py
@@ -15,16 +15,16 @@
 
     Attributes:
         spec: The specification that the user submitted.
-        at: Time at which the job was accepted, in seconds since the Unix epoch.
-        abroad: The remote cluster that this gang is assigned to: the cluster runs the gang, or may start it. While
-            `abroad` is set, no task of the job may start in this cluster. None if there is no remote assignment.
+        accepted_at: Time at which the job was accepted, in seconds since the Unix epoch. Stored as `at`.
+        remote_assignment: The remote cluster that this gang is assigned to: the cluster runs the gang, or may start it.
+            While `remote_assignment` is set, no task of the job may start in this cluster. Stored as `abroad`.
         guest: Whether the job is a gang that another cluster assigned to this one. Such a gang is never offered to a
             third cluster.
     """
 
     spec: JobSpec
-    at: float
-    abroad: RemoteAssignment | None = None
+    accepted_at: float = msgspec.field(name="at")
+    remote_assignment: RemoteAssignment | None = msgspec.field(default=None, name="abroad")
     guest: bool = False
 
 
--- a/src/grebestand/storage/leader_records.py
+++ b/src/grebestand/storage/leader_records.py
@@ -27,18 +27,18 @@
     A grant is stored before the tasks are started, so that a new leader knows where tasks may be running.
 
     Attributes:
-        hi: Upper bound (exclusive) of the task indexes that may have been started.
+        index_bound: Upper bound (exclusive) of the task indexes that may have been started.
         machines: Names of the machines on which these tasks may have been started. None means any machine.
     """
 
-    hi: int
+    index_bound: int = msgspec.field(name="hi")
     machines: list[str] | None = None
 
     def union(self, other: GrantRecord) -> GrantRecord:
         """Return the smallest grant that covers both grants."""
         if self.machines is None or other.machines is None:
-            return GrantRecord(max(self.hi, other.hi), None)
-        return GrantRecord(max(self.hi, other.hi), sorted({*self.machines, *other.machines}))
+            return GrantRecord(max(self.index_bound, other.index_bound), None)
+        return GrantRecord(max(self.index_bound, other.index_bound), sorted({*self.machines, *other.machines}))
 
 
 class RentalRecord(msgspec.Struct):
