--- a/src/grebestand/clients/cloud.py
+++ b/src/grebestand/clients/cloud.py
@@ -99,7 +99,7 @@
         """Send a request within the rate limit, and return the status and the body of the response."""
         data = b"" if message is None else msgspec.json.encode(message)
         try:
-            self._rate_limiter.take(urgency, 1, patience_s=REQUEST_TIMEOUT_S)
+            self._rate_limiter.acquire(urgency, 1, max_wait_s=REQUEST_TIMEOUT_S)
             return self._transport.request(method, path, data, REQUEST_TIMEOUT_S)
         except (RateLimitedError, UnreachableError) as error:
             raise CloudError(str(error)) from error
--- a/src/grebestand/clients/kv_store.py
+++ b/src/grebestand/clients/kv_store.py
@@ -126,18 +126,18 @@
         self.request_limiter = request_limiter
         self.write_limiter = write_limiter
 
-    def wait_for_rate_limit(self, urgency: Urgency, patience_s: float) -> None:
+    def wait_for_rate_limit(self, urgency: Urgency, max_wait_s: float) -> None:
         """Wait for the rate limiter of requests, on behalf of one `commit` without changes and with urgency None.
 
         Args:
             urgency: Priority of the request.
-            patience_s: Maximum wait in seconds.
+            max_wait_s: Maximum wait in seconds.
 
         Raises:
             StoreError: The rate limiter did not admit the request in time.
         """
         try:
-            self.request_limiter.take(urgency, 1, patience_s=patience_s)
+            self.request_limiter.acquire(urgency, 1, max_wait_s=max_wait_s)
         except RateLimitedError as error:
             raise StoreError(str(error), possibly_applied=False) from error
 
@@ -262,7 +262,7 @@
         """
         path = f"/changes?prefix={prefix}&since={since}&waitMs={wait_ms}"
         try:
-            self.request_limiter.take(Urgency.TAKEOVER)
+            self.request_limiter.acquire(Urgency.TAKEOVER)
             status, body = self._watch_transport.request("GET", path, b"", wait_ms / 1000 + WATCH_GRACE_S)
         except (RateLimitedError, UnreachableError) as error:
             raise StoreError(str(error), possibly_applied=False) from error
@@ -294,8 +294,8 @@
         if urgency is not None:
             try:
                 if writes:
-                    self.write_limiter.take(urgency, writes, patience_s=timeout)
-                self.request_limiter.take(urgency, 1, patience_s=timeout)
+                    self.write_limiter.acquire(urgency, writes, max_wait_s=timeout)
+                self.request_limiter.acquire(urgency, 1, max_wait_s=timeout)
             except RateLimitedError as error:
                 raise StoreError(str(error), possibly_applied=False) from error
         data = b"" if message is None else _encoder.encode(message)
--- a/src/grebestand/flow_control/rate_limiter.py
+++ b/src/grebestand/flow_control/rate_limiter.py
@@ -14,7 +14,7 @@
 #: If more callers than this are waiting, callers of low priority are rejected at once, because they would time out.
 MAX_WAITING = 400
 #: default limit on the wait for tokens
-DEFAULT_PATIENCE_S = 2.0
+DEFAULT_MAX_WAIT_S = 2.0
 #: Minimum delay of the timer that serves waiting callers. Without it, a delay that is rounded to zero could restart the
 #: timer in a busy loop.
 MIN_TIMER_S = 0.002
@@ -68,7 +68,7 @@
 
 
 class RateLimiter:
-    """A token bucket. `take` waits for tokens, and waiting callers are served in the order of their urgency."""
+    """A token bucket. `acquire` waits for tokens, and waiting callers are served in the order of their urgency."""
 
     def __init__(
         self,
@@ -105,16 +105,16 @@
         self._refill()
         self.rate, self.burst = rate, max(burst, 1.0)
 
-    def take(self, urgency: Urgency, amount: float = 1.0, patience_s: float = DEFAULT_PATIENCE_S) -> None:
+    def acquire(self, urgency: Urgency, amount: float = 1.0, max_wait_s: float = DEFAULT_MAX_WAIT_S) -> None:
         """Take tokens from the bucket, and wait for them if necessary.
 
         Args:
             urgency: Priority of the caller.
             amount: Number of tokens. An amount above the capacity counts as the capacity.
-            patience_s: Maximum wait in seconds.
+            max_wait_s: Maximum wait in seconds.
 
         Raises:
-            RateLimitedError: The tokens were not available within `patience_s` seconds, or the urgency is low and more
+            RateLimitedError: The tokens were not available within `max_wait_s` seconds, or the urgency is low and more
                 than `MAX_WAITING` callers are waiting.
         """
         self._refill()
@@ -124,16 +124,16 @@
             return
         if len(self._waiting) > MAX_WAITING and urgency >= Urgency.PROGRESS:
             raise RateLimitedError(urgency)
-        self._wait_for_tokens(urgency, amount, patience_s)
+        self._wait_for_tokens(urgency, amount, max_wait_s)
 
-    def _wait_for_tokens(self, urgency: Urgency, amount: float, patience_s: float) -> None:
+    def _wait_for_tokens(self, urgency: Urgency, amount: float, max_wait_s: float) -> None:
         """Wait until `_serve` has taken the tokens for this caller."""
         self._arrival_count += 1
         waiter = _Waiter(int(urgency), self._arrival_count, amount, AsyncResult())
         heapq.heappush(self._waiting, waiter)
         self._start_timer()
         # `_serve` may grant the tokens after the wait has timed out but before this greenlet runs again
-        if not waiter.granted.wait(timeout=patience_s) and not waiter.granted.ready():
+        if not waiter.granted.wait(timeout=max_wait_s) and not waiter.granted.ready():
             if waiter in self._waiting:
                 self._waiting.remove(waiter)
                 heapq.heapify(self._waiting)
--- a/tests/flow_control/test_rate_limiter.py
+++ b/tests/flow_control/test_rate_limiter.py
@@ -27,7 +27,7 @@
 def limiter_without_tokens(clock: ManualClock, timers: ManualTimers) -> RateLimiter:
     """Return a limiter with one token per second whose only token has been taken."""
     limiter = RateLimiter(1.0, 1.0, clock, timers.later)
-    limiter.take(Urgency.POLL)
+    limiter.acquire(Urgency.POLL)
     return limiter
 
 
@@ -37,7 +37,7 @@
     served: list[str] = []
 
     def take(urgency: Urgency, name: str) -> None:
-        limiter.take(urgency)
+        limiter.acquire(urgency)
         served.append(name)
 
     callers = [gevent.spawn(take, urgency, name) for urgency, name in ((Urgency.POLL, "poll"), (Urgency.HOLD, "hold"))]
@@ -50,7 +50,7 @@
     assert served == ["hold", "poll"]
 
 
-def test_caller_without_patience_is_refused() -> None:
+def test_caller_that_cannot_wait_is_rejected() -> None:
     limiter = limiter_without_tokens(ManualClock(), ManualTimers())
     with pytest.raises(RateLimitedError):
-        limiter.take(Urgency.POLL, patience_s=0.0)
+        limiter.acquire(Urgency.POLL, max_wait_s=0.0)
