--- a/src/grebestand/clients/runtime.py
+++ b/src/grebestand/clients/runtime.py
@@ -41,7 +41,7 @@
             SettingsError: The address is malformed.
         """
 
-    def once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+    def request_once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         """Send one request over a new connection, which is closed afterwards.
 
         Args:
@@ -79,8 +79,8 @@
         host, port = parse_address(address, field)
         return HttpTransport(host, port, connections, connect_s)
 
-    def once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        """Send one HTTP request, as `Runtime.once` describes."""
+    def request_once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+        """Send one HTTP request, as `Runtime.request_once` describes."""
         try:
             host, port = parse_address(address, "addr")
         except ValueError as error:
--- a/src/grebestand/controller/direct_commands.py
+++ b/src/grebestand/controller/direct_commands.py
@@ -29,6 +29,6 @@
         if not self._connections.acquire(timeout=CONNECTION_WAIT_S):
             raise UnreachableError("too many direct orders are under way")
         try:
-            return self.runtime.once("POST", address, path, body, REQUEST_TIMEOUT_S)
+            return self.runtime.request_once("POST", address, path, body, REQUEST_TIMEOUT_S)
         finally:
             self._connections.release()
--- a/src/grebestand/controller/link_probes.py
+++ b/src/grebestand/controller/link_probes.py
@@ -72,7 +72,7 @@
     def _probe(self, address: str) -> None:
         sent_at = self.runtime.clock()
         try:
-            self.runtime.once("GET", address, "/show", b"", PROBE_TIMEOUT_S)
+            self.runtime.request_once("GET", address, "/show", b"", PROBE_TIMEOUT_S)
             self.link.answered()
         except UnreachableError as error:
             self.link.failed(sent_at, str(error), self.heartbeat_interval_s)
--- a/src/grebestand/flow_control/overload.py
+++ b/src/grebestand/flow_control/overload.py
@@ -22,7 +22,7 @@
 STRAINED_S = 0.15
 #: lag at which the controller becomes overloaded
 OVERLOADED_S = 1.0
-#: Time for which the lag has to stay below half of the entry lag of a load state before the controller leaves the state.
+#: Time for which the lag has to stay below half of the entry lag of a load state before the controller leaves it.
 RECOVERY_S = 2.0
 #: Lag at which each load state is entered. A lag of at least half of this value keeps the controller in the state.
 _ENTRY_LAG_S = {LoadState.NORMAL: 0.0, LoadState.STRAINED: STRAINED_S, LoadState.OVERLOADED: OVERLOADED_S}
--- a/src/grebestand/simulation/simulated_runtime.py
+++ b/src/grebestand/simulation/simulated_runtime.py
@@ -68,7 +68,7 @@
             self.basis.links, self.rng, self.name, far, lambda: None if self.gone else self.server(self.name, far)
         )
 
-    def once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
+    def request_once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         """One request to a machine; held up, lost or unanswered by the faults in force."""
         machine = address.rpartition(":")[0]
         if machine not in self.machines:
--- a/tests/flow_control/test_connection_shares.py
+++ b/tests/flow_control/test_connection_shares.py
@@ -73,7 +73,7 @@
         open_connections -= 1
         raise UnreachableError("timeout")
 
-    monkeypatch.setattr(controller.runtime, "once", hanging)
+    monkeypatch.setattr(controller.runtime, "request_once", hanging)
     errors = Counter[str]()
 
     def send_command() -> None:
--- a/tests/flow_control/test_rate_limiter.py
+++ b/tests/flow_control/test_rate_limiter.py
@@ -36,11 +36,13 @@
     limiter = limiter_without_tokens(clock, timers)
     served: list[str] = []
 
-    def take(urgency: Urgency, name: str) -> None:
+    def acquire(urgency: Urgency, name: str) -> None:
         limiter.acquire(urgency)
         served.append(name)
 
-    callers = [gevent.spawn(take, urgency, name) for urgency, name in ((Urgency.POLL, "poll"), (Urgency.HOLD, "hold"))]
+    callers = [
+        gevent.spawn(acquire, urgency, name) for urgency, name in ((Urgency.POLL, "poll"), (Urgency.HOLD, "hold"))
+    ]
     gevent.sleep(0)
     for _ in range(2):
         clock.now += 1.0
