--- a/src/grebestand/heartbeats/task_reconciliation.py
+++ b/src/grebestand/heartbeats/task_reconciliation.py
@@ -163,7 +163,7 @@
         if allocation is not None:
             if allocation.run_at is not None and job.spec.estimate_s > 0:
                 self.run_times.learn(job, now - allocation.run_at)
-            self.stragglers.finished(machine, allocation, now)
+            self.stragglers.record_run_time(machine, allocation, now)
             self.inventory.release(machine, allocation, now)
         machine.record_success()
         self._mark_done(job, index, now)
@@ -189,7 +189,7 @@
         reason = status.why
         if reason is ExitReason.ERROR:
             ran_s = now - allocation.run_at if allocation.run_at is not None else 0.0
-            self.health.failed(machine, job, ran_s, now)
+            self.health.record_failure(machine, job, ran_s, now)
         elif reason is ExitReason.NO_ROOM:
             # the machine holds something that is not counted here: try again after the next heartbeats
             machine.block_until(now + self.inventory.report_s)
@@ -213,7 +213,7 @@
         for other in list(ended.job.allocations.values()):
             if other.attempt != ended.attempt:
                 self.dispatch.stop(other, "stale attempt", 0.0, now)
-            elif other.stop is None and not self._keep_fetching(machine, other, reason, now):
+            elif other.stop_reason is None and not self._keep_fetching(machine, other, reason, now):
                 self.dispatch.stop(other, "gang broken", 0.0, now)
 
     def _keep_fetching(self, machine: Machine, allocation: Allocation, reason: str, now: float) -> bool:
--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -64,9 +64,9 @@
         if self.busy or self.election.state is not LeaderState.LEADING:
             return
         registry = self.registry
-        since = now - self.scheduler.retargeted_at
+        since = now - self.scheduler.targets_updated_at
         # the greedy algorithm updates at every arrival; here an arrival brings the next update forward
-        due = since >= self.scheduler.view.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
+        due = since >= self.scheduler.context.policy_values.period_s or (registry.arrived and since >= ARRIVAL_GAP_S)
         if due and now >= self.next_targets_at:
             registry.arrived = False
             self._begin(self._compute_targets(now), self._finish_targets)
@@ -77,7 +77,7 @@
     def _compute_targets(self, now: float) -> Steps:
         self.inventory.detect_silent_machines(now)
         self.machine_reconciliation.check(now)
-        yield from self.scheduler.retarget_steps(now, self.overload.spare)
+        yield from self.scheduler.update_targets_steps(now, self.overload.spare)
 
     def _begin(self, work: Steps, on_complete: Callable[[], None]) -> None:
         self._work, self._on_complete = work, on_complete
@@ -92,7 +92,7 @@
         if self.election.state is not LeaderState.LEADING:
             self._work = None
             return
-        self.scheduler.view.turn += 1
+        self.scheduler.context.slice_number += 1
         # what the computation itself changes is no reason for another one; what others change between slices is
         changed = self.registry.changed
         slice_began_at = self.clock()
@@ -114,9 +114,9 @@
 
     def _finish_targets(self) -> None:
         self.next_targets_at = self.clock() + TARGETS_REST * self._spent_s
-        if self.clock() - self._durations_logged_at >= self.scheduler.view.policy_values.period_s:
+        if self.clock() - self._durations_logged_at >= self.scheduler.context.policy_values.period_s:
             self._durations_logged_at = self.clock()
-            self.context.stragglers.forget()
+            self.context.stragglers.remove_deleted_machines()
             log.info(LogEvent("durations_measured", durations=self.context.sketches.tell()))
         self.registry.changed = True
 
--- a/src/grebestand/scheduling/scheduler.py
+++ b/src/grebestand/scheduling/scheduler.py
@@ -24,10 +24,10 @@
     """Decides what runs where. Builds the parts that decide, and runs them in order."""
 
     def __init__(self, context: SchedulingContext, objectives: list[Objective], gang_wait_s: float) -> None:
-        self.view = context
+        self.context = context
         self.registry = context.registry
         self.inventory = context.inventory
-        self.retargeted_at = -math.inf
+        self.targets_updated_at = -math.inf
         self.ordering = JobOrdering(objectives, context.run_times)
         self.images = ImageLocality(context)
         self.preemption = Preemption(context, self.ordering)
@@ -40,27 +40,27 @@
         self.migration = Migration(context, self.images)
         self.pending_reasons = PendingReasons(context)
 
-    def retarget(self, now: float, spare: bool = True) -> None:
+    def update_targets(self, now: float, spare: bool = True) -> None:
         """Compute targets and templates without a break."""
-        for _ in self.retarget_steps(now, spare):
+        for _ in self.update_targets_steps(now, spare):
             pass
 
-    def retarget_steps(self, now: float, spare: bool = True) -> Steps:
+    def update_targets_steps(self, now: float, spare: bool = True) -> Steps:
         """Compute targets and templates in steps.
 
         Args:
             now: seconds on the leader's clock.
             spare: whether the leader has time to spare, so that tasks may migrate as well.
         """
-        self.retargeted_at = now
-        self.view.policy_values = self.view.evaluate_policy()
+        self.targets_updated_at = now
+        self.context.policy_values = self.context.evaluate_policy()
         yield from self.targets.set(now)
         self.placement.forget()
         self.gangs.forget()
         self.preemption.forget()
         yield from self.images.measure()
         yield
-        if spare and self.view.policy_values.migrate:
+        if spare and self.context.policy_values.migrate:
             self.migration.migrate(now)
             yield
         self.pending_reasons.tell(now)
@@ -86,15 +86,15 @@
         self._begin_pass()
         reserving_jobs = self._expire_reservations(now)
         ready = [m for m in self.inventory.machines if self.inventory.is_schedulable(m, now)]
-        turn = self.view.turn
+        turn = self.context.slice_number
         # most machines have no free capacity for any of the single tasks; those whose heartbeat frees some meanwhile
         # are filled by `fill`
         smallest_cpus = min((j.size[0] for j in waiting if not j.gang), default=0)
         roomy = [m for m in ready if m.free[0] >= smallest_cpus]
         for job in waiting:
             yield
-            if self.view.turn != turn:
-                turn = self.view.turn
+            if self.context.slice_number != turn:
+                turn = self.context.slice_number
                 ready = [m for m in ready if self.inventory.is_schedulable(m, now)]
                 roomy = [m for m in ready if m.free[0] >= smallest_cpus]
             if self._must_wait(job, now):
@@ -109,7 +109,7 @@
     def _sort_by_urgency(self, waiting: list[Job], now: float) -> None:
         """Sort waiting jobs in the order of service."""
         self.registry.mark_guaranteed()
-        begin_after_s = self.view.policy_values.begin_after_s
+        begin_after_s = self.context.policy_values.begin_after_s
         waiting.sort(key=lambda job: self.ordering.urgency(job, now, begin_after_s))
 
     def _begin_pass(self) -> None:
@@ -141,7 +141,7 @@
         """Return whether a pass skips a job: it has changed since the pass began, or a feature vetoes it."""
         if not job.live or now < job.retry_at or job.startable() <= 0:
             return True
-        veto = self.view.features.veto(job, now)
+        veto = self.context.features.veto(job, now)
         if veto is not None:
             job.why_waiting = veto
             return True
--- a/src/grebestand/scheduling/stragglers.py
+++ b/src/grebestand/scheduling/stragglers.py
@@ -87,7 +87,7 @@
         #: by index of the machine
         self._samples: dict[int, RunTimeSamples] = {}
 
-    def finished(self, machine: Machine, allocation: Allocation, now: float) -> None:
+    def record_run_time(self, machine: Machine, allocation: Allocation, now: float) -> None:
         """Take in the run time of a task that has completed on a machine."""
         job = allocation.job
         if job.gang or not allocation.first or allocation.run_at is None or now <= allocation.run_at:
@@ -119,9 +119,9 @@
 
     def _drain(self, machine: Machine, samples: RunTimeSamples, now: float) -> None:
         """Drain a slow machine, unless too many are being drained: it is placed last until those are gone."""
-        if machine.drain is not None:
+        if machine.drain_reason is not None:
             return
-        draining = sum(1 for other in self.inventory.machines if other.drain == DRAIN_SLOW)
+        draining = sum(1 for other in self.inventory.machines if other.drain_reason == DRAIN_SLOW)
         if draining >= max(1, len(self.inventory.machines) // MACHINES_PER_DRAIN):
             return
         log.warning(
@@ -133,10 +133,10 @@
                 samples=samples.count,
             )
         )
-        machine.drain = DRAIN_SLOW
+        machine.drain_reason = DRAIN_SLOW
         self.health.evacuate(machine, now)
 
-    def forget(self) -> None:
+    def remove_deleted_machines(self) -> None:
         """Drop the samples of machines that no longer exist."""
         for index in [i for i in self._samples if self.inventory.at(i) is None]:
             del self._samples[index]
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -36,7 +36,7 @@
     cluster, node, term, _ = cluster_with_leader()
     migrations: list[float] = []
     monkeypatch.setattr(term.scheduler.migration, "migrate", migrations.append)
-    term.scheduler.retargeted_at -= 100.0
+    term.scheduler.targets_updated_at -= 100.0
     term.scheduling_loop.step(cluster.clock.now)
     assert len(migrations) == 1
     term.overload.record_lag(0.5)
@@ -94,7 +94,7 @@
     term = node.lead()
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = node.leadership_transfer(peer)
-    term.machine_reconciliation.proved = False
+    term.machine_reconciliation.all_reconciled = False
     node.load.record_lag(2.0)
     overloaded_at = cluster.clock.now
     while node.election.is_leader() and cluster.clock.now - overloaded_at < 60.0:
@@ -155,7 +155,7 @@
 
     second_term.machine_reconciliation.direct = late_response
     second_term.machine_reconciliation.ask(machine)
-    assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.proved
+    assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.all_reconciled
     assert not second_term.machine_reconciliation.queries_under_way
 
 
--- a/tests/heartbeats/test_heartbeat_evidence.py
+++ b/tests/heartbeats/test_heartbeat_evidence.py
@@ -109,7 +109,7 @@
     worker.token = 1 << 50
     assert term.handle_heartbeat(worker.report()) is None and not term.writer.is_leader()
     assert term.election.renew() and term.election.state is LeaderState.PAUSED
-    term.election.move(LeaderState.LEADING, "test")
+    term.election.change_state(LeaderState.LEADING, "test")
     assert term.handle_heartbeat(worker.report()) is None and term.writer.is_leader()
 
 
@@ -127,7 +127,7 @@
         cluster.settle(next_term, 1)
         if not second % 3:
             next_term.handle_heartbeat(unreachable.report())
-    assert next_term.machine_reconciliation.proved and not next_term.registry.jobs[job_id].possible_holders
+    assert next_term.machine_reconciliation.all_reconciled and not next_term.registry.jobs[job_id].possible_holders
 
 
 @pytest.mark.parametrize("counts_anew", [True, False])
--- a/tests/scheduling/test_cached_findings.py
+++ b/tests/scheduling/test_cached_findings.py
@@ -33,7 +33,7 @@
         machine = term.inventory.at(index)
         if machine is not None and machine.change_count == change_count:
             compared += 1
-            stoppable = {name for name, allocation in machine.allocations.items() if allocation.stop is None}
+            stoppable = {name for name, allocation in machine.allocations.items() if allocation.stop_reason is None}
             assert {allocation.name for _, allocation in victims} == stoppable
             assert [lost_work for lost_work, _ in victims] == sorted(lost_work for lost_work, _ in victims)
     return compared
@@ -64,6 +64,6 @@
                     worker.finish(task, ExitReason.ERROR if rng.random() < 0.02 else ExitReason.DONE)
         world.settle(term, 2)
         now = world.clock.now
-        term.scheduler.retarget(now) if rng.random() < 0.2 else term.scheduler.place(now)
+        term.scheduler.update_targets(now) if rng.random() < 0.2 else term.scheduler.place(now)
         compared += compare_allowances(term) + compare_victims(term)
     assert compared > MIN_COMPARISONS
