--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -116,17 +116,17 @@
     def greet(self, peer: PeerClient) -> None:
         """Exchange the status with a peer."""
         sent_at = self.clock()
-        status = peer.tell(STATUS_PATH, self.compose_status(), PeerStatus)
+        status = peer.call(STATUS_PATH, self.compose_status(), PeerStatus)
         self._record_hanging(peer, sent_at, answered=status is not None)
         if status is None:
             return
-        restarted = peer.last is not None and peer.last.incarnation != status.incarnation
+        restarted = peer.last_status is not None and peer.last_status.incarnation != status.incarnation
         self._record_cancellations_seen(peer, status, sent_at, restarted=restarted)
-        if restarted and peer.last is not None:
+        if restarted and peer.last_status is not None:
             log.info(LogEvent("peer_restarted", controller=peer.name))
-            if peer.last.token:
+            if peer.last_status.token:
                 self._listener.on_leader_restarted(peer.name)
-        peer.last_heard_at, peer.last = self.clock(), status
+        peer.last_heard_at, peer.last_status = self.clock(), status
         self._take_status(status)
         self._listener.on_peer_status(status)
 
@@ -150,7 +150,7 @@
             sent_at - peer.answered_request_sent_at > STATUS_GAP_TOLERATED_S
             or len(status.cancelled) >= MAX_CANCELLATIONS_PER_STATUS
         )
-        if peer.last is None or restarted or gap:
+        if peer.last_status is None or restarted or gap:
             peer.gapless_since = self.clock()
         peer.answered_request_sent_at = max(peer.answered_request_sent_at, sent_at)
 
@@ -158,7 +158,7 @@
         """Return which machine caches which images: from memory or, after a restart, from a peer that knows."""
         if not self.cached_images.machines:
             for peer in self.peers:
-                images = peer.tell(CACHED_IMAGES_PATH, CachedImages(), CachedImages, timeout=IMAGES_REQUEST_TIMEOUT_S)
+                images = peer.call(CACHED_IMAGES_PATH, CachedImages(), CachedImages, timeout=IMAGES_REQUEST_TIMEOUT_S)
                 if images is not None and images.machines:
                     return images
         return self.cached_images
@@ -167,12 +167,12 @@
         """Send all peers, as the leader, which machine caches which images."""
         self.cached_images = images
         for peer in self.peers:
-            peer.tell(CACHED_IMAGES_PATH, images, CachedImages)
+            peer.call(CACHED_IMAGES_PATH, images, CachedImages)
 
     def send_resignation(self, name: str, token: int, heir: str = "") -> None:
         """Tell all peers that this controller, `name`, has resigned; `heir`, which is to lead next, comes first."""
         for peer in sorted(self.peers, key=lambda peer: peer.name != heir):
-            peer.tell(RESIGNATION_PATH, ResignationNotice(name, token, heir), PeerStatus)
+            peer.call(RESIGNATION_PATH, ResignationNotice(name, token, heir), PeerStatus)
 
     # what peers said --------------------------------------------------------------------------------------
 
--- a/src/grebestand/clients/kv_store.py
+++ b/src/grebestand/clients/kv_store.py
@@ -225,7 +225,7 @@
 
     def grant_lease(self, ttl_ms: int) -> int:
         """Create a lease and return its number. The lease expires `ttl_ms` milliseconds after its last renewal."""
-        status, body = self._call("POST", "/holds", LeaseRequest(ttl_ms=ttl_ms), Urgency.HOLD, REQUEST_TIMEOUT_S)
+        status, body = self._call("POST", "/holds", LeaseRequest(ttl_ms=ttl_ms), Urgency.LEASE, REQUEST_TIMEOUT_S)
         if status != HTTPStatus.OK:
             raise _unexpected_status("POST", "/holds", status)
         return self._decode(body, LeaseGrant).hold
@@ -238,7 +238,7 @@
             StoreError: The store gave no usable response.
         """
         path = f"/holds/{lease}/touch"
-        status, _ = self._call("POST", path, None, Urgency.HOLD, REQUEST_TIMEOUT_S)
+        status, _ = self._call("POST", path, None, Urgency.LEASE, REQUEST_TIMEOUT_S)
         if status == HTTPStatus.NOT_FOUND:
             raise LeaseExpiredError(f"the store has no lease {lease} to renew")
         if status != HTTPStatus.OK:
@@ -246,9 +246,9 @@
 
     def revoke_lease(self, lease: int) -> None:
         """Revoke a lease, which deletes the keys that are attached to the lease. An expired lease is ignored."""
-        self._call("DELETE", f"/holds/{lease}", None, Urgency.HOLD, REQUEST_TIMEOUT_S)
+        self._call("DELETE", f"/holds/{lease}", None, Urgency.LEASE, REQUEST_TIMEOUT_S)
 
-    def changes(self, prefix: str, since: int, wait_ms: int) -> ChangeEvents:
+    def watch(self, prefix: str, since: int, wait_ms: int) -> ChangeEvents:
         """Wait for changes of the keys under a prefix, and return the changes.
 
         Args:
--- a/src/grebestand/clients/peer.py
+++ b/src/grebestand/clients/peer.py
@@ -29,7 +29,7 @@
     Attributes:
         name: Name of the peer.
         transport: Connections to the peer.
-        last: Last response of the peer to a status exchange, or None if there has been no response.
+        last_status: Last response of the peer to a status exchange, or None if there has been no response.
         last_heard_at: Time at which the last response was received.
         answered_request_sent_at: Latest time at which a status request was sent that the peer answered.
         gapless_since: Start of the period in which status responses have arrived without a gap. Every cancellation
@@ -43,7 +43,7 @@
         """Create a client of a peer whose state is not known yet."""
         self.name = name
         self.transport = transport
-        self.last: PeerStatus | None = None
+        self.last_status: PeerStatus | None = None
         self.last_heard_at = -math.inf
         self.answered_request_sent_at = -math.inf
         self.gapless_since = math.inf
@@ -68,7 +68,7 @@
             return None
         return response if status == HTTPStatus.OK else None
 
-    def tell(
+    def call(
         self, path: str, message: msgspec.Struct, response_type: type[Message], timeout: float = MESSAGE_TIMEOUT_S
     ) -> Message | None:
         """Send a message and decode the response.
--- a/src/grebestand/commands/rehearse.py
+++ b/src/grebestand/commands/rehearse.py
@@ -173,7 +173,7 @@
     for fault in outcome.verdict.faults:
         print(f"wrong: {fault}")
     numbers = ", ".join(f"{k} {v:.0f}" for k, v in outcome.counts.items())
-    print(f"{numbers}; {outcome.sketches.tell() or 'nothing was done'}")
+    print(f"{numbers}; {outcome.sketches.summarize_and_reset() or 'nothing was done'}")
     if outcome.verdict.cancelled:
         print(f"cancelled {outcome.verdict.cancelled}, not counted below")
     print(outcome.verdict.line())
--- a/src/grebestand/connectivity/link_health.py
+++ b/src/grebestand/connectivity/link_health.py
@@ -48,7 +48,7 @@
         log.info(LogEvent("link_state_changed", link=self.name, from_=self.state, to=new, reason=reason))
         self.state = new
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """Record that a response or request was received over the link.
 
         Called for every heartbeat. The comparison with the current state avoids a call of `change_state` each time.
@@ -57,7 +57,7 @@
         if self.state is not LinkState.UP:
             self.change_state(LinkState.UP, "a message was received")
 
-    def failed(self, sent_at: float, reason: str, down_after_s: float) -> None:
+    def record_failure(self, sent_at: float, reason: str, down_after_s: float) -> None:
         """Record that a request over the link got no response or was rejected.
 
         Args:
@@ -74,7 +74,7 @@
         if self.state is LinkState.SUSPECT and self.clock() - self.failed_at >= down_after_s:
             self.change_state(LinkState.DOWN, reason)
 
-    def silent(self, suspect_after_s: float, down_after_s: float) -> None:
+    def check_silence(self, suspect_after_s: float, down_after_s: float) -> None:
         """Update the state of a link from the time since a message was last received over the link.
 
         Args:
--- a/src/grebestand/connectivity/store_proxy.py
+++ b/src/grebestand/connectivity/store_proxy.py
@@ -20,7 +20,7 @@
 
 from ..clients.http import Transport, UnreachableError
 from ..clients.peer import PeerClient
-from ..flow_control.connection_limits import RELAYED
+from ..flow_control.connection_limits import MAX_PROXIED_REQUESTS
 from ..state_machines import LinkState
 from ..wire.peers import ProxiedRequest, ProxiedResponse
 from .link_health import LinkHealth
@@ -39,7 +39,7 @@
 OUTAGE_MARGIN_S = 0.5
 #: a peer that did not respond to a proxied request is not used as a proxy for this long
 PROXY_RETRY_DELAY_S = 2.0
-#: maximum wait of a proxied watch, which occupies one of the proxy's `RELAYED` slots for that time
+#: maximum wait of a proxied watch, which occupies one of the proxy's `MAX_PROXIED_REQUESTS` slots for that time
 MAX_PROXIED_WATCH_MS = 1000
 #: minimum timeout of a proxied request at the proxy, for requests whose remaining time is shorter
 MIN_TIMEOUT_S = 0.1
@@ -83,12 +83,12 @@
         try:
             status, response = self.direct.request(method, path, body, timeout)
         except UnreachableError as error:
-            self.link.failed(sent_at, str(error), DOWN_AFTER_S)
+            self.link.record_failure(sent_at, str(error), DOWN_AFTER_S)
             raise
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
-            self.link.failed(sent_at, "the store responded with status 503", DOWN_AFTER_S)
+            self.link.record_failure(sent_at, "the store responded with status 503", DOWN_AFTER_S)
         else:
-            self.link.answered()
+            self.link.record_success()
         return status, response
 
     def _proxy_candidates(self) -> Iterator[PeerClient]:
@@ -111,11 +111,11 @@
 
     def _served_at(self, peer: PeerClient, now: float) -> float | None:
         """Return the time at which the store last answered a peer, or None if the peer cannot be a proxy now."""
-        if peer.last is None or now - peer.last_heard_at >= STATUS_VALID_S:
+        if peer.last_status is None or now - peer.last_heard_at >= STATUS_VALID_S:
             return None
         if self._retry_at.get(peer.name, -math.inf) > now:
             return None
-        return peer.last_heard_at - peer.last.state_age_s
+        return peer.last_heard_at - peer.last_status.state_age_s
 
     def _request_through(
         self, proxy: PeerClient, method: str, path: str, body: bytes, timeout: float
@@ -166,7 +166,7 @@
 
     def _handle(self, request: ProxiedRequest) -> ProxiedResponse:
         """Send a request to the store, or reject it."""
-        if self.store.link.state is LinkState.DOWN or self.in_progress >= RELAYED:
+        if self.store.link.state is LinkState.DOWN or self.in_progress >= MAX_PROXIED_REQUESTS:
             # the request is not executed; the peer is notified at once and may choose another proxy
             return ProxiedResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"")
         self.in_progress += 1
--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -87,7 +87,7 @@
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
         """Send a message to the peer that leads by its latest status; None without one, or without an answer."""
         for peer in self.peers.peers:
-            if peer.last is not None and peer.last.token and peer.name == self.election.leader:
+            if peer.last_status is not None and peer.last_status.token and peer.name == self.election.leader:
                 return peer.send(path, body)
         return None
 
@@ -111,4 +111,4 @@
         server.serve_forever()
 
     def _has_spare_time(self) -> bool:
-        return self.overload.spare
+        return self.overload.has_spare_time
--- a/src/grebestand/controller/foundation.py
+++ b/src/grebestand/controller/foundation.py
@@ -15,10 +15,10 @@
 from ..connectivity.store_proxy import ProxiedStoreTransport
 from ..features.hooks import Features
 from ..flow_control.connection_limits import (
-    BATCHES,
     CLOUD_CONNECTIONS,
-    GREETINGS,
-    RELAYED,
+    MAX_BATCHES_IN_FLIGHT,
+    MAX_PROXIED_REQUESTS,
+    STATUS_CONNECTIONS_PER_PEER,
     STORE_REQUEST_CONNECTIONS,
     STORE_WATCH_CONNECTIONS,
     ConnectionPlan,
@@ -160,7 +160,7 @@
 
 
 def _connect_peer(peer: PeerAddress, runtime: Runtime) -> PeerClient:
-    connections = GREETINGS + RELAYED + BATCHES
+    connections = STATUS_CONNECTIONS_PER_PEER + MAX_PROXIED_REQUESTS + MAX_BATCHES_IN_FLIGHT
     return PeerClient(peer.name, runtime.connect(peer.address, "known.address", connections, PEER_CONNECT_TIMEOUT_S))
 
 
--- a/src/grebestand/controller/http_front.py
+++ b/src/grebestand/controller/http_front.py
@@ -70,7 +70,7 @@
 
     def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
         """Answer a worker's heartbeat. Whatever the answer is, it shows that workers reach this controller."""
-        self.workers_link.answered()
+        self.workers_link.record_success()
         return self.workers.handle_heartbeat(body, connection, surplus)
 
     def _answer_user(self, environ: dict[str, Any], method: str, path: str) -> Response:
--- a/src/grebestand/controller/leader_loop.py
+++ b/src/grebestand/controller/leader_loop.py
@@ -67,7 +67,7 @@
     def _step(self) -> float:
         """Follow or renew once; return the pause until the next step, in seconds."""
         self.election.check_clock()
-        self.workers_link.silent(SUSPECT_AFTER_INTERVALS * self.heartbeat_interval_s, math.inf)
+        self.workers_link.check_silence(SUSPECT_AFTER_INTERVALS * self.heartbeat_interval_s, math.inf)
         if self.election.state in (LeaderState.FOLLOWING, LeaderState.RESIGNED):
             self.election.read_leader_key()
             return 0.8 + 0.4 * self.rng.random()
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -95,8 +95,8 @@
         """Yield peers that answered within the last `within_s` seconds, with their status."""
         now = self.clock()
         for peer in self.peer_api.peers:
-            if peer.last is not None and now - peer.last_heard_at < within_s:
-                yield peer, peer.last
+            if peer.last_status is not None and now - peer.last_heard_at < within_s:
+                yield peer, peer.last_status
 
     # the link to the key-value store ----------------------------------------------------------------------
 
@@ -133,7 +133,7 @@
         if peer is not None:
             reason = f"{peer.name} reaches the state service and this one does not"
             token = self.election.resign(reason, STORE_RESIGNATION_S)
-            peer.tell("/resigned", ResignationNotice(self.name, token, peer.name), PeerStatus)
+            peer.call("/resigned", ResignationNotice(self.name, token, peer.name), PeerStatus)
 
     # the link to workers ----------------------------------------------------------------------------------
 
@@ -154,7 +154,7 @@
         silence_s = now - max(handler.last_heard_at, self.checking_since)
         if silence_s >= self._silence_limit_s(term):
             self._silence_resignations = min(self._silence_resignations + 1, MAX_PATIENCE_STEPS)
-            self.workers_link.silent(0.0, 0.0)
+            self.workers_link.check_silence(0.0, 0.0)
             self.resign(f"no worker has reported for {silence_s:.1f} s", self._find_heir())
         elif handler.heard_in_term and now - handler.last_heard_at < self.heartbeat_interval_s:
             self._silence_resignations = 0
--- a/src/grebestand/controller/link_probes.py
+++ b/src/grebestand/controller/link_probes.py
@@ -73,6 +73,6 @@
         sent_at = self.runtime.clock()
         try:
             self.runtime.request_once("GET", address, "/show", b"", PROBE_TIMEOUT_S)
-            self.link.answered()
+            self.link.record_success()
         except UnreachableError as error:
-            self.link.failed(sent_at, str(error), self.heartbeat_interval_s)
+            self.link.record_failure(sent_at, str(error), self.heartbeat_interval_s)
--- a/src/grebestand/controller/peer_directory.py
+++ b/src/grebestand/controller/peer_directory.py
@@ -36,14 +36,14 @@
             PeerCapacity(
                 peer.name,
                 self.zones[peer.name],
-                peer.last.token > 0,
-                peer.last.kept,
-                peer.last.room,
-                peer.last.load == LoadState.OVERLOADED.value,
-                peer.last.reports,
+                peer.last_status.token > 0,
+                peer.last_status.kept,
+                peer.last_status.room,
+                peer.last_status.load == LoadState.OVERLOADED.value,
+                peer.last_status.reports,
             )
             for peer in self.peers
-            if peer.last is not None and peer.last.room >= 0 and now - peer.last_heard_at < STATUS_VALID_S
+            if peer.last_status is not None and peer.last_status.room >= 0 and now - peer.last_heard_at < STATUS_VALID_S
         ]
 
     def leading_peer(self) -> PeerClient | None:
@@ -56,8 +56,8 @@
         now = self.clock()
         leader, leader_token = None, 0
         for peer in self.peers:
-            if peer.last is None or not peer.last.token or now - peer.last_heard_at >= STATUS_VALID_S:
+            if peer.last_status is None or not peer.last_status.token or now - peer.last_heard_at >= STATUS_VALID_S:
                 continue
-            if leader is None or peer.last.token > leader_token:
-                leader, leader_token = peer, peer.last.token
+            if leader is None or peer.last_status.token > leader_token:
+                leader, leader_token = peer, peer.last_status.token
         return leader
--- a/src/grebestand/controller/peer_loops.py
+++ b/src/grebestand/controller/peer_loops.py
@@ -44,5 +44,5 @@
         while True:
             gevent.sleep(IMAGES_S)
             term = self.current_term.loaded()
-            if term is not None and self.election.is_leader() and self.overload.spare:
+            if term is not None and self.election.is_leader() and self.overload.has_spare_time:
                 self.peer_api.send_images(term.status_broadcast.cached_images())
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -214,7 +214,7 @@
             return
         self._summary_at = now
         counts = ", ".join(f"{name} {count}" for name, count in self.counts.items())
-        log.info(LogEvent("federation_summary", gangs=counts, durations=self.sketches.tell()))
+        log.info(LogEvent("federation_summary", gangs=counts, durations=self.sketches.summarize_and_reset()))
 
     # offering ---------------------------------------------------------------------------------------------
 
--- a/src/grebestand/flow_control/connection_limits.py
+++ b/src/grebestand/flow_control/connection_limits.py
@@ -16,12 +16,12 @@
 #: connections to the cloud
 CLOUD_CONNECTIONS = 4
 #: connections in each direction for status exchange, per peer
-GREETINGS = 2
+STATUS_CONNECTIONS_PER_PEER = 2
 #: Maximum number of proxied requests to the key-value store in progress. A requesting controller opens up to this many
 #: connections to its proxy, and a proxy executes at most this many requests at a time.
-RELAYED = 24
+MAX_PROXIED_REQUESTS = 24
 #: batches of heartbeats that one controller may have in flight to the leader
-BATCHES = 4
+MAX_BATCHES_IN_FLIGHT = 4
 #: Number of peers to which connections for proxied requests may be open at a time. After a change of the proxy, the
 #: connections to the previous one may still be open.
 MAX_PROXIES = 2
@@ -82,8 +82,11 @@
         peer_count: Number of other controllers in the cluster.
     """
     max_connections = quota.max_connections
-    peers = peer_count * (GREETINGS + BATCHES) + min(peer_count, MAX_PROXIES) * RELAYED
-    from_peers = peer_count * (GREETINGS + RELAYED + BATCHES)
+    peers = (
+        peer_count * (STATUS_CONNECTIONS_PER_PEER + MAX_BATCHES_IN_FLIGHT)
+        + min(peer_count, MAX_PROXIES) * MAX_PROXIED_REQUESTS
+    )
+    from_peers = peer_count * (STATUS_CONNECTIONS_PER_PEER + MAX_PROXIED_REQUESTS + MAX_BATCHES_IN_FLIGHT)
     direct = min(MAX_DIRECT_COMMANDS, max_connections // DIRECT_COMMANDS_DIVISOR)
     surplus = min(MAX_SURPLUS_CONNECTIONS, max_connections // SURPLUS_DIVISOR)
     backlog = min(MAX_BACKLOG, max_connections // BACKLOG_DIVISOR)
--- a/src/grebestand/flow_control/overload.py
+++ b/src/grebestand/flow_control/overload.py
@@ -90,7 +90,7 @@
             self.change_state(better, f"lag below {recovered_below_s:.2f} s for {RECOVERY_S:.0f} s")
 
     @property
-    def spare(self) -> bool:
+    def has_spare_time(self) -> bool:
         """Whether the controller has time for work that can wait.
 
         Work that can wait is migration, the exchange of cached images and full garbage collections. Placement is never
--- a/src/grebestand/flow_control/rate_limiter.py
+++ b/src/grebestand/flow_control/rate_limiter.py
@@ -26,7 +26,7 @@
     """Priority of a caller of a rate limiter. Callers with lower values are served first."""
 
     #: renewal of the leader lease
-    HOLD = 0
+    LEASE = 0
     #: recovery of the state by a new leader
     TAKEOVER = 1
     #: changes that a user waits for, such as the acceptance of a job
--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..errors import GrebestandError
-from ..flow_control.connection_limits import BATCHES
+from ..flow_control.connection_limits import MAX_BATCHES_IN_FLIGHT
 from ..flow_control.overload import OverloadMonitor
 from ..leader.election import LeaderElection
 from ..leader.heartbeat_handler import PendingResponse
@@ -139,7 +139,9 @@
     def _respond(self, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         """Return the responses to a batch; all are refused while too many batches are being answered."""
         overloaded = self.load.state is LoadState.OVERLOADED
-        if (overloaded and self.busy > len(self.senders)) or self.busy >= BATCHES * max(1, len(self.senders)):
+        if (overloaded and self.busy > len(self.senders)) or self.busy >= MAX_BATCHES_IN_FLIGHT * max(
+            1, len(self.senders)
+        ):
             return HeartbeatBatchResponse([REFUSED] * len(batch.reports), late=True)
         self.busy += 1
         try:
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -17,7 +17,7 @@
 from gevent.event import AsyncResult, Event
 
 from ..clients.peer import PeerClient
-from ..flow_control.connection_limits import BATCHES
+from ..flow_control.connection_limits import MAX_BATCHES_IN_FLIGHT
 from ..log_events import LogEvent
 from ..state_machines import FORWARDER_TRANSITIONS, ForwarderState, check_transition
 from ..wire.peers import HeartbeatBatch, HeartbeatBatchResponse
@@ -64,7 +64,7 @@
 
 def term_of(leader: PeerClient) -> tuple[str, int]:
     """Return a leader's name and fencing token, by its last status message."""
-    return leader.name, leader.last.token if leader.last is not None else 0
+    return leader.name, leader.last_status.token if leader.last_status is not None else 0
 
 
 class HeartbeatForwarder:
@@ -150,12 +150,12 @@
         while True:
             self._sendable.wait()
             gevent.sleep(GATHER_S)
-            while self._queue and self._batches_in_flight < BATCHES:
+            while self._queue and self._batches_in_flight < MAX_BATCHES_IN_FLIGHT:
                 batch = self._next_batch()
                 if batch:
                     self._batches_in_flight += 1
                     gevent.spawn(self._send, batch)
-            if not self._queue or self._batches_in_flight >= BATCHES:
+            if not self._queue or self._batches_in_flight >= MAX_BATCHES_IN_FLIGHT:
                 self._sendable.clear()
 
     def _next_batch(self) -> list[ForwardedHeartbeat]:
@@ -193,7 +193,7 @@
         self.batches += 1
         self.passed += len(batch)
         message = HeartbeatBatch(self.name, [heartbeat.body for heartbeat in batch])
-        reply = leader.tell(PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
+        reply = leader.call(PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
         if reply is None or len(reply.answers) != len(batch):
             self._record_failure(sent_at, leader)
             return None
--- a/src/grebestand/leader/election.py
+++ b/src/grebestand/leader/election.py
@@ -258,7 +258,7 @@
         try:
             self.store.keep_alive(lease_id)
             if self.state is LeaderState.PAUSED:
-                found = self.store.get(LEADER_KEY, Urgency.HOLD)
+                found = self.store.get(LEADER_KEY, Urgency.LEASE)
                 key_was_read = True
                 key_is_ours = found is not None and found.version == token
         except LeaseExpiredError as error:
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -84,7 +84,7 @@
     def _follow(self, wait_ms: int) -> None:
         sent_at, since = self.clock(), self.watched
         try:
-            changes = self.writer.store.changes(LIVE_PREFIX, since, wait_ms)
+            changes = self.writer.store.watch(LIVE_PREFIX, since, wait_ms)
         except RevisionCompactedError:
             self._reread()
             return
--- a/src/grebestand/leader/scheduling_loop.py
+++ b/src/grebestand/leader/scheduling_loop.py
@@ -77,7 +77,7 @@
     def _compute_targets(self, now: float) -> Steps:
         self.inventory.detect_silent_machines(now)
         self.machine_reconciliation.check(now)
-        yield from self.scheduler.update_targets_steps(now, self.overload.spare)
+        yield from self.scheduler.update_targets_steps(now, self.overload.has_spare_time)
 
     def _begin(self, work: Steps, on_complete: Callable[[], None]) -> None:
         self._work, self._on_complete = work, on_complete
@@ -117,7 +117,7 @@
         if self.clock() - self._durations_logged_at >= self.scheduler.context.policy_values.period_s:
             self._durations_logged_at = self.clock()
             self.context.stragglers.remove_deleted_machines()
-            log.info(LogEvent("durations_measured", durations=self.context.sketches.tell()))
+            log.info(LogEvent("durations_measured", durations=self.context.sketches.summarize_and_reset()))
         self.registry.changed = True
 
     def _finish_pass(self) -> None:
--- a/src/grebestand/metrics/duration_sketches.py
+++ b/src/grebestand/metrics/duration_sketches.py
@@ -63,7 +63,7 @@
         """Return the longest duration of a name in seconds, or 0 if there are no durations."""
         return self._longest_s.get(name, 0.0)
 
-    def tell(self) -> str:
+    def summarize_and_reset(self) -> str:
         """Return a one-line summary of all durations, in milliseconds, and reset all sketches."""
         summary = "; ".join(self._summary(name) for name in sorted(self._sketches))
         self._sketches, self._longest_s = {}, {}
--- a/tests/api/test_consistent_reads.py
+++ b/tests/api/test_consistent_reads.py
@@ -27,11 +27,11 @@
     controller = InMemoryController(cluster, "node-0")
     peer = PeerClient("node-1", UnreachableController())
     leadership_transfer = controller.leadership_transfer(peer)
-    controller.state_link.answered()
+    controller.state_link.record_success()
     assert leadership_transfer.healthy()
     cluster.clock.now += 5.0
     assert not leadership_transfer.healthy()
-    peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 5.0)
+    peer.last_heard_at, peer.last_status = cluster.clock.now, PeerStatus("node-1", 0, 5.0)
     assert leadership_transfer.healthy()  # an outage of all: there is nowhere better
 
 
--- a/tests/connectivity/test_link_health.py
+++ b/tests/connectivity/test_link_health.py
@@ -20,7 +20,7 @@
 def link(clock: ManualClock) -> LinkHealth:
     """Return a link that is up."""
     link = LinkHealth("state", clock)
-    link.answered()
+    link.record_success()
     clock.now += 1.0
     return link
 
@@ -34,31 +34,31 @@
 
 
 def test_first_failure_makes_link_suspect(link: LinkHealth, clock: ManualClock) -> None:
-    link.failed(clock.now - 1.0, "timeout", DOWN_AFTER_S)
+    link.record_failure(clock.now - 1.0, "timeout", DOWN_AFTER_S)
     assert state_of(link) is LinkState.SUSPECT
 
 
 def test_link_is_down_after_failing_for_a_while(link: LinkHealth, clock: ManualClock) -> None:
-    link.failed(clock.now - 1.0, "timeout", DOWN_AFTER_S)
+    link.record_failure(clock.now - 1.0, "timeout", DOWN_AFTER_S)
     assert state_of(link) is LinkState.SUSPECT
     clock.now += 0.6
-    link.failed(clock.now, "timeout", DOWN_AFTER_S)
+    link.record_failure(clock.now, "timeout", DOWN_AFTER_S)
     assert state_of(link) is LinkState.DOWN
 
 
 def test_first_response_makes_link_up(link: LinkHealth, clock: ManualClock) -> None:
-    link.failed(clock.now - 1.0, "timeout", DOWN_AFTER_S)
+    link.record_failure(clock.now - 1.0, "timeout", DOWN_AFTER_S)
     clock.now += 0.6
-    link.failed(clock.now, "timeout", DOWN_AFTER_S)
+    link.record_failure(clock.now, "timeout", DOWN_AFTER_S)
     assert state_of(link) is LinkState.DOWN
-    link.answered()
+    link.record_success()
     assert state_of(link) is LinkState.UP
 
 
 def test_failure_of_request_sent_before_last_response_is_ignored(link: LinkHealth, clock: ManualClock) -> None:
     clock.now += 0.6
-    link.answered()
-    link.failed(clock.now - 3.0, "timeout", DOWN_AFTER_S)
+    link.record_success()
+    link.record_failure(clock.now - 3.0, "timeout", DOWN_AFTER_S)
     assert state_of(link) is LinkState.UP
 
 
--- a/tests/connectivity/test_store_proxy.py
+++ b/tests/connectivity/test_store_proxy.py
@@ -18,7 +18,7 @@
     ProxiedStoreTransport,
     StoreProxyHandler,
 )
-from grebestand.flow_control.connection_limits import RELAYED
+from grebestand.flow_control.connection_limits import MAX_PROXIED_REQUESTS
 from grebestand.simulation.single_controller_cluster import ManualClock
 from grebestand.simulation.virtual_time import VirtualLoop, simulated
 from grebestand.state_machines import LinkState
@@ -45,7 +45,7 @@
 def transport_with_link_down(clock: ManualClock, peers: list[PeerClient]) -> ProxiedStoreTransport:
     """Return the transport of a controller whose direct link to the store is down."""
     transport = ProxiedStoreTransport(ScriptedTransport(None), LinkHealth("state", clock), lambda: peers)
-    transport.link.answered()
+    transport.link.record_success()
     for _ in range(3):
         clock.now += DOWN_AFTER_S
         with pytest.raises(UnreachableError):
@@ -96,7 +96,7 @@
     transport = transport_with_link_down(clock, [peer])
     # the store answered the peer until about the time at which the direct link began to fail
     last_response_age_s = clock.now - (transport.link.failed_at or 0.0) - 0.2
-    peer.last = PeerStatus("node-1", 0, last_response_age_s)
+    peer.last_status = PeerStatus("node-1", 0, last_response_age_s)
     with pytest.raises(UnreachableError):
         transport.request("GET", "/store/a", b"", 1.0)
     assert not peer_transport.requests
@@ -124,10 +124,10 @@
 
     handler = StoreProxyHandler(ProxiedStoreTransport(SlowStore(), LinkHealth("state", lambda: loop.time), list))
     request = msgspec.msgpack.encode(ProxiedRequest("GET", "/store/a", b"", 1000))
-    requests = [gevent.spawn(handler.handle, request) for _ in range(RELAYED + 5)]
+    requests = [gevent.spawn(handler.handle, request) for _ in range(MAX_PROXIED_REQUESTS + 5)]
     gevent.joinall(requests)
     statuses = [msgspec.msgpack.decode(request.value, type=ProxiedResponse).status for request in requests]
-    assert (statuses.count(200), statuses.count(503)) == (RELAYED, 5) and loop.time == 0.5
+    assert (statuses.count(200), statuses.count(503)) == (MAX_PROXIED_REQUESTS, 5) and loop.time == 0.5
 
 
 def test_proxied_watch_is_short_and_does_not_count_for_the_link(clock: ManualClock) -> None:
--- a/tests/controller/test_leadership_transfer.py
+++ b/tests/controller/test_leadership_transfer.py
@@ -37,8 +37,8 @@
     """That of a controller with two peers, of which workers reach only node-2."""
     unreached, reached = (present_peer(name, cluster.clock, ScriptedTransport(None)) for name in ("node-1", "node-2"))
     for peer, workers_age_s in ((unreached, -1.0), (reached, 0.5)):
-        assert peer.last is not None
-        peer.last.workers_age_s = workers_age_s
+        assert peer.last_status is not None
+        peer.last_status.workers_age_s = workers_age_s
     return controller.leadership_transfer(unreached, reached)
 
 
@@ -68,7 +68,7 @@
     cluster: InMemoryCluster, controller: InMemoryController, transfer: LeadershipTransfer
 ) -> None:
     cluster.clock.now += PEER_PRESENT_S
-    controller.workers_link.answered()
+    controller.workers_link.record_success()
     assert transfer.patience() == 0.0
 
 
@@ -76,7 +76,7 @@
     cluster: InMemoryCluster, controller: InMemoryController, transfer: LeadershipTransfer
 ) -> None:
     cluster.clock.now += PEER_PRESENT_S
-    controller.workers_link.answered()
+    controller.workers_link.record_success()
     assert transfer.patience() == 0.0
     transfer.succeed(ResignationNotice("node-1", 5, "node-2"))
     assert transfer.patience() > 0.0 and controller.election.state is LeaderState.FOLLOWING
--- a/tests/fault_test/test_offer_log.py
+++ b/tests/fault_test/test_offer_log.py
@@ -19,7 +19,7 @@
     sketches = DurationSketches()
     offers = count_offers(lines, sketches)
     assert set(offers) == {clusters.gang} and offers[clusters.gang] >= 1
-    assert "offer decided" in sketches.tell()
+    assert "offer decided" in sketches.summarize_and_reset()
 
 
 def test_lines_without_offers_are_ignored() -> None:
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -78,7 +78,7 @@
         cluster.clock.now += elapsed_s
         node.election.renew()
         node.load.record_lag(2.0)
-        peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1, load=peer_load.value)
+        peer.last_heard_at, peer.last_status = cluster.clock.now, PeerStatus("node-1", 0, 0.1, load=peer_load.value)
         leadership_transfer.check_overload()
         assert node.election.is_leader() is stays_leader
 
@@ -101,7 +101,7 @@
         cluster.clock.now += 0.5
         node.election.renew()
         node.load.record_lag(2.0)
-        peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
+        peer.last_heard_at, peer.last_status = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
         leadership_transfer.check_overload()
     assert cluster.clock.now - overloaded_at == pytest.approx(
         RECONCILING_PATIENCE_FACTOR * OVERLOAD_RESIGN_AFTER_S, abs=0.6
--- a/tests/flow_control/test_rate_limiter.py
+++ b/tests/flow_control/test_rate_limiter.py
@@ -41,7 +41,7 @@
         served.append(name)
 
     callers = [
-        gevent.spawn(acquire, urgency, name) for urgency, name in ((Urgency.POLL, "poll"), (Urgency.HOLD, "hold"))
+        gevent.spawn(acquire, urgency, name) for urgency, name in ((Urgency.POLL, "poll"), (Urgency.LEASE, "hold"))
     ]
     gevent.sleep(0)
     for _ in range(2):
--- a/tests/heartbeat_relay/test_forwarder.py
+++ b/tests/heartbeat_relay/test_forwarder.py
@@ -10,7 +10,7 @@
 
 from grebestand.clients.http import UnreachableError
 from grebestand.clients.peer import PeerClient
-from grebestand.flow_control.connection_limits import BATCHES
+from grebestand.flow_control.connection_limits import MAX_BATCHES_IN_FLIGHT
 from grebestand.heartbeat_relay.forwarder import (
     ANSWER_S,
     MAX_QUEUE_WAIT_S,
@@ -87,12 +87,12 @@
         return HeartbeatBatchResponse([(200, b"")] * len(batch.reports), late=True)
 
     forwarder, leader = start_forwarder(loop, slow)
-    for _ in range(BATCHES):
+    for _ in range(MAX_BATCHES_IN_FLIGHT):
         gevent.spawn(forwarder.forward, b"", loop.time)
         gevent.sleep(0.1)
     gevent.spawn(forwarder.forward, b"waits", loop.time)
     gevent.sleep(0.1)
-    assert len(leader.batches) == BATCHES  # and no more are under way
+    assert len(leader.batches) == MAX_BATCHES_IN_FLIGHT  # and no more are under way
     gevent.sleep(MAX_QUEUE_WAIT_S)
     assert forwarder.forward(b"", loop.time) == (503, b"")  # at once
 
--- a/tests/leader/test_cancellation_scenarios.py
+++ b/tests/leader/test_cancellation_scenarios.py
@@ -152,16 +152,16 @@
     (first,) = cluster.leading()
     controller = cluster.nodes[first]
     assert controller is not None
-    changes = controller.store.changes
+    changes = controller.store.watch
 
     def hangs(prefix: str, since: int, wait_ms: int) -> ChangeEvents:
         gevent.sleep(wait_ms / 1000 + 2.0)
         raise StoreError("timeout", possibly_applied=False)
 
-    controller.store.changes = hangs  # type: ignore[method-assign]
+    controller.store.watch = hangs  # type: ignore[method-assign]
     cancel_some_jobs(cluster)
     gevent.sleep(80)
-    controller.store.changes = changes  # type: ignore[method-assign]
+    controller.store.watch = changes  # type: ignore[method-assign]
     return cluster.broken()
 
 
--- a/tests/leader/test_election.py
+++ b/tests/leader/test_election.py
@@ -85,16 +85,16 @@
     silent.request = lambda *_: (503, b"")  # type: ignore[method-assign]
     peer = PeerClient("node-1", silent)
     leadership_transfer = controller.leadership_transfer(peer)
-    controller.state_link.answered()
+    controller.state_link.record_success()
     served_at = cluster.clock.now + 1.2
     for _ in range(12):
         cluster.clock.now += 0.5
-        controller.state_link.failed(cluster.clock.now, "refused", 1.5)
-        peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, cluster.clock.now - served_at)
+        controller.state_link.record_failure(cluster.clock.now, "refused", 1.5)
+        peer.last_heard_at, peer.last_status = cluster.clock.now, PeerStatus("node-1", 0, cluster.clock.now - served_at)
         leadership_transfer.check_store()
     assert controller.election.is_leader() and leadership_transfer.healthy()
     # the peer is served again, and this one is not
-    peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
+    peer.last_heard_at, peer.last_status = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
     assert not leadership_transfer.healthy()
     leadership_transfer.check_store()
     assert controller.election.state is LeaderState.RESIGNED
--- a/tests/leader/test_job_watch.py
+++ b/tests/leader/test_job_watch.py
@@ -29,7 +29,7 @@
     term = controller.lead()
     before = term.job_watch.watched
     job_id = cluster.accept(controller)
-    early = controller.store.changes("live/", before, 0)
+    early = controller.store.watch("live/", before, 0)
     controller.users.cancel(job_id)
     term.job_watch.catch_up()
     monkeypatch.setattr(controller.store, "changes", lambda *_: early)
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -26,5 +26,5 @@
 def present_peer(name: str, clock: ManualClock, transport: Transport, store_age_s: float = 0.1) -> PeerClient:
     """Return a peer that has just answered, and said how long ago the key-value store had answered it."""
     peer = PeerClient(name, transport)
-    peer.last_heard_at, peer.last = clock.now, PeerStatus(name, 0, store_age_s)
+    peer.last_heard_at, peer.last_status = clock.now, PeerStatus(name, 0, store_age_s)
     return peer
