--- a/tests/leader/test_job_watch.py
+++ b/tests/leader/test_job_watch.py
@@ -16,7 +16,7 @@
     term = controller.lead()
     known_at = controller.election.cancellation_horizon.known_at
     term.job_watch.watched = 500
-    monkeypatch.setattr(controller.store, "changes", lambda *_: answer)
+    monkeypatch.setattr(controller.store, "watch", lambda *_: answer)
     with pytest.raises(StoreError):
         term.job_watch.catch_up()
     assert controller.election.cancellation_horizon.known_at == known_at and term.job_watch.watched == 500
@@ -32,11 +32,11 @@
     early = controller.store.watch("live/", before, 0)
     controller.users.cancel(job_id)
     term.job_watch.catch_up()
-    monkeypatch.setattr(controller.store, "changes", lambda *_: early)
+    monkeypatch.setattr(controller.store, "watch", lambda *_: early)
     with pytest.raises(StoreError):  # and it is an earlier state than is known
         term.job_watch.watch()
     assert job_id not in term.registry.jobs
     controller.election.cancellation_horizon.begin()
-    monkeypatch.setattr(controller.store, "changes", lambda *_: ChangeEvents(term.job_watch.watched, early.events))
+    monkeypatch.setattr(controller.store, "watch", lambda *_: ChangeEvents(term.job_watch.watched, early.events))
     term.job_watch.watch()  # current, and lists what is known: taken again, the job would stay for ever
     assert job_id not in term.registry.jobs and controller.election.cancellation_horizon.known_at == cluster.clock.now
