--- a/src/grebestand/connectivity/link_health.py
+++ b/src/grebestand/connectivity/link_health.py
@@ -22,9 +22,10 @@
         name: Name of the link in log messages.
         clock: Returns the time of the monotonic clock in seconds.
         state: Current state of the link. The state is `SUSPECT` until the first response or request is received.
-        ok_at: Time at which a response or request was last received over the link; minus infinity if there was none.
-        failed_at: Time at which the first of the requests was sent that have failed since `ok_at`; None if no request
-            has failed since then.
+        last_received_at: Time at which a response or request was last received over the link; minus infinity if there
+            was none.
+        failing_since: Time at which the first of the requests was sent that have failed since `last_received_at`. None
+            if no request has failed since then.
     """
 
     def __init__(self, name: str, clock: Callable[[], float]) -> None:
@@ -32,13 +33,13 @@
         self.name = name
         self.clock = clock
         self.state = LinkState.SUSPECT
-        self.ok_at = -math.inf
-        self.failed_at: float | None = None
+        self.last_received_at = -math.inf
+        self.failing_since: float | None = None
 
     @property
-    def age_s(self) -> float:
+    def silence_s(self) -> float:
         """Time in seconds since a response or request was last received over the link; infinite if there was none."""
-        return self.clock() - self.ok_at
+        return self.clock() - self.last_received_at
 
     def change_state(self, new: LinkState, reason: str) -> None:
         """Change the state. Every change goes through this method, which checks and logs the transition."""
@@ -53,7 +54,7 @@
 
         Called for every heartbeat. The comparison with the current state avoids a call of `change_state` each time.
         """
-        self.ok_at, self.failed_at = self.clock(), None
+        self.last_received_at, self.failing_since = self.clock(), None
         if self.state is not LinkState.UP:
             self.change_state(LinkState.UP, "a message was received")
 
@@ -65,13 +66,13 @@
             reason: Why the request failed, for the log.
             down_after_s: Time in seconds for which requests have to fail before the link is down.
         """
-        if sent_at < self.ok_at:
+        if sent_at < self.last_received_at:
             return  # a message that was received after this request was sent is newer evidence
-        if self.failed_at is None:
-            self.failed_at = sent_at
+        if self.failing_since is None:
+            self.failing_since = sent_at
         if self.state is LinkState.UP:
             self.change_state(LinkState.SUSPECT, reason)
-        if self.state is LinkState.SUSPECT and self.clock() - self.failed_at >= down_after_s:
+        if self.state is LinkState.SUSPECT and self.clock() - self.failing_since >= down_after_s:
             self.change_state(LinkState.DOWN, reason)
 
     def check_silence(self, suspect_after_s: float, down_after_s: float) -> None:
@@ -82,7 +83,7 @@
             down_after_s: Time in seconds without a message after which the link is down. A link over which no message
                 was ever received stays suspect.
         """
-        silence_s = self.age_s
+        silence_s = self.silence_s
         if self.state is LinkState.UP and silence_s >= suspect_after_s:
             self.change_state(LinkState.SUSPECT, f"silent for {silence_s:.1f} s")
         if self.state is LinkState.SUSPECT and down_after_s <= silence_s < math.inf:
--- a/src/grebestand/connectivity/store_proxy.py
+++ b/src/grebestand/connectivity/store_proxy.py
@@ -97,14 +97,14 @@
         Only peers that the store answered after the direct link began to fail are candidates. An earlier response does
         not show that the store is still up, so in an outage of the store there are no candidates.
         """
-        now, failed_at = self.link.clock(), self.link.failed_at
-        if failed_at is None:
+        now, failing_since = self.link.clock(), self.link.failing_since
+        if failing_since is None:
             return
         max_age_s = STATUS_VALID_S + STORE_RESPONSE_VALID_S
         candidates = []
         for peer in self.peers():
             served_at = self._served_at(peer, now)
-            if served_at is not None and served_at > failed_at + OUTAGE_MARGIN_S and now - served_at < max_age_s:
+            if served_at is not None and served_at > failing_since + OUTAGE_MARGIN_S and now - served_at < max_age_s:
                 candidates.append((served_at, peer))
         for _, peer in sorted(candidates, key=lambda candidate: -candidate[0]):
             yield peer
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -106,7 +106,7 @@
         A recent success of the peer is not enough: in an outage of the store all succeed until the same moment, and a
         leader that gave way to a peer served a second later would end its term for nothing.
         """
-        failed_at = self.store_link.failed_at
+        failed_at = self.store_link.failing_since
         if failed_at is None:
             return None
         for peer, status in self._present_peers(STORE_COMPARISON_VALID_S):
@@ -120,14 +120,14 @@
         A controller that hears no peer either is most likely the one that is cut off, so it is unhealthy too; in an
         outage of the store nobody could serve its users anyway.
         """
-        if self.store_link.age_s < STORE_UNHEALTHY_AFTER_S:
+        if self.store_link.silence_s < STORE_UNHEALTHY_AFTER_S:
             return True
         alone = bool(self.peer_api.peers) and next(self._present_peers(PEER_PRESENT_S), None) is None
         return not alone and self.better_placed_peer() is None
 
     def check_store(self) -> None:
         """Resign as the leader if the store answers a peer but not this controller, not even through a peer."""
-        if self.store_link.age_s < STORE_RESIGN_AFTER_S:
+        if self.store_link.silence_s < STORE_RESIGN_AFTER_S:
             return
         peer = self.better_placed_peer()
         if peer is not None:
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -56,10 +56,12 @@
         return PeerStatus(
             name=self.name,
             token=self.election.token if term is not None else 0,
-            state_age_s=self.store_link.age_s,
+            state_age_s=self.store_link.silence_s,
             counts=term.status_broadcast.counts() if term is not None else {},
             load=self.overload.state.value,
-            workers_age_s=self.workers_link.age_s if self.workers_link.ok_at > -math.inf else NO_WORKER_SEEN_S,
+            workers_age_s=self.workers_link.silence_s
+            if self.workers_link.last_received_at > -math.inf
+            else NO_WORKER_SEEN_S,
             samples=term.status_broadcast.samples(self.rng) if term is not None else [],
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
--- a/tests/connectivity/test_store_proxy.py
+++ b/tests/connectivity/test_store_proxy.py
@@ -95,7 +95,7 @@
     peer = present_peer("node-1", clock, peer_transport)
     transport = transport_with_link_down(clock, [peer])
     # the store answered the peer until about the time at which the direct link began to fail
-    last_response_age_s = clock.now - (transport.link.failed_at or 0.0) - 0.2
+    last_response_age_s = clock.now - (transport.link.failing_since or 0.0) - 0.2
     peer.last_status = PeerStatus("node-1", 0, last_response_age_s)
     with pytest.raises(UnreachableError):
         transport.request("GET", "/store/a", b"", 1.0)
