--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -62,7 +62,7 @@
             workers_age_s=self.workers_link.silence_s
             if self.workers_link.last_received_at > -math.inf
             else NO_WORKER_SEEN_S,
-            samples=term.status_broadcast.samples(self.rng) if term is not None else [],
+            samples=term.status_broadcast.sample_addresses(self.rng) if term is not None else [],
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
             kept=len(self.assignment.kept),
--- a/src/grebestand/leader/machine_reconciliation.py
+++ b/src/grebestand/leader/machine_reconciliation.py
@@ -69,7 +69,7 @@
         if job.gang and job.live and job.allocations and len(job.allocations) < job.spec.tasks:
             self.dispatch.stop_job(job, "gang incomplete after takeover", 0.0, now)
 
-    def to_query(self, now: float) -> list[Machine]:
+    def select_machines_to_query(self, now: float) -> list[Machine]:
         """Return the machines to query now: unreconciled ones, and those whose heartbeats are contradictory."""
         inventory = self.inventory
         wanted, inventory.to_query = inventory.to_query, set()
@@ -85,7 +85,7 @@
         inventory.to_query = wanted - {m.index for m in chosen}
         return chosen
 
-    def ask(self, machine: Machine) -> None:
+    def query(self, machine: Machine) -> None:
         """Show a machine this term's token; its answer says what it runs, and that requests arrive there.
 
         Unwanted tasks are stopped at once: until its next heartbeat they would keep it from being reconciled.
--- a/src/grebestand/leader/term.py
+++ b/src/grebestand/leader/term.py
@@ -194,7 +194,7 @@
             return None
         return self.heartbeat_handler.begin(heartbeat)
 
-    def cover_heartbeats(self, begun: Iterable[PendingResponse | HeartbeatResponse | None]) -> None:
+    def wait_for_grants(self, begun: Iterable[PendingResponse | HeartbeatResponse | None]) -> None:
         """Wait a short while for the grants of the tasks that these answers are to start."""
         self.heartbeat_handler.cover([response for response in begun if isinstance(response, PendingResponse)])
 
@@ -202,7 +202,7 @@
         """Return the answer to a heartbeat that was begun, or None if this controller may not answer any more."""
         return self.heartbeat_handler.finish(pending)
 
-    def assignment_wanted(self, machines: float) -> bool:
+    def wants_heartbeat_assignment(self, machines: float) -> bool:
         """Return whether, by the policy, with so many machines every controller is to answer heartbeats."""
         evaluator = self.context.policy_evaluator
         return bool(evaluator.policy.value("spread_reports", {**evaluator.variables(), "machines": machines}))
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -8,7 +8,7 @@
 from grebestand.controller.leadership_transfer import OVERLOAD_RESIGN_AFTER_S, RECONCILING_PATIENCE_FACTOR
 from grebestand.emulators.worker import WorkerEmulator
 from grebestand.flow_control.rate_limiter import Urgency
-from grebestand.leader.job_completion import SHORT_S
+from grebestand.leader.job_completion import SLOW_COMMIT_S
 from grebestand.leader.term import Term
 from grebestand.scheduling.scheduling_context import Steps
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
@@ -145,7 +145,7 @@
     restarted = InMemoryController(cluster, "node-0")
     second_term = restarted.lead()
     machine = second_term.inventory.by_name[worker.name]
-    assert machine in second_term.machine_reconciliation.to_query(cluster.clock.now)
+    assert machine in second_term.machine_reconciliation.select_machines_to_query(cluster.clock.now)
     direct = cluster.direct
 
     def late_response(addr: str, path: str, body: bytes) -> tuple[int, bytes]:
@@ -154,7 +154,7 @@
         return response
 
     second_term.machine_reconciliation.direct = late_response
-    second_term.machine_reconciliation.ask(machine)
+    second_term.machine_reconciliation.query(machine)
     assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.all_reconciled
     assert not second_term.machine_reconciliation.queries_under_way
 
@@ -171,7 +171,7 @@
 
     def slow_completion(self: object, conditions: object, changes: object, urgency: Urgency) -> object:
         if urgency is Urgency.COMPLETION:
-            cluster.clock.now += SHORT_S
+            cluster.clock.now += SLOW_COMMIT_S
         return commit(self, conditions, changes, urgency)  # type: ignore[arg-type]
 
     cluster.settle(term, 3)
