--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -165,7 +165,7 @@
         log.info(LogEvent("worker_assignment_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
-    def told(self, machines: int) -> None:
+    def update_machine_count(self, machines: int) -> None:
         """Take the leader's word that every controller answers, with so many machines; 0: that it answers all."""
         self.machines = machines
         if machines:
@@ -173,7 +173,7 @@
         else:
             self.move(AssignmentMode.LEADER_ONLY, "the leader answers all")
 
-    def heard(self, name: str) -> None:
+    def record_peer_status(self, name: str) -> None:
         """Record a status message of another controller, which counts the workers redirected to it so far."""
         self._redirected_since_status.pop(name, None)
 
@@ -184,7 +184,7 @@
         """How many more workers this controller has connections for."""
         return max(0, self.limit - len(self.kept))
 
-    def keep(self, machine: str, connection: object = None) -> None:
+    def record_heartbeat(self, machine: str, connection: object = None) -> None:
         """Record a worker's heartbeat that is answered here."""
         self._heartbeats += 1
         self.kept[machine] = self.clock(), connection
@@ -192,7 +192,7 @@
             self._worker_by_connection[id(connection)] = machine
         self.sent.pop(machine, None)
 
-    def ended(self, connection: object) -> None:
+    def record_connection_closed(self, connection: object) -> None:
         """Record that a connection is closed, whoever had it; its worker is kept only if it has come over another."""
         machine = self._worker_by_connection.pop(id(connection), None)
         if machine is not None and machine in self.kept and self.kept[machine][1] is connection:
@@ -214,7 +214,7 @@
 
     # redirects --------------------------------------------------------------------------------------------
 
-    def where(self, machine: str, zone: str, leads: bool, surplus: bool = False) -> str | None:
+    def choose_controller(self, machine: str, zone: str, leads: bool, surplus: bool = False) -> str | None:
         """Decide which controller a worker is to use; to be called only while every controller answers.
 
         Args:
--- a/src/grebestand/heartbeats/task_reconciliation.py
+++ b/src/grebestand/heartbeats/task_reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciliation of what heartbeats say of tasks with their jobs and allocations."""
+"""Reconciliation of the task states in heartbeats with jobs and allocations."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 log = logging.getLogger(__name__)
 
-#: The allocation state that each reported phase of a task stands for; an exited task has none.
+#: Allocation state for each task phase in heartbeats. An exited task has no state, since its allocation ends.
 REPORTED_STATES = {
     TaskPhase.FETCHING: AllocationState.FETCHING,
     TaskPhase.WAITING: AllocationState.WAITING,
     TaskPhase.RUNNING: AllocationState.RUNNING,
     TaskPhase.SAVING: AllocationState.SAVING,
 }
-#: How long a gang's machines stay reserved for its next attempt while an image is still being fetched, in seconds: time
-#: for the slowest fetch to end and for the gang to be placed again.
+#: How long a gang's machines stay reserved for its next attempt while images are still being fetched, in seconds.
+#: Allows for the slowest fetch to finish and for the gang to be placed again.
 RESERVED_WHILE_FETCHING_S = 45.0
-#: A job that a worker does not know is not started again for this many heartbeat intervals, so that not every machine
-#: refuses it in the meantime.
+#: Number of heartbeat intervals before a job that a worker rejected as unknown is started again, so that the job is not
+#: rejected by one machine after the other meanwhile.
 UNKNOWN_JOB_INTERVALS = 2
 
 
 class TaskReconciler:
-    """Applies the task states and results of heartbeats, and what follows from them for jobs."""
+    """Applies the task states and results in heartbeats to allocations, jobs and gangs."""
 
     def __init__(
         self,
@@ -54,20 +54,20 @@
         self.stragglers = stragglers
 
     def apply_results(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Record the tasks that are done. However old the heartbeat is, they stay so."""
+        """Record the tasks that are done. Their results are valid however old the heartbeat is."""
         for status in heartbeat.tasks:
             if status.state is TaskPhase.EXITED and status.why is ExitReason.DONE:
                 self.apply_exited_or_unknown(machine, status, now)
 
     def apply_exited_or_unknown(self, machine: Machine, status: TaskStatus, now: float) -> None:
-        """Apply the status of a task that has exited, or that this leader has not started there."""
+        """Apply the status of a task that has exited, or that has no matching allocation on the machine."""
         try:
             job_id, index = split_task(status.task)
         except MalformedError:
-            return  # the name is no task's
+            return  # not a task name
         job = self.registry.jobs.get(job_id)
         if job is None or index >= job.spec.tasks:
-            return  # `CommandBuilder` has the worker stop it
+            return  # `CommandBuilder` sends a stop command for the task
         if status.state is TaskPhase.EXITED:
             allocation = machine.allocations.get(status.task)
             if allocation is not None and allocation.attempt != status.attempt:
@@ -76,24 +76,24 @@
                 self._apply_completion(machine, job, index, allocation, now)
             elif allocation is not None:
                 self._apply_failure(machine, job, allocation, status, now)
-        elif index not in job.allocations and job.live and not job.is_done(index):
+        elif index not in job.allocations and job.is_live and not job.is_done(index):
             allocation = self._adopt(machine, job, index, status.attempt, now)
             allocation.reported_sequence = machine.sequence
             self.apply_state(machine, allocation, REPORTED_STATES[status.state], now)
 
     def apply_state(self, machine: Machine, allocation: Allocation, state: AllocationState, now: float) -> None:
-        """Apply a reported state that differs from the allocation's."""
+        """Apply a reported state that differs from the state of the allocation."""
         job = allocation.job
         if allocation.state is AllocationState.SENT:
             self.inventory.confirm_reception(machine, now)
-        self.registry.move_allocation(allocation, state, now)
-        timeline = job.gang_start
+        self.registry.change_allocation_state(allocation, state, now)
+        timeline = job.gang_start_timeline
         if timeline is not None and timeline.attempt == allocation.attempt:
             self._record_gang_stage(job, timeline, state, now)
         if state is AllocationState.RUNNING:
             self._log_job_start(job, now)
         if state is not AllocationState.FETCHING:
-            self.inventory.note_image(machine, job.image, job.spec.image_gb)
+            self.inventory.record_image(machine, job.image_index, job.spec.image_gb)
             if allocation.keeps_fetching:
                 self.dispatch.stop(allocation, "gang broken", 0.0, now)
 
@@ -104,13 +104,13 @@
             log.debug(LogEvent("allocation_ended", task=allocation.name, machine=machine.name, reason=reason))
         was_queued = allocation.state is AllocationState.QUEUED
         self.inventory.release(machine, allocation, now)
-        if job.gang and job.live and not was_queued and job.allocations:
+        if job.is_gang and job.is_live and not was_queued and job.allocations:
             self._stop_rest_of_gang(machine, allocation, reason, now)
 
     # states -----------------------------------------------------------------------------------------------
 
     def _adopt(self, machine: Machine, job: Job, index: int, attempt: int, now: float) -> Allocation:
-        """Return a new allocation for a running task that an earlier leader started: it goes on."""
+        """Return a new allocation for a task that an earlier leader started and that keeps running."""
         allocation = self.registry.open_allocation(job, index, machine.index, attempt, now)
         allocation.epoch = machine.epoch
         self.inventory.add_allocation(machine, allocation)
@@ -120,9 +120,9 @@
 
     @staticmethod
     def _log_job_start(job: Job, now: float) -> None:
-        """Log once when a job began: an array with its first task, a gang when all run."""
-        if not job.begun and (not job.gang or job.done_count or job.running() == job.spec.tasks):
-            job.begun = True
+        """Log the start of a job once: of an array with its first task, of a gang once all its tasks run."""
+        if not job.start_logged and (not job.is_gang or job.done_count or job.running_count() == job.spec.tasks):
+            job.start_logged = True
             log.info(
                 LogEvent(
                     "job_started",
@@ -135,21 +135,21 @@
 
     @staticmethod
     def _record_gang_stage(job: Job, timeline: GangStartTimeline, state: AllocationState, now: float) -> None:
-        """Record how far a gang's start has come; once all its tasks run, log how long each stage took."""
+        """Record the stage that a gang's start has reached; once all its tasks run, log how long each stage took."""
         if state is AllocationState.FETCHING:
-            timeline.reported = now
-        elif state is AllocationState.RUNNING and job.running() == job.spec.tasks:
-            job.gang_start = None
-            reported = max(timeline.reported, timeline.sent)
+            timeline.reported_at = now
+        elif state is AllocationState.RUNNING and job.running_count() == job.spec.tasks:
+            job.gang_start_timeline = None
+            reported = max(timeline.reported_at, timeline.start_sent_at)
             log.info(
                 LogEvent(
                     "gang_started",
                     job_id=job.spec.id,
                     tasks=job.spec.tasks,
-                    placement_s=timeline.placed - timeline.room,
-                    grant_s=timeline.covered - timeline.placed,
-                    dispatch_s=timeline.sent - max(timeline.covered, timeline.placed),
-                    heartbeat_s=reported - timeline.sent,
+                    placement_s=timeline.placed_at - timeline.capacity_free_since,
+                    grant_s=timeline.grant_durable_at - timeline.placed_at,
+                    dispatch_s=timeline.start_sent_at - max(timeline.grant_durable_at, timeline.placed_at),
+                    heartbeat_s=reported - timeline.start_sent_at,
                     image_s=now - reported,
                 )
             )
@@ -159,18 +159,26 @@
     def _apply_completion(
         self, machine: Machine, job: Job, index: int, allocation: Allocation | None, now: float
     ) -> None:
-        """Record that a task is done; `allocation` is the attempt that did it, if it is known."""
+        """Record that a task is done.
+
+        Args:
+            machine: The machine that the task ran on.
+            job: The job.
+            index: The index of the task.
+            allocation: The allocation of the attempt that completed the task, if it is known.
+            now: The current time, in seconds.
+        """
         if allocation is not None:
-            if allocation.run_at is not None and job.spec.estimate_s > 0:
-                self.run_times.learn(job, now - allocation.run_at)
+            if allocation.running_since is not None and job.spec.estimate_s > 0:
+                self.run_times.record_run_time(job, now - allocation.running_since)
             self.stragglers.record_run_time(machine, allocation, now)
             self.inventory.release(machine, allocation, now)
         machine.record_success()
         self._mark_done(job, index, now)
 
     def _mark_done(self, job: Job, index: int, now: float) -> None:
-        """Mark a task of a live job done, or a whole gang, which completes together."""
-        if not job.live:
+        """Mark a task of a live job as done, or all tasks of a gang, which complete together."""
+        if not job.is_live:
             return
         if job.spec.kind is Kind.GANG:
             for gang_index in range(job.spec.tasks):
@@ -179,36 +187,36 @@
             self.registry.mark_done(job, index, now)
             job.unsaved_chunks.setdefault(index // self.registry.chunk_bits, now)
         self._log_job_start(job, now)
-        if job.unfinished() == 0:
-            self.registry.move_job(job, JobState.CLOSING, now)
+        if job.unfinished_count() == 0:
+            self.registry.change_job_state(job, JobState.CLOSING, now)
 
     def _apply_failure(
         self, machine: Machine, job: Job, allocation: Allocation, status: TaskStatus, now: float
     ) -> None:
-        """End the allocation of a task that exited without being done, and act on the reason."""
+        """End the allocation of a task that exited without being done, and handle the exit reason."""
         reason = status.why
         if reason is ExitReason.ERROR:
-            ran_s = now - allocation.run_at if allocation.run_at is not None else 0.0
+            ran_s = now - allocation.running_since if allocation.running_since is not None else 0.0
             self.health.record_failure(machine, job, ran_s, now)
         elif reason is ExitReason.NO_ROOM:
-            # the machine holds something that is not counted here: try again after the next heartbeats
-            machine.block_until(now + self.inventory.report_s)
+            # tasks that the leader does not know of use the machine's capacity, so wait for the next heartbeat
+            machine.block_until(now + self.inventory.heartbeat_interval_s)
         elif reason is ExitReason.UNKNOWN:
-            job.retry_at = max(job.retry_at, now + UNKNOWN_JOB_INTERVALS * self.inventory.report_s)
+            job.retry_at = max(job.retry_at, now + UNKNOWN_JOB_INTERVALS * self.inventory.heartbeat_interval_s)
         elif reason is ExitReason.STOPPED and status.saved:
             job.record_progress()
         if reason in (ExitReason.BUSY, ExitReason.NO_ROOM, ExitReason.UNKNOWN, ExitReason.ALONE):
-            # BUSY: another attempt is on this very machine; the heartbeat lists it, and it is adopted
+            # BUSY: the machine runs another attempt of the task, which its heartbeat lists and which is adopted
             log.info(LogEvent("task_start_failed", task=status.task, machine=machine.name, reason=reason.name.lower()))
         self.end_allocation(machine, allocation, reason.value if reason else "exited", now)
 
     # gangs ------------------------------------------------------------------------------------------------
 
     def _stop_rest_of_gang(self, machine: Machine, ended: Allocation, reason: str, now: float) -> None:
-        """Stop the other tasks of a gang that has lost one.
+        """Stop the other tasks of a gang after one of its tasks has ended without being done.
 
-        Their progress since the last checkpoint is lost in any case, and no task may start again before all are gone.
-        A stop that is under way, with its grace for a checkpoint, goes on as it is.
+        The progress of the other tasks since the last checkpoint is lost in any case, and the gang cannot start again
+        before all of them are gone. A stop requested earlier keeps its grace period for a checkpoint.
         """
         for other in list(ended.job.allocations.values()):
             if other.attempt != ended.attempt:
@@ -217,15 +225,16 @@
                 self.dispatch.stop(other, "gang broken", 0.0, now)
 
     def _keep_fetching(self, machine: Machine, allocation: Allocation, reason: str, now: float) -> bool:
-        """Return whether a task goes on fetching its image for the next attempt of a gang that waited in vain.
+        """Return whether a task keeps fetching its image after its gang has timed out waiting for all tasks.
 
-        A machine gives up a fetch that no task waits for. Without this, a gang whose slowest fetch takes longer than
-        `gang_wait_s` after the fastest would preempt and begin anew with every attempt, and never start.
+        If so, the machines stay reserved for the gang's next attempt. A worker aborts a fetch that no task waits for.
+        If all fetches were aborted, a gang whose slowest fetch ends more than `gang_wait_s` after its fastest would
+        preempt other tasks and restart its fetches with each attempt, and would never start.
         """
         if reason != ExitReason.ALONE.value or allocation.state is not AllocationState.FETCHING:
             return False
         allocation.keeps_fetching = True
-        for needed in (machine, self.inventory.at(allocation.machine)):
+        for needed in (machine, self.inventory.find_by_index(allocation.machine_index)):
             if needed is not None and needed.reserved_for is None:
                 needed.reserve(allocation.job.spec.id, now + RESERVED_WHILE_FETCHING_S)
         return True
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -43,7 +43,7 @@
     job_id = cluster.accept(node, shape="ensemble", shards=1, cpus=8.0)
     cluster.settle(term, 2)
     assert len(migrations) == 1
-    assert term.registry.jobs[job_id].running()
+    assert term.registry.jobs[job_id].running_count()
 
 
 def test_leader_paused_beyond_its_lease_starts_nothing() -> None:
@@ -56,7 +56,7 @@
     node.election.check_clock()
     term.scheduling_loop.step(cluster.clock.now)
     assert not worker.started
-    assert not term.registry.jobs[job_id].running()
+    assert not term.registry.jobs[job_id].running_count()
 
 
 def test_overloaded_leader_resigns_if_a_peer_is_not_overloaded() -> None:
