--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -94,12 +94,14 @@
             return None
         leads = self.election.is_leader()
         if assignment.state is AssignmentMode.LEADER_ONLY:
-            full = surplus or (leads and heartbeat.machine not in assignment.kept and not assignment.room)
+            full = surplus or (
+                leads and heartbeat.machine not in assignment.kept_workers and not assignment.free_connections
+            )
             if leads and not full:
                 assignment.record_heartbeat(heartbeat.machine, connection)
             return Response(421, _json.encode(Redirect()), close=True) if full else None
-        if not (leads or forwarder.open()):
-            if self.term() is not None or not assignment.others():
+        if not (leads or forwarder.accepts_heartbeats()):
+            if self.term() is not None or not assignment.accepting_peers():
                 return None  # this controller is about to lead, or no other is known: its workers wait here
             # at most as many as the leader has said that it can serve are redirected there at once
             surplus = True
@@ -134,16 +136,16 @@
         assignment = self.assignment
         if assignment is None or assignment.state is AssignmentMode.LEADER_ONLY:
             return False
-        if heartbeat.machine not in assignment.kept:
+        if heartbeat.machine not in assignment.kept_workers:
             return False
-        return forwarder.open() or not assignment.others()
+        return forwarder.accepts_heartbeats() or not assignment.accepting_peers()
 
     def _forward(self, forwarder: HeartbeatForwarder, body: bytes, heartbeat: Heartbeat) -> Response:
         """Return the leader's answer. While the leader changes the heartbeat waits for the next, maybe this one."""
         received_at = forwarder.clock()
         answer_until = received_at + ANSWER_S
         while True:
-            if forwarder.open():
+            if forwarder.accepts_heartbeats():
                 status, answer = forwarder.forward(body, received_at)
                 if status in (200, 400):
                     return Response(status, answer)
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -65,8 +65,10 @@
             samples=term.status_broadcast.sample_addresses(self.rng) if term is not None else [],
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
-            kept=len(self.assignment.kept),
-            room=self.assignment.room if term is not None or self.forwarder.open() else NO_WORKERS_ACCEPTED,
+            kept=len(self.assignment.kept_workers),
+            room=self.assignment.free_connections
+            if term is not None or self.forwarder.accepts_heartbeats()
+            else NO_WORKERS_ACCEPTED,
             reports=self.assignment.rate,
-            spread=self.assignment.machines if term is not None else 0,
+            spread=self.assignment.machine_count if term is not None else 0,
         )
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -93,7 +93,7 @@
         self._paused_for_term = ("", 0)
         self._overloaded_until = -math.inf
         #: How many heartbeats were forwarded, in how many batches.
-        self.passed = self.batches = 0
+        self.forwarded_count = self.batches = 0
 
     def move(self, new: ForwarderState, reason: str) -> None:
         """Change whether heartbeats are forwarded; no other function does.
@@ -107,7 +107,7 @@
         log.info(LogEvent("heartbeat_forwarding_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
-    def open(self) -> bool:
+    def accepts_heartbeats(self) -> bool:
         """Return whether a heartbeat that comes now would be forwarded; ends a pause that is over."""
         leader = self.leader()
         if self.state is ForwarderState.RESTING and leader is not None and term_of(leader) != self._paused_for_term:
@@ -191,7 +191,7 @@
         if leader is None:
             return None
         self.batches += 1
-        self.passed += len(batch)
+        self.forwarded_count += len(batch)
         message = HeartbeatBatch(self.name, [heartbeat.body for heartbeat in batch])
         reply = leader.call(PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
         if reply is None or len(reply.answers) != len(batch):
--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -91,7 +91,7 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct):
+class WorkerTimes(msgspec.Struct):
     """Times of the protocol with workers, in seconds.
 
     Attributes:
@@ -109,7 +109,7 @@
     cancel_s: float
 
 
-class State(msgspec.Struct):
+class StoreLimits(msgspec.Struct):
     """Limits of the key-value store.
 
     Attributes:
@@ -125,7 +125,7 @@
     txn_ops: int
 
 
-class Cloud(msgspec.Struct):
+class CloudLimits(msgspec.Struct):
     """Limits of the cloud.
 
     Attributes:
@@ -168,9 +168,9 @@
 
     nodes: int
     zones: list[str]
-    workers: Workers
-    state: State
-    cloud: Cloud
+    workers: WorkerTimes
+    state: StoreLimits
+    cloud: CloudLimits
     clock_off_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
