--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -130,17 +130,17 @@
     def exchange_status(self, peer: PeerClient) -> None:
         """Send this controller's status to a peer, and process the status that the peer answers with."""
         sent_at = self.clock()
-        status = peer.tell(STATUS_PATH, self.compose_status(), PeerStatus)
+        status = peer.call(STATUS_PATH, self.compose_status(), PeerStatus)
         self._record_responsiveness(peer, sent_at, answered=status is not None)
         if status is None:
             return
-        restarted = peer.last is not None and peer.last.incarnation != status.incarnation
+        restarted = peer.last_status is not None and peer.last_status.incarnation != status.incarnation
         self._record_cancellations_seen(peer, status, sent_at, restarted=restarted)
-        if restarted and peer.last is not None:
+        if restarted and peer.last_status is not None:
             log.info(LogEvent("peer_restarted", controller=peer.name))
-            if peer.last.token:
+            if peer.last_status.token:
                 self._listener.on_leader_restarted(peer.name)
-        peer.last_heard_at, peer.last = self.clock(), status
+        peer.last_heard_at, peer.last_status = self.clock(), status
         self._apply_status(status)
         self._listener.on_peer_status(status)
 
@@ -174,12 +174,12 @@
             restarted: Whether the peer's process has restarted since the peer's previous answer.
         """
         gap = (
-            sent_at - peer.acknowledged_at > STATUS_GAP_TOLERATED_S
+            sent_at - peer.answered_request_sent_at > STATUS_GAP_TOLERATED_S
             or len(status.cancelled) >= MAX_CANCELLATIONS_PER_STATUS
         )
-        if peer.last is None or restarted or gap:
-            peer.acknowledged_since = self.clock()
-        peer.acknowledged_at = max(peer.acknowledged_at, sent_at)
+        if peer.last_status is None or restarted or gap:
+            peer.gapless_since = self.clock()
+        peer.answered_request_sent_at = max(peer.answered_request_sent_at, sent_at)
 
     def find_cached_images(self) -> CachedImages:
         """Return which machines cache which images: the stored list or, if that is empty, the list of a peer.
@@ -188,7 +188,7 @@
         """
         if not self.cached_images.machines:
             for peer in self.peers:
-                images = peer.tell(CACHED_IMAGES_PATH, CachedImages(), CachedImages, timeout=IMAGES_REQUEST_TIMEOUT_S)
+                images = peer.call(CACHED_IMAGES_PATH, CachedImages(), CachedImages, timeout=IMAGES_REQUEST_TIMEOUT_S)
                 if images is not None and images.machines:
                     return images
         return self.cached_images
@@ -197,7 +197,7 @@
         """Send all peers, as the leader, the list of which machines cache which images."""
         self.cached_images = images
         for peer in self.peers:
-            peer.tell(CACHED_IMAGES_PATH, images, CachedImages)
+            peer.call(CACHED_IMAGES_PATH, images, CachedImages)
 
     def send_resignation(self, name: str, token: int, successor: str = "") -> None:
         """Notify all peers that this controller has resigned, the successor first.
@@ -208,7 +208,7 @@
             successor: Name of the peer that should lead next, or "" for any.
         """
         for peer in sorted(self.peers, key=lambda peer: peer.name != successor):
-            peer.tell(RESIGNATION_PATH, ResignationNotice(name, token, successor), PeerStatus)
+            peer.call(RESIGNATION_PATH, ResignationNotice(name, token, successor), PeerStatus)
 
     # data received from peers -----------------------------------------------------------------------------
 
@@ -225,7 +225,9 @@
         Returns:
             The time by the steady clock, in seconds; -inf if the cancellations of some peer are not known.
         """
-        seen_up_to = (peer.acknowledged_at if known_at >= peer.acknowledged_since else -math.inf for peer in self.peers)
+        seen_up_to = (
+            peer.answered_request_sent_at if known_at >= peer.gapless_since else -math.inf for peer in self.peers
+        )
         return min(seen_up_to, default=self.clock())
 
     def is_unresponsive(self, name: str) -> bool:
@@ -266,7 +268,7 @@
         elif path == RESIGNATION_PATH:
             self._listener.on_peer_resigned(msgspec.msgpack.decode(body, type=ResignationNotice))
         elif path == STORE_PROXY_PATH:
-            return self.store_proxy.answer(body) if self.store_proxy is not None else None
+            return self.store_proxy.handle(body) if self.store_proxy is not None else None
         elif path == HEARTBEAT_BATCH_PATH:
             return self.answer_heartbeat_batch(body) if self.answer_heartbeat_batch is not None else None
         elif path in self.features.messages:
--- a/src/grebestand/api/read_batching.py
+++ b/src/grebestand/api/read_batching.py
@@ -95,7 +95,7 @@
         with self._slots:
             try:
                 # reads may still join the batch during this wait, because the transaction is sent afterwards
-                self.store.wait_to_read(Urgency.POLL, ANSWER_TIMEOUT_S)
+                self.store.wait_for_rate_limit(Urgency.POLL, ANSWER_TIMEOUT_S)
                 self._close(batch)
                 self._ask(batch)
             except StoreError as error:
--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -102,7 +102,7 @@
             The peer's answer, or None if no such peer is known or the peer did not answer.
         """
         for peer in self.peer_api.peers:
-            if peer.last is not None and peer.last.token and peer.name == self.election.leader:
+            if peer.last_status is not None and peer.last_status.token and peer.name == self.election.leader:
                 return peer.send(path, body)
         return None
 
@@ -132,4 +132,4 @@
         server.serve_forever()
 
     def _has_spare_time(self) -> bool:
-        return self.overload.spare
+        return self.overload.has_spare_time
--- a/src/grebestand/controller/http_front.py
+++ b/src/grebestand/controller/http_front.py
@@ -80,7 +80,7 @@
             connection: Connection of the worker.
             surplus: Whether `connection` exceeds the number of connections that the server keeps.
         """
-        self.workers_link.answered()
+        self.workers_link.record_success()
         return self.heartbeat_api.handle_heartbeat(body, connection, surplus)
 
     def _answer_user(self, environ: dict[str, Any], method: str, path: str) -> Response:
--- a/src/grebestand/controller/leader_loop.py
+++ b/src/grebestand/controller/leader_loop.py
@@ -72,7 +72,7 @@
     def _step(self) -> float:
         """Read the leader key or renew the lease once; return the delay until the next step, in seconds."""
         self.election.check_clock()
-        self.workers_link.silent(SUSPECT_AFTER_INTERVALS * self.heartbeat_interval_s, math.inf)
+        self.workers_link.check_silence(SUSPECT_AFTER_INTERVALS * self.heartbeat_interval_s, math.inf)
         if self.election.state in (LeaderState.FOLLOWING, LeaderState.RESIGNED):
             self.election.read_leader_key()
             return FOLLOW_INTERVAL_S + FOLLOW_JITTER_S * self.rng.random()
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -109,8 +109,8 @@
         """Yield each peer that answered a status exchange within the last `within_s` seconds, with its status."""
         now = self.clock()
         for peer in self.peer_api.peers:
-            if peer.last is not None and now - peer.last_heard_at < within_s:
-                yield peer, peer.last
+            if peer.last_status is not None and now - peer.last_heard_at < within_s:
+                yield peer, peer.last_status
 
     # the link to the key-value store ----------------------------------------------------------------------
 
@@ -121,7 +121,7 @@
         the same time, and a leader that resigned because a peer had its last answer a second later would end its term
         for nothing.
         """
-        failed_at = self.store_link.failed_at
+        failed_at = self.store_link.failing_since
         if failed_at is None:
             return None
         for peer, status in self._present_peers(STORE_COMPARISON_VALID_S):
@@ -136,20 +136,20 @@
         controller is then most likely the one that is cut off. In an outage of the store for all controllers each stays
         healthy, as no other one could serve its users.
         """
-        if self.store_link.age_s < STORE_UNHEALTHY_AFTER_S:
+        if self.store_link.silence_s < STORE_UNHEALTHY_AFTER_S:
             return True
         alone = bool(self.peer_api.peers) and next(self._present_peers(PEER_PRESENT_S), None) is None
         return not alone and self.find_peer_reaching_store() is None
 
     def check_store(self) -> None:
         """Resign if the store answers a peer but answers this controller neither directly nor through a peer."""
-        if self.store_link.age_s < STORE_RESIGN_AFTER_S:
+        if self.store_link.silence_s < STORE_RESIGN_AFTER_S:
             return
         peer = self.find_peer_reaching_store()
         if peer is not None:
             reason = f"the key-value store answers {peer.name} but not this controller"
             token = self.election.resign(reason, STORE_RESIGNATION_S)
-            peer.tell("/resigned", ResignationNotice(self.name, token, peer.name), PeerStatus)
+            peer.call("/resigned", ResignationNotice(self.name, token, peer.name), PeerStatus)
 
     # the link to workers ----------------------------------------------------------------------------------
 
@@ -171,7 +171,7 @@
         silence_s = now - max(handler.last_heartbeat_at, self.checking_since)
         if silence_s >= self._silence_limit_s(term):
             self._silence_resignations = min(self._silence_resignations + 1, MAX_BACKOFF_STEPS)
-            self.workers_link.silent(0.0, 0.0)
+            self.workers_link.check_silence(0.0, 0.0)
             self.resign(f"no heartbeat from any worker for {silence_s:.1f} s", self._find_successor())
         elif handler.heartbeat_received_in_term and now - handler.last_heartbeat_at < self.heartbeat_interval_s:
             self._silence_resignations = 0
@@ -198,7 +198,7 @@
 
         Workers' leases expire if an overloaded leader answers their heartbeats too late.
         """
-        overloaded_s = self.clock() - self.overload.since
+        overloaded_s = self.clock() - self.overload.state_entered_at
         if self.overload.state is not LoadState.OVERLOADED or overloaded_s < self._overload_limit_s():
             return
         for peer, status in self._present_peers(PEER_PRESENT_S):
--- a/src/grebestand/controller/link_probes.py
+++ b/src/grebestand/controller/link_probes.py
@@ -42,7 +42,7 @@
             if self.link.state is not LinkState.UP:
                 # a failure needs no handling here, as the transport records failures in the link's health
                 with contextlib.suppress(UnreachableError):
-                    self.transport.ask("GET", f"/store/{LEADER_KEY}", b"", PROBE_TIMEOUT_S)
+                    self.transport.request_directly("GET", f"/store/{LEADER_KEY}", b"", PROBE_TIMEOUT_S)
 
 
 class WorkerLinkProbe:
@@ -81,7 +81,7 @@
     def _probe(self, address: str) -> None:
         sent_at = self.runtime.clock()
         try:
-            self.runtime.once("GET", address, "/show", b"", PROBE_TIMEOUT_S)
-            self.link.answered()
+            self.runtime.request_once("GET", address, "/show", b"", PROBE_TIMEOUT_S)
+            self.link.record_success()
         except UnreachableError as error:
-            self.link.failed(sent_at, str(error), self.heartbeat_interval_s)
+            self.link.record_failure(sent_at, str(error), self.heartbeat_interval_s)
--- a/src/grebestand/leader/durable_grants.py
+++ b/src/grebestand/leader/durable_grants.py
@@ -65,11 +65,11 @@
         grants: dict[str, GrantRecord] = {}
         for name, value in self.pages.load(self.writer.store.pairs(self.pages.prefix)):
             grant = msgspec.convert(value, GrantRecord)
-            grants[name] = grant.joined(grants[name]) if name in grants else grant
+            grants[name] = grant.union(grants[name]) if name in grants else grant
         for name, grant in grants.items():
             job = self.registry.jobs.get(name)
             if job is None:
-                self.pages.drop(name, soon=False)
+                self.pages.remove(name, soon=False)
             else:
                 self._restore(job, grant)
 
@@ -78,14 +78,14 @@
 
         A named machine without a record has been deleted, and a job without a grant was never started.
         """
-        job.granted_tasks_below = record.hi
+        job.granted_tasks_below = record.index_bound
         holders: set[int] | None = None
         job.granted_machines = None
         if record.machines is not None:
             named = (self.inventory.by_name.get(name) for name in record.machines)
             holders = {machine.index for machine in named if machine is not None}
             job.granted_machines = set(holders)
-        self.registry.add_possible_holders(job, holders, min(record.hi, job.spec.tasks))
+        self.registry.add_possible_holders(job, holders, min(record.index_bound, job.spec.tasks))
 
     def write(self) -> None:
         """Write the grants that cover all queued tasks, after which the starts of these tasks may be sent.
@@ -126,7 +126,7 @@
     def _record_written(job: Job, record: GrantRecord, machines: set[int], now: float) -> None:
         if job.gang_start_timeline is not None:
             job.gang_start_timeline.grant_durable_at = now
-        job.granted_tasks_below = max(job.granted_tasks_below, record.hi)
+        job.granted_tasks_below = max(job.granted_tasks_below, record.index_bound)
         if record.machines is None or job.granted_machines is None:
             job.granted_machines = None
         else:
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -50,16 +50,16 @@
             # the record was written before the job was completed, and its removal has not been received yet: a job
             # added now could be started after its user was notified of the cancellation
             return
-        age_s = min(max(0.0, self.context.wall() - record.at), MAX_JOB_AGE_S)
+        age_s = min(max(0.0, self.context.wall() - record.accepted_at), MAX_JOB_AGE_S)
         job = self.registry.add_job(record.spec, version, now - age_s, now)
         job.waiting_since = now
         job.is_guest = record.guest
-        if record.abroad is not None:
-            job.remote_assignment, job.runs_remotely = record.abroad, True
+        if record.remote_assignment is not None:
+            job.remote_assignment, job.runs_remotely = record.remote_assignment, True
 
     def _update(self, job: Job, record: LiveJobRecord, version: int) -> None:
         """Reclaim a job from another cluster, after a write of this leader or once operators abandoned that cluster."""
-        if job.remote_assignment is not None and record.abroad is None and version > job.record_revision:
+        if job.remote_assignment is not None and record.remote_assignment is None and version > job.record_revision:
             job.record_revision, job.remote_assignment, job.runs_remotely = version, None, False
             self.registry.changed_since_scheduling = True
 
@@ -84,7 +84,7 @@
     def _follow(self, wait_ms: int) -> None:
         sent_at, since = self.clock(), self.applied_revision
         try:
-            changes = self.writer.store.changes(LIVE_PREFIX, since, wait_ms)
+            changes = self.writer.store.watch(LIVE_PREFIX, since, wait_ms)
         except RevisionCompactedError:
             self._reread()
             return
--- a/tests/api/test_consistent_reads.py
+++ b/tests/api/test_consistent_reads.py
@@ -30,11 +30,11 @@
     controller = InMemoryController(cluster, "node-0")
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = controller.leadership_transfer(peer)
-    controller.state_link.answered()
+    controller.state_link.record_success()
     assert leadership_transfer.is_healthy()
     cluster.clock.now += 5.0
     assert not leadership_transfer.is_healthy()
-    peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 5.0)
+    peer.last_heard_at, peer.last_status = cluster.clock.now, PeerStatus("node-1", 0, 5.0)
     # the peer is present but has lost the store as well: in an outage for all, no other controller could serve users
     assert leadership_transfer.is_healthy()
 
--- a/tests/leader/test_election.py
+++ b/tests/leader/test_election.py
@@ -23,7 +23,7 @@
     # if the clock of the old leader were wrong, the store would reject its write
     controller.election.authority_until = cluster.clock.now + 100
     with pytest.raises(FencedError):
-        term.writer.commit([], [put("x", 1)], Urgency.DONE)
+        term.writer.commit([], [put("x", 1)], Urgency.COMPLETION)
     assert "x" not in cluster.store.data
     assert controller.election.state is LeaderState.FOLLOWING
 
@@ -88,16 +88,16 @@
     silent.request = lambda *_: (503, b"")  # type: ignore[method-assign]
     peer = PeerClient("node-1", silent)
     leadership_transfer = controller.leadership_transfer(peer)
-    controller.state_link.answered()
+    controller.state_link.record_success()
     served_at = cluster.clock.now + 1.2
     for _ in range(12):
         cluster.clock.now += 0.5
-        controller.state_link.failed(cluster.clock.now, "refused", 1.5)
-        peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, cluster.clock.now - served_at)
+        controller.state_link.record_failure(cluster.clock.now, "refused", 1.5)
+        peer.last_heard_at, peer.last_status = cluster.clock.now, PeerStatus("node-1", 0, cluster.clock.now - served_at)
         leadership_transfer.check_store()
     assert controller.election.is_leader() and leadership_transfer.is_healthy()
     # the store answers the peer again, and not this controller
-    peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
+    peer.last_heard_at, peer.last_status = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
     assert not leadership_transfer.is_healthy()
     leadership_transfer.check_store()
     assert controller.election.state is LeaderState.RESIGNED
