--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -194,8 +194,8 @@
         if status.cancelled:
             self._listener.on_peer_cancellations(status.cancelled)
         if status.token:
-            self.leader_counts = status.counts
-            self.samples = status.samples or self.samples
+            self.leader_counts = status.task_counts
+            self.samples = status.worker_addresses or self.samples
 
     # requests from peers ----------------------------------------------------------------------------------
 
--- a/src/grebestand/clients/kv_store.py
+++ b/src/grebestand/clients/kv_store.py
@@ -79,7 +79,7 @@
 
 def put(key: str, value: Any, lease: int | None = None) -> Change:
     """Return the change that sets a key, attached to a lease if one is given."""
-    return Change(put=key, value=value, hold=lease)
+    return Change(put=key, value=value, lease_id=lease)
 
 
 def delete(key: str) -> Change:
@@ -192,7 +192,7 @@
         status, body = self._call("POST", "/holds", LeaseRequest(ttl_ms=ttl_ms), Urgency.HOLD, REQUEST_TIMEOUT_S)
         if status != HTTPStatus.OK:
             raise _unexpected(status)
-        return self._decode(body, LeaseGrant).hold
+        return self._decode(body, LeaseGrant).lease_id
 
     def keep_alive(self, lease: int, /) -> None:
         """Renew a lease; raise `LeaseExpiredError` if it has expired."""
--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -77,7 +77,7 @@
         """Take the capacity of a peer as current, and, from the leader, its decision."""
         self.assignment.heard(status.name)
         if status.token and self.current_term.term is None:
-            self.assignment.told(status.spread)
+            self.assignment.told(status.shared_machines)
 
     def _log_status(self) -> None:
         log.info(
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -211,7 +211,7 @@
 
     def succeed(self, notice: ResignationNotice) -> None:
         """Remove the key of a peer that resigned, and take the lead unless the notice names another controller."""
-        may_lead = notice.heir in ("", self.name)
+        may_lead = notice.successor in ("", self.name)
         if not may_lead:
             self._successor_first_until = self.clock() + SUCCESSOR_HEAD_START_S
         try:
--- a/src/grebestand/controller/peer_directory.py
+++ b/src/grebestand/controller/peer_directory.py
@@ -37,13 +37,13 @@
                 peer.name,
                 self.zones[peer.name],
                 peer.last.token > 0,
-                peer.last.kept,
-                peer.last.room,
+                peer.last.kept_workers,
+                peer.last.free_connections,
                 peer.last.load == LoadState.OVERLOADED.value,
-                peer.last.reports,
+                peer.last.heartbeats_per_s,
             )
             for peer in self.peers
-            if peer.last is not None and peer.last.room >= 0 and now - peer.last_heard_at < STATUS_VALID_S
+            if peer.last is not None and peer.last.free_connections >= 0 and now - peer.last_heard_at < STATUS_VALID_S
         ]
 
     def leading_peer(self) -> PeerClient | None:
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -16,7 +16,7 @@
 
 #: `PeerStatus.workers_age_s` while no worker has reached this controller
 NO_WORKER_SEEN_S = -1.0
-#: `PeerStatus.room` of a controller that answers no heartbeats
+#: `PeerStatus.free_connections` of a controller that answers no heartbeats
 NO_WORKERS_ACCEPTED = -1
 
 
@@ -57,14 +57,14 @@
             name=self.name,
             token=self.election.token if term is not None else 0,
             state_age_s=self.store_link.age_s,
-            counts=term.status_broadcast.counts() if term is not None else {},
+            task_counts=term.status_broadcast.counts() if term is not None else {},
             load=self.overload.state.value,
             workers_age_s=self.workers_link.age_s if self.workers_link.ok_at > -math.inf else NO_WORKER_SEEN_S,
-            samples=term.status_broadcast.samples(self.rng) if term is not None else [],
+            worker_addresses=term.status_broadcast.samples(self.rng) if term is not None else [],
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
-            kept=len(self.assignment.kept),
-            room=self.assignment.room if term is not None or self.forwarder.open() else NO_WORKERS_ACCEPTED,
-            reports=self.assignment.rate,
-            spread=self.assignment.machines if term is not None else 0,
+            kept_workers=len(self.assignment.kept),
+            free_connections=self.assignment.room if term is not None or self.forwarder.open() else NO_WORKERS_ACCEPTED,
+            heartbeats_per_s=self.assignment.rate,
+            shared_machines=self.assignment.machines if term is not None else 0,
         )
--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -126,8 +126,11 @@
         if batch.sender not in self.senders:
             raise UnknownSenderError(batch.sender)
         # the last heartbeat of a batch may exceed the limit that the sender stops at
-        if len(batch.reports) > MOST_REPORTS or sum(map(len, batch.reports)) > MAX_BATCH_BYTES + MAX_HEARTBEAT_BYTES:
-            raise BatchTooLargeError(batch.sender, len(batch.reports))
+        if (
+            len(batch.heartbeats) > MOST_REPORTS
+            or sum(map(len, batch.heartbeats)) > MAX_BATCH_BYTES + MAX_HEARTBEAT_BYTES
+        ):
+            raise BatchTooLargeError(batch.sender, len(batch.heartbeats))
         return batch
 
     def _log_refusal(self, error: BatchRefusedError) -> None:
@@ -140,11 +143,11 @@
         """Return the responses to a batch; all are refused while too many batches are being answered."""
         overloaded = self.load.state is LoadState.OVERLOADED
         if (overloaded and self.busy > len(self.senders)) or self.busy >= BATCHES * max(1, len(self.senders)):
-            return HeartbeatBatchResponse([REFUSED] * len(batch.reports), late=True)
+            return HeartbeatBatchResponse([REFUSED] * len(batch.heartbeats), overloaded=True)
         self.busy += 1
         try:
-            self.reports += len(batch.reports)
-            return HeartbeatBatchResponse(self._handle(batch.reports), late=overloaded)
+            self.reports += len(batch.heartbeats)
+            return HeartbeatBatchResponse(self._handle(batch.heartbeats), overloaded=overloaded)
         finally:
             self.busy -= 1
 
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -194,13 +194,13 @@
         self.passed += len(batch)
         message = HeartbeatBatch(self.name, [heartbeat.body for heartbeat in batch])
         reply = leader.tell(PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
-        if reply is None or len(reply.answers) != len(batch):
+        if reply is None or len(reply.responses) != len(batch):
             self._record_failure(sent_at, leader)
             return None
         self._failing_since = math.inf
-        if reply.late:
+        if reply.overloaded:
             self._overloaded_until = self.clock() + OVERLOAD_VALID_S
-        return reply.answers
+        return reply.responses
 
     def _record_failure(self, sent_at: float, leader: PeerClient) -> None:
         """Record that a batch was not answered; after a while, pause, as workers may reach the leader themselves.
--- a/src/grebestand/wire/cloud.py
+++ b/src/grebestand/wire/cloud.py
@@ -1,4 +1,4 @@
-"""Requests to the cloud and its responses."""
+"""Requests to the cloud API and the responses of the cloud."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
         "zones": "quays",
     },
 ):
-    """A type of machine that the cloud rents out.
+    """A machine type that can be rented from the cloud.
 
     Attributes:
-        name: Name of the type, to which jobs refer.
-        cpus: Processors of a machine.
-        gpus: GPUs of a machine; `cards` on the wire.
-        memory_gb: Memory in gigabytes; `ramGb` on the wire.
+        name: Name of the type; jobs refer to the type by this name.
+        cpus: Number of processors of a machine.
+        gpus: Number of GPUs of a machine; `cards` on the wire.
+        memory_gb: Memory of a machine in gigabytes; `ramGb` on the wire.
         zones: Names of the zones in which the type exists; `quays` on the wire.
         cache_gb: Space for cached images in gigabytes; `localGb` on the wire.
         fetch_gb_per_s: Rate at which a machine fetches images, in gigabytes per second; `pullGbPerS` on the wire.
-        price: Price of an on-demand machine, comparable between types.
-        spot_price: Price of a spot machine in the same unit; `spotPrice` on the wire.
-        boot_s: Usual time from the request to the first heartbeat, in seconds; `bootS` on the wire.
+        price: Price of an on-demand machine, in a unit that is the same for all machine types.
+        spot_price: Price of a spot machine, in the unit of `price`; `spotPrice` on the wire.
+        boot_s: Usual time from the rent request to the first heartbeat, in seconds; `bootS` on the wire.
     """
 
     name: str
@@ -58,14 +58,16 @@
     msgspec.Struct,
     rename={"request": "charter", "type": "hull", "zone": "quay", "spot": "driftwood", "count": "howMany"},
 ):
-    """A request for machines. It is idempotent: the cloud answers a repetition with the machines of the first.
+    """A request to rent machines.
+
+    Rent requests are idempotent: the response to a repeated request lists the machines rented by the first one.
 
     Attributes:
-        request: Name of the request, chosen by the client; `charter` on the wire.
+        request: Idempotency key, chosen by the client; `charter` on the wire.
         type: Name of the machine type; `hull` on the wire.
         zone: Name of the zone; `quay` on the wire.
         spot: Whether the machines may be spot machines, which the cloud can reclaim; `driftwood` on the wire.
-        count: Number of machines; `howMany` on the wire.
+        count: Number of machines to rent; `howMany` on the wire.
     """
 
     request: str
@@ -79,7 +81,7 @@
     """The response to a `RentRequest`.
 
     Attributes:
-        machines: Names of the machines, which may still be booting; `vessels` on the wire.
+        machines: Names of the rented machines, which may still be booting; `vessels` on the wire.
     """
 
     machines: list[str]
@@ -89,16 +91,16 @@
     msgspec.Struct,
     rename={"id": "ref", "type": "hull", "zone": "quay", "spot": "driftwood", "state": "tide", "age_s": "heldS"},
 ):
-    """A rented machine, as the cloud lists it.
+    """A rented machine in the list returned by the cloud.
 
     Attributes:
         id: Name of the machine; `ref` on the wire.
         type: Name of the machine type; `hull` on the wire.
         zone: Name of the zone; `quay` on the wire.
         spot: Whether the cloud can reclaim the machine; `driftwood` on the wire.
-        state: What the cloud says of the machine; `failed` means that it will never run. `tide` on the wire.
-        age_s: For how long the machine has been rented, in seconds; `heldS` on the wire.
-        addr: Address of the machine's worker as `host:port`; empty while it boots.
+        state: State of the machine; `failed` means that the machine will never boot. `tide` on the wire.
+        age_s: Time since the machine was rented, in seconds; `heldS` on the wire.
+        addr: Address of the machine's worker as `host:port`; empty while the machine boots.
     """
 
     id: str
@@ -111,10 +113,10 @@
 
 
 class MachineList(msgspec.Struct, rename={"machines": "vessels", "more": "truncated"}):
-    """A page of the list of rented machines.
+    """One page of the list of rented machines.
 
     Attributes:
-        machines: The machines of this page, ordered by name; `vessels` on the wire.
+        machines: Machines on this page, ordered by name; `vessels` on the wire.
         more: Whether further pages follow; `truncated` on the wire.
     """
 
@@ -126,7 +128,7 @@
     """A request to return machines to the cloud.
 
     Attributes:
-        machines: Names of the machines; `vessels` on the wire.
+        machines: Names of the machines to return; `vessels` on the wire.
     """
 
     machines: list[str]
--- a/src/grebestand/wire/jobs.py
+++ b/src/grebestand/wire/jobs.py
@@ -1,4 +1,4 @@
-"""What users send and get: the description of a job, its validation, and the response about its status."""
+"""Messages exchanged with users: job descriptions with their validation, and job status responses."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from ..errors import GrebestandError
 
 JOB_ID = re.compile(r"j-[0-9]{1,20}\Z")
-#: size limit of a submission, in bytes
+#: largest size of a submission, in bytes
 MAX_BODY = 64 * 1024
-#: limit on the tasks of a job
+#: largest number of tasks of a job
 MAX_TASKS = 100_000
-#: limit on the length of a name, in characters
+#: largest length of a name, in characters
 MAX_NAME_LENGTH = 200
-#: limit on any amount, of resources or of seconds, so that sums and products of amounts stay finite
+#: largest amount of a resource, and largest number of seconds; keeps sums and products of such values finite
 MAX_AMOUNT = 1e9
 
-#: what decoding may raise for a body that is not what is expected
+#: exceptions that msgspec raises for a body that cannot be decoded
 _DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 
 class MalformedError(GrebestandError, ValueError):
-    """An input is not what the protocol allows; users and workers get status 400.
+    """A request is not valid; its sender, a user or a worker, receives status 400.
 
     Attributes:
-        reason: What is wrong with the input.
+        reason: What is wrong with the request.
     """
 
     def __init__(self, reason: str) -> None:
@@ -37,18 +37,18 @@
 
 
 class Kind(StrEnum):
-    """How the tasks of a job belong together."""
+    """Whether the tasks of a job run independently, together or without end."""
 
-    #: independent tasks
+    #: tasks that run independently of each other
     ARRAY = "array"
-    #: tasks that run at the same time or not at all; `ensemble` on the wire
+    #: tasks that all run at the same time; `ensemble` on the wire
     GANG = "ensemble"
     #: tasks that run until the job is cancelled; `daemon` on the wire
     SERVICE = "daemon"
 
 
 class Priority(StrEnum):
-    """Priority of a job; the wire has words of its own for it."""
+    """Priority of a job; the values are the names on the wire."""
 
     PRODUCTION = "critical"
     HIGH = "high"
@@ -56,12 +56,12 @@
     LOW = "best_effort"
 
 
-#: order of priorities, highest first
+#: all priorities, highest first
 PRIORITIES = (Priority.PRODUCTION, Priority.HIGH, Priority.NORMAL, Priority.LOW)
 
 
 class JobStatus(StrEnum):
-    """The state of a job, as its user sees it."""
+    """The state of a job in a status response."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -94,28 +94,28 @@
         "deadline_s": "dueS",
     },
 ):
-    """The description of a job, as its user submits it.
+    """The description of a job, as submitted by its user.
 
     Attributes:
-        id: Id of the job, chosen by the user; a submission with the same id is a repetition. `ref` on the wire.
-        klass: Class of the job, to which service-level objectives refer; `lane` on the wire.
+        id: Id of the job, chosen by the user; submitting an id again creates no second job. `ref` on the wire.
+        klass: Class of the job, for the service-level objectives of that class; `lane` on the wire.
         team: Team whose quota the job counts against; `crew` on the wire.
-        kind: How its tasks belong together; `shape` on the wire.
-        priority: Its priority; `rank` on the wire.
+        kind: Whether the tasks are independent, a gang or a service; `shape` on the wire.
+        priority: Priority of the job; `rank` on the wire.
         tasks: Number of tasks; `shards` on the wire.
-        cpus: Processors of each task.
-        gpus: GPUs of each task; `cards` on the wire.
+        cpus: Number of processors of each task.
+        gpus: Number of GPUs of each task; `cards` on the wire.
         memory_gb: Memory of each task in gigabytes; `ramGb` on the wire.
-        image: Name of the image that its tasks run; `cargo` on the wire.
+        image: Name of the image that the tasks run; `cargo` on the wire.
         image_gb: Size of the image in gigabytes; `pullGb` on the wire.
-        one_zone: Whether all tasks have to be in one zone; `samePlace` on the wire.
+        one_zone: Whether all tasks have to run in the same zone; `samePlace` on the wire.
         spread: Whether the tasks should be spread over zones; `scatter` on the wire.
         spot: Whether spot machines may be used; `driftwood` on the wire.
         estimate_s: The user's estimate of a task's run time in seconds, 0 for none; `reckonS` on the wire.
-        checkpoint_s: Seconds between two checkpoints of a task, 0 if it saves none; `markS` on the wire.
+        checkpoint_s: Seconds between two checkpoints of a task, 0 if the task saves none; `markS` on the wire.
         save_s: Seconds that a task needs to save a checkpoint; `stowS` on the wire.
-        types: Names of the machine types that may be used, None for any; `hulls` on the wire.
-        zone: Name of the zone that has to be used, None for any; `quay` on the wire.
+        types: Names of the allowed machine types, None for any; `hulls` on the wire.
+        zone: Name of the only allowed zone, None for any; `quay` on the wire.
         deadline_s: Seconds after acceptance by which the job should be done, None for no deadline; `dueS` on the wire.
     """
 
@@ -142,10 +142,10 @@
 
 
 def check_spec(spec: JobSpec) -> None:
-    """Check the values of fields, whose types decoding has checked.
+    """Check the values in a job description; decoding has checked only their types.
 
     Raises:
-        MalformedError: A value is not allowed.
+        MalformedError: A value is empty, too long or out of range.
     """
     if not JOB_ID.match(spec.id):
         raise MalformedError("malformed job id")
@@ -167,12 +167,12 @@
 
 
 def _is_name(text: str) -> bool:
-    """Return whether a name is neither empty nor too long."""
+    """Return whether the length of a name is allowed."""
     return 0 < len(text) <= MAX_NAME_LENGTH
 
 
 def _is_positive_amount(amount: float) -> bool:
-    """Return whether an amount is finite, positive and within the limit."""
+    """Return whether an amount is finite, positive and at most `MAX_AMOUNT`."""
     return math.isfinite(amount) and 0 < amount <= MAX_AMOUNT
 
 
@@ -181,12 +181,13 @@
 
 
 def peek_id(body: bytes) -> str:
-    """Return the job id of a submission whose other fields may be wrong.
+    """Return the job id in a submission without checking the other fields.
 
-    A known job has to be recognised before its other fields are checked, as a repetition never gets status 400.
+    The id has to be known first: a repeated submission of a known job never receives status 400, whatever the other
+    fields contain.
 
     Raises:
-        MalformedError: The body holds no well-formed job id.
+        MalformedError: The body contains no well-formed job id.
     """
     try:
         raw = _any_decoder.decode(body)
@@ -201,10 +202,10 @@
 
 
 def decode_spec(body: bytes) -> JobSpec:
-    """Return the description that a submission holds.
+    """Decode and check the job description in a submission.
 
     Raises:
-        MalformedError: The body is not a description, or a value in it is not allowed.
+        MalformedError: The body is not a job description, or contains a value that is not allowed.
     """
     try:
         spec = _spec_decoder.decode(body)
@@ -215,13 +216,13 @@
 
 
 class JobStatusResponse(msgspec.Struct, omit_defaults=True, rename={"id": "ref", "state": "tide"}):
-    """The response about a job.
+    """The response to a request for the status of a job.
 
     Attributes:
         id: Id of the job; `ref` on the wire.
         state: State of the job; `tide` on the wire.
-        done: Number of tasks that have succeeded, if known.
-        running: Number of tasks that are running, if known.
+        done: Number of tasks that have succeeded, None if unknown.
+        running: Number of tasks that are running, None if unknown.
     """
 
     id: str
@@ -231,17 +232,19 @@
 
 
 def task_name(job: str, index: int) -> str:
-    """Return the name by which workers know a task: the job's id and the index of the task in it."""
+    """Return the name that identifies a task in messages: the id of the job and the index of the task in the job."""
     return f"{job}/{index}"
 
 
 def split_task(name: str) -> tuple[str, int]:
-    """Return the job id and the index that a task's name holds.
+    """Return the job id and the index in the name of a task.
 
     Raises:
-        MalformedError: The name does not have this form.
+        MalformedError: The name does not have the form `JOB/INDEX`.
     """
     job, _, index = name.rpartition("/")
-    if not job or not (index.isascii() and index.isdigit()):  # `int` refuses other digits
+    if not job or not (
+        index.isascii() and index.isdigit()
+    ):  # `int` raises an exception for superscripts and other digits
         raise MalformedError("malformed task name")
     return job, int(index)
--- a/src/grebestand/wire/peers.py
+++ b/src/grebestand/wire/peers.py
@@ -1,7 +1,7 @@
 """Messages between the controllers of one cluster: their status, proxied requests, relayed heartbeats, cached images.
 
-None of these messages is evidence for a decision about tasks, except that a job is cancelled, which is final. A message
-that is lost or late costs a wrong figure in a status response or a slower failover.
+The leader bases no decision about tasks on a status message, with one exception: that a job is cancelled, since a
+cancellation is final. A lost or late status message causes only a wrong number in a job's status or a slower failover.
 """
 
 from __future__ import annotations
@@ -12,68 +12,81 @@
 
 from .jobs import JOB_ID
 
-#: a job id that is checked when a message is decoded, as it becomes part of keys
+#: job id, checked when a message is decoded because job ids become part of keys in the store
 JobName = Annotated[str, msgspec.Meta(pattern=f"^{JOB_ID.pattern}")]
 
 
-class PeerStatus(msgspec.Struct):
-    """The status of a controller, request and response of an exchange that takes place about every second.
+class PeerStatus(
+    msgspec.Struct,
+    rename={
+        "task_counts": "counts",
+        "worker_addresses": "samples",
+        "kept_workers": "kept",
+        "free_connections": "room",
+        "heartbeats_per_s": "reports",
+        "shared_machines": "spread",
+    },
+):
+    """The status of a controller; controllers exchange their status about once a second.
 
     Attributes:
         name: Name of the sender.
-        token: Fencing token of the sender if it leads, else 0.
-        state_age_s: Seconds since the key-value store last answered the sender.
-        counts: From the leader: by job id, the numbers of done and of running tasks.
-        load: Load state of the sender, a value of `LoadState`.
-        workers_age_s: Seconds since a worker last sent a heartbeat to the sender; negative if none ever has.
-        samples: From the leader: addresses of some workers with recent heartbeats, for others to probe their own links.
-        incarnation: Random number of the sender's process; with another one, what an earlier process has said is void.
-        cancelled: Ids of jobs whose cancellation the sender has recently confirmed to users. A cancellation is final,
-            however late the message arrives.
-        kept: Number of workers that send their heartbeats to the sender.
-        room: Number of further workers that the sender's sockets suffice for; negative if it answers none, as it
-            neither leads nor reaches a leader to relay heartbeats to.
-        reports: Heartbeats that the sender has recently answered per second.
-        spread: From the leader: number of machines whose heartbeats all controllers share; 0 if the leader answers all.
+        token: Fencing token of the sender, 0 if the sender is not the leader.
+        state_age_s: Seconds since the sender last received a response from the key-value store.
+        task_counts: By job id, the numbers of done and of running tasks; sent by the leader only. `counts` on the wire.
+        load: Load state of the sender, as a value of `LoadState`.
+        workers_age_s: Seconds since the sender last received a heartbeat from a worker, negative if it received none.
+        worker_addresses: Addresses of some workers with recent heartbeats, which the receiver probes to check its own
+            network links; sent by the leader only. `samples` on the wire.
+        incarnation: Random number that identifies the sender's process. When the number changes, status messages of the
+            earlier process are void.
+        cancelled: Ids of jobs whose cancellation the sender has recently confirmed to users. A cancellation is
+            final, so that the list may arrive late.
+        kept_workers: Number of workers that send their heartbeats to the sender; `kept` on the wire.
+        free_connections: Number of further workers that the sender has connections for; negative if the sender accepts
+            no heartbeats because it neither leads nor reaches a leader to relay them to. `room` on the wire.
+        heartbeats_per_s: Rate at which the sender has recently answered heartbeats; `reports` on the wire.
+        shared_machines: Number of machines whose heartbeats are divided among all controllers, 0 if all heartbeats go
+            to the leader; sent by the leader only. `spread` on the wire.
     """
 
     name: str
     token: int
     state_age_s: float
-    counts: dict[str, tuple[int, int]] = {}
+    task_counts: dict[str, tuple[int, int]] = {}
     load: int = 0
     workers_age_s: float = -1.0
-    samples: list[str] = []
+    worker_addresses: list[str] = []
     incarnation: int = 0
     cancelled: list[JobName] = []
-    kept: int = 0
-    room: int = -1
-    reports: float = 0.0
-    spread: int = 0
+    kept_workers: int = 0
+    free_connections: int = -1
+    heartbeats_per_s: float = 0.0
+    shared_machines: int = 0
 
 
-class ResignationNotice(msgspec.Struct):
-    """Says that the sender has given up a fencing token for good, so that its leader key may be deleted.
+class ResignationNotice(msgspec.Struct, rename={"successor": "heir"}):
+    """Announces that the sender will never use its fencing token again, so that its leader key may be deleted.
 
     Attributes:
         name: Name of the sender.
-        token: The fencing token that it had.
-        heir: Name of the controller that should lead next in the sender's view, or empty.
+        token: Fencing token of the term that the sender has ended.
+        successor: Name of the controller that the sender proposes as the next leader, or empty; `heir` on the wire.
     """
 
     name: str
     token: int
-    heir: str = ""
+    successor: str = ""
 
 
 class ProxiedRequest(msgspec.Struct):
-    """A request to the key-value store that the receiver should send once on behalf of the sender, or refuse.
+    """A request to the key-value store that the receiver sends at most once on behalf of the sender.
 
     Attributes:
         method: HTTP method.
-        path: Path with query.
+        path: Path and query of the URL.
         body: Body of the request.
-        timeout_ms: Limit on the request in milliseconds.
+        timeout_ms: Time limit of the request in milliseconds.
     """
 
     method: str
@@ -86,47 +99,49 @@
     """The store's response to a `ProxiedRequest`.
 
     Attributes:
-        status: HTTP status; 503 if the request was not sent; 0 if there was no response, so that it may have been
-            executed, or may be executed later.
-        body: Body of the response.
+        status: HTTP status of the store's response; 503 if the request was not sent; 0 if no response arrived, in which
+            case the store may have executed the request or may execute it later.
+        body: Body of the store's response.
     """
 
     status: int
     body: bytes
 
 
-class HeartbeatBatch(msgspec.Struct):
-    """Heartbeats that a controller relays to the leader, which are never relayed further.
+class HeartbeatBatch(msgspec.Struct, rename={"heartbeats": "reports"}):
+    """Heartbeats that a controller forwards to the leader; the receiver never forwards them again.
 
     Attributes:
-        sender: Name of the relaying controller.
-        reports: The bodies of the heartbeats as the workers sent them.
+        sender: Name of the controller that forwards the heartbeats.
+        heartbeats: Bodies of the heartbeats as sent by the workers; `reports` on the wire.
     """
 
     sender: str
-    reports: list[bytes]
+    heartbeats: list[bytes]
 
 
-class HeartbeatBatchResponse(msgspec.Struct):
+class HeartbeatBatchResponse(msgspec.Struct, rename={"responses": "answers", "overloaded": "late"}):
     """The leader's response to a `HeartbeatBatch`.
 
     Attributes:
-        answers: Status and body of the response to each heartbeat, in the order of the batch. Status 421 means that the
-            receiver does not lead, 503 that it may not answer this heartbeat now.
-        late: Whether the leader is overloaded, so that the sender should refuse heartbeats rather than let them wait.
+        responses: Status and body of the response to each heartbeat, in the order of the batch. Status 421 means that
+            the receiver of the batch is not the leader, 503 that the leader cannot answer the heartbeat now. `answers`
+            on the wire.
+        overloaded: Whether the leader is overloaded, so that followers should refuse heartbeats instead of queueing
+            them; `late` on the wire.
     """
 
-    answers: list[tuple[int, bytes]]
-    late: bool = False
+    responses: list[tuple[int, bytes]]
+    overloaded: bool = False
 
 
 class CachedImages(msgspec.Struct):
-    """Which images the machines are thought to have cached; a new leader starts from it.
+    """The images that the sender believes to be cached on each machine; a new leader starts from this information.
 
     Attributes:
         names: Names of the images.
-        gigabytes: Sizes of the images, in the order of `names`.
-        machines: By machine name, the positions of its images in `names`.
+        gigabytes: Sizes of the images in gigabytes, in the order of `names`.
+        machines: By machine name, the indexes in `names` of the images cached on the machine.
     """
 
     names: list[str] = []
--- a/src/grebestand/wire/remote_assignment.py
+++ b/src/grebestand/wire/remote_assignment.py
@@ -1,4 +1,4 @@
-"""The mark in a live job's record that another cluster runs the job, or may come to run it."""
+"""The part of a live job's record that assigns the job to another cluster, which runs it or may start it later."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class RemoteAssignment(msgspec.Struct, frozen=True):
-    """The cluster to which a gang was assigned.
+    """The cluster that a gang is assigned to.
 
     Attributes:
-        cluster: Name of the cluster.
-        id: Name of the reservation in that cluster to which the assignment refers.
+        cluster: Name of that cluster.
+        id: Id of the reservation that was made for the gang in that cluster.
     """
 
     cluster: str
--- a/src/grebestand/wire/store.py
+++ b/src/grebestand/wire/store.py
@@ -1,7 +1,8 @@
-"""Requests to the key-value store and its responses.
+"""Requests to the key-value store and the responses of the store.
 
-The store is backed by a consensus log. Its revision (`logline` on the wire) is the position in that log, and the
-version of a key (`stamp`) is the revision at which the key was last changed. A lease (`tenure`) is a number.
+The store is backed by a consensus log. A revision (`logline` on the wire) is a position in that log. The version of a
+key (`stamp` on the wire) is the revision at which the key was last changed. A lease is identified by a number (`tenure`
+on the wire).
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
 
 class KeyValue(msgspec.Struct, rename={"key": "k", "version": "stamp"}):
-    """A key with its value.
+    """A key, its value and its version.
 
     Attributes:
         key: The key; `k` on the wire.
-        value: The value, any JSON.
+        value: Value of the key, any JSON.
         version: Revision of the key's last change; `stamp` on the wire.
     """
 
@@ -29,7 +30,7 @@
     """A page of the keys under a prefix.
 
     Attributes:
-        items: The keys of this page in their order; `pairs` on the wire.
+        items: Keys and values of this page, ordered by key; `pairs` on the wire.
         revision: Revision at which the page was read; `logline` on the wire.
         more: Whether further pages follow; `truncated` on the wire.
     """
@@ -44,48 +45,49 @@
 
     Attributes:
         revision: Revision of the transaction; `logline` on the wire.
-        failed: Keys whose conditions are not met; if there are any, nothing was changed.
+        failed: Keys whose conditions were not met; unless this list is empty, the transaction changed nothing.
     """
 
     revision: int
     failed: list[str] = []
 
 
-class LeaseGrant(msgspec.Struct, rename={"hold": "tenure"}):
+class LeaseGrant(msgspec.Struct, rename={"lease_id": "tenure"}):
     """The response to a `LeaseRequest`.
 
     Attributes:
-        hold: Number of the new lease; `tenure` on the wire.
+        lease_id: Number of the new lease; `tenure` on the wire.
     """
 
-    hold: int
+    lease_id: int
 
 
 class Condition(msgspec.Struct, rename={"key": "k", "version": "stamp"}):
-    """What a transaction requires of a key.
+    """The version that a key must have for a transaction to be applied.
 
     Attributes:
         key: The key; `k` on the wire.
-        version: The required version of the key; 0 requires that it does not exist. `stamp` on the wire.
+        version: Required version of the key; 0 requires that the key does not exist. `stamp` on the wire.
     """
 
     key: str
     version: int
 
 
-class Change(msgspec.Struct, omit_defaults=True, rename={"put": "set", "delete": "remove", "hold": "tenure"}):
-    """What a transaction changes: either `put` or `delete` is given.
+class Change(msgspec.Struct, omit_defaults=True, rename={"put": "set", "delete": "remove", "lease_id": "tenure"}):
+    """One change made by a transaction: exactly one of `put` and `delete` is given.
 
     Attributes:
         put: Key to be set; `set` on the wire.
-        value: Value for that key, any JSON.
-        hold: Lease that the key is attached to: the key is deleted when the lease ends. `tenure` on the wire.
+        value: New value of the key in `put`, any JSON.
+        lease_id: Lease that the key in `put` is attached to: the store deletes the key when the lease ends. `tenure` on
+            the wire.
         delete: Key to be deleted; `remove` on the wire.
     """
 
     put: str | None = None
     value: Any = msgspec.UNSET
-    hold: int | None = None
+    lease_id: int | None = None
     delete: str | None = None
 
 
@@ -93,8 +95,8 @@
     """A compare-and-swap over several keys: all changes are made if all conditions are met, and none otherwise.
 
     Attributes:
-        conditions: What is required; `if` on the wire.
-        changes: What is changed; `apply` on the wire.
+        conditions: Conditions that must all be met; `if` on the wire.
+        changes: Changes that are made together; `apply` on the wire.
     """
 
     conditions: list[Condition] = []
@@ -102,13 +104,13 @@
 
 
 class ChangeEvent(msgspec.Struct, rename={"put": "set", "delete": "remove", "version": "stamp"}):
-    """A change of a key, as a watch returns it: either `put` or `delete` is given.
+    """A change of a key, returned by a watch: exactly one of `put` and `delete` is given.
 
     Attributes:
         version: Revision of the change; `stamp` on the wire.
         put: Key that was set; `set` on the wire.
         delete: Key that was deleted; `remove` on the wire.
-        value: New value of the key that was set, any JSON.
+        value: New value of the key in `put`, any JSON.
     """
 
     version: int
@@ -121,8 +123,8 @@
     """The response to a watch.
 
     Attributes:
-        revision: Revision up to which the changes are complete; `logline` on the wire.
-        events: The changes in their order.
+        revision: Revision up to which `events` has every change; `logline` on the wire.
+        events: Changes of keys, in the order of the log.
     """
 
     revision: int
@@ -133,7 +135,7 @@
     """A request for a lease.
 
     Attributes:
-        ttl_ms: Milliseconds after its last renewal at which the lease expires; `lifeMs` on the wire.
+        ttl_ms: Time after which a lease expires unless it is renewed, in milliseconds; `lifeMs` on the wire.
     """
 
     ttl_ms: int
--- a/src/grebestand/wire/workers.py
+++ b/src/grebestand/wire/workers.py
@@ -7,41 +7,41 @@
 
 import msgspec
 
-#: a number that counts from 1
+#: integer that is at least 1
 Positive = Annotated[int, msgspec.Meta(ge=1)]
-#: a number that counts from 0
+#: integer that is at least 0
 Natural = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class TaskPhase(StrEnum):
-    """What a task does on its machine."""
+    """The phase of a task's execution on a machine."""
 
-    #: its image is being fetched
+    #: the machine fetches the image of the task
     FETCHING = "fetching"
-    #: it waits until its gang is complete; `gathering` on the wire
+    #: the task waits until all tasks of its gang are ready; `gathering` on the wire
     WAITING = "gathering"
     RUNNING = "running"
-    #: it saves a checkpoint, after which it will stop
+    #: the task saves a checkpoint and then exits
     SAVING = "saving"
     EXITED = "exited"
 
 
 class ExitReason(StrEnum):
-    """Why a task exited, or why a worker refused to start it."""
+    """Why a task exited, or why a worker refused to start the task."""
 
     DONE = "done"
-    #: a command stopped it
+    #: stopped by a command
     STOPPED = "stopped"
-    #: other tasks of its running gang were gone for too long; `mates_gone` on the wire
+    #: another task of its running gang was missing for longer than `gang_peer_s`; `mates_gone` on the wire
     PEERS = "mates_gone"
-    #: its gang did not become complete in time; `incomplete` on the wire
+    #: not all tasks of its gang were ready within `gang_wait_s`; `incomplete` on the wire
     ALONE = "incomplete"
     ERROR = "error"
-    #: refused: the machine's free capacity does not suffice
+    #: refused: the machine has too little free capacity
     NO_ROOM = "no_room"
-    #: refused: the machine has another attempt of the same task
+    #: refused: the machine still runs another attempt of the same task
     BUSY = "busy"
-    #: refused: the worker does not know such a job; `no_such` on the wire
+    #: refused: the worker does not know the job; `no_such` on the wire
     UNKNOWN = "no_such"
 
 
@@ -50,14 +50,14 @@
     omit_defaults=True,
     rename={"task": "shard", "attempt": "launch", "state": "tide", "why": "wake", "saved": "stored"},
 ):
-    """The status of one attempt of a task on the machine of a heartbeat.
+    """The status of one attempt of a task, sent with the heartbeat of the machine that executes the attempt.
 
     Attributes:
-        task: Name of the task, see `wire.jobs.task_name`; `shard` on the wire.
-        attempt: Number of the attempt, by which commands refer to it; `launch` on the wire.
-        state: What the task does; `tide` on the wire.
-        why: Why it exited, if it did; `wake` on the wire.
-        saved: Whether it saved a checkpoint before it exited; `stored` on the wire.
+        task: Name of the task, in the form that `wire.jobs.task_name` returns; `shard` on the wire.
+        attempt: Number of the attempt; `launch` on the wire.
+        state: Phase of the attempt; `tide` on the wire.
+        why: Why the attempt exited, None unless `state` is `EXITED`; `wake` on the wire.
+        saved: Whether the attempt saved a checkpoint before it exited; `stored` on the wire.
     """
 
     task: str
@@ -81,20 +81,21 @@
         "tasks": "shards",
     },
 ):
-    """A worker's heartbeat: what its machine is, and the status of all its tasks.
+    """A worker's heartbeat: a description of its machine, and the status of all tasks on the machine.
 
     Attributes:
         machine: Name of the machine; `vessel` on the wire.
-        addr: Address at which the worker takes direct commands, as `host:port`.
+        addr: Address at which the worker receives direct commands, as `host:port`.
         type: Name of the machine type; `hull` on the wire.
         zone: Name of the zone; `quay` on the wire.
         spot: Whether the cloud can reclaim the machine; `driftwood` on the wire.
-        epoch: Incarnation of the worker: it increases when the worker's lease expires or the worker restarts, and all
-            tasks of earlier epochs have ended by then. `watch` on the wire.
-        sequence: Number of the heartbeat within the epoch; `tally` on the wire.
-        token: Highest fencing token that the worker has got; 0 for none. `helm` on the wire.
-        notice_s: Seconds until the cloud reclaims the machine, if it has announced that; `recallS` on the wire.
-        tasks: Status of every attempt that the worker knows and has not been told to forget; `shards` on the wire.
+        epoch: Incarnation number of the worker, increased when the worker's lease expires or the worker restarts. All
+            tasks of earlier epochs have exited by then. `watch` on the wire.
+        sequence: Sequence number of the heartbeat within the epoch; `tally` on the wire.
+        token: Highest fencing token that the worker has received, 0 if none; `helm` on the wire.
+        notice_s: Seconds until the cloud reclaims the machine, None unless the cloud has announced a reclamation;
+            `recallS` on the wire.
+        tasks: Status of every attempt that the worker has not received a `forget` command for; `shards` on the wire.
     """
 
     machine: str
@@ -117,10 +118,10 @@
     """A command to a worker about one attempt of a task.
 
     Attributes:
-        op: `start`, `stop` or `forget` (an exited attempt needs no further status); `signal` on the wire.
+        op: `start`, `stop`, or `forget` to leave an exited attempt out of later heartbeats; `signal` on the wire.
         task: Name of the task; `shard` on the wire.
         attempt: Number of the attempt; `launch` on the wire.
-        grace_s: With `stop`, seconds that the task gets to save a checkpoint; `mooringS` on the wire.
+        grace_s: With `stop`, seconds that the task has to save a checkpoint; `mooringS` on the wire.
     """
 
     op: str
@@ -130,12 +131,12 @@
 
 
 class HeartbeatResponse(msgspec.Struct, rename={"token": "helm", "commands": "signals"}):
-    """The leader's response to a heartbeat, which also renews the worker's lease.
+    """The leader's response to a heartbeat; receiving the response renews the worker's lease.
 
     Attributes:
-        token: Fencing token of the leader; a worker ignores commands with a token lower than one it has got. `helm` on
-            the wire.
-        commands: What the worker has to do, in this order; `signals` on the wire.
+        token: Fencing token of the leader; a worker ignores commands with a lower token than the highest that it has
+            received. `helm` on the wire.
+        commands: Commands to execute, in order; `signals` on the wire.
     """
 
     token: int
@@ -143,12 +144,12 @@
 
 
 class DirectCommands(msgspec.Struct, rename={"token": "helm", "epoch": "watch", "commands": "signals"}):
-    """Commands that the leader sends to a worker's address instead of waiting for a heartbeat.
+    """Commands that the leader sends to a worker's address without waiting for the next heartbeat.
 
     Attributes:
         token: Fencing token of the leader; `helm` on the wire.
-        epoch: Epoch of the worker that is meant: a worker of another epoch executes nothing. `watch` on the wire.
-        commands: What the worker has to do, in this order; `signals` on the wire.
+        epoch: Epoch that the commands apply to; a worker in another epoch ignores them. `watch` on the wire.
+        commands: Commands to execute, in order; `signals` on the wire.
     """
 
     token: int
@@ -157,10 +158,10 @@
 
 
 class Redirect(msgspec.Struct, omit_defaults=True, rename={"report_to": "harborMaster"}):
-    """The response of a controller that does not handle the heartbeat itself.
+    """The response of a controller that does not process the heartbeat.
 
     Attributes:
-        report_to: Address to which the worker should send its heartbeats, if known; `harborMaster` on the wire.
+        report_to: Address that the worker should send its heartbeats to, None if unknown; `harborMaster` on the wire.
     """
 
     report_to: str | None = None
--- a/tests/heartbeat_relay/test_forwarder.py
+++ b/tests/heartbeat_relay/test_forwarder.py
@@ -58,7 +58,7 @@
 
 
 def echo(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
-    return HeartbeatBatchResponse([(200, body) for body in batch.reports])
+    return HeartbeatBatchResponse([(200, body) for body in batch.heartbeats])
 
 
 def test_simultaneous_heartbeats_share_batches_and_get_their_own_responses(loop: VirtualLoop) -> None:
@@ -66,7 +66,7 @@
     requests = [gevent.spawn(forwarder.forward, b"%d" % i, loop.time) for i in range(600)]
     gevent.joinall(requests)
     assert [request.value for request in requests] == [(200, b"%d" % i) for i in range(600)]
-    assert [len(b.reports) for b in leader.batches] == [MOST_REPORTS, MOST_REPORTS, 600 - 2 * MOST_REPORTS]
+    assert [len(b.heartbeats) for b in leader.batches] == [MOST_REPORTS, MOST_REPORTS, 600 - 2 * MOST_REPORTS]
 
 
 def test_response_that_is_too_old_is_dropped(loop: VirtualLoop) -> None:
@@ -84,7 +84,7 @@
 def test_overloaded_leader_bounds_batches_and_queue(loop: VirtualLoop) -> None:
     def slow(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         gevent.sleep(1.9)
-        return HeartbeatBatchResponse([(200, b"")] * len(batch.reports), late=True)
+        return HeartbeatBatchResponse([(200, b"")] * len(batch.heartbeats), overloaded=True)
 
     forwarder, leader = start_forwarder(loop, slow)
     for _ in range(BATCHES):
--- a/tests/support/heartbeat_batches.py
+++ b/tests/support/heartbeat_batches.py
@@ -30,4 +30,4 @@
 def responses_to(receiver: BatchReceiver, *reports: bytes, sender: str = "node-1") -> list[tuple[int, bytes]]:
     """Return the status and body of each response to a batch of heartbeats."""
     answer = receiver.answer(msgspec.msgpack.encode(HeartbeatBatch(sender, list(reports))))
-    return msgspec.msgpack.decode(answer, type=HeartbeatBatchResponse).answers
+    return msgspec.msgpack.decode(answer, type=HeartbeatBatchResponse).responses
