--- a/src/grebestand/heartbeat_relay/__init__.py
+++ b/src/grebestand/heartbeat_relay/__init__.py
@@ -1,1 +1,1 @@
-"""Heartbeats received by any controller and forwarded to the leader in batches."""
+"""Heartbeat relay: any controller receives heartbeats from workers and forwards them to the leader in batches."""
--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -1,4 +1,4 @@
-"""The leader's side of the relay: reads batches of forwarded heartbeats and answers each of them."""
+"""The leader's side of the heartbeat relay: responds to every heartbeat in a batch from a follower."""
 
 from __future__ import annotations
 
@@ -25,29 +25,29 @@
 
 log = logging.getLogger(__name__)
 
-#: Heartbeats are read for this long before other greenlets have their turn.
+#: Time after which heartbeat processing yields to other greenlets, in seconds.
 SLICE_S = 0.01
-#: Refused batches are logged this often at most.
+#: Shortest interval between two log entries about refused batches, in seconds.
 REFUSAL_LOG_INTERVAL_S = 10.0
-#: The largest body of one heartbeat.
+#: Largest size of a heartbeat, in bytes.
 MAX_HEARTBEAT_BYTES = 1 << 16
-#: How much of an unknown sender's name is repeated to it.
+#: Length to which the name of an unknown sender is cut in the error text, in characters.
 MAX_SENDER_CHARS = 100
-#: The response while this controller does not lead.
+#: Response to a heartbeat while this controller is not the leader.
 NOT_LEADER: Response = (421, b"")
 
-T = TypeVar("T")
+Item = TypeVar("Item")
 
 _json = msgspec.json.Encoder()
 _heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
 
 class BatchRefusedError(GrebestandError):
-    """A message is not a batch that another controller may send."""
+    """A message is not a valid batch from another controller of this cluster."""
 
 
 class UnknownSenderError(BatchRefusedError):
-    """A batch names a sender that is not a controller of this cluster."""
+    """The sender named in a batch is not a controller of this cluster."""
 
     def __init__(self, sender: str) -> None:
         self.sender = sender
@@ -55,7 +55,7 @@
 
 
 class BatchTooLargeError(BatchRefusedError):
-    """A batch has more heartbeats or bytes than a controller sends at once."""
+    """A batch exceeds the largest number of heartbeats or bytes that a controller sends in a batch."""
 
     def __init__(self, sender: str, heartbeats: int) -> None:
         self.sender = sender
@@ -72,44 +72,47 @@
 
 
 class BatchReceiver:
-    """Answers batches of heartbeats under this controller's term, or says of each that it may not."""
+    """Answers the heartbeats in batches from followers, or refuses them unless this controller is the leader."""
 
     def __init__(
         self,
         senders: Collection[str],
         election: LeaderElection,
         term: Callable[[], Term | None],
-        load: OverloadMonitor,
+        overload_monitor: OverloadMonitor,
         clock: Callable[[], float],
-        wait: Callable[[], object],
+        wait_for_records: Callable[[], object],
     ) -> None:
-        """Begin with no batch read.
+        """Create a receiver that has received no batch.
 
         Args:
             senders: Names of the other controllers.
-            election: Says whether this controller leads.
-            term: Its term, while it leads.
-            load: Its load.
-            clock: The present time, in seconds.
-            wait: Returns once its records have been read.
+            election: The election, which knows whether this controller is the leader.
+            term: Returns the current term while this controller is the leader, else None.
+            overload_monitor: Measures the load of this controller.
+            clock: Returns the current time, in seconds.
+            wait_for_records: Waits until a new leader has loaded its records, for a limited time.
         """
         self.senders = frozenset(senders)
         self.election = election
         self.term = term
-        self.load = load
+        self.overload_monitor = overload_monitor
         self.clock = clock
-        self.wait = wait
-        #: How many batches are being answered.
-        self.busy = 0
-        #: How many heartbeats other controllers have forwarded.
+        self.wait_for_records = wait_for_records
+        #: Number of batches that are being processed.
+        self.batches_in_progress = 0
+        #: Number of heartbeats received from other controllers since the process started.
         self.reports = 0
         self._refusal_logged_at = -math.inf
 
     def answer(self, body: bytes) -> bytes:
-        """Return the responses to a batch, in its order.
+        """Process a batch and return the encoded `HeartbeatBatchResponse`.
+
+        Args:
+            body: The encoded `HeartbeatBatch`.
 
         Raises:
-            BatchRefusedError: The body is no batch of another controller.
+            BatchRefusedError: The body is not a valid batch from another controller.
         """
         try:
             batch = self._decode(body)
@@ -125,7 +128,7 @@
             raise MalformedBatchError(error) from error
         if batch.sender not in self.senders:
             raise UnknownSenderError(batch.sender)
-        # the last heartbeat of a batch may exceed the limit that the sender stops at
+        # a sender stops adding heartbeats once a batch exceeds MAX_BATCH_BYTES, so the last heartbeat may exceed it
         if (
             len(batch.heartbeats) > MOST_REPORTS
             or sum(map(len, batch.heartbeats)) > MAX_BATCH_BYTES + MAX_HEARTBEAT_BYTES
@@ -140,74 +143,82 @@
             log.warning(LogEvent("heartbeat_batch_refused", reason=error))
 
     def _respond(self, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
-        """Return the responses to a batch; all are refused while too many batches are being answered."""
-        overloaded = self.load.state is LoadState.OVERLOADED
-        if (overloaded and self.busy > len(self.senders)) or self.busy >= BATCHES * max(1, len(self.senders)):
+        """Return the responses to a batch; refuse all of its heartbeats if too many batches are in progress."""
+        overloaded = self.overload_monitor.state is LoadState.OVERLOADED
+        in_progress, senders = self.batches_in_progress, len(self.senders)
+        if (overloaded and in_progress > senders) or in_progress >= BATCHES * max(1, senders):
             return HeartbeatBatchResponse([REFUSED] * len(batch.heartbeats), overloaded=True)
-        self.busy += 1
+        self.batches_in_progress += 1
         try:
             self.reports += len(batch.heartbeats)
-            return HeartbeatBatchResponse(self._handle(batch.heartbeats), overloaded=overloaded)
+            return HeartbeatBatchResponse(self._answer_heartbeats(batch.heartbeats), overloaded=overloaded)
         finally:
-            self.busy -= 1
+            self.batches_in_progress -= 1
+
+    def _answer_heartbeats(self, bodies: list[bytes]) -> list[Response]:
+        """Return the responses to heartbeats.
 
-    def _handle(self, bodies: list[bytes]) -> list[Response]:
-        """Read all heartbeats, wait once for the grants that their starts need, then answer as many as it still may."""
-        came_at = self.clock()
+        Waiting for the grants of task starts once for the whole batch, instead of once for each heartbeat, keeps the
+        batch within the time that its sender waits for.
+        """
+        received_at = self.clock()
         self.election.check_clock()
-        self.wait()
+        self.wait_for_records()
         term = self.term()
         if term is None:
             return [NOT_LEADER] * len(bodies)
         responses = [REFUSED] * len(bodies)
-        begun = self._begin(term, bodies, came_at, responses)
-        if self.clock() - came_at > BATCH_TIMEOUT_S:
+        pending = self._apply_heartbeats(term, bodies, received_at, responses)
+        if self.clock() - received_at > BATCH_TIMEOUT_S:
             return responses
-        term.cover_heartbeats(begun.values())
-        self._finish(term, begun, came_at, responses)
-        # start commands in a response that does not leave are sent again, as if lost on the way
+        term.cover_heartbeats(pending.values())
+        self._finish_responses(term, pending, received_at, responses)
+        # a later response repeats the start commands of a response that is replaced by a refusal here
         self.election.check_clock()
         if not self.election.is_leader() or self.term() is not term:
             return [REFUSED if status == 200 else (status, body) for status, body in responses]
         return responses
 
-    def _begin(
-        self, term: Term, bodies: list[bytes], came_at: float, responses: list[Response]
+    def _apply_heartbeats(
+        self, term: Term, bodies: list[bytes], received_at: float, responses: list[Response]
     ) -> dict[int, PendingResponse | HeartbeatResponse | None]:
-        """Reconcile the heartbeats, and return by index what is to become of each; malformed ones are answered here."""
-        begun = {}
-        for i, body in self._in_slices(enumerate(bodies), came_at):
+        """Apply heartbeats to the leader's state, and return the unfinished responses by index in the batch.
+
+        Malformed heartbeats receive their final response here, in `responses`.
+        """
+        pending = {}
+        for i, body in self._in_slices(enumerate(bodies), received_at):
             try:
                 if len(body) > MAX_HEARTBEAT_BYTES:
                     raise MalformedError("the report is too large")
-                begun[i] = term.begin_heartbeat(_heartbeat_decoder.decode(body))
+                pending[i] = term.begin_heartbeat(_heartbeat_decoder.decode(body))
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, MalformedError) as error:
                 responses[i] = 400, _json.encode({"error": str(error)})
             except Exception:
-                # one heartbeat that can't be dealt with leaves the others as they are
+                # a heartbeat whose processing fails must not affect the other heartbeats of the batch
                 log.exception(LogEvent("forwarded_heartbeat_failed"))
-        return begun
+        return pending
 
-    def _finish(
+    def _finish_responses(
         self,
         term: Term,
-        begun: dict[int, PendingResponse | HeartbeatResponse | None],
-        came_at: float,
+        pending: dict[int, PendingResponse | HeartbeatResponse | None],
+        received_at: float,
         responses: list[Response],
     ) -> None:
-        """Write the responses to the heartbeats that were begun, as long as they may be answered."""
-        for i, pending in self._in_slices(begun.items(), came_at):
-            response = term.finish_heartbeat(pending) if isinstance(pending, PendingResponse) else pending
+        """Write the finished responses to `responses`; heartbeats that may not be answered any more stay refused."""
+        for i, unfinished in self._in_slices(pending.items(), received_at):
+            response = term.finish_heartbeat(unfinished) if isinstance(unfinished, PendingResponse) else unfinished
             if response is not None:
                 responses[i] = 200, _json.encode(response)
 
-    def _in_slices(self, items: Iterable[T], came_at: float) -> Iterator[T]:
-        """Yield the items, with turns for other greenlets in between, until the sender of the batch has given it up."""
+    def _in_slices(self, items: Iterable[Item], received_at: float) -> Iterator[Item]:
+        """Yield the items until the sender of the batch has timed out, and let other greenlets run in between."""
         slice_began_at = self.clock()
         for item in items:
             if self.clock() - slice_began_at > SLICE_S:
                 gevent.sleep(0)
                 slice_began_at = self.clock()
-            if slice_began_at - came_at > BATCH_TIMEOUT_S:
+            if slice_began_at - received_at > BATCH_TIMEOUT_S:
                 return
             yield item
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -1,8 +1,8 @@
-"""The follower's side of the relay: forwards workers' heartbeats to the leader in batches, and returns its responses.
+"""The follower's side of the heartbeat relay: forwards heartbeats to the leader in batches and returns its responses.
 
-A follower answers nothing itself: it has no state, token or commands of its own to answer with. A heartbeat is sent
-once, to one leader; without a response in time the worker gets none. Why a relayed response is as good as a direct one
-is argued in docs/design.md, "Reports over any controller".
+A follower never answers a heartbeat itself, as it has no state, fencing token or commands for a response. It forwards
+each heartbeat once, to one leader; if the leader's response does not arrive in time, the worker receives none. The
+section "Reports over any controller" of docs/design.md shows that a relayed response is as safe as a direct one.
 """
 
 from __future__ import annotations
@@ -24,29 +24,32 @@
 
 log = logging.getLogger(__name__)
 
-#: Where the leader takes batches.
+#: URL path at which the leader receives batches.
 PATH = "/reports"
-#: Heartbeats are gathered into one batch for this long.
+#: Time for which heartbeats are collected into a batch, in seconds.
 GATHER_S = 0.04
-#: How many heartbeats go into one batch; and how many bytes, which the last of them may exceed.
+#: Largest number of heartbeats in a batch.
 MOST_REPORTS = 256
+#: Size of a batch, in bytes, from which no further heartbeat is added.
 MAX_BATCH_BYTES = 1 << 20
-#: A response is given up this long after its heartbeat came: its worker drops it a second later.
+#: Time after which a heartbeat receives no response any more, in seconds; the worker times out a second later.
 ANSWER_S = 3.0
-#: How long a batch waits for the leader's responses; shorter than `ANSWER_S`, so that they reach the workers in time.
+#: Time limit for the leader's response to a batch, in seconds; shorter than `ANSWER_S`, so that responses reach the
+#: workers in time.
 BATCH_TIMEOUT_S = 2.5
-#: While the oldest heartbeat has waited for longer than this to be sent, others are refused at once.
+#: New heartbeats are refused while the oldest one in the queue has waited for longer than this, in seconds.
 MAX_QUEUE_WAIT_S = 1.2
-#: The same while the leader is overloaded.
+#: Replaces `MAX_QUEUE_WAIT_S` while the leader is overloaded, in seconds.
 MAX_QUEUE_WAIT_OVERLOADED_S = 0.3
-#: How long the leader counts as overloaded after it has said so.
+#: Time for which the leader counts as overloaded after a response with the flag `overloaded`, in seconds.
 OVERLOAD_VALID_S = 1.0
-#: After so long without the responses to any batch, forwarding pauses and workers reach the leader themselves.
+#: Time without a response to any batch after which forwarding is paused and workers are redirected to the leader, in
+#: seconds.
 UNRESPONSIVE_AFTER_S = 2.0
-#: How long such a pause lasts.
+#: Duration of a pause of forwarding, in seconds.
 PAUSE_S = 4.0
 
-#: Status and body of a response to a worker; status 0: there is none.
+#: HTTP status and body of a response to a worker; status 0 means that there is no response.
 Response = tuple[int, bytes]
 NO_RESPONSE: Response = (0, b"")
 REFUSED: Response = (503, b"")
@@ -54,99 +57,109 @@
 
 @dataclass
 class ForwardedHeartbeat:
-    """A heartbeat that waits for the leader's response."""
+    """A heartbeat that is waiting for the leader's response.
+
+    Attributes:
+        body: The encoded heartbeat.
+        received_at: When the follower received the heartbeat, in seconds of the follower's clock.
+        response: Set to the response to the heartbeat.
+    """
 
     body: bytes
-    #: When it came, in seconds of the controller's clock.
-    came_at: float
+    received_at: float
     response: AsyncResult = field(default_factory=AsyncResult)
 
 
-def term_of(leader: PeerClient) -> tuple[str, int]:
-    """Return a leader's name and fencing token, by its last status message."""
+def leader_term(leader: PeerClient) -> tuple[str, int]:
+    """Return the name of a leader, and the fencing token in its last status message or 0."""
     return leader.name, leader.last.token if leader.last is not None else 0
 
 
 class HeartbeatForwarder:
-    """One controller's way to the leader for its workers' heartbeats."""
+    """Forwards the heartbeats that one controller receives to the leader."""
 
     def __init__(self, name: str, clock: Callable[[], float], leader: Callable[[], PeerClient | None]) -> None:
-        """Begin with nothing to forward.
+        """Create a forwarder with an empty queue.
 
         Args:
-            name: This controller's name.
-            clock: The present time, in seconds.
-            leader: The controller that leads, if it is another one and is known.
+            name: Name of this controller.
+            clock: Returns the current time, in seconds.
+            leader: Returns the client for the leader, or None if the leader is unknown or is this controller.
         """
         self.name = name
         self.clock = clock
         self.leader = leader
         self.state = ForwarderState.OPEN
         self._queue: deque[ForwardedHeartbeat] = deque()
-        #: Set while a batch may be sent.
+        #: Set while the queue is not empty and a further batch may be sent.
         self._sendable = Event()
         self._batches_in_flight = 0
-        #: Since when no batch has been answered, though some were sent.
+        #: When the first of the batches was sent that have failed since the last response; infinite if none has failed.
         self._failing_since = math.inf
-        #: The end of the pause, and the term that it applies to.
+        #: End of the current pause, and the leader and fencing token that the pause applies to.
         self._paused_until = -math.inf
         self._paused_for_term = ("", 0)
         self._overloaded_until = -math.inf
-        #: How many heartbeats were forwarded, in how many batches.
+        #: Numbers of heartbeats and of batches sent since the process started.
         self.passed = self.batches = 0
 
-    def move(self, new: ForwarderState, reason: str) -> None:
-        """Change whether heartbeats are forwarded; no other function does.
+    def change_state(self, new: ForwarderState, reason: str) -> None:
+        """Change the state and log the change; all changes of `state` have to be made by this method.
+
+        Args:
+            new: The new state.
+            reason: Reason of the change, for the log.
 
         Raises:
-            IllegalTransitionError: The state machine does not allow this change.
+            IllegalTransitionError: The state machine does not allow this transition.
         """
         if new is self.state:
             return
-        check_transition(FORWARDER_TRANSITIONS, self.state, new, "reports to the leader")
+        check_transition(FORWARDER_TRANSITIONS, self.state, new, "heartbeat forwarder")
         log.info(LogEvent("heartbeat_forwarding_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
     def open(self) -> bool:
-        """Return whether a heartbeat that comes now would be forwarded; ends a pause that is over."""
+        """Return whether heartbeats are forwarded now; end a pause that has expired or applies to an earlier term."""
         leader = self.leader()
-        if self.state is ForwarderState.RESTING and leader is not None and term_of(leader) != self._paused_for_term:
-            self.move(ForwarderState.OPEN, f"another term, of {leader.name}")
+        if self.state is ForwarderState.RESTING and leader is not None and leader_term(leader) != self._paused_for_term:
+            self.change_state(ForwarderState.OPEN, f"new term of {leader.name}")
         if self.state is ForwarderState.RESTING and self.clock() >= self._paused_until:
-            self.move(ForwarderState.OPEN, f"paused for {PAUSE_S:.0f} s")
+            self.change_state(ForwarderState.OPEN, f"pause of {PAUSE_S:.0f} s expired")
         return self.state is ForwarderState.OPEN and leader is not None
 
-    def fits(self) -> bool:
-        """Return whether a heartbeat would be sent soon; otherwise it is better refused at once."""
+    def has_short_queue(self) -> bool:
+        """Return whether a new heartbeat would be sent soon enough for its response to arrive in time."""
         if not self._queue:
             return True
         now = self.clock()
         max_wait_s = MAX_QUEUE_WAIT_OVERLOADED_S if now < self._overloaded_until else MAX_QUEUE_WAIT_S
-        return now - self._queue[0].came_at < max_wait_s
+        return now - self._queue[0].received_at < max_wait_s
 
-    def forward(self, body: bytes, came_at: float) -> Response:
-        """Forward a heartbeat and wait for the leader's response to it.
+    def forward(self, body: bytes, received_at: float) -> Response:
+        """Forward a heartbeat and wait for the leader's response.
 
         Args:
-            body: The heartbeat as it came.
-            came_at: When it came.
+            body: The encoded heartbeat.
+            received_at: When this controller received the heartbeat, in seconds.
 
         Returns:
-            Status and body of the response; status 0 if there was none in time, and 503 if it can't be sent soon.
+            Status and body of the leader's response, `NO_RESPONSE` if none arrived in time, or `REFUSED` if the queue
+            is too long.
         """
-        if not self.fits():
+        if not self.has_short_queue():
             return REFUSED
-        heartbeat = ForwardedHeartbeat(body, came_at)
+        heartbeat = ForwardedHeartbeat(body, received_at)
         self._queue.append(heartbeat)
         self._sendable.set()
-        response: Response | None = heartbeat.response.wait(timeout=max(0.0, came_at + ANSWER_S - self.clock()))
-        # the wait may have lasted for longer: this process stood still
-        if response is None or self.clock() - came_at > ANSWER_S:
+        response: Response | None = heartbeat.response.wait(timeout=max(0.0, received_at + ANSWER_S - self.clock()))
+        # the wait takes longer than its timeout if this process is suspended
+        if response is None or self.clock() - received_at > ANSWER_S:
             return NO_RESPONSE
         return response
 
     def run(self) -> None:
-        """Send what has been gathered, for as long as the process lives."""
+        """Send batches of queued heartbeats; never returns."""
         while True:
             self._sendable.wait()
             gevent.sleep(GATHER_S)
@@ -159,23 +172,23 @@
                 self._sendable.clear()
 
     def _next_batch(self) -> list[ForwardedHeartbeat]:
-        """Take the next batch from the queue, without the heartbeats that are too old to be answered in time."""
+        """Remove the next batch from the queue; heartbeats that are too old for a timely response are dropped."""
         batch: list[ForwardedHeartbeat] = []
         size, now = 0, self.clock()
         while self._queue and len(batch) < MOST_REPORTS and size < MAX_BATCH_BYTES:
             heartbeat = self._queue.popleft()
-            if now - heartbeat.came_at < ANSWER_S:
+            if now - heartbeat.received_at < ANSWER_S:
                 size += len(heartbeat.body)
                 batch.append(heartbeat)
         return batch
 
     def _send(self, batch: list[ForwardedHeartbeat]) -> None:
-        """Send a batch, and give each of its heartbeats the leader's response, or none."""
+        """Send a batch, and set the response of each heartbeat to the leader's response or to `NO_RESPONSE`."""
         responses: list[Response] | None
         try:
             responses = self._request(batch)
         except Exception:
-            # whatever it was, the heartbeats' workers must not wait for it
+            # after any error, the requests that wait for these heartbeats' responses have to be released
             log.exception(LogEvent("heartbeat_batch_forward_failed", heartbeats=len(batch)))
             responses = None
         finally:
@@ -186,7 +199,7 @@
             heartbeat.response.set(responses[i] if responses is not None else NO_RESPONSE)
 
     def _request(self, batch: list[ForwardedHeartbeat]) -> list[Response] | None:
-        """Return the leader's responses to a batch, in its order, or None if it gave none."""
+        """Return the leader's responses to the heartbeats of a batch, in order, or None if the request failed."""
         leader, sent_at = self.leader(), self.clock()
         if leader is None:
             return None
@@ -203,16 +216,23 @@
         return reply.responses
 
     def _record_failure(self, sent_at: float, leader: PeerClient) -> None:
-        """Record that a batch was not answered; after a while, pause, as workers may reach the leader themselves.
+        """Record that a batch received no response, and pause forwarding if the leader has been silent for too long.
 
-        A leader that goes on answering status messages can be reached and is overloaded. A pause would have all
-        workers of all followers connect to it anew, and overload it further.
+        During a pause, workers are redirected to the leader, which they may reach although this controller does not.
+        There is no pause while the leader still answers status messages: it is reachable but overloaded, and a pause
+        would make all workers of all followers open new connections to the leader and overload it further.
+
+        Args:
+            sent_at: When the batch was sent, in seconds.
+            leader: The leader that the batch was sent to.
         """
         self._failing_since = min(self._failing_since, sent_at)
         if leader.last_heard_at >= self._failing_since:
             return
         if self.state is ForwarderState.OPEN and self.clock() - self._failing_since >= UNRESPONSIVE_AFTER_S:
             self._paused_until = self.clock() + PAUSE_S
-            self._paused_for_term = term_of(leader)
+            self._paused_for_term = leader_term(leader)
             self._failing_since = math.inf
-            self.move(ForwarderState.RESTING, f"{leader.name} has not answered for {UNRESPONSIVE_AFTER_S:.0f} s")
+            self.change_state(
+                ForwarderState.RESTING, f"no response from {leader.name} for {UNRESPONSIVE_AFTER_S:.0f} s"
+            )
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -1,13 +1,13 @@
-"""Assignment of workers to controllers, while every controller answers heartbeats.
+"""Assignment of workers to controllers, for clusters in which every controller answers heartbeats.
 
-With few machines, workers send their heartbeats to the leader alone. With more, every controller that reaches the
-leader keeps some workers: up to an even share and a little more, those of its own zone first. A worker beyond that is
-redirected to a controller below its share. Shares are of workers and of heartbeats, since busy machines send up to six
-times as many as idle ones.
+In a small cluster, all workers send their heartbeats to the leader. In a large cluster, every controller that reaches
+the leader keeps some workers: up to slightly more than an even share, preferring workers in its own zone. Further
+workers are redirected to controllers below their share. There is a share of workers and a share of heartbeats, because
+busy machines send up to six times as many heartbeats as idle ones.
 
-What other controllers keep is known from their last status message, so what was redirected there since is added. No
-worker is redirected twice within `BACK_S`, so that two controllers that each believe the other to be below its share do
-not send it to and fro.
+The number of workers that another controller keeps is taken from its last status message, plus the workers redirected
+to it since that message. No worker is redirected twice within `KEEP_RETURNING_S`: otherwise two controllers, each with outdated
+information that the other is below its share, could redirect a worker back and forth.
 """
 
 from __future__ import annotations
@@ -23,290 +23,331 @@
 
 log = logging.getLogger(__name__)
 
-#: A controller takes workers up to this multiple of its even share.
+#: A controller accepts new workers up to this multiple of its even share.
 SHARE_SLACK = 1.05
-#: Beyond this multiple it also redirects workers that it kept; larger than `SHARE_SLACK`, so that none goes at once.
+#: A controller also redirects workers that it already keeps beyond this multiple of its even share; larger than
+#: `SHARE_SLACK`, so that a worker that was just accepted is not redirected at once.
 SHED_SLACK = 1.12
-#: Workers that a controller may keep beyond its share in any case, for where shares are small.
+#: Number of workers that a controller may always keep beyond its share, for clusters whose shares are small.
 EXTRA_WORKERS = 1
-#: The leader's part of an even share of heartbeats that come directly, as it also reads all that are forwarded.
+#: Weight of the leader when shares are computed; followers have weight 1. The leader also has to process all forwarded
+#: heartbeats.
 LEADER_WEIGHT = 0.85
-#: The part of its share, or of what it keeps if that is more, that a controller redirects per second at most.
+#: Largest fraction of the workers that a controller keeps, or of its share if larger, that it redirects per second.
 SHED_FRACTION_PER_S = 0.06
-#: A worker that comes back this soon after it was redirected is kept, in seconds.
-BACK_S = 15.0
-#: A worker that has not been heard for this many heartbeat intervals is no longer counted.
-FORGOTTEN_AFTER_INTERVALS = 3.0
-#: Below this rate of heartbeats, it is left to chance who answers how many.
+#: Time after a redirect within which a worker that returns is kept, in seconds.
+KEEP_RETURNING_S = 15.0
+#: Number of heartbeat intervals without a heartbeat after which a worker no longer counts as kept.
+EXPIRED_AFTER_INTERVALS = 3.0
+#: Rate of heartbeats in the whole cluster, per second, below which shares of heartbeats are not enforced.
 MIN_BALANCED_RATE_PER_S = 30.0
-#: Weight of the latest interval in the moving average of the rate of heartbeats.
+#: Weight of the latest interval in the moving average of the heartbeat rate.
 RATE_SMOOTHING = 0.2
-#: How many workers may be redirected to the leader between two of its status messages in any case.
+#: Number of workers that may always be redirected to the leader between two of the leader's status messages.
 MIN_REDIRECTS_TO_LEADER = 20
-#: Every controller goes on answering until there are fewer machines, by this factor, than what made them begin.
+#: Factor between the number of machines at which all controllers start to answer heartbeats and the number at which
+#: they stop.
 HYSTERESIS = 1.15
 
 
 @dataclass(frozen=True)
 class PeerCapacity:
-    """Another controller that answers heartbeats, as its last status message described it."""
+    """Another controller that answers heartbeats, as described by its last status message.
+
+    Attributes:
+        name: Name of the controller.
+        zone: Zone of the controller.
+        is_leader: Whether the controller is the leader.
+        kept_workers: Number of workers that the controller keeps.
+        free_connections: Number of further workers that the controller has connections for.
+        is_overloaded: Whether the controller is overloaded, so that no worker should be redirected to it.
+        heartbeats_per_s: Rate at which the controller answers heartbeats.
+    """
 
     name: str
     zone: str
-    leads: bool
-    #: How many workers it keeps, and how many more connections it has for them.
-    kept: int
-    room: int
-    #: It is overloaded and is to get no more.
-    late: bool = False
-    #: Heartbeats that it answers per second.
-    reports: float = 0.0
+    is_leader: bool
+    kept_workers: int
+    free_connections: int
+    is_overloaded: bool = False
+    heartbeats_per_s: float = 0.0
 
 
 class EvenShare:
-    """The even share of workers and heartbeats of this controller and of each other that answers."""
+    """The even shares of workers and of heartbeats that each controller should have."""
 
-    def __init__(self, machines: int, rate: float, leads: bool, others: list[PeerCapacity]) -> None:
-        """Divide the workers of `machines`; `rate` and `leads` are this controller's."""
-        self.machines = machines
-        self._total_weight = sum(_weight(one) for one in (leads, *(other.leads for other in others)))
-        #: Heartbeats per second of all controllers.
-        self.rate = rate + sum(other.reports for other in others)
-        #: Whether there are enough heartbeats to tell who answers too many.
-        self.busy = self.rate >= MIN_BALANCED_RATE_PER_S and machines > 0
+    def __init__(self, machine_count: int, heartbeats_per_s: float, is_leader: bool, peers: list[PeerCapacity]) -> None:
+        """Compute the shares.
+
+        Args:
+            machine_count: Number of machines whose workers are divided.
+            heartbeats_per_s: Rate at which this controller answers heartbeats.
+            is_leader: Whether this controller is the leader.
+            peers: The other controllers that answer heartbeats.
+        """
+        self.machine_count = machine_count
+        self._total_weight = sum(_weight(leads) for leads in (is_leader, *(peer.is_leader for peer in peers)))
+        #: Heartbeats per second of all controllers together.
+        self.heartbeats_per_s = heartbeats_per_s + sum(peer.heartbeats_per_s for peer in peers)
+        #: Whether the shares of heartbeats are enforced, as there are enough heartbeats for a meaningful rate.
+        self.balances_heartbeats = self.heartbeats_per_s >= MIN_BALANCED_RATE_PER_S and machine_count > 0
+
+    def worker_share(self, is_leader: bool) -> float:
+        """Return the share of workers of the leader or of a follower."""
+        return self.machine_count * self._fraction(is_leader)
 
-    def workers(self, leads: bool) -> float:
-        """Return a controller's even share of workers."""
-        return self.machines * self._fraction(leads)
+    def heartbeat_share(self, is_leader: bool) -> float:
+        """Return the share of heartbeats of the leader or of a follower, per second."""
+        return self.heartbeats_per_s * self._fraction(is_leader)
 
-    def reports(self, leads: bool) -> float:
-        """Return a controller's even share of heartbeats per second."""
-        return self.rate * self._fraction(leads)
+    def missing_workers(self, is_leader: bool, kept_workers: int, heartbeats_per_s: float) -> float:
+        """Return how many more workers a controller should accept; negative if it has more than its share.
 
-    def left(self, leads: bool, kept: int, reports: float) -> float:
-        """Return how many more workers a controller takes, by what it keeps and by the heartbeats that it answers."""
-        left = self.workers(leads) * SHARE_SLACK - kept
-        if self.busy:
-            left = min(left, (self.reports(leads) * SHARE_SLACK - reports) * self.machines / self.rate)
-        return left
+        Args:
+            is_leader: Whether the controller is the leader.
+            kept_workers: Number of workers that the controller keeps.
+            heartbeats_per_s: Rate at which the controller answers heartbeats.
+        """
+        missing = self.worker_share(is_leader) * SHARE_SLACK - kept_workers
+        if self.balances_heartbeats:
+            missing_heartbeats_per_s = self.heartbeat_share(is_leader) * SHARE_SLACK - heartbeats_per_s
+            missing = min(missing, missing_heartbeats_per_s * self.machine_count / self.heartbeats_per_s)
+        return missing
 
-    def _fraction(self, leads: bool) -> float:
-        return _weight(leads) / self._total_weight
+    def _fraction(self, is_leader: bool) -> float:
+        return _weight(is_leader) / self._total_weight
 
 
-def _weight(leads: bool) -> float:
-    return LEADER_WEIGHT if leads else 1.0
+def _weight(is_leader: bool) -> float:
+    return LEADER_WEIGHT if is_leader else 1.0
 
 
 class WorkerAssignment:
-    """One controller's part in the assignment: which workers it keeps, and where it redirects others."""
+    """The workers that one controller keeps, and its decisions about redirecting other workers."""
 
     def __init__(
         self,
         name: str,
         zone: str,
-        limit: int,
-        report_s: float,
+        max_connections: int,
+        heartbeat_interval_s: float,
         clock: Callable[[], float],
         others: Callable[[], list[PeerCapacity]],
-        late: Callable[[], bool] = lambda: False,
+        is_overloaded: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Begin without workers.
+        """Create an assignment without workers.
 
         Args:
-            name: This controller's name.
-            zone: Its zone.
-            limit: How many workers' connections it has room for.
-            report_s: The interval of heartbeats, in seconds.
-            clock: The present time, in seconds.
-            others: The other controllers that answer heartbeats now.
-            late: Whether this one is overloaded and is to get no more while others can.
+            name: Name of this controller.
+            zone: Zone of this controller.
+            max_connections: Largest number of workers' connections to this controller.
+            heartbeat_interval_s: Interval between two heartbeats of a worker, in seconds.
+            clock: Returns the current time, in seconds.
+            others: Returns the other controllers that answer heartbeats now.
+            is_overloaded: Returns whether this controller is overloaded; if so, it accepts workers only if no other
+                controller does.
         """
         self.name = name
         self.zone = zone
-        self.limit = limit
-        self.report_s = report_s
+        self.max_connections = max_connections
+        self.heartbeat_interval_s = heartbeat_interval_s
         self.clock = clock
         self.others = others
-        self.late = late
+        self.is_overloaded = is_overloaded
         self.state = AssignmentMode.LEADER_ONLY
-        #: How many machines there are, as the leader counts them; 0 while it answers all heartbeats itself.
+        #: Number of machines in the cluster according to the leader; 0 while the leader answers all heartbeats itself.
         self.machines = 0
-        #: When each worker that is kept here was last heard, and over which connection.
+        #: By machine name of each worker kept here, the time of the last heartbeat and the connection used for it.
         self.kept: dict[str, tuple[float, object]] = {}
-        #: The worker last heard over each connection, by the connection's `id`.
+        #: By `id` of each connection, the machine name of the worker that last sent a heartbeat over the connection.
         self._worker_by_connection: dict[int, str] = {}
-        #: How many controllers there are beside the leader, whether they are heard or not.
+        #: Number of controllers other than the leader, reachable or not.
         self.followers = 1
-        #: When workers were redirected, by name, the earliest first.
-        self.sent: OrderedDict[str, float] = OrderedDict()
-        #: How many were redirected to each other controller since its last status message.
+        #: By machine name, when a worker was redirected; the earliest first.
+        self.redirected_at: OrderedDict[str, float] = OrderedDict()
+        #: Number of workers redirected to each other controller since the last status message of that controller.
         self._redirected_since_status: Counter[str] = Counter()
-        #: How many kept workers may be redirected now, and when that was computed.
+        #: Number of kept workers that may be redirected now, and when this number was computed.
         self._shed_allowance, self._shed_allowance_at = 0.0, clock()
-        #: Moving average of the heartbeats answered here per second.
+        #: Moving average of the heartbeats that this controller answers per second.
         self.rate = 0.0
-        #: Heartbeats answered since the average was last updated, and when that was.
+        #: Number of heartbeats answered since `rate` was last updated, and when `rate` was last updated.
         self._heartbeats, self._rate_updated_at = 0, clock()
-        #: How many workers were redirected since this process began.
+        #: Number of redirects since the process started.
         self.redirected = 0
 
-    # modes ------------------------------------------------------------------------------------------------
+    # mode -------------------------------------------------------------------------------------------------
 
-    def move(self, new: AssignmentMode, reason: str) -> None:
-        """Change who answers heartbeats, as far as this controller knows; no other function does.
+    def change_state(self, new: AssignmentMode, reason: str) -> None:
+        """Change the mode and log the change; all changes of `state` have to be made by this method.
+
+        Args:
+            new: The new mode.
+            reason: Reason of the change, for the log.
 
         Raises:
-            IllegalTransitionError: The state machine does not allow this change.
+            IllegalTransitionError: The state machine does not allow this transition.
         """
         if new is self.state:
             return
-        check_transition(ASSIGNMENT_MODE_TRANSITIONS, self.state, new, "reports")
+        check_transition(ASSIGNMENT_MODE_TRANSITIONS, self.state, new, "worker assignment")
         log.info(LogEvent("worker_assignment_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
     def told(self, machines: int) -> None:
-        """Take the leader's word that every controller answers, with so many machines; 0: that it answers all."""
+        """Apply the number of machines announced by the leader; 0 means that the leader answers all heartbeats."""
         self.machines = machines
         if machines:
-            self.move(AssignmentMode.EVERY_CONTROLLER, f"{machines} machines")
+            self.change_state(AssignmentMode.EVERY_CONTROLLER, f"{machines} machines")
         else:
-            self.move(AssignmentMode.LEADER_ONLY, "the leader answers all")
+            self.change_state(AssignmentMode.LEADER_ONLY, "the leader answers all heartbeats")
 
     def heard(self, name: str) -> None:
-        """Record a status message of another controller, which counts the workers redirected to it so far."""
+        """Record that a status message of a controller arrived, which counts all workers redirected there before."""
         self._redirected_since_status.pop(name, None)
 
-    # workers that are kept --------------------------------------------------------------------------------
+    # kept workers -----------------------------------------------------------------------------------------
 
     @property
     def room(self) -> int:
-        """How many more workers this controller has connections for."""
-        return max(0, self.limit - len(self.kept))
+        """The number of further workers that this controller has connections for."""
+        return max(0, self.max_connections - len(self.kept))
 
     def keep(self, machine: str, connection: object = None) -> None:
-        """Record a worker's heartbeat that is answered here."""
+        """Record a heartbeat that this controller answers; its worker is kept from now on.
+
+        Args:
+            machine: Name of the worker's machine.
+            connection: The connection that the heartbeat arrived over, if known.
+        """
         self._heartbeats += 1
         self.kept[machine] = self.clock(), connection
         if connection is not None:
             self._worker_by_connection[id(connection)] = machine
-        self.sent.pop(machine, None)
+        self.redirected_at.pop(machine, None)
 
     def ended(self, connection: object) -> None:
-        """Record that a connection is closed, whoever had it; its worker is kept only if it has come over another."""
+        """Record that a connection was closed; its worker is no longer kept unless it now uses another connection."""
         machine = self._worker_by_connection.pop(id(connection), None)
         if machine is not None and machine in self.kept and self.kept[machine][1] is connection:
             del self.kept[machine]
 
     def tidy(self) -> None:
-        """Update the rate of heartbeats; forget workers that are no longer heard, and those redirected long ago."""
+        """Update the heartbeat rate, and remove workers without recent heartbeats and records of old redirects."""
         now = self.clock()
         if now > self._rate_updated_at:
             latest = self._heartbeats / (now - self._rate_updated_at)
             self.rate += RATE_SMOOTHING * (latest - self.rate)
             self._heartbeats, self._rate_updated_at = 0, now
-        silent_after_s = FORGOTTEN_AFTER_INTERVALS * self.report_s
-        silent = [machine for machine, (heard_at, _) in self.kept.items() if now - heard_at > silent_after_s]
+        silent_after_s = EXPIRED_AFTER_INTERVALS * self.heartbeat_interval_s
+        silent = [machine for machine, (received_at, _) in self.kept.items() if now - received_at > silent_after_s]
         for machine in silent:
             del self.kept[machine]
-        while self.sent and now - next(iter(self.sent.values())) > BACK_S:
-            self.sent.popitem(last=False)
+        while self.redirected_at and now - next(iter(self.redirected_at.values())) > KEEP_RETURNING_S:
+            self.redirected_at.popitem(last=False)
 
     # redirects --------------------------------------------------------------------------------------------
 
-    def where(self, machine: str, zone: str, leads: bool, surplus: bool = False) -> str | None:
-        """Decide which controller a worker is to use; to be called only while every controller answers.
+    def where(self, machine: str, zone: str, is_leader: bool, over_limit: bool = False) -> str | None:
+        """Choose the controller for a worker that has sent a heartbeat; requires the mode `EVERY_CONTROLLER`.
 
         Args:
-            machine: The worker's machine.
-            zone: Its zone.
-            leads: Whether this controller leads.
-            surplus: Whether it came over a connection beyond the limit, so that it can't stay.
+            machine: Name of the worker's machine.
+            zone: Zone of the machine.
+            is_leader: Whether this controller is the leader.
+            over_limit: Whether the worker's connection exceeds the limit of connections, so that this controller cannot
+                keep the worker.
 
         Returns:
-            This controller's name to keep the worker, another's to redirect it, or None if none is known to have a
-            connection for it.
+            The name of this controller to keep the worker, the name of another controller to redirect the worker, or
+            None if no controller is known to have a connection for the worker.
         """
-        others = self.others()
-        share = EvenShare(self.machines, self.rate, leads, others)
-        kept = machine in self.kept and not surplus
-        room = 0 if surplus else self.room
-        if kept and not self._sheds(leads, share, others):
+        peers = self.others()
+        share = EvenShare(self.machines, self.rate, is_leader, peers)
+        kept = machine in self.kept and not over_limit
+        has_connection = bool(self.room) and not over_limit
+        if kept and not self._should_shed(is_leader, share, peers):
             return self.name
-        if not kept and machine in self.sent and room:
-            return self.name  # it comes back from where it was redirected
-        open_shares = [(self._open_share(other, share), other) for other in others]
-        with_share = [(left, other) for left, other in open_shares if left >= 1]
-        nearby = [(left, other) for left, other in with_share if other.zone == zone]
-        takes = not self.late() and share.left(leads, len(self.kept), self.rate) + EXTRA_WORKERS > 0
-        if not kept and room and takes and (zone == self.zone or not nearby):
+        if not kept and machine in self.redirected_at and has_connection:
+            return self.name  # a worker that returns after a redirect is not redirected again
+        below_share = [(missing, peer) for peer in peers if (missing := self._missing_workers(peer, share)) >= 1]
+        in_zone = [(missing, peer) for missing, peer in below_share if peer.zone == zone]
+        accepts = not self.is_overloaded() and (
+            share.missing_workers(is_leader, len(self.kept), self.rate) + EXTRA_WORKERS > 0
+        )
+        if not kept and has_connection and accepts and (zone == self.zone or not in_zone):
             return self.name
-        candidates = nearby or with_share
+        candidates = in_zone or below_share
         if candidates:
             return self._redirect(machine, max(candidates, key=lambda candidate: candidate[0])[1])
-        # nobody is below its share: whoever has a connection for it keeps it
-        if room or kept:
+        # without a controller below its share, any controller that has a connection for the worker will do
+        if has_connection or kept:
             return self.name
-        with_room = [other for other in others if self._room_of(other) > 0]
-        return self._redirect(machine, max(with_room, key=self._room_of)) if with_room else None
+        with_connection = [peer for peer in peers if self._free_connections(peer) > 0]
+        return self._redirect(machine, max(with_connection, key=self._free_connections)) if with_connection else None
 
     def may_redirect_to_leader(self, leader: str) -> bool:
-        """Return whether one more worker may be redirected to a leader that answers all itself, and count it.
+        """Return whether one more worker may be redirected to a leader that answers all heartbeats; count the redirect.
 
-        All followers together redirect no more between two of its status messages than it has said that it has
-        connections for: when a cluster starts, hundreds of workers come within a tenth of a second.
+        All followers together redirect no more workers between two of the leader's status messages than the leader has
+        free connections: when a cluster starts, hundreds of workers connect within 0.1 s.
         """
-        others = self.others()
-        for other in others:
-            if other.name == leader:
-                limit = max(MIN_REDIRECTS_TO_LEADER, other.room // max(len(others), self.followers))
+        peers = self.others()
+        for peer in peers:
+            if peer.name == leader:
+                limit = max(MIN_REDIRECTS_TO_LEADER, peer.free_connections // max(len(peers), self.followers))
                 if self._redirected_since_status[leader] >= limit:
                     return False
                 self._redirected_since_status[leader] += 1
         return True
 
-    def _room_of(self, other: PeerCapacity) -> int:
-        """Return how many more workers another controller has connections for."""
-        return other.room - self._redirected_since_status[other.name]
+    def _free_connections(self, peer: PeerCapacity) -> int:
+        """Return how many further workers a peer has connections for."""
+        return peer.free_connections - self._redirected_since_status[peer.name]
 
-    def _open_share(self, other: PeerCapacity, share: EvenShare) -> float:
-        """Return how many workers another controller is below its share and has connections for."""
-        if other.late:
+    def _missing_workers(self, peer: PeerCapacity, share: EvenShare) -> float:
+        """Return how many workers a peer is below its share, limited by the connections that the peer has for them."""
+        if peer.is_overloaded:
             return 0.0
-        left = share.left(other.leads, other.kept, other.reports)
-        return min(left - self._redirected_since_status[other.name], float(self._room_of(other)))
-
-    def _redirect(self, machine: str, other: PeerCapacity) -> str:
-        """Record that a worker is redirected to another controller, and return that one's name."""
-        self._redirected_since_status[other.name] += 1
-        self.sent[machine] = self.clock()
-        self.sent.move_to_end(machine)
+        missing = share.missing_workers(peer.is_leader, peer.kept_workers, peer.heartbeats_per_s)
+        return min(missing - self._redirected_since_status[peer.name], float(self._free_connections(peer)))
+
+    def _redirect(self, machine: str, peer: PeerCapacity) -> str:
+        """Record that a worker is redirected to a peer, and return the name of the peer."""
+        self._redirected_since_status[peer.name] += 1
+        self.redirected_at[machine] = self.clock()
+        self.redirected_at.move_to_end(machine)
         self.kept.pop(machine, None)
         self.redirected += 1
-        return other.name
+        return peer.name
+
+    def _should_shed(self, is_leader: bool, share: EvenShare, peers: list[PeerCapacity]) -> bool:
+        """Return whether a kept worker is to be redirected.
 
-    def _sheds(self, leads: bool, share: EvenShare, others: list[PeerCapacity]) -> bool:
-        """Return whether a kept worker is to be redirected: at a bounded rate, while far too many are kept here."""
-        now, workers = self.clock(), share.workers(leads)
+        Workers are shed only while this controller is far above a share and a peer is below its share, and at a bounded
+        rate: each True uses up one unit of the allowance.
+        """
+        now, workers = self.clock(), share.worker_share(is_leader)
         rate = SHED_FRACTION_PER_S * max(workers, float(len(self.kept))) + 1.0
         self._shed_allowance = min(rate, self._shed_allowance + rate * (now - self._shed_allowance_at))
         self._shed_allowance_at = now
-        too_many_workers = len(self.kept) > min(workers * SHED_SLACK + EXTRA_WORKERS, float(self.limit))
-        too_many_heartbeats = share.busy and self.rate > share.reports(leads) * SHED_SLACK
+        too_many_workers = len(self.kept) > min(workers * SHED_SLACK + EXTRA_WORKERS, float(self.max_connections))
+        too_many_heartbeats = share.balances_heartbeats and self.rate > share.heartbeat_share(is_leader) * SHED_SLACK
         if not (too_many_workers or too_many_heartbeats) or self._shed_allowance < 1.0:
             return False
-        if all(self._open_share(other, share) < 1 for other in others):
+        if all(self._missing_workers(peer, share) < 1 for peer in peers):
             return False
         self._shed_allowance -= 1.0
         return True
 
 
-def assignment_enabled(value: Callable[[float], bool], on: bool, machines: int) -> bool:
+def assignment_enabled(policy: Callable[[float], bool], enabled: bool, machines: int) -> bool:
     """Return whether every controller is to answer heartbeats.
 
     Args:
-        value: The policy's choice for a number of machines.
-        on: Whether they do so now; then they go on until there are considerably fewer machines.
-        machines: How many machines there are.
+        policy: Returns the decision of the operators' policy for a number of machines.
+        enabled: Whether every controller answers heartbeats now. If so, this goes on until the number of machines is
+            lower by the factor `HYSTERESIS`.
+        machines: Number of machines in the cluster.
     """
-    return machines > 0 and value(math.ceil(machines * HYSTERESIS) if on else float(machines))
+    return machines > 0 and policy(math.ceil(machines * HYSTERESIS) if enabled else float(machines))
--- a/tests/heartbeat_relay/test_batch_receiver.py
+++ b/tests/heartbeat_relay/test_batch_receiver.py
@@ -1,4 +1,4 @@
-"""The receiver of batches: what is answered, refused and given up."""
+"""The batch receiver: which heartbeats of a batch it answers, refuses or drops."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     cluster.accept(controller, shards=30)
     term.scheduling_loop.step(cluster.clock.now + 10.0)
     cluster.clock.now += 1.0
-    answers = responses_to(receiver, *(msgspec.json.encode(worker.report()) for worker in workers))
-    responses = [msgspec.json.decode(body, type=HeartbeatResponse) for _, body in answers]
-    assert [status for status, _ in answers] == [200] * 3 and {response.token for response in responses} == {term.token}
+    encoded = responses_to(receiver, *(msgspec.json.encode(worker.report()) for worker in workers))
+    responses = [msgspec.json.decode(body, type=HeartbeatResponse) for _, body in encoded]
+    assert [status for status, _ in encoded] == [200] * 3 and {response.token for response in responses} == {term.token}
     for worker, response in zip(workers, responses, strict=True):
         worker.obey(response)
     assert sum(len(worker.running()) for worker in workers) == 30
@@ -36,12 +36,12 @@
 
 def test_malformed_heartbeat_leaves_the_rest_of_its_batch(caplog: pytest.LogCaptureFixture) -> None:
     _, _, _, receiver, workers = start_batch_receiver()
-    good = msgspec.json.encode(workers[0].report())
+    valid = msgspec.json.encode(workers[0].report())
     nameless = msgspec.json.encode(msgspec.structs.replace(workers[1].report(), machine=""))
-    large = b" " * (1 << 16) + good
-    deep = b'{"shards":' + b"[" * 30_000
-    answers = responses_to(receiver, b"{", good, b"\xff", large, deep, b"[]")
-    assert [status for status, _ in answers] == [400, 200, 400, 400, 400, 400]
+    too_large = b" " * (1 << 16) + valid
+    too_deep = b'{"shards":' + b"[" * 30_000
+    responses = responses_to(receiver, b"{", valid, b"\xff", too_large, too_deep, b"[]")
+    assert [status for status, _ in responses] == [400, 200, 400, 400, 400, 400]
     assert responses_to(receiver, nameless)[0][0] in (200, 400) and responses_to(receiver) == []
     assert "failed" not in caplog.text
 
@@ -52,9 +52,9 @@
     too_many = msgspec.msgpack.encode(HeartbeatBatch("node-1", [b"{}"] * (MOST_REPORTS + 1)))
     too_large = msgspec.msgpack.encode(HeartbeatBatch("node-1", [b" " * (1 << 19)] * 4))
     unknown_sender = msgspec.msgpack.encode(HeartbeatBatch("somebody", [body]))
-    for wrong in (b"", b"\xc1", msgspec.msgpack.encode([1, 2]), too_many, too_large, unknown_sender) * 3:
+    for invalid in (b"", b"\xc1", msgspec.msgpack.encode([1, 2]), too_many, too_large, unknown_sender) * 3:
         with pytest.raises(BatchRefusedError):
-            receiver.answer(wrong)
+            receiver.answer(invalid)
     assert caplog.text.count("heartbeat_batch_refused ") == 1 and receiver.reports == 0
     cluster.clock.now += 11.0
     with pytest.raises(BatchRefusedError):
@@ -65,13 +65,13 @@
 def test_controller_without_lease_refuses_each_heartbeat() -> None:
     cluster, controller, _, receiver, workers = start_batch_receiver()
     body = msgspec.json.encode(workers[0].report())
-    cluster.clock.now += 30.0  # its leader lease was not renewed
+    cluster.clock.now += 30.0  # the leader lease of the controller expires
     assert responses_to(receiver, body) == [(503, b"")]
     controller.term = None
     assert responses_to(receiver, body, body) == [(421, b"")] * 2
 
 
-def test_lease_that_ends_while_a_batch_waits_drops_its_responses(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_responses_are_dropped_if_the_leader_lease_expires_meanwhile(monkeypatch: pytest.MonkeyPatch) -> None:
     cluster, _, term, receiver, workers = start_batch_receiver()
 
     def slow_wait(begun: object) -> None:
@@ -81,7 +81,7 @@
     assert responses_to(receiver, msgspec.json.encode(workers[0].report())) == [(503, b"")]
 
 
-def test_batch_that_its_sender_gave_up_is_not_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_batch_whose_sender_has_timed_out_is_not_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     cluster, _, term, receiver, workers = start_batch_receiver()
 
     def slow_wait(begun: object) -> None:
--- a/tests/heartbeat_relay/test_forwarder.py
+++ b/tests/heartbeat_relay/test_forwarder.py
@@ -1,4 +1,4 @@
-"""The forwarder of heartbeats against a leader that is overloaded, silent or gone."""
+"""The heartbeat forwarder with a leader that is overloaded, unresponsive or replaced."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class FakeLeader:
-    """A leader at the other end, which answers batches with a given function."""
+    """The transport to a fake leader, which computes the response to each batch with a given function."""
 
     def __init__(self, answer: Callable[[HeartbeatBatch], HeartbeatBatchResponse]) -> None:
         self.answer = answer
@@ -63,14 +63,14 @@
 
 def test_simultaneous_heartbeats_share_batches_and_get_their_own_responses(loop: VirtualLoop) -> None:
     forwarder, leader = start_forwarder(loop, echo)
-    requests = [gevent.spawn(forwarder.forward, b"%d" % i, loop.time) for i in range(600)]
-    gevent.joinall(requests)
-    assert [request.value for request in requests] == [(200, b"%d" % i) for i in range(600)]
-    assert [len(b.heartbeats) for b in leader.batches] == [MOST_REPORTS, MOST_REPORTS, 600 - 2 * MOST_REPORTS]
+    forwarding = [gevent.spawn(forwarder.forward, b"%d" % i, loop.time) for i in range(600)]
+    gevent.joinall(forwarding)
+    assert [greenlet.value for greenlet in forwarding] == [(200, b"%d" % i) for i in range(600)]
+    assert [len(batch.heartbeats) for batch in leader.batches] == [MOST_REPORTS, MOST_REPORTS, 600 - 2 * MOST_REPORTS]
 
 
 def test_response_that_is_too_old_is_dropped(loop: VirtualLoop) -> None:
-    """A follower that stood still: by its own clock the heartbeat came long ago."""
+    """Guards against sending an outdated response after the follower's process was suspended for a while."""
 
     def slow_echo(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         gevent.sleep(2.0)
@@ -92,9 +92,9 @@
         gevent.sleep(0.1)
     gevent.spawn(forwarder.forward, b"waits", loop.time)
     gevent.sleep(0.1)
-    assert len(leader.batches) == BATCHES  # and no more are under way
+    assert len(leader.batches) == BATCHES  # no further batch is sent before a response arrives
     gevent.sleep(MAX_QUEUE_WAIT_S)
-    assert forwarder.forward(b"", loop.time) == (503, b"")  # at once
+    assert forwarder.forward(b"", loop.time) == (503, b"")  # refused without waiting
 
 
 def test_forwarding_pauses_while_the_leader_does_not_answer(loop: VirtualLoop) -> None:
@@ -112,20 +112,24 @@
 
 def test_truncated_or_mismatched_response_is_dropped(loop: VirtualLoop) -> None:
     forwarder, leader = start_forwarder(loop, echo)
-    whole = leader.request
+    complete = leader.request
 
     def truncated(method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        status, answer = whole(method, path, body, timeout)
-        return status, answer[: len(answer) // 2]
+        status, response = complete(method, path, body, timeout)
+        return status, response[: len(response) // 2]
 
     leader.request = truncated  # type: ignore[method-assign]
-    assert forwarder.forward(b"report", loop.time) == (0, b"")
-    leader.answer, leader.request = (lambda batch: HeartbeatBatchResponse([])), whole  # type: ignore[method-assign]
-    assert forwarder.forward(b"report", loop.time) == (0, b"")  # nor is an answer to something else
+    assert forwarder.forward(b"heartbeat", loop.time) == (0, b"")
+    leader.answer, leader.request = (lambda batch: HeartbeatBatchResponse([])), complete  # type: ignore[method-assign]
+    assert forwarder.forward(b"heartbeat", loop.time) == (0, b"")  # the response is for a batch of another length
 
 
 def test_overloaded_leader_that_sends_status_keeps_its_followers(loop: VirtualLoop) -> None:
-    """Under full load all followers paused at once; thousands of workers came anew, and the leader was later still."""
+    """Guards against pausing while the leader is only overloaded.
+
+    All followers used to pause at the same time under full load. Thousands of workers then opened new connections to
+    the leader and overloaded it further.
+    """
 
     def slow_echo(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         gevent.sleep(1e6)
@@ -135,14 +139,17 @@
     forwarder = HeartbeatForwarder("node-1", lambda: loop.time, lambda: peer)
     gevent.spawn(forwarder.run)
     for _ in range(3):
-        queries_under_way = gevent.spawn(forwarder.forward, b"", loop.time)
+        forwarding = gevent.spawn(forwarder.forward, b"", loop.time)
         gevent.sleep(1.5)
         peer.last_heard_at = loop.time
-        assert queries_under_way.get() == (0, b"") and forwarder.open()
+        assert forwarding.get() == (0, b"") and forwarder.open()
 
 
 def test_pause_ends_with_the_next_leader(loop: VirtualLoop) -> None:
-    """Its workers were sent to the new leader for as long as the old one would have been left alone."""
+    """Guards against a pause that outlasts the term of the leader that did not respond.
+
+    The follower went on redirecting its workers to the new leader until the pause for the old leader expired.
+    """
 
     def silent(batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         gevent.sleep(1e6)
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -1,4 +1,4 @@
-"""Heartbeats over any controller on simulated time, under every way in which a follower or the leader fails."""
+"""The heartbeat relay in simulated clusters, under failures of followers, the leader and the links between them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def start_busy_cluster(loop: VirtualLoop, seed: int = 1, machines: int = 18, controllers: int = 3) -> SimulatedCluster:
-    """Return a cluster at work whose controllers all answer heartbeats."""
+    """Return a cluster with running jobs in which every controller answers heartbeats."""
     cluster = SimulatedCluster(loop, seed=seed, machines=machines, controllers=controllers, rules=SPREAD)
     cluster.task_s = (3.0, 20.0)
     cluster.cancelling = 0.2
@@ -37,32 +37,34 @@
 
 
 def kept_workers(cluster: SimulatedCluster) -> dict[str, int]:
-    """Return how many workers each controller keeps."""
+    """Return the number of workers that each running controller keeps."""
     return {name: len(controller.spread.kept) for name, controller in cluster.nodes.items() if controller is not None}
 
 
 def followers(cluster: SimulatedCluster) -> list[str]:
-    """Return the names of the controllers that do not lead."""
+    """Return the names of all controllers except the leader."""
     (leader,) = cluster.leading()
     return [name for name in cluster.controllers if name != leader]
 
 
 def test_workers_are_spread_evenly_and_answered_by_the_leader(loop: VirtualLoop) -> None:
     cluster = start_busy_cluster(loop, machines=30)
-    even = 30 / 3
-    assert all(0.8 * even <= count <= 1.2 * even for count in kept_workers(cluster).values()), kept_workers(cluster)
+    even_share = 30 / 3
+    assert all(0.8 * even_share <= count <= 1.2 * even_share for count in kept_workers(cluster).values()), kept_workers(
+        cluster
+    )
     statuses = Counter[str]()
     report_to = SimulatedWorker.report_to
 
-    def counted(self: SimulatedWorker, name: str) -> tuple[int, bytes]:
+    def count_status(self: SimulatedWorker, name: str) -> tuple[int, bytes]:
         status, body = report_to(self, name)
         statuses[f"{status}"] += 1
         return status, body
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(SimulatedWorker, "report_to", counted)
+        patch.setattr(SimulatedWorker, "report_to", count_status)
         gevent.sleep(30)
-    # nobody is sent to and fro once all have found their place
+    # no worker is redirected once the shares are balanced
     assert statuses["200"] > 250 and set(statuses) == {"200"}
     (leader,) = cluster.leading()
     controller = cluster.nodes[leader]
@@ -71,7 +73,7 @@
 
 
 def crash_for(cluster: SimulatedCluster, names: list[str], seconds: float) -> None:
-    """Crash controllers, and start them again after some seconds."""
+    """Crash controllers, and restart them after a number of seconds."""
     for name in names:
         cluster.crash(name)
         gevent.spawn_later(seconds, back, cluster, name)
@@ -148,7 +150,7 @@
 
 
 def leader_is_deposed(cluster: SimulatedCluster) -> None:
-    """Cut from the state service and the others, and not from its workers; jobs are cancelled through the next."""
+    """Cut the leader off from the store and its peers but not from workers; cancel jobs at its successor."""
     (leader,) = cluster.leading()
     for peer in (STATE, *followers(cluster)):
         cluster.links.set(leader, peer, LinkMode.HELD)
@@ -185,10 +187,10 @@
 ]  # fmt: skip
 
 
-def broken_after(
+def violations_after(
     cluster: SimulatedCluster, failure: Callable[[SimulatedCluster], None], seconds: float = 50.0
 ) -> list[str]:
-    """Return what was broken or lost by the time that a failure is over."""
+    """Cause a failure, repair it after some time, and return all violated invariants and lost jobs."""
     failure(cluster)
     gevent.sleep(6)
     if cluster.leading():
@@ -204,7 +206,7 @@
     loop: VirtualLoop, failure: Callable[[SimulatedCluster], None], seed: int
 ) -> None:
     cluster = start_busy_cluster(loop, seed, controllers=3 if seed == 1 else 5)
-    assert broken_after(cluster, failure) == []
+    assert violations_after(cluster, failure) == []
     assert not cluster.both
 
 
@@ -212,7 +214,7 @@
 def test_failure_of_a_follower_costs_no_lease_and_no_leader(
     loop: VirtualLoop, failure: Callable[[SimulatedCluster], None]
 ) -> None:
-    """Its workers go to the others, and what runs goes on."""
+    """Workers of a failed follower reach other controllers before their leases expire, so that no task is killed."""
     cluster = start_busy_cluster(loop)
     failure(cluster)
     gevent.sleep(35)
@@ -221,7 +223,7 @@
 
 
 def test_leader_that_no_worker_reaches_goes_on_over_followers(loop: VirtualLoop) -> None:
-    """Alone it would have had to give way: one change of leader less."""
+    """Heartbeats over followers spare a failover: a leader that receives no heartbeat at all resigns."""
     cluster = start_busy_cluster(loop)
     (leader,) = cluster.leading()
     for zone in "ab":
@@ -241,7 +243,7 @@
 
 
 def test_restarted_follower_gets_workers_gradually(loop: VirtualLoop) -> None:
-    """All at once they would take the one that is back for the answer to everything."""
+    """Guards against overloading a restarted follower, which keeps no workers and so is far below its share."""
     cluster = start_busy_cluster(loop, machines=60)
     name = followers(cluster)[0]
     cluster.crash(name)
@@ -256,44 +258,44 @@
 
 
 def follower_answers_from_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A follower repeats a worker's last response where the leader gives none in time."""
+    """Let followers repeat the last response to a worker if the leader's response does not arrive in time."""
     last_responses: dict[str, tuple[int, bytes]] = {}
     forward = HeartbeatForwarder.forward
 
-    def remembering(self: HeartbeatForwarder, body: bytes, came_at: float) -> tuple[int, bytes]:
+    def forward_or_repeat(self: HeartbeatForwarder, body: bytes, received_at: float) -> tuple[int, bytes]:
         machine = json.loads(body)["vessel"]
-        status, response = forward(self, body, came_at)
+        status, response = forward(self, body, received_at)
         if status == 200:
             last_responses[machine] = status, response
             return status, response
         return last_responses.get(machine, (status, response))
 
-    monkeypatch.setattr(HeartbeatForwarder, "forward", remembering)
+    monkeypatch.setattr(HeartbeatForwarder, "forward", forward_or_repeat)
     monkeypatch.setattr(HeartbeatForwarder, "open", lambda self: True)
 
 
 def leader_answers_without_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader goes on answering batches after its leader lease has expired."""
-    answered = BatchReceiver._respond
+    """Let a leader answer batches after its leader lease has expired."""
+    respond = BatchReceiver._respond
 
-    def always(self: BatchReceiver, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
+    def respond_without_lease(self: BatchReceiver, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(LeaderElection, "is_leader", lambda lead: lead is self.election or lead.authority_until > 0)
-            return answered(self, batch)
+            return respond(self, batch)
 
-    monkeypatch.setattr(BatchReceiver, "_respond", always)
+    monkeypatch.setattr(BatchReceiver, "_respond", respond_without_lease)
     monkeypatch.setattr(LeaderElection, "check_clock", lambda self: None)
 
 
-@pytest.mark.parametrize("break_it", [follower_answers_from_memory, leader_answers_without_lease])
-def test_deliberate_faults_are_found(
-    monkeypatch: pytest.MonkeyPatch, break_it: Callable[[pytest.MonkeyPatch], None]
+@pytest.mark.parametrize("inject_fault", [follower_answers_from_memory, leader_answers_without_lease])
+def test_invariant_checks_detect_injected_faults(
+    monkeypatch: pytest.MonkeyPatch, inject_fault: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
-    break_it(monkeypatch)
-    found: list[str] = []
+    inject_fault(monkeypatch)
+    violations: list[str] = []
     for seed, failure in itertools.product(range(3), (follower_loses_leader_for_long, leader_is_deposed)):
         with simulated() as loop:
             cluster = start_busy_cluster(loop, seed)
             cluster.task_s = (20.0, 90.0)
-            found += broken_after(cluster, failure, seconds=90.0)
-    assert found
+            violations += violations_after(cluster, failure, seconds=90.0)
+    assert violations
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -1,4 +1,4 @@
-"""Which controller keeps which workers."""
+"""Assignment of workers to controllers: which workers a controller keeps, and where it redirects the others."""
 
 from __future__ import annotations
 
@@ -7,13 +7,18 @@
 import msgspec
 
 from grebestand.emulators.worker import WorkerEmulator
-from grebestand.heartbeat_relay.worker_assignment import BACK_S, PeerCapacity, WorkerAssignment, assignment_enabled
+from grebestand.heartbeat_relay.worker_assignment import (
+    KEEP_RETURNING_S,
+    PeerCapacity,
+    WorkerAssignment,
+    assignment_enabled,
+)
 from grebestand.simulation.single_controller_cluster import ManualClock
 from grebestand.wire.workers import Heartbeat
 
 
-class Neighbours:
-    """The assignment of one controller among others, whose last status messages are given."""
+class AssignmentWithPeers:
+    """The worker assignment of the controller `node-0` in zone `a`, and the peers that it knows."""
 
     def __init__(self, *others: PeerCapacity, limit: int = 1000, machines: int = 300) -> None:
         self.clock = ManualClock()
@@ -22,10 +27,10 @@
         self.assignment.told(machines)
 
     def arrive(self, count: int, zone: str = "a", first: int = 0) -> Counter[str | None]:
-        """Have new workers come, and return how many of them go to which controller."""
+        """Let new workers send their first heartbeat; return how many are assigned to each controller."""
         destinations = Counter[str | None]()
         for i in range(first, first + count):
-            to = self.assignment.where(f"n-{i}", zone, leads=False)
+            to = self.assignment.where(f"n-{i}", zone, is_leader=False)
             if to == "node-0":
                 self.assignment.keep(f"n-{i}")
             destinations[to] += 1
@@ -34,87 +39,93 @@
 
 def test_controller_keeps_its_share_and_redirects_the_rest() -> None:
     near, far = PeerCapacity("near", "a", True, 0, 900), PeerCapacity("far", "b", False, 0, 900)
-    neighbours = Neighbours(near, far)
-    destinations = neighbours.arrive(300)
-    # its own zone's others first, then whoever has room; the leader's share is a little less
+    cluster = AssignmentWithPeers(near, far)
+    destinations = cluster.arrive(300)
+    # peers in the worker's zone come first, then the other peers; the leader's share is smaller
     assert (
         100 <= destinations["node-0"] <= 120 and 80 <= destinations["near"] <= 100 and 80 <= destinations["far"] <= 120
     )
-    # a worker that is kept stays
-    assert neighbours.arrive(50) == {"node-0": 50}
-    # those of another zone go there, as long as there is room
-    fresh = Neighbours(near, far)
+    # workers that are already kept stay
+    assert cluster.arrive(50) == {"node-0": 50}
+    # workers of another zone are redirected to that zone while its controllers are below their share
+    fresh = AssignmentWithPeers(near, far)
     assert fresh.arrive(80, zone="b") == {"far": 80}
 
 
 def test_redirected_worker_that_comes_back_is_kept() -> None:
-    neighbours = Neighbours(PeerCapacity("near", "a", True, 0, 900))
-    neighbours.arrive(300)
-    sent = list(neighbours.assignment.sent)[:20]
-    # they come back, and are kept
-    assert [neighbours.assignment.where(machine, "a", False) for machine in sent] == ["node-0"] * 20
-    neighbours.clock.now += BACK_S + 1.0
-    neighbours.assignment.tidy()
-    assert not neighbours.assignment.sent and not neighbours.assignment.kept  # nobody has reported for so long
+    cluster = AssignmentWithPeers(PeerCapacity("near", "a", True, 0, 900))
+    cluster.arrive(300)
+    redirected = list(cluster.assignment.redirected_at)[:20]
+    assert [cluster.assignment.where(machine, "a", False) for machine in redirected] == ["node-0"] * 20
+    cluster.clock.now += KEEP_RETURNING_S + 1.0
+    cluster.assignment.tidy()
+    # no worker has sent a heartbeat for that long
+    assert not cluster.assignment.redirected_at and not cluster.assignment.kept
 
 
 def test_surplus_workers_are_shed_at_a_bounded_rate() -> None:
-    neighbours = Neighbours()
-    assert neighbours.arrive(300) == {"node-0": 300}
-    neighbours.others = [PeerCapacity("new", "a", False, 0, 900)]
+    cluster = AssignmentWithPeers()
+    assert cluster.arrive(300) == {"node-0": 300}
+    cluster.others = [PeerCapacity("new", "a", False, 0, 900)]
     moved = 0
     for _ in range(40):
-        neighbours.clock.now += 0.5
-        for machine in list(neighbours.assignment.kept):
-            to = neighbours.assignment.where(machine, "a", False)
+        cluster.clock.now += 0.5
+        for machine in list(cluster.assignment.kept):
+            to = cluster.assignment.where(machine, "a", False)
             if to == "new":
                 moved += 1
             else:
-                neighbours.assignment.keep(machine)
-        neighbours.others = [PeerCapacity("new", "a", False, moved, 900)]
-        neighbours.assignment.heard("new")
+                cluster.assignment.keep(machine)
+        cluster.others = [PeerCapacity("new", "a", False, moved, 900)]
+        cluster.assignment.heard("new")
         # six in a hundred of the 300 it began with, a second
-        assert moved <= 19 * (neighbours.clock.now - 1000.0) + 19
-    assert 150 <= len(neighbours.assignment.kept) <= 180
+        assert moved <= 19 * (cluster.clock.now - 1000.0) + 19
+    assert 150 <= len(cluster.assignment.kept) <= 180
 
 
 def test_surplus_heartbeats_are_shed() -> None:
-    """Counts were even, and the leader, with the busiest machines, answered twice as many reports as others."""
-    neighbours = Neighbours(
-        PeerCapacity("near", "a", False, 95, 900, reports=40.0), PeerCapacity("far", "b", False, 95, 900, reports=40.0)
+    """Guards against balancing only the number of workers: those of busy machines send more heartbeats.
+
+    A leader that kept an even number of workers, but on the busiest machines, answered twice as many heartbeats as its
+    peers.
+    """
+    cluster = AssignmentWithPeers(
+        PeerCapacity("near", "a", False, 95, 900, heartbeats_per_s=40.0),
+        PeerCapacity("far", "b", False, 95, 900, heartbeats_per_s=40.0),
     )
-    neighbours.assignment.machines = 290
+    cluster.assignment.machines = 290
     for i in range(100):
-        neighbours.assignment.keep(f"n-{i}")
+        cluster.assignment.keep(f"n-{i}")
     moved = Counter[str | None]()
     for _ in range(12):
-        neighbours.clock.now += 1.0
-        for machine in list(neighbours.assignment.kept) * 2:
-            if machine in neighbours.assignment.kept:
-                to = neighbours.assignment.where(machine, "a", False)
+        cluster.clock.now += 1.0
+        for machine in list(cluster.assignment.kept) * 2:
+            if machine in cluster.assignment.kept:
+                to = cluster.assignment.where(machine, "a", False)
                 moved[to] += 1
                 if to == "node-0":
-                    neighbours.assignment.keep(machine)
-        neighbours.assignment.tidy()
-    assert neighbours.assignment.rate > 120.0 and 5 <= moved["near"] + moved["far"] <= 14
+                    cluster.assignment.keep(machine)
+        cluster.assignment.tidy()
+    assert cluster.assignment.rate > 120.0 and 5 <= moved["near"] + moved["far"] <= 14
 
 
 def test_full_controller_keeps_no_new_worker() -> None:
-    neighbours = Neighbours(PeerCapacity("near", "a", True, 290, 3), limit=20)
-    destinations = neighbours.arrive(40)
+    cluster = AssignmentWithPeers(PeerCapacity("near", "a", True, 290, 3), limit=20)
+    destinations = cluster.arrive(40)
     assert destinations["node-0"] == 20 and destinations["near"] == 3 and destinations[None] == 17
-    assert neighbours.assignment.where("n-0", "a", False, surplus=True) is None
+    assert cluster.assignment.where("n-0", "a", False, over_limit=True) is None
 
 
 def test_overloaded_controller_gets_workers_only_as_a_last_resort() -> None:
-    late = PeerCapacity("late", "a", False, 0, 900, late=True)
-    neighbours = Neighbours(late, PeerCapacity("near", "a", True, 0, 900))
-    assert neighbours.arrive(300)["late"] == 0
-    neighbours = Neighbours(PeerCapacity("near", "a", False, 0, 900))
-    neighbours.assignment.late = lambda: True
-    assert neighbours.arrive(100) == {"near": 100}
-    neighbours.others = []
-    assert neighbours.arrive(10, first=100) == {"node-0": 10}  # better late than not at all
+    overloaded = PeerCapacity("overloaded", "a", False, 0, 900, is_overloaded=True)
+    cluster = AssignmentWithPeers(overloaded, PeerCapacity("near", "a", True, 0, 900))
+    assert cluster.arrive(300)["overloaded"] == 0
+    cluster = AssignmentWithPeers(PeerCapacity("near", "a", False, 0, 900))
+    cluster.assignment.is_overloaded = lambda: True
+    assert cluster.arrive(100) == {"near": 100}
+    cluster.others = []
+    # without a peer, an overloaded controller still accepts workers
+    assert cluster.arrive(10, first=100) == {"node-0": 10}
 
 
 def test_policy_enables_assignment_with_hysteresis() -> None:
@@ -128,22 +139,27 @@
 
 
 def test_heartbeat_names_its_machine_and_zone() -> None:
-    """The spread goes by the names that reports carry: read here and at the leader, they mean the same worker."""
+    """The assignment depends on the machine and zone in a heartbeat, so that both have to survive the encoding."""
     worker = WorkerEmulator("n-000007", zone="b")
-    report = msgspec.json.decode(msgspec.json.encode(worker.report()), type=Heartbeat)
-    assert (report.machine, report.zone) == ("n-000007", "b")
+    heartbeat = msgspec.json.decode(msgspec.json.encode(worker.report()), type=Heartbeat)
+    assert (heartbeat.machine, heartbeat.zone) == ("n-000007", "b")
 
 
 def test_followers_together_respect_the_leaders_room() -> None:
-    """Where everything begins at once, several hundred came within a tenth of a second."""
+    """Guards against redirecting more workers to the leader than it has connections for.
+
+    When a cluster starts, several hundred workers connect within 0.1 s, before the leader's next status message.
+    """
     leader = PeerCapacity("leader", "a", True, 900, 240)
-    neighbours = Neighbours(leader, PeerCapacity("far", "b", False, 0, 900), PeerCapacity("near", "a", False, 0, 900))
-    assert sum(neighbours.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 80
-    # at a start the others are not heard of yet, and send all the same
-    alone = Neighbours(leader)
-    alone.assignment.followers = 5
-    assert sum(alone.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 48
-    neighbours.assignment.heard("leader")
-    neighbours.others[0] = PeerCapacity("leader", "a", True, 1140, 0)
-    assert sum(neighbours.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 20
-    assert neighbours.assignment.may_redirect_to_leader("nobody knows")
+    cluster = AssignmentWithPeers(
+        leader, PeerCapacity("far", "b", False, 0, 900), PeerCapacity("near", "a", False, 0, 900)
+    )
+    assert sum(cluster.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 80
+    # when a cluster starts, other followers redirect workers too, although their status has not arrived yet
+    unaware = AssignmentWithPeers(leader)
+    unaware.assignment.followers = 5
+    assert sum(unaware.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 48
+    cluster.assignment.heard("leader")
+    cluster.others[0] = PeerCapacity("leader", "a", True, 1140, 0)
+    assert sum(cluster.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 20
+    assert cluster.assignment.may_redirect_to_leader("nobody knows")
