--- a/src/grebestand/features/__init__.py
+++ b/src/grebestand/features/__init__.py
@@ -1,1 +1,1 @@
-"""The interface for features: the hooks that an optional package may use, and how a process switches it on."""
+"""Interface for features: the hooks that an optional package may provide, and the files that enable a feature."""
--- a/src/grebestand/features/hooks.py
+++ b/src/grebestand/features/hooks.py
@@ -1,21 +1,21 @@
-"""The table of hooks. A feature provides those that it needs; the core calls them and knows nothing else of it.
+"""The hooks of features. A feature provides the hooks that it needs; the core depends on no other part of a feature.
 
-| hook | called by | when | may |
+| hook | called by | called when | purpose |
 | --- | --- | --- | --- |
-| `accept` | the job API of any controller | for a new, well-formed submission that could run | refuse it |
-| `place` | the leader, when it schedules | before a job's waiting tasks get allocations | say why the job waits |
-| `close` | the leader, in the transaction that completes a job | once for each job that is done | add changes to it |
-| `records` | a new leader, before it starts any task | while it reads its records | read its own records |
-| `messages` | the peer API of any controller | another controller sends to that path | return a response |
-| `listeners` | the process, at start | once | serve an address of its own |
-| `hosts` | the process, at start | once | keep the `Host`, which is what a controller offers features |
-| `terms` | a new leader, after its records are read and before anything starts | once a term | read its own records |
-| `recalls` | the job API of any controller | a job that another cluster may run is cancelled | cancel it there |
-| `steps` | the leader, again and again with a pause | during its term | act |
-
-A hook must not start or stop a task other than through the leader's registry and dispatcher, nor write to the store
-other than through the term's fenced writer. `accept`, `place` and `close` must not block. An exception in a hook is
-logged by the loop that has called it.
+| `accept` | job API of any controller | a new, valid submission arrives whose job could run | refuse the submission |
+| `place` | scheduler of the leader | waiting tasks of a job are about to be placed | delay the job, with a reason |
+| `close` | leader | once for each job that is done | add changes to the transaction that completes the job |
+| `records` | new leader | records are loaded, before any task is started | load the feature's records |
+| `messages` | peer API of any controller | another controller sends a message to the hook's path | return a response |
+| `listeners` | process | once, when the process starts | serve a separate address |
+| `hosts` | process | once, when the process starts | keep the `Host`, the interface of the controller |
+| `terms` | new leader | once per term, after the records are loaded and before any task starts | prepare for the term |
+| `recalls` | job API of any controller | a job that another cluster may run is cancelled | cancel the job there |
+| `steps` | leader | repeatedly during a term, with a pause in between | do periodic work |
+
+A hook may start and stop tasks only through the leader's registry and dispatcher, and write to the store only through
+the term's fenced writer. `accept`, `place` and `close` must not block. An exception in a hook is logged by the loop
+that has called the hook.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 from ..wire.jobs import JobSpec
 from ..wire.store import Change
 
-#: connections of a listener, unless its feature asks for another number
+#: largest number of connections of a listener, unless the feature sets another one
 DEFAULT_LISTENER_CONNECTIONS = 40
 
 
 class FeatureConflictError(GrebestandError, ValueError):
-    """Two features claim the same thing.
+    """Two features claim the same name, path or prefix.
 
     Attributes:
-        claim: The kind of thing, for example `message path`.
-        name: What both claim.
+        claim: Kind of the claim, for example `message path`.
+        name: The name, path or prefix that both features claim.
     """
 
     def __init__(self, claim: str, name: str) -> None:
@@ -51,12 +51,13 @@
 
 @dataclass(frozen=True)
 class HookRefusal:
-    """Why a submission is not accepted.
+    """A refusal of a submission.
 
     Attributes:
-        status: HTTP status: 422 if it never will be, 429 or 503 if it may be later.
-        text: The reason, for the user.
-        retry_after: Seconds after which the user should try again.
+        status: HTTP status of the response: 422 if the submission can never be accepted, 429 or 503 if it may be
+            accepted later.
+        text: Reason of the refusal, for the user.
+        retry_after: Seconds after which the user should submit the job again, None if never.
     """
 
     status: int
@@ -66,11 +67,11 @@
 
 @dataclass(frozen=True)
 class Records:
-    """A feature's stored records.
+    """The stored records of a feature.
 
     Attributes:
-        prefix: Key prefix of their pages, used by no other feature.
-        load: Gets the pages, to write to them later, and the values that were read, by name.
+        prefix: Key prefix of the pages that contain the records; must differ from the prefixes of other features.
+        load: Called with the pages, for later writes, and with the values read from the store, by name.
     """
 
     prefix: str
@@ -78,7 +79,7 @@
 
 
 class Host(Protocol):
-    """What a controller offers its features.
+    """The interface of a controller for its features.
 
     Attributes:
         name: Name of the controller.
@@ -87,26 +88,26 @@
     name: str
 
     def present(self) -> Any:
-        """Return the `leader.term.Term` in which this controller leads, with its records read, or None."""
+        """Return the current `leader.term.Term` if this controller leads and has loaded its records, else None."""
 
     def leader(self) -> str | None:
-        """Return the name of the controller that leads, as far as this one knows."""
+        """Return the name of the current leader, or None if this controller knows no leader."""
 
     def cancel(self, ref: str) -> bool:
-        """Cancel a job as a user would; return whether it is completed now."""
+        """Cancel a job in the same way as a user's request; return whether the job is completed now."""
 
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
-        """Send a message to the controller that is thought to lead, and return its response or None."""
+        """Send a message to the current leader; return the response, or None without a leader or a response."""
 
 
 class Gate(Protocol):
-    """What a connection has to pass before any of it is read as HTTP."""
+    """Checks a connection before any HTTP request is read from it."""
 
     def admit(self, host: str) -> bool:
-        """Return whether an address may connect. Called first, as it is cheap."""
+        """Return whether a host may connect; called before `wrap`, so that refusing a host is cheap."""
 
     def wrap(self, socket: Any, host: str) -> Any:
-        """Return the connection to be read from, for example with TLS, or None if it is refused."""
+        """Return the connection that requests are read from, for example a TLS connection, or None to refuse it."""
 
 
 @dataclass(frozen=True)
@@ -115,10 +116,10 @@
 
     Attributes:
         address: The address, as `host:port`.
-        field: Name of the settings field that holds the address, for errors.
-        app: The WSGI application that serves it.
-        connections: Maximum number of connections.
-        gate: What a connection has to pass, if anything.
+        field: Name of the settings field that contains the address, for error texts.
+        app: WSGI application that handles the requests.
+        connections: Largest number of connections.
+        gate: Checks each new connection; None accepts all connections.
     """
 
     address: str
@@ -130,9 +131,20 @@
 
 @dataclass
 class Features:
-    """All hooks of all features that are on; the module's docstring has the table of them.
+    """All hooks of all enabled features; the table at the start of this module describes each hook.
 
-    `steps` has a function and the pause after it in seconds; `place` gets the job and the current time.
+    Attributes:
+        names: Names of the enabled features.
+        accept: Functions that return a refusal of a submission, or None.
+        place: Functions of a job and the current time in seconds that return why the job has to wait, or None.
+        close: Functions that return the changes to add to the transaction that completes a job.
+        records: The stored records of each feature.
+        messages: By message path, functions that return the response to a message.
+        listeners: The addresses that features serve.
+        steps: Pairs of a function and the pause in seconds after each call of the function.
+        hosts: Functions that receive the `Host`.
+        terms: Functions that receive the `leader.term.Term`.
+        recalls: Functions that receive the id of the cancelled job.
     """
 
     names: list[str] = field(default_factory=list)
@@ -148,10 +160,10 @@
     recalls: list[Callable[[str], None]] = field(default_factory=list)
 
     def add(self, other: Features) -> None:
-        """Add another feature's hooks.
+        """Add the hooks of another feature.
 
         Raises:
-            FeatureConflictError: Both have the same name, record prefix or message path.
+            FeatureConflictError: The name, a record prefix or a message path is already in use.
         """
         _check_distinct("feature", self.names, other.names)
         _check_distinct("record prefix", self._record_prefixes(), other._record_prefixes())
@@ -162,22 +174,22 @@
                 getattr(self, hook.name).extend(getattr(other, hook.name))
 
     def _record_prefixes(self) -> list[str]:
-        """Return the key prefixes of all records."""
+        """Return the key prefixes of all features' records."""
         return [records.prefix for records in self.records]
 
     def refusal(self, spec: JobSpec) -> HookRefusal | None:
-        """Return the first refusal of a submission, or None if no feature refuses it."""
+        """Return the first refusal of a submission, or None if no feature refuses the submission."""
         return next((refusal for hook in self.accept if (refusal := hook(spec)) is not None), None)
 
     def veto(self, job: Job, now: float) -> str | None:
-        """Return the first reason why a job may not get allocations now, or None."""
-        if not self.place:  # called for every waiting job at every heartbeat, so no generator is made without need
+        """Return the first reason why a job has to wait, or None if no feature delays the job."""
+        if not self.place:  # avoids creating a generator: this method runs for every waiting job at every heartbeat
             return None
         return next((reason for hook in self.place if (reason := hook(job, now)) is not None), None)
 
 
 def _check_distinct(claim: str, first: Iterable[str], second: Iterable[str]) -> None:
-    """Raise `FeatureConflictError` if two features claim the same."""
+    """Raise `FeatureConflictError` if two features claim the same name, path or prefix."""
     shared = set(first) & set(second)
     if shared:
         raise FeatureConflictError(claim, min(shared))
--- a/src/grebestand/features/registry.py
+++ b/src/grebestand/features/registry.py
@@ -1,8 +1,9 @@
-"""The features that exist, and the files that switch them on: `grebestand serve --with FILE`.
+"""The known features, and the files that enable them: `grebestand serve --with FILE`.
 
-A feature's file is TOML. `feature` names it. Every other key is a number, a truth value or an expression with the names
-of the feature's vocabulary, checked like the policy, except for the keys that the feature lists as plain (names,
-addresses, tables) and checks itself. A feature's module is imported only when a file asks for it.
+A feature file is TOML. Its key `feature` contains the name of the feature. The other values are numbers, truth values
+or expressions with the variables of the feature's vocabulary, and are checked like the policy. Keys that the feature
+declares as plain (names, addresses, tables) are checked by the feature itself. The module of a feature is imported
+only if a file enables the feature.
 """
 
 from __future__ import annotations
@@ -14,42 +15,42 @@
 from typing import cast
 
 from ..settings import expressions
-from ..settings.expressions import ExpressionError, Expressions, Fault, Vocabulary
+from ..settings.expressions import ExpressionError, Expressions, SettingFault, Vocabulary
 from ..settings.platform import Settings
 from .hooks import Features
 
-#: the key that names the feature, in a feature's file
+#: key of a feature file that contains the name of the feature
 FEATURE_KEY = "feature"
-#: the only key of a list of files
+#: only key of a file that lists feature files
 LIST_KEY = "with"
 
 
 @dataclass(frozen=True)
 class Plain:
-    """The values of a feature's plain keys, unchecked.
+    """The values of the plain keys in a feature file, which only the feature itself checks.
 
     Attributes:
-        file: Path of the feature's file.
-        values: The values by key.
+        file: Path of the feature file.
+        values: By key, the values.
     """
 
     file: str
     values: dict[str, object]
 
     def fault(self, key: str, text: str) -> ExpressionError:
-        """Return the error that says what is wrong with a key, to be raised by the feature."""
+        """Return an error about the value of a key, for the feature to raise."""
         return _error(self.file, key, text)
 
 
 @dataclass(frozen=True)
 class Feature:
-    """A feature, which its module offers as `FEATURE`.
+    """The description of a feature; the module of each feature defines one under the name `FEATURE`.
 
     Attributes:
-        vocabulary: The keys of its file, and the names of its expressions.
-        defaults: Values for the keys that a file does not set.
-        make: Makes the hooks from the file's expressions, the platform's settings and the plain values. A `ValueError`
-            that it raises is what is wrong with the file.
+        vocabulary: Keys of the feature file, and variables of the expressions in the file.
+        defaults: Values for the keys that are not in the feature file.
+        make: Returns the hooks for the expressions of the file, the platform's settings and the plain values. Raises
+            `ValueError` with a description of the fault if the file is not valid.
         plain: Keys that the feature checks itself.
     """
 
@@ -59,26 +60,26 @@
     plain: frozenset[str] = frozenset()
 
 
-#: features that come with the project: by name, the module that has its `FEATURE`
+#: by name of each feature in this project, the module that defines `FEATURE`
 BUILT_IN: dict[str, str] = {"federation": "grebestand.federation.feature"}
 
 
-def find(name: str, known: dict[str, str]) -> Feature | None:
-    """Return a feature by its name, or None if it is not among the `known` modules."""
+def find_feature(name: str, known: dict[str, str]) -> Feature | None:
+    """Return the feature with a name, or None if the name is not a key of `known`."""
     module = known.get(name)
     return cast(Feature, import_module(module).FEATURE) if module is not None else None
 
 
 def load(files: list[str], settings: Settings, known: dict[str, str] | None = None) -> Features:
-    """Return the hooks of all features that files switch on.
+    """Return the hooks of all features that are enabled by files.
 
     Args:
-        files: Paths of the features' files.
+        files: Paths of the feature files.
         settings: The platform's settings.
-        known: By name, the modules of the features that exist; `BUILT_IN` if not given.
+        known: By name of each known feature, the module that defines `FEATURE`; `BUILT_IN` if None.
 
     Raises:
-        ExpressionError: A file is not valid; the error names the file, the key and the column.
+        ExpressionError: A file is not valid; the error contains the file, the key and the column of each fault.
     """
     known = BUILT_IN if known is None else known
     all_hooks = Features()
@@ -88,7 +89,7 @@
 
 
 def _load_file(file: str, settings: Settings, known: dict[str, str], all_hooks: Features) -> None:
-    """Add the hooks of the feature that a file switches on."""
+    """Add the hooks of the feature that a file enables to `all_hooks`."""
     raw = expressions.read(file)
     name = raw.pop(FEATURE_KEY, None)
     feature = _named_feature(file, name, known)
@@ -97,17 +98,17 @@
     values = expressions.parse(raw, file, feature.vocabulary, defaults)
     try:
         all_hooks.add(feature.make(values, settings, plain))
-    except ExpressionError:  # names its key already
+    except ExpressionError:  # already contains the file and the key
         raise
     except ValueError as error:
         raise _error(file, FEATURE_KEY, str(error)) from error
 
 
 def _named_feature(file: str, name: object, known: dict[str, str]) -> Feature:
-    """Return the feature that a file names."""
+    """Return the feature whose name is in a file."""
     if not isinstance(name, str):
         raise _error(file, FEATURE_KEY, "must name the feature that the file switches on")
-    feature = find(name, known)
+    feature = find_feature(name, known)
     if feature is None:
         names = ", ".join(sorted(known)) or "none is built in yet"
         raise _error(file, FEATURE_KEY, f"unknown feature {name!r} (known: {names})")
@@ -115,12 +116,14 @@
 
 
 def listed(path: str) -> list[str]:
-    """Return the paths of the features' files that a list names: TOML with `with = ["file", ...]`.
+    """Return the paths of feature files in a list file.
 
-    The files are relative to the directory of the list.
+    Args:
+        path: Path of the list file, which is TOML with `with = ["file", ...]`. The listed paths are relative to the
+            directory of the list file.
 
     Raises:
-        ExpressionError: The list cannot be read or is not valid.
+        ExpressionError: The list file cannot be read or is not valid.
     """
     raw = expressions.read(path)
     files = raw.get(LIST_KEY, [])
@@ -130,5 +133,5 @@
 
 
 def _error(file: str, key: str, text: str) -> ExpressionError:
-    """Return the error for one fault of a key's value as a whole."""
-    return ExpressionError([Fault(file, key, 1, text)])
+    """Return an error with a single fault, which concerns the whole value of a key."""
+    return ExpressionError([SettingFault(file, key, 1, text)])
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -6,8 +6,8 @@
 busy machines send up to six times as many heartbeats as idle ones.
 
 The number of workers that another controller keeps is taken from its last status message, plus the workers redirected
-to it since that message. No worker is redirected twice within `KEEP_RETURNING_S`: otherwise two controllers, each with outdated
-information that the other is below its share, could redirect a worker back and forth.
+to it since that message. No worker is redirected twice within `KEEP_RETURNING_S`: otherwise two controllers, each with
+outdated information that the other is below its share, could redirect a worker back and forth.
 """
 
 from __future__ import annotations
--- a/src/grebestand/settings/evaluation.py
+++ b/src/grebestand/settings/evaluation.py
@@ -1,4 +1,4 @@
-"""The evaluator of the expression language, for expressions that the checker has accepted."""
+"""Evaluates expressions that `type_inference` has accepted."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 
 def evaluate(node: ast.expr, values: Mapping[str, float]) -> float:
-    """Return the value of a checked expression; truth values are 0 and 1.
+    """Return the value of an expression; truth values are 0 and 1.
 
     Args:
-        node: The expression.
-        values: The values of its names, within the ranges that it was checked with.
+        node: The expression, accepted by `infer_type`.
+        values: Values of the variables, within the ranges that were given to `infer_type`.
+
+    Returns:
+        A finite or infinite number, or 0 or 1 for a truth value.
     """
     match node:
         case ast.Constant(value=value):
@@ -35,11 +38,11 @@
             return evaluate(body if evaluate(test, values) else alternative, values)
         case ast.Call(func=ast.Name(id=name), args=arguments):
             return FUNCTIONS[name].compute(*[evaluate(argument, values) for argument in arguments])
-    raise AssertionError(f"the checker let {type(node).__name__} through")
+    raise AssertionError(f"expected an expression accepted by infer_type, found {type(node).__name__}")
 
 
 def _calculate(op: ast.operator, left: float, right: float) -> float:
-    """Return the result of an arithmetic operation."""
+    """Return the result of an arithmetic operation on two numbers."""
     if isinstance(op, ast.Add):
         return left + right
     if isinstance(op, ast.Sub):
@@ -48,7 +51,7 @@
 
 
 def _compare(node: ast.Compare, values: Mapping[str, float]) -> float:
-    """Return whether every comparison of a row of them is true; what follows a false one is not evaluated."""
+    """Return 1 if every part of a chained comparison is true, else 0; parts after a false one are not evaluated."""
     left = evaluate(node.left, values)
     for comparison, comparator in zip(node.ops, node.comparators, strict=True):
         right = evaluate(comparator, values)
--- a/src/grebestand/settings/expressions.py
+++ b/src/grebestand/settings/expressions.py
@@ -1,8 +1,9 @@
-"""Files of checked expressions: the operators' policy and the files of features.
+"""Settings files whose values are expressions: the operators' policy and the files of features.
 
-Such a file is TOML whose values are numbers, truth values or expressions in a string. An expression is a subset of
-Python's syntax, parsed with the standard library's `ast` and never passed to `eval`. `type_inference` refuses what
-could fail, and `evaluation` computes the rest. Which keys and names there are is up to each file's `Vocabulary`.
+An expression file is TOML. Each value is a number, a truth value or a string with an expression. Expressions are a
+subset of Python's syntax; they are parsed with the standard library's `ast` and never passed to `eval`.
+`type_inference` rejects expressions whose evaluation could fail, and `evaluation` computes the accepted ones. The
+`Vocabulary` of a file defines its keys and the variables of its expressions.
 """
 
 from __future__ import annotations
@@ -14,18 +15,24 @@
 
 from ..errors import GrebestandError
 from .evaluation import evaluate
-from .type_inference import InferredType, InvalidExpressionError, Names, infer_type
+from .type_inference import InferredType, InvalidExpressionError, VariableRanges, infer_type
 
-#: limit on the length of an expression, in characters; bounds the work of parser and checker
+#: largest length of an expression, in characters; bounds the time for parsing and checking
 MAX_EXPRESSION_LENGTH = 500
 
-#: stands for the key of a fault that concerns the file as a whole
+#: replaces the key in a fault of the file as a whole
 NO_KEY = "-"
 
 
 @dataclass(frozen=True)
 class Rule:
-    """What the value of a key may be: a number from `low` to `high`, or a truth value."""
+    """The allowed values of a key.
+
+    Attributes:
+        low: Smallest allowed number.
+        high: Largest allowed number.
+        boolean: Whether the value has to be a truth value rather than a number.
+    """
 
     low: float
     high: float
@@ -33,14 +40,14 @@
 
 
 @dataclass(frozen=True)
-class Fault:
-    """One thing that is wrong with a file.
+class SettingFault:
+    """One fault of an expression file.
 
     Attributes:
         file: Path of the file.
-        key: Key whose value is wrong, or `NO_KEY`.
+        key: Key whose value is not valid, or `NO_KEY`.
         column: Column in the expression, counted from 1.
-        text: What is wrong.
+        text: Description of the fault.
     """
 
     file: str
@@ -49,42 +56,58 @@
     text: str
 
     def __str__(self) -> str:
-        """Return the fault as one line."""
+        """Return a description of the fault in one line, with file, key and column."""
         return f"{self.file}: {self.key}: column {self.column}: {self.text}"
 
 
 class ExpressionError(GrebestandError, ValueError):
-    """A file is not valid.
+    """An expression file is not valid.
 
     Attributes:
-        faults: Everything that is wrong with it.
+        faults: All faults of the file.
     """
 
-    def __init__(self, faults: list[Fault]) -> None:
+    def __init__(self, faults: list[SettingFault]) -> None:
         self.faults = faults
         super().__init__("; ".join(str(fault) for fault in faults))
 
 
 @dataclass(frozen=True)
 class Vocabulary:
-    """The keys of a kind of file, and the names that its expressions may use with the range guaranteed for each."""
+    """The keys of an expression file, and the variables of its expressions.
+
+    Attributes:
+        keys: By key, the allowed values.
+        names: By name of each variable, the lowest and the highest value that the program guarantees.
+    """
 
     keys: Mapping[str, Rule]
-    names: Names
+    names: VariableRanges
 
 
 class Expressions:
-    """The checked expressions of one file."""
+    """The accepted expressions of an expression file, by key."""
 
     def __init__(self, vocabulary: Vocabulary, expressions: dict[str, ast.expr]) -> None:
-        """Bind expressions, by key, to the vocabulary that they were checked with."""
+        """Create the expressions of a file.
+
+        Args:
+            vocabulary: The vocabulary that the expressions were checked with.
+            expressions: By key, the accepted expressions.
+        """
         self.vocabulary = vocabulary
         self.expressions = expressions
 
     def value(self, key: str, names: Mapping[str, float]) -> float:
-        """Return the value of a key under the current values of the names; truth values are 0 and 1.
+        """Return the value of a key.
+
+        Args:
+            key: The key.
+            names: By name, the current values of the variables. Each value is clamped to the range of its variable, as
+                the checker has accepted the expression for this range only.
 
-        Names are limited to their ranges, which the checker relied on, and the value to the range of its key.
+        Returns:
+            The value of the expression, clamped to the allowed values of the key; 0 or 1 for a truth value.
         """
         ranges = self.vocabulary.names
         limited = {name: min(max(value, ranges[name][0]), ranges[name][1]) for name, value in names.items()}
@@ -93,16 +116,16 @@
 
 
 def parse(raw: Mapping[str, object], file: str, vocabulary: Vocabulary, base: Expressions | None = None) -> Expressions:
-    """Check the contents of a file.
+    """Check the contents of an expression file.
 
     Args:
-        raw: The values by key.
-        file: Name of the file, for faults.
-        vocabulary: What the file may contain.
-        base: Expressions for the keys that the file does not set; without it, every key has to be set.
+        raw: By key, the values in the file.
+        file: Name of the file, for error texts.
+        vocabulary: The allowed keys and variables.
+        base: Expressions for the keys that are not in the file; if None, the file has to contain every key.
 
     Raises:
-        ExpressionError: The file is not valid; the error lists all faults.
+        ExpressionError: The file is not valid; the error contains all faults.
     """
     checked = dict(base.expressions) if base else {}
     faults = []
@@ -110,33 +133,33 @@
         try:
             checked[key] = _checked_expression(key, value, vocabulary)
         except InvalidExpressionError as error:
-            faults.append(Fault(file, key, error.column, error.problem))
+            faults.append(SettingFault(file, key, error.column, error.problem))
     if base is None:
-        faults += [Fault(file, key, 1, "setting is missing") for key in vocabulary.keys if key not in checked]
+        faults += [SettingFault(file, key, 1, "setting is missing") for key in vocabulary.keys if key not in checked]
     if faults:
         raise ExpressionError(faults)
     return Expressions(vocabulary, checked)
 
 
 def read(path: str) -> dict[str, object]:
-    """Return the contents of a TOML file; raise `ExpressionError` if it cannot be read."""
+    """Return the contents of a TOML file; raise `ExpressionError` if the file cannot be read or parsed."""
     try:
         with open(path, "rb") as file:
             return read_text(file.read().decode("utf-8"), path)
     except (OSError, UnicodeDecodeError) as error:
-        raise ExpressionError([Fault(path, NO_KEY, 1, str(error))]) from error
+        raise ExpressionError([SettingFault(path, NO_KEY, 1, str(error))]) from error
 
 
 def read_text(text: str, file: str) -> dict[str, object]:
-    """Return the contents of a TOML text; raise `ExpressionError` that names `file` if it is not TOML."""
+    """Return the contents of a TOML text; raise `ExpressionError` with the name `file` if parsing fails."""
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ExpressionError([Fault(file, NO_KEY, 1, f"not TOML: {error}")]) from error
+        raise ExpressionError([SettingFault(file, NO_KEY, 1, f"not TOML: {error}")]) from error
 
 
 def _checked_expression(key: str, value: object, vocabulary: Vocabulary) -> ast.expr:
-    """Return the expression that a value stands for; raise `InvalidExpressionError` if it is not allowed."""
+    """Return the expression in a value; raise `InvalidExpressionError` unless the key and expression are valid."""
     if key not in vocabulary.keys:
         raise InvalidExpressionError(f"unknown setting (known: {', '.join(sorted(vocabulary.keys))})")
     tree = _parse_expression(_expression_text(value))
@@ -145,7 +168,7 @@
 
 
 def _expression_text(value: object) -> str:
-    """Return a value as the text of an expression."""
+    """Return the text of the expression in a value; a number or truth value is an expression too."""
     if isinstance(value, bool | int | float):
         text = repr(value)
     elif isinstance(value, str):
@@ -153,7 +176,9 @@
     else:
         raise InvalidExpressionError("must be a number, true, false or an expression in a string")
     if len(text) > MAX_EXPRESSION_LENGTH:
-        raise InvalidExpressionError("the expression is too long")
+        raise InvalidExpressionError(
+            f"expected an expression of at most {MAX_EXPRESSION_LENGTH} characters, found {len(text)} characters"
+        )
     return text
 
 
@@ -166,8 +191,8 @@
         raise InvalidExpressionError(f"not an expression: {error}", column) from error
 
 
-def _infer_type(tree: ast.expr, names: Names) -> InferredType:
-    """Return the type of an expression; one that exceeds the limits of the checker is not allowed."""
+def _infer_type(tree: ast.expr, names: VariableRanges) -> InferredType:
+    """Return the type of an expression; reject an expression that is too deep or whose numbers are too large."""
     try:
         return infer_type(tree, names)
     except (RecursionError, OverflowError) as error:
@@ -175,7 +200,7 @@
 
 
 def _check_rule(inferred: InferredType, rule: Rule) -> None:
-    """Check that an expression has the type that its key needs, and can have an allowed value."""
+    """Check that an expression has the type required by its key and can evaluate to an allowed value."""
     if inferred.boolean != rule.boolean:
         needed = "true or false" if rule.boolean else "a number"
         raise InvalidExpressionError(f"type error: {needed} is needed")
--- a/src/grebestand/settings/operations.py
+++ b/src/grebestand/settings/operations.py
@@ -1,4 +1,4 @@
-"""The functions and comparisons of the expression language: how to compute each, and the range of its result."""
+"""The functions and comparisons of the expression language, with the range of the result of each function."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 from ..errors import GrebestandError
 
-#: limit on the arguments of a function that takes any number of them
+#: largest number of arguments of a variadic function
 MAX_ARGUMENTS = 8
 
 
 @dataclass(frozen=True)
 class Range:
-    """The closed interval that a number is guaranteed to be in."""
+    """The closed interval that a number is guaranteed to lie in."""
 
     low: float = -math.inf
     high: float = math.inf
 
     @staticmethod
     def between(low: float, high: float) -> Range:
-        """Return the range with these ends; an undefined end (NaN) counts as infinite."""
+        """Return the range from `low` to `high`; an end that is NaN counts as infinite."""
         return Range(-math.inf if math.isnan(low) else low, math.inf if math.isnan(high) else high)
 
 
 class DomainError(GrebestandError):
-    """A function could be called with an argument for which it is not defined.
+    """A function could be called with an argument outside its domain.
 
     Attributes:
-        problem: What the argument may be, as text.
+        problem: Text that says which invalid value the argument may have.
     """
 
     def __init__(self, problem: str) -> None:
@@ -41,11 +41,12 @@
 
 @dataclass(frozen=True)
 class Function:
-    """A function of the language.
+    """A function of the expression language.
 
     Attributes:
-        compute: Computes the function.
-        result_range: Returns the range of the result from those of the arguments, or raises `DomainError`.
+        compute: Returns the value of the function for its arguments.
+        result_range: Returns the range of the result for given ranges of the arguments; raises `DomainError` if the
+            function is not defined in all of these ranges.
         min_arguments: Smallest number of arguments.
         max_arguments: Largest number of arguments.
     """
@@ -57,7 +58,7 @@
 
 
 def _logarithm(compute: Callable[[float], float]) -> Function:
-    """Return a logarithm."""
+    """Return the language's function for a logarithm."""
 
     def result_range(arguments: Sequence[Range]) -> Range:
         argument = arguments[0]
@@ -69,7 +70,7 @@
 
 
 def _rounding(compute: Callable[[float], float]) -> Function:
-    """Return a function that rounds."""
+    """Return the language's function for a rounding operation."""
 
     def result_range(arguments: Sequence[Range]) -> Range:
         argument = arguments[0]
@@ -81,16 +82,18 @@
 
 
 def _selection(compute: Callable[..., float]) -> Function:
-    """Return a function that selects one of its arguments by size."""
+    """Return the language's function for the minimum or maximum of several numbers."""
 
     def result_range(arguments: Sequence[Range]) -> Range:
-        return Range.between(compute(a.low for a in arguments), compute(a.high for a in arguments))
+        return Range.between(
+            compute(argument.low for argument in arguments), compute(argument.high for argument in arguments)
+        )
 
     return Function(compute, result_range, min_arguments=2, max_arguments=MAX_ARGUMENTS)
 
 
 def _square_root_range(arguments: Sequence[Range]) -> Range:
-    """Return the range of a square root."""
+    """Return the range of the square root of an argument."""
     argument = arguments[0]
     if argument.low < 0:
         raise DomainError("its argument may be negative")
@@ -98,22 +101,23 @@
 
 
 def _absolute_range(arguments: Sequence[Range]) -> Range:
-    """Return the range of an absolute value."""
+    """Return the range of the absolute value of an argument."""
     argument = arguments[0]
     ends = abs(argument.low), abs(argument.high)
     return Range.between(0.0 if argument.low <= 0 <= argument.high else min(ends), max(ends))
 
 
 def _ceil(number: float) -> float:
-    """Return the smallest whole number that is not smaller, as a float."""
+    """Return the smallest integer that is at least `number`, as a float."""
     return float(math.ceil(number))
 
 
 def _floor(number: float) -> float:
-    """Return the largest whole number that is not larger, as a float."""
+    """Return the largest integer that is at most `number`, as a float."""
     return float(math.floor(number))
 
 
+#: by name, all functions of the expression language
 FUNCTIONS: Mapping[str, Function] = {
     "ln": _logarithm(math.log),
     "log2": _logarithm(math.log2),
@@ -125,6 +129,7 @@
     "max": _selection(max),
 }
 
+#: by syntax node, all comparisons of the expression language
 COMPARISONS: Mapping[type[ast.cmpop], Callable[[float, float], bool]] = {
     ast.Lt: operator.lt,
     ast.LtE: operator.le,
--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: read and validated once at start; unknown fields are ignored."""
+"""The platform's settings file, which is read and checked once when the process starts; unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ..errors import GrebestandError
 
 MAX_PORT = 65535
-#: smallest limit on the changes of a transaction with which every transaction of the program can be made
+#: smallest allowed `txn_ops` of the store; some transactions of the program would exceed a lower limit
 MIN_TRANSACTION_CHANGES = 4
 
 
 class SettingsError(GrebestandError, ValueError):
-    """The settings are not valid. The text is one line.
+    """The settings are not valid; the error text is one line.
 
     Attributes:
-        problem: What is wrong.
-        subject: Name of the field or file at fault; None if `problem` names it.
+        problem: Description of the fault.
+        subject: Name of the invalid field or file; None if `problem` contains the name.
     """
 
     def __init__(self, problem: str, subject: str | None = None) -> None:
@@ -30,12 +30,12 @@
 
 
 class PeerAddress(msgspec.Struct, rename={"name": "host_name", "zone": "area"}):
-    """Another controller.
+    """The name, zone and address of another controller.
 
     Attributes:
-        name: Its name; `host_name` in the file.
-        zone: Its zone; `area` in the file.
-        address: Its address for other controllers, as `host:port`.
+        name: Name of the controller; `host_name` in the file.
+        zone: Zone of the controller; `area` in the file.
+        address: Address at which the controller serves other controllers, as `host:port`.
     """
 
     name: str
@@ -44,7 +44,7 @@
 
 
 class ServiceAddresses(msgspec.Struct):
-    """Services that controllers depend on.
+    """Addresses of the services that controllers depend on.
 
     Attributes:
         cloud: Address of the cloud, as `host:port`.
@@ -56,14 +56,14 @@
 
 
 class Team(msgspec.Struct):
-    """The quotas of a team.
+    """The guarantees and limits of a team.
 
     Attributes:
         name: Name of the team.
-        cpus: Processors that the team is guaranteed.
-        cpus_max: Limit on the processors of the team, 0 for none.
-        gpus: GPUs that the team is guaranteed.
-        gpus_max: Limit on the GPUs of the team, 0 for none.
+        cpus: Number of processors that the team is guaranteed.
+        cpus_max: Largest number of processors that the team may use, 0 for no limit.
+        gpus: Number of GPUs that the team is guaranteed.
+        gpus_max: Largest number of GPUs that the team may use, 0 for no limit.
     """
 
     name: str
@@ -77,11 +77,13 @@
     """A service-level objective.
 
     Attributes:
-        kind: What it is about: `wait`, `finished`, `deadline` and `guarantee` influence decisions, others are ignored.
-        klass: Class of the jobs that it applies to, None if it is not about a class; `class` in the file.
+        kind: Kind of the objective. `wait`, `finished`, `deadline` and `guarantee` influence scheduling, other
+            kinds are ignored.
+        klass: Class of the jobs that the objective applies to, None if it does not depend on a class; `class` in the
+            file.
         within_s: Time limit in seconds.
-        share: Part of the jobs that should meet the limit, from 0 to 1.
-        times: Limit as a multiple, of the job's deadline for instance.
+        share: Fraction of the jobs that should meet the limit, from 0 to 1.
+        times: Limit as a multiple of another time, for example of the job's deadline.
     """
 
     kind: str
@@ -92,14 +94,14 @@
 
 
 class Workers(msgspec.Struct):
-    """Times of the protocol with workers, in seconds.
+    """Intervals and timeouts of the protocol with workers, in seconds.
 
     Attributes:
         report_s: Interval between two heartbeats.
-        lease_s: Time without a response after which a worker's lease expires and its tasks are killed.
-        gang_wait_s: Time that a task waits for its gang to become complete before it exits.
-        gang_peer_s: Time after which a running task exits if another task of its gang is gone.
-        cancel_s: Time within which a confirmed cancellation has to have stopped all tasks.
+        lease_s: Time without a response to a heartbeat after which a worker's lease expires and its tasks are killed.
+        gang_wait_s: Time after which a task exits if not all tasks of its gang are ready.
+        gang_peer_s: Time after which a running task exits if another task of its gang is missing.
+        cancel_s: Time within which all tasks of a job have to be stopped after its cancellation was confirmed.
     """
 
     report_s: float
@@ -110,13 +112,13 @@
 
 
 class State(msgspec.Struct):
-    """Limits of the key-value store.
+    """Limits that the key-value store imposes on its clients.
 
     Attributes:
-        rps: Requests per second, of all controllers together.
-        write_rps: Changes per second, of all controllers together.
-        value_kb: Size of a value in kilobytes.
-        txn_ops: Changes in a transaction.
+        rps: Most requests per second from all controllers together.
+        write_rps: Most changes per second from all controllers together.
+        value_kb: Largest size of a value in kilobytes.
+        txn_ops: Largest number of changes in a transaction.
     """
 
     rps: float
@@ -126,11 +128,11 @@
 
 
 class Cloud(msgspec.Struct):
-    """Limits of the cloud.
+    """Limits of the cloud API.
 
     Attributes:
-        rps: Requests per second.
-        list_lag_s: Seconds by which its list of machines may lag behind.
+        rps: Most requests per second.
+        list_lag_s: Largest delay until a change appears in the list of rented machines, in seconds.
     """
 
     rps: float
@@ -138,12 +140,12 @@
 
 
 class Quota(msgspec.Struct, rename={"cpu_share": "cpu", "max_connections": "sockets"}):
-    """What the process of a controller may use.
+    """Limits on the resources used by the process of a controller.
 
     Attributes:
-        cpu_share: Part of a processor; `cpu` in the file.
-        memory_mb: Memory in megabytes.
-        max_connections: Number of sockets; `sockets` in the file.
+        cpu_share: Largest fraction of one processor; `cpu` in the file.
+        memory_mb: Largest amount of memory in megabytes.
+        max_connections: Largest number of sockets; `sockets` in the file.
     """
 
     cpu_share: float = 1.0
@@ -152,18 +154,18 @@
 
 
 class Params(msgspec.Struct, rename={"nodes": "count", "clock_off_ms": "skew_ms"}):
-    """Parameters of the platform, the same for all controllers.
+    """Parameters of the platform that are the same for all controllers.
 
     Attributes:
         nodes: Number of controllers; `count` in the file.
         zones: Names of the zones.
-        workers: Times of the protocol with workers.
+        workers: Intervals and timeouts of the protocol with workers.
         state: Limits of the key-value store.
-        cloud: Limits of the cloud.
-        clock_off_ms: Milliseconds by which clocks of different machines may differ; `skew_ms` in the file.
-        teams: The teams with their quotas.
+        cloud: Limits of the cloud API.
+        clock_off_ms: Largest difference between the clocks of two machines, in milliseconds; `skew_ms` in the file.
+        teams: The teams with their guarantees and limits.
         objectives: The service-level objectives.
-        quota: What the process of a controller may use.
+        quota: Limits on the resources used by the process of each controller.
     """
 
     nodes: int
@@ -182,11 +184,11 @@
 
     Attributes:
         name: Name of the controller; `host_name` in the file.
-        zone: Its zone; `area` in the file.
-        listen: Address at which it serves users and workers, as `host:port`; `serve_on` in the file.
-        peer_listen: Address at which it serves other controllers, as `host:port`.
-        outside: Addresses of the services that it depends on.
-        params: Parameters of the platform.
+        zone: Zone of the controller; `area` in the file.
+        listen: Address at which the controller serves users and workers, as `host:port`; `serve_on` in the file.
+        peer_listen: Address at which the controller serves other controllers, as `host:port`.
+        outside: Addresses of the services that the controller depends on.
+        params: Parameters that are the same for all controllers.
         peers: The other controllers; `known` in the file.
     """
 
@@ -200,19 +202,23 @@
 
 
 def parse_address(text: str, field: str) -> tuple[str, int]:
-    """Return the host and the port of an address of the form `host:port`.
+    """Return the host and the port of an address.
+
+    Args:
+        text: The address, expected as `host:port`.
+        field: Name of the settings field that contains the address, for the error text.
 
     Raises:
-        SettingsError: The address is malformed; `field` is the name of its field.
+        SettingsError: The address does not have the form `host:port`, or the port is out of range.
     """
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) <= MAX_PORT:
-        raise SettingsError(f"not an address of the form host:port: {text!r}", field)
+        raise SettingsError(f"expected an address of the form host:port, found {text!r}", field)
     return host, int(port)
 
 
 def load(path: str) -> Settings:
-    """Return the settings of a file; raise `SettingsError` if it cannot be read or is not valid."""
+    """Return the settings in a file; raise `SettingsError` if the file cannot be read or is not valid."""
     try:
         with open(path, "rb") as file:
             text = file.read().decode("utf-8")
@@ -222,7 +228,7 @@
 
 
 def parse(text: str) -> Settings:
-    """Return the settings that a TOML text describes; raise `SettingsError` that names the first field at fault."""
+    """Return the settings in a TOML text; raise `SettingsError` with the first invalid field if they are not valid."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -248,33 +254,35 @@
 
 
 def _check_params(params: Params) -> None:
-    """Check that the parameters of the platform are in their ranges."""
+    """Check that the parameters of the platform are within their allowed ranges."""
     if not params.zones:
         raise SettingsError("must name at least one zone", "params.zones")
     for name, section in (("workers", params.workers), ("state", params.state), ("cloud", params.cloud)):
         for field in section.__struct_fields__:
             _check_positive(float(getattr(section, field)), f"params.{name}.{field}")
     if params.state.txn_ops < MIN_TRANSACTION_CHANGES:
-        raise SettingsError(f"must be at least {MIN_TRANSACTION_CHANGES}", "params.state.txn_ops")
+        raise SettingsError(
+            f"must be at least {MIN_TRANSACTION_CHANGES}, found {params.state.txn_ops}", "params.state.txn_ops"
+        )
     _check_positive(params.quota.cpu_share, "params.quota.cpu")
     _check_positive(params.quota.memory_mb, "params.quota.memory_mb")
     _check_positive(params.quota.max_connections, "params.quota.sockets")
 
 
 def _check_teams(teams: Iterable[Team]) -> None:
-    """Check that the names of teams are unique and their quotas are not negative."""
+    """Check that the names of teams are unique, and that their guarantees and limits are not negative."""
     names: set[str] = set()
     for team in teams:
         if team.name in names:
-            raise SettingsError(f"{team.name!r} is named twice", "params.teams")
+            raise SettingsError(f"expected unique names of teams, found {team.name!r} twice", "params.teams")
         names.add(team.name)
         for field in ("cpus", "cpus_max", "gpus", "gpus_max"):
             value = getattr(team, field)
             if not (math.isfinite(value) and value >= 0):
-                raise SettingsError(f"must not be negative, not {value!r}", f"params.teams.{field}")
+                raise SettingsError(f"must be finite and not negative, found {value!r}", f"params.teams.{field}")
 
 
 def _check_positive(value: float, field: str) -> None:
     """Check that a number is finite and positive."""
     if not (math.isfinite(value) and value > 0):
-        raise SettingsError(f"must be a positive number, not {value!r}", field)
+        raise SettingsError(f"must be finite and positive, found {value!r}", field)
--- a/src/grebestand/settings/policy.py
+++ b/src/grebestand/settings/policy.py
@@ -1,6 +1,6 @@
-"""The operators' policy: what it may set, and the names that its expressions may use.
+"""The operators' policy: its keys, and the variables of its expressions.
 
-`default_policy.toml` describes each key. A policy file of the operators replaces the settings that it names.
+`default_policy.toml` describes each key. A policy file of the operators only has to contain the keys that it changes.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from . import expressions
 from .expressions import Expressions, Rule, Vocabulary
 
-#: by name that an expression may use, the lowest and the highest value that the program guarantees
+#: by name of each variable, the lowest and the highest value that the program guarantees
 VARIABLES: dict[str, tuple[float, float]] = {
     "machines": (1.0, 1e6),
     "busy": (0.0, 1e6),
@@ -27,7 +27,7 @@
     "guarantee_s": (0.0, 1e6),
 }
 
-#: by key, the values that it may have
+#: by key, the allowed values
 KEYS: dict[str, Rule] = {
     "g": Rule(0, 1e6),
     "period_s": Rule(0.2, 600),
@@ -55,36 +55,38 @@
 
 VOCABULARY = Vocabulary(KEYS, VARIABLES)
 
-
-#: the shipped policy, beside this module
+#: file name of the default policy, in the directory of this module
 DEFAULT_FILE = "default_policy.toml"
 
 
 def parse(text: str, file: str, base: Expressions | None = None) -> Expressions:
-    """Return the policy that a TOML text describes.
+    """Return the policy in a TOML text.
 
     Args:
-        text: The contents of the file.
-        file: Name of the file, for faults.
-        base: The policy whose settings are replaced; without it, every key has to be set.
+        text: The contents of a policy file.
+        file: Name of the file, for error texts.
+        base: Policy for the keys that are not in the file; if None, the file has to contain every key.
 
     Raises:
-        ExpressionError: The policy is not valid; the error lists all faults.
+        ExpressionError: The policy is not valid; the error contains all faults.
     """
     return expressions.parse(expressions.read_text(text, file), file, VOCABULARY, base)
 
 
 def default() -> Expressions:
-    """Return the shipped policy."""
+    """Return the default policy."""
     text = resources.files("grebestand.settings").joinpath(DEFAULT_FILE).read_text("utf-8")
     return parse(text, DEFAULT_FILE)
 
 
 def load(path: str | None) -> Expressions:
-    """Return the policy of a file over the shipped one, or the shipped one if there is no file.
+    """Return the policy in a file, completed by the default policy.
+
+    Args:
+        path: Path of the policy file; if None, the default policy is returned.
 
     Raises:
-        ExpressionError: The file cannot be read or is not valid; the error lists all faults.
+        ExpressionError: The file cannot be read or is not valid; the error contains all faults.
     """
     base = default()
     return base if path is None else expressions.parse(expressions.read(path), path, VOCABULARY, base)
--- a/tests/features/test_feature_hooks.py
+++ b/tests/features/test_feature_hooks.py
@@ -1,4 +1,4 @@
-"""A tiny feature hooks in everywhere: each hook is called when the table in `features.hooks` says so."""
+"""The hooks of features: a small test feature checks that each hook is called as described in `features.hooks`."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class CurfewCluster:
-    """A cluster with one worker, whose controllers have the tiny feature on; the first one leads."""
+    """A cluster with one worker and the leader `node-0`, whose controllers have the test feature `curfew` enabled."""
 
     def __init__(self, file: Path) -> None:
         file.write_text('feature = "curfew"\nmost_tasks = "20 * teams + 1"\n')
@@ -32,7 +32,7 @@
         self.term: Term = self.node.lead()
 
     def start_job(self) -> str:
-        """A job of two tasks that are running."""
+        """Submit a job with two tasks, wait until both tasks run, and return the id of the job."""
         job_id = self.cluster.accept(self.node, shards=2)
         self.cluster.settle(self.term, 8)
         assert len(self.worker.running()) == 2
@@ -44,19 +44,19 @@
     return CurfewCluster(tmp_path / "curfew.toml")
 
 
-def test_accept_hook_refuses_a_submission_for_now(curfew_cluster: CurfewCluster) -> None:
+def test_accept_hook_refuses_a_submission(curfew_cluster: CurfewCluster) -> None:
     response = curfew_cluster.node.users.submit(curfew_cluster.cluster.job(shards=42))
     assert (response.status, response.retry_after) == (429, 7)
 
 
-def test_accept_hook_is_not_asked_about_a_known_job(curfew_cluster: CurfewCluster) -> None:
+def test_accept_hook_is_not_called_for_a_known_job(curfew_cluster: CurfewCluster) -> None:
     cluster, node = curfew_cluster.cluster, curfew_cluster.node
     job_id = cluster.accept(node, shards=2)
     repetition = {**json.loads(cluster.job(shards=42)), "ref": job_id}
     assert node.users.submit(json.dumps(repetition).encode()).status == 200
 
 
-def test_place_hook_delays_a_job_and_gives_the_reason(curfew_cluster: CurfewCluster) -> None:
+def test_place_hook_delays_a_job_with_a_reason(curfew_cluster: CurfewCluster) -> None:
     cluster, term, worker = curfew_cluster.cluster, curfew_cluster.term, curfew_cluster.worker
     job_id = cluster.accept(curfew_cluster.node, shards=2)
     curfew_cluster.curfew.active = True
@@ -68,7 +68,7 @@
     assert len(worker.running()) == 2
 
 
-def test_change_of_close_hook_is_made_in_the_transaction_that_completes_the_job(curfew_cluster: CurfewCluster) -> None:
+def test_close_hook_adds_changes_to_the_completing_transaction(curfew_cluster: CurfewCluster) -> None:
     job_id = curfew_cluster.start_job()
     for task in curfew_cluster.worker.running():
         curfew_cluster.worker.finish(task)
@@ -86,24 +86,24 @@
     assert curfew_cluster.curfew.loaded == {"on": False}
 
 
-def test_message_hook_answers_its_path_alone(curfew_cluster: CurfewCluster) -> None:
+def test_message_hook_answers_only_its_own_path(curfew_cluster: CurfewCluster) -> None:
     clock, features = curfew_cluster.cluster.clock, curfew_cluster.features
     peer_api = PeerApi([], clock, lambda: PeerStatus("node-1", 1, 0.0), features)
     assert peer_api.answer("/curfew", b"abc") == b"cba" and peer_api.answer("/nothing", b"") is None
 
 
-def test_listener_of_the_feature_is_offered(curfew_cluster: CurfewCluster) -> None:
+def test_listener_of_a_feature_is_added(curfew_cluster: CurfewCluster) -> None:
     assert [listener.field for listener in curfew_cluster.features.listeners] == ["curfew"]
 
 
-def test_two_features_may_not_claim_the_same_path() -> None:
+def test_features_with_the_same_message_path_conflict() -> None:
     first = Features(["a"], messages={"/x": bytes})
-    with pytest.raises(ValueError, match="message path '/x' is claimed twice") as refused:
+    with pytest.raises(ValueError, match="message path '/x' is claimed twice") as raised:
         first.add(Features(["b"], messages={"/x": bytes}))
-    assert isinstance(refused.value, FeatureConflictError)
+    assert isinstance(raised.value, FeatureConflictError)
 
 
-def test_added_feature_brings_all_of_its_hooks() -> None:
+def test_adding_a_feature_adds_all_of_its_hooks() -> None:
     hosts: list[object] = []
     recalled: list[str] = []
     features = Features(["a"], hosts=[hosts.append], messages={"/a": bytes})
--- a/tests/features/test_feature_registry.py
+++ b/tests/features/test_feature_registry.py
@@ -1,4 +1,4 @@
-"""The files that switch features on are checked, and errors name file, key and column."""
+"""The files that enable features: errors contain the file, the key and the column."""
 
 from __future__ import annotations
 
@@ -33,23 +33,25 @@
     assert str(caught.value.faults[0]).removeprefix(f"{tmp_path}/").startswith(fault)
 
 
-def test_command_line_lists_the_features_that_exist(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    config, unknown = tmp_path / "settings.toml", tmp_path / "wish.toml"
+def test_error_for_an_unknown_feature_lists_the_known_features(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    config, unknown = tmp_path / "settings.toml", tmp_path / "unknown.toml"
     config.write_text(SETTINGS)
-    unknown.write_text('feature = "wish"\n')
+    unknown.write_text('feature = "unknown"\n')
     assert main(["serve", "--config", str(config), "--with", str(unknown)]) == 2
     errors = capsys.readouterr().err
-    assert errors.startswith(f"grebestand: feature: {unknown}: feature: column 1: unknown feature 'wish' (known: ")
+    assert errors.startswith(f"grebestand: feature: {unknown}: feature: column 1: unknown feature 'unknown' (known: ")
     assert errors.count("\n") == 1
 
 
-def test_list_names_files_relative_to_itself(tmp_path: Path) -> None:
+def test_listed_paths_are_relative_to_the_list_file(tmp_path: Path) -> None:
     file = tmp_path / "features.toml"
     file.write_text('with = ["curfew.toml"]\n')
     assert listed(str(file)) == [str(tmp_path / "curfew.toml")]
 
 
-def test_list_that_is_no_list_is_refused(tmp_path: Path) -> None:
+def test_value_that_is_not_a_list_is_refused(tmp_path: Path) -> None:
     file = tmp_path / "features.toml"
     file.write_text('with = "curfew.toml"\n')
     with pytest.raises(ExpressionError, match="with: column 1: must be a list of files"):
--- a/tests/settings/test_platform.py
+++ b/tests/settings/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: errors name the field, and unknown fields are ignored."""
+"""The platform's settings file: an error contains the name of the invalid field, and unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 @pytest.mark.parametrize(("change", "name"), INVALID_SETTINGS)
-def test_invalid_settings_are_refused_by_name(change: tuple[str, str], name: str) -> None:
+def test_error_names_the_invalid_field(change: tuple[str, str], name: str) -> None:
     with pytest.raises(SettingsError, match=name):
         parse(invalid_settings(change))
 
 
 def test_unknown_settings_are_ignored() -> None:
-    assert parse("novelty = 3\n" + SETTINGS + "\n[params.later]\nx = 1\n").params.nodes == 1
+    assert parse("unknown = 3\n" + SETTINGS + "\n[params.later]\nx = 1\n").params.nodes == 1
--- a/tests/settings/test_policy.py
+++ b/tests/settings/test_policy.py
@@ -1,4 +1,4 @@
-"""The operators' policy: what its expressions may be, and what their values are."""
+"""The operators' policy: which expressions are valid, and what they evaluate to."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
     assert str(caught.value).startswith("ops.toml: ")
 
 
-def test_values_follow_the_names_and_stay_in_range() -> None:
+def test_values_depend_on_variables_and_stay_in_range() -> None:
     expressions = policy.parse('g = "max(1, machines / 4) if machines > 10 else 1"', "x", policy.default())
-    names = {name: low for name, (low, _) in policy.VARIABLES.items()}
-    assert expressions.value("g", {**names, "machines": 40}) == 10
-    assert expressions.value("g", {**names, "machines": 8}) == 1
-    assert expressions.value("hold_s", {**names, "lease_s": 20}) == 12
-    assert expressions.value("migrate", names) in (0, 1)
+    variables = {name: low for name, (low, _) in policy.VARIABLES.items()}
+    assert expressions.value("g", {**variables, "machines": 40}) == 10
+    assert expressions.value("g", {**variables, "machines": 8}) == 1
+    assert expressions.value("hold_s", {**variables, "lease_s": 20}) == 12
+    assert expressions.value("migrate", variables) in (0, 1)
