--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -128,7 +128,7 @@
             raise MalformedBatchError(error) from error
         if batch.sender not in self.senders:
             raise UnknownSenderError(batch.sender)
-        # a sender stops adding heartbeats once a batch exceeds MAX_BATCH_BYTES, so the last heartbeat may exceed it
+        # senders stop filling a batch only after it has reached MAX_BATCH_BYTES, so the last heartbeat may exceed that
         if (
             len(batch.heartbeats) > MOST_REPORTS
             or sum(map(len, batch.heartbeats)) > MAX_BATCH_BYTES + MAX_HEARTBEAT_BYTES
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -101,7 +101,7 @@
         return self.heartbeats_per_s * self._fraction(is_leader)
 
     def missing_workers(self, is_leader: bool, kept_workers: int, heartbeats_per_s: float) -> float:
-        """Return how many more workers a controller should accept; negative if it has more than its share.
+        """Return how many more workers a controller should accept; negative if the controller is above its share.
 
         Args:
             is_leader: Whether the controller is the leader.
@@ -280,7 +280,7 @@
         candidates = in_zone or below_share
         if candidates:
             return self._redirect(machine, max(candidates, key=lambda candidate: candidate[0])[1])
-        # without a controller below its share, any controller that has a connection for the worker will do
+        # if no controller is below its share, any controller with a connection for the worker keeps the worker
         if has_connection or kept:
             return self.name
         with_connection = [peer for peer in peers if self._free_connections(peer) > 0]
--- a/src/grebestand/wire/peers.py
+++ b/src/grebestand/wire/peers.py
@@ -1,7 +1,8 @@
 """Messages between the controllers of one cluster: their status, proxied requests, relayed heartbeats, cached images.
 
-The leader bases no decision about tasks on a status message, with one exception: that a job is cancelled, since a
-cancellation is final. A lost or late status message causes only a wrong number in a job's status or a slower failover.
+Decisions about tasks are based on heartbeats and on the key-value store, not on the other messages in this module. The
+only exception is the list of cancelled jobs in a status message, because a cancellation is final. If a message without
+heartbeats is lost or late, the worst effects are a wrong number in a job's status and a slower failover.
 """
 
 from __future__ import annotations
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -50,9 +50,8 @@
 def test_workers_are_spread_evenly_and_answered_by_the_leader(loop: VirtualLoop) -> None:
     cluster = start_busy_cluster(loop, machines=30)
     even_share = 30 / 3
-    assert all(0.8 * even_share <= count <= 1.2 * even_share for count in kept_workers(cluster).values()), kept_workers(
-        cluster
-    )
+    counts = kept_workers(cluster)
+    assert all(0.8 * even_share <= count <= 1.2 * even_share for count in counts.values()), counts
     statuses = Counter[str]()
     report_to = SimulatedWorker.report_to
 
@@ -161,7 +160,7 @@
 def leader_transfers_leadership(cluster: SimulatedCluster) -> None:
     controller = cluster.nodes[cluster.leading()[0]]
     assert controller is not None
-    gevent.spawn(controller.leadership_transfer.resign, "played", "")
+    gevent.spawn(controller.leadership_transfer.resign, "test", "")
 
 
 def leader_and_follower_crash(cluster: SimulatedCluster) -> None:
@@ -202,7 +201,7 @@
 
 @pytest.mark.parametrize("failure", FAILURES)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_failure_breaks_no_rule_and_loses_no_job(
+def test_failure_violates_no_invariant_and_loses_no_job(
     loop: VirtualLoop, failure: Callable[[SimulatedCluster], None], seed: int
 ) -> None:
     cluster = start_busy_cluster(loop, seed, controllers=3 if seed == 1 else 5)
@@ -211,7 +210,7 @@
 
 
 @pytest.mark.parametrize("failure", [follower_crashes, follower_loses_leader, follower_stalls, follower_is_slow])
-def test_failure_of_a_follower_costs_no_lease_and_no_leader(
+def test_follower_failure_expires_no_worker_lease_and_changes_no_leader(
     loop: VirtualLoop, failure: Callable[[SimulatedCluster], None]
 ) -> None:
     """Workers of a failed follower reach other controllers before their leases expire, so that no task is killed."""
@@ -222,8 +221,8 @@
     assert cluster.longest_pause(15.0, 45.0) < 9.0
 
 
-def test_leader_that_no_worker_reaches_goes_on_over_followers(loop: VirtualLoop) -> None:
-    """Heartbeats over followers spare a failover: a leader that receives no heartbeat at all resigns."""
+def test_leader_unreachable_for_workers_receives_heartbeats_through_followers(loop: VirtualLoop) -> None:
+    """Forwarded heartbeats avoid a failover: a leader that receives no heartbeats at all resigns."""
     cluster = start_busy_cluster(loop)
     (leader,) = cluster.leading()
     for zone in "ab":
@@ -238,8 +237,8 @@
     leader_transfers_leadership(cluster)
     gevent.sleep(12)
     assert len(cluster.leaders) == 2 and cluster.killed == 0
-    now = kept_workers(cluster)
-    assert all(abs(count - before[name]) <= 4 for name, count in now.items()), (before, now)
+    after = kept_workers(cluster)
+    assert all(abs(count - before[name]) <= 4 for name, count in after.items()), (before, after)
 
 
 def test_restarted_follower_gets_workers_gradually(loop: VirtualLoop) -> None:
