--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -78,7 +78,7 @@
                 cluster.assignment.keep(machine)
         cluster.others = [PeerCapacity("new", "a", False, moved, 900)]
         cluster.assignment.heard("new")
-        # six in a hundred of the 300 it began with, a second
+        # SHED_FRACTION_PER_S of the 300 workers at the start is 18 per second
         assert moved <= 19 * (cluster.clock.now - 1000.0) + 19
     assert 150 <= len(cluster.assignment.kept) <= 180
 
