--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -110,8 +110,8 @@
         """
         missing = self.worker_share(is_leader) * SHARE_SLACK - kept_workers
         if self.balances_heartbeats:
-            missing_heartbeats_per_s = self.heartbeat_share(is_leader) * SHARE_SLACK - heartbeats_per_s
-            missing = min(missing, missing_heartbeats_per_s * self.machine_count / self.heartbeats_per_s)
+            share = self.heartbeat_share(is_leader) * SHARE_SLACK
+            missing = min(missing, (share - heartbeats_per_s) * self.machine_count / self.heartbeats_per_s)
         return missing
 
     def _fraction(self, is_leader: bool) -> float:
@@ -265,23 +265,24 @@
         peers = self.others()
         share = EvenShare(self.machines, self.rate, is_leader, peers)
         kept = machine in self.kept and not over_limit
-        has_connection = bool(self.room) and not over_limit
+        free_connections = 0 if over_limit else self.room
         if kept and not self._should_shed(is_leader, share, peers):
             return self.name
-        if not kept and machine in self.redirected_at and has_connection:
+        if not kept and machine in self.redirected_at and free_connections:
             return self.name  # a worker that returns after a redirect is not redirected again
-        below_share = [(missing, peer) for peer in peers if (missing := self._missing_workers(peer, share)) >= 1]
+        missing_workers = [(self._missing_workers(peer, share), peer) for peer in peers]
+        below_share = [(missing, peer) for missing, peer in missing_workers if missing >= 1]
         in_zone = [(missing, peer) for missing, peer in below_share if peer.zone == zone]
         accepts = not self.is_overloaded() and (
             share.missing_workers(is_leader, len(self.kept), self.rate) + EXTRA_WORKERS > 0
         )
-        if not kept and has_connection and accepts and (zone == self.zone or not in_zone):
+        if not kept and free_connections and accepts and (zone == self.zone or not in_zone):
             return self.name
         candidates = in_zone or below_share
         if candidates:
             return self._redirect(machine, max(candidates, key=lambda candidate: candidate[0])[1])
         # if no controller is below its share, any controller with a connection for the worker keeps the worker
-        if has_connection or kept:
+        if free_connections or kept:
             return self.name
         with_connection = [peer for peer in peers if self._free_connections(peer) > 0]
         return self._redirect(machine, max(with_connection, key=self._free_connections)) if with_connection else None
