--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -59,7 +59,7 @@
             gevent.sleep(DECISION_INTERVAL_S)
             if self.clock() - cleaned_at >= CLEANUP_INTERVAL_S:
                 cleaned_at = self.clock()
-                self.assignment.tidy()
+                self.assignment.update_rate_and_expire()
             if self.assignment.machines and self.clock() - logged_at >= STATUS_LOG_INTERVAL_S:
                 logged_at = self.clock()
                 self._log_status()
@@ -70,20 +70,20 @@
     def decide(self, term: Term) -> None:
         """Decide, as the leader, whether every controller answers heartbeats: by policy, or if one cannot serve all."""
         machines = len(term.inventory.machines) if self.directory.peers else 0
-        wanted = assignment_enabled(term.assignment_wanted, self.assignment.machines > 0, machines)
-        self.assignment.told(machines if wanted or machines > self.max_workers else 0)
+        wanted = assignment_enabled(term.wants_heartbeat_assignment, self.assignment.machines > 0, machines)
+        self.assignment.update_machine_count(machines if wanted or machines > self.max_workers else 0)
 
     def on_peer_status(self, status: PeerStatus) -> None:
         """Take the capacity of a peer as current, and, from the leader, its decision."""
-        self.assignment.heard(status.name)
+        self.assignment.record_peer_status(status.name)
         if status.token and self.current_term.term is None:
-            self.assignment.told(status.shared_machines)
+            self.assignment.update_machine_count(status.shared_machines)
 
     def _log_status(self) -> None:
         log.info(
             LogEvent(
                 "worker_assignment_status",
-                assigned=len(self.assignment.kept),
+                assigned=len(self.assignment.kept_workers),
                 machines=self.assignment.machines,
                 heartbeats_forwarded=self.forwarder.passed,
                 batches_sent=self.forwarder.batches,
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -60,11 +60,13 @@
             task_counts=term.status_broadcast.counts() if term is not None else {},
             load=self.overload.state.value,
             workers_age_s=self.workers_link.age_s if self.workers_link.ok_at > -math.inf else NO_WORKER_SEEN_S,
-            worker_addresses=term.status_broadcast.samples(self.rng) if term is not None else [],
+            worker_addresses=term.status_broadcast.sample_addresses(self.rng) if term is not None else [],
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
-            kept_workers=len(self.assignment.kept),
-            free_connections=self.assignment.room if term is not None or self.forwarder.open() else NO_WORKERS_ACCEPTED,
+            kept_workers=len(self.assignment.kept_workers),
+            free_connections=self.assignment.free_connections
+            if term is not None or self.forwarder.accepts_heartbeats()
+            else NO_WORKERS_ACCEPTED,
             heartbeats_per_s=self.assignment.rate,
             shared_machines=self.assignment.machines if term is not None else 0,
         )
--- a/src/grebestand/controller/term_runner.py
+++ b/src/grebestand/controller/term_runner.py
@@ -110,7 +110,7 @@
         """Load the records of a term, then begin to lead and spawn its loops, unless the term ends before."""
         self._load(term)
         if self._is_current(term):
-            term.status_broadcast.learn_images(self.peer_api.known_images())
+            term.status_broadcast.restore_cached_images(self.peer_api.known_images())
         while self._is_current(term) and self.election.state is LeaderState.PAUSED:
             gevent.sleep(PAUSED_POLL_S)
         if not self._is_current(term):
@@ -186,10 +186,10 @@
     @staticmethod
     def _send_direct_commands(term: Term, now: float) -> None:
         """Query unreconciled machines and send urgent stops, each in a greenlet of its own: workers may hang."""
-        for machine in term.machine_reconciliation.to_query(now):
-            gevent.spawn(term.machine_reconciliation.ask, machine)
-        urgent, term.dispatch.urgent = term.dispatch.urgent, set()
+        for machine in term.machine_reconciliation.select_machines_to_query(now):
+            gevent.spawn(term.machine_reconciliation.query, machine)
+        urgent, term.dispatch.urgent_machines = term.dispatch.urgent_machines, set()
         for index in urgent:
-            ready = term.inventory.at(index)
+            ready = term.inventory.find_by_index(index)
             if ready is not None and ready.state is MachineState.READY:
                 gevent.spawn(term.machine_reconciliation.send_stops, ready)
--- a/src/grebestand/features/hooks.py
+++ b/src/grebestand/features/hooks.py
@@ -181,7 +181,7 @@
         """Return the first refusal of a submission, or None if no feature refuses the submission."""
         return next((refusal for hook in self.accept if (refusal := hook(spec)) is not None), None)
 
-    def veto(self, job: Job, now: float) -> str | None:
+    def waiting_reason(self, job: Job, now: float) -> str | None:
         """Return the first reason why a job has to wait, or None if no feature delays the job."""
         if not self.place:  # avoids creating a generator: this method runs for every waiting job at every heartbeat
             return None
--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -171,7 +171,7 @@
         pending = self._apply_heartbeats(term, bodies, received_at, responses)
         if self.clock() - received_at > BATCH_TIMEOUT_S:
             return responses
-        term.cover_heartbeats(pending.values())
+        term.wait_for_grants(pending.values())
         self._finish_responses(term, pending, received_at, responses)
         # a later response repeats the start commands of a response that is replaced by a refusal here
         self.election.check_clock()
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -119,7 +119,7 @@
         log.info(LogEvent("heartbeat_forwarding_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
-    def open(self) -> bool:
+    def accepts_heartbeats(self) -> bool:
         """Return whether heartbeats are forwarded now; end a pause that has expired or applies to an earlier term."""
         leader = self.leader()
         if self.state is ForwarderState.RESTING and leader is not None and leader_term(leader) != self._paused_for_term:
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -158,7 +158,7 @@
         #: Number of machines in the cluster according to the leader; 0 while the leader answers all heartbeats itself.
         self.machines = 0
         #: By machine name of each worker kept here, the time of the last heartbeat and the connection used for it.
-        self.kept: dict[str, tuple[float, object]] = {}
+        self.kept_workers: dict[str, tuple[float, object]] = {}
         #: By `id` of each connection, the machine name of the worker that last sent a heartbeat over the connection.
         self._worker_by_connection: dict[int, str] = {}
         #: Number of controllers other than the leader, reachable or not.
@@ -194,7 +194,7 @@
         log.info(LogEvent("worker_assignment_changed", from_=self.state, to=new, reason=reason))
         self.state = new
 
-    def told(self, machines: int) -> None:
+    def update_machine_count(self, machines: int) -> None:
         """Apply the number of machines announced by the leader; 0 means that the leader answers all heartbeats."""
         self.machines = machines
         if machines:
@@ -202,18 +202,18 @@
         else:
             self.change_state(AssignmentMode.LEADER_ONLY, "the leader answers all heartbeats")
 
-    def heard(self, name: str) -> None:
+    def record_peer_status(self, name: str) -> None:
         """Record that a status message of a controller arrived, which counts all workers redirected there before."""
         self._redirected_since_status.pop(name, None)
 
     # kept workers -----------------------------------------------------------------------------------------
 
     @property
-    def room(self) -> int:
+    def free_connections(self) -> int:
         """The number of further workers that this controller has connections for."""
-        return max(0, self.max_connections - len(self.kept))
+        return max(0, self.max_connections - len(self.kept_workers))
 
-    def keep(self, machine: str, connection: object = None) -> None:
+    def record_heartbeat(self, machine: str, connection: object = None) -> None:
         """Record a heartbeat that this controller answers; its worker is kept from now on.
 
         Args:
@@ -221,18 +221,18 @@
             connection: The connection that the heartbeat arrived over, if known.
         """
         self._heartbeats += 1
-        self.kept[machine] = self.clock(), connection
+        self.kept_workers[machine] = self.clock(), connection
         if connection is not None:
             self._worker_by_connection[id(connection)] = machine
         self.redirected_at.pop(machine, None)
 
-    def ended(self, connection: object) -> None:
+    def record_connection_closed(self, connection: object) -> None:
         """Record that a connection was closed; its worker is no longer kept unless it now uses another connection."""
         machine = self._worker_by_connection.pop(id(connection), None)
-        if machine is not None and machine in self.kept and self.kept[machine][1] is connection:
-            del self.kept[machine]
+        if machine is not None and machine in self.kept_workers and self.kept_workers[machine][1] is connection:
+            del self.kept_workers[machine]
 
-    def tidy(self) -> None:
+    def update_rate_and_expire(self) -> None:
         """Update the heartbeat rate, and remove workers without recent heartbeats and records of old redirects."""
         now = self.clock()
         if now > self._rate_updated_at:
@@ -240,15 +240,17 @@
             self.rate += RATE_SMOOTHING * (latest - self.rate)
             self._heartbeats, self._rate_updated_at = 0, now
         silent_after_s = EXPIRED_AFTER_INTERVALS * self.heartbeat_interval_s
-        silent = [machine for machine, (received_at, _) in self.kept.items() if now - received_at > silent_after_s]
+        silent = [
+            machine for machine, (received_at, _) in self.kept_workers.items() if now - received_at > silent_after_s
+        ]
         for machine in silent:
-            del self.kept[machine]
+            del self.kept_workers[machine]
         while self.redirected_at and now - next(iter(self.redirected_at.values())) > KEEP_RETURNING_S:
             self.redirected_at.popitem(last=False)
 
     # redirects --------------------------------------------------------------------------------------------
 
-    def where(self, machine: str, zone: str, is_leader: bool, over_limit: bool = False) -> str | None:
+    def choose_controller(self, machine: str, zone: str, is_leader: bool, over_limit: bool = False) -> str | None:
         """Choose the controller for a worker that has sent a heartbeat; requires the mode `EVERY_CONTROLLER`.
 
         Args:
@@ -264,8 +266,8 @@
         """
         peers = self.others()
         share = EvenShare(self.machines, self.rate, is_leader, peers)
-        kept = machine in self.kept and not over_limit
-        free_connections = 0 if over_limit else self.room
+        kept = machine in self.kept_workers and not over_limit
+        free_connections = 0 if over_limit else self.free_connections
         if kept and not self._should_shed(is_leader, share, peers):
             return self.name
         if not kept and machine in self.redirected_at and free_connections:
@@ -274,7 +276,7 @@
         below_share = [(missing, peer) for missing, peer in missing_workers if missing >= 1]
         in_zone = [(missing, peer) for missing, peer in below_share if peer.zone == zone]
         accepts = not self.is_overloaded() and (
-            share.missing_workers(is_leader, len(self.kept), self.rate) + EXTRA_WORKERS > 0
+            share.missing_workers(is_leader, len(self.kept_workers), self.rate) + EXTRA_WORKERS > 0
         )
         if not kept and free_connections and accepts and (zone == self.zone or not in_zone):
             return self.name
@@ -318,7 +320,7 @@
         self._redirected_since_status[peer.name] += 1
         self.redirected_at[machine] = self.clock()
         self.redirected_at.move_to_end(machine)
-        self.kept.pop(machine, None)
+        self.kept_workers.pop(machine, None)
         self.redirected += 1
         return peer.name
 
@@ -329,10 +331,12 @@
         rate: each True uses up one unit of the allowance.
         """
         now, workers = self.clock(), share.worker_share(is_leader)
-        rate = SHED_FRACTION_PER_S * max(workers, float(len(self.kept))) + 1.0
+        rate = SHED_FRACTION_PER_S * max(workers, float(len(self.kept_workers))) + 1.0
         self._shed_allowance = min(rate, self._shed_allowance + rate * (now - self._shed_allowance_at))
         self._shed_allowance_at = now
-        too_many_workers = len(self.kept) > min(workers * SHED_SLACK + EXTRA_WORKERS, float(self.max_connections))
+        too_many_workers = len(self.kept_workers) > min(
+            workers * SHED_SLACK + EXTRA_WORKERS, float(self.max_connections)
+        )
         too_many_heartbeats = share.balances_heartbeats and self.rate > share.heartbeat_share(is_leader) * SHED_SLACK
         if not (too_many_workers or too_many_heartbeats) or self._shed_allowance < 1.0:
             return False
--- a/src/grebestand/leader/cancellation_horizon.py
+++ b/src/grebestand/leader/cancellation_horizon.py
@@ -30,10 +30,10 @@
 #: How many watches should fit within the allowed age.
 WATCHES_PER_AGE = 4
 #: A task is started only if cancellations are known up to this long ago: two watches in a row and a slow answer.
-STARTS_S = 3.0
+MAX_AGE_FOR_STARTS_S = 3.0
 
 
-def allowance_s(workers: Workers) -> float:
+def max_knowledge_age_s(workers: Workers) -> float:
     """Return how old a leader's knowledge may be when it answers a worker, in seconds.
 
     The value is not positive if the settings leave nothing beside the lease.
@@ -80,7 +80,7 @@
         cancel jobs through the next leader.
         """
         known_at = max(self.known_at, self.cancellations_confirmed_up_to(self.known_at))
-        return self.max_age_s == math.inf or self.clock() <= known_at + STARTS_S
+        return self.max_age_s == math.inf or self.clock() <= known_at + MAX_AGE_FOR_STARTS_S
 
     def may_answer_until(self) -> float:
         """Return until when an answer may leave that does not stop what was cancelled after `known_at`."""
@@ -94,9 +94,9 @@
         """Note that the answer to a current read sent at that time has been applied to the job registry."""
         self.known_at = max(self.known_at, sent_at)
 
-    def tell(self, workers: Workers) -> None:
+    def log_settings(self, workers: Workers) -> None:
         """Log the bound when a controller starts, and a warning if its settings leave too little."""
-        allowed_s = allowance_s(workers)
+        allowed_s = max_knowledge_age_s(workers)
         log.info(LogEvent("cancellation_horizon_set", max_age_s=self.max_age_s))
         if allowed_s < TIGHTEST_S:
             log.warning(
--- a/src/grebestand/scheduling/job_ordering.py
+++ b/src/grebestand/scheduling/job_ordering.py
@@ -59,14 +59,14 @@
         Returns:
             One time for each objective, in seconds on the leader's clock.
         """
-        if job.ends is not None:
-            return job.ends
+        if job.objective_deadlines is not None:
+            return job.objective_deadlines
         job_class = job.spec.klass
         ends = [job.accepted_at + within_s for within_s in self._done_within_s.get(job_class, ())]
         if job.spec.deadline_s is not None:
             factors = self._deadline_factors.get(job_class) or [1.0]
             ends += [job.accepted_at + factor * job.spec.deadline_s for factor in factors]
-        job.ends = ends
+        job.objective_deadlines = ends
         return ends
 
     @staticmethod
@@ -75,7 +75,7 @@
 
         The time of acceptance is stored in the job's record, so that the job's age survives a change of leader.
         """
-        return not job.begun and not job.done_count and now - job.accepted_at > begin_after_s
+        return not job.start_logged and not job.done_count and now - job.accepted_at > begin_after_s
 
     def urgency(self, job: Job, now: float, begin_after_s: float) -> tuple[object, ...]:
         """Return a sort key: guaranteed jobs first, then by priority, then by whether an objective can still be met.
@@ -90,7 +90,7 @@
             now: Seconds on the leader's clock.
             begin_after_s: Seconds after which a job that has not begun is overdue.
         """
-        remaining_s = self.run_times.run_s(job)
+        remaining_s = self.run_times.expected_run_s(job)
         latest_starts = [end - remaining_s for end in self.due_times(job)]
         latest_starts += [job.accepted_at + within_s for within_s in self._start_within_s.get(job.spec.klass, ())]
         last_chance = max(latest_starts) if latest_starts else job.accepted_at
@@ -98,10 +98,10 @@
         if now > last_chance + AGING_DELAY_S or self.overdue(job, now, begin_after_s):
             group, value = AGED, job.accepted_at
         elif not latest_starts or now <= last_chance:
-            group, value = ON_TIME, job.unfinished() * job.size[0] * max(remaining_s, MIN_RUN_S)
+            group, value = ON_TIME, job.unfinished_count() * job.task_size[0] * max(remaining_s, MIN_RUN_S)
         else:
             group, value = LATE, job.accepted_at
-        return (not job.guaranteed, job.rank, group, value, job.accepted_at)
+        return (not job.within_guarantee, job.priority_rank, group, value, job.accepted_at)
 
     def stop_would_miss_objective(self, job: Job, run_at: float | None, now: float) -> bool:
         """Return whether stopping a task would make its job miss an objective that the job can still meet.
@@ -112,7 +112,7 @@
                 beginning.
             now: Seconds on the leader's clock.
         """
-        remaining_s = self.run_times.run_s(job)
+        remaining_s = self.run_times.expected_run_s(job)
         if run_at is not None:
             remaining_s = max(0.0, remaining_s - (now - run_at))
         return any(0 <= end - now - remaining_s < MIN_RESTART_DELAY_S for end in self.due_times(job))
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -8,7 +8,7 @@
 from grebestand.controller.leadership_transfer import OVERLOAD_RESIGN_AFTER_S, RECONCILING_PATIENCE_FACTOR
 from grebestand.emulators.worker import WorkerEmulator
 from grebestand.flow_control.rate_limiter import Urgency
-from grebestand.leader.job_completion import SHORT_S
+from grebestand.leader.job_completion import SLOW_COMMIT_S
 from grebestand.leader.term import Term
 from grebestand.scheduling.scheduling_context import Steps
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
@@ -39,7 +39,7 @@
     job_id = cluster.accept(node, shape="ensemble", shards=1, cpus=8.0)
     cluster.settle(term, 2)
     assert len(migrations) == 1
-    assert term.registry.jobs[job_id].running()
+    assert term.registry.jobs[job_id].running_count()
 
 
 def test_leader_paused_beyond_its_lease_starts_nothing() -> None:
@@ -52,7 +52,7 @@
     node.election.check_clock()
     term.scheduling_loop.step(cluster.clock.now)
     assert not worker.started
-    assert not term.registry.jobs[job_id].running()
+    assert not term.registry.jobs[job_id].running_count()
 
 
 def test_overloaded_leader_resigns_for_a_peer_that_is_not() -> None:
@@ -83,7 +83,7 @@
     term = node.lead()
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = node.leadership_transfer(peer)
-    term.machine_reconciliation.proved = False
+    term.machine_reconciliation.all_reconciled = False
     node.load.record_lag(2.0)
     overloaded_at = cluster.clock.now
     while node.election.is_leader() and cluster.clock.now - overloaded_at < 60.0:
@@ -131,7 +131,7 @@
     restarted = InMemoryController(cluster, "node-0")
     second_term = restarted.lead()
     machine = second_term.inventory.by_name[worker.name]
-    assert machine in second_term.machine_reconciliation.to_query(cluster.clock.now)
+    assert machine in second_term.machine_reconciliation.select_machines_to_query(cluster.clock.now)
     direct = cluster.direct
 
     def late_response(addr: str, path: str, body: bytes) -> tuple[int, bytes]:
@@ -140,8 +140,8 @@
         return response
 
     second_term.machine_reconciliation.direct = late_response
-    second_term.machine_reconciliation.ask(machine)
-    assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.proved
+    second_term.machine_reconciliation.query(machine)
+    assert machine.state is MachineState.UNRECONCILED and not second_term.machine_reconciliation.all_reconciled
     assert not second_term.machine_reconciliation.queries_under_way
 
 
@@ -153,7 +153,7 @@
 
     def slow_completion(self: object, conditions: object, changes: object, urgency: Urgency) -> object:
         if urgency is Urgency.DONE:
-            cluster.clock.now += SHORT_S
+            cluster.clock.now += SLOW_COMMIT_S
         return commit(self, conditions, changes, urgency)  # type: ignore[arg-type]
 
     cluster.settle(term, 3)
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -38,7 +38,11 @@
 
 def kept_workers(cluster: SimulatedCluster) -> dict[str, int]:
     """Return the number of workers that each running controller keeps."""
-    return {name: len(controller.spread.kept) for name, controller in cluster.nodes.items() if controller is not None}
+    return {
+        name: len(controller.spread.kept_workers)
+        for name, controller in cluster.nodes.items()
+        if controller is not None
+    }
 
 
 def followers(cluster: SimulatedCluster) -> list[str]:
@@ -270,7 +274,7 @@
         return last_responses.get(machine, (status, response))
 
     monkeypatch.setattr(HeartbeatForwarder, "forward", forward_or_repeat)
-    monkeypatch.setattr(HeartbeatForwarder, "open", lambda self: True)
+    monkeypatch.setattr(HeartbeatForwarder, "accepts_heartbeats", lambda self: True)
 
 
 def leader_answers_without_lease(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -24,15 +24,15 @@
         self.clock = ManualClock()
         self.others = list(others)
         self.assignment = WorkerAssignment("node-0", "a", limit, 3.0, self.clock, lambda: self.others)
-        self.assignment.told(machines)
+        self.assignment.update_machine_count(machines)
 
     def arrive(self, count: int, zone: str = "a", first: int = 0) -> Counter[str | None]:
         """Let new workers send their first heartbeat; return how many are assigned to each controller."""
         destinations = Counter[str | None]()
         for i in range(first, first + count):
-            to = self.assignment.where(f"n-{i}", zone, is_leader=False)
+            to = self.assignment.choose_controller(f"n-{i}", zone, is_leader=False)
             if to == "node-0":
-                self.assignment.keep(f"n-{i}")
+                self.assignment.record_heartbeat(f"n-{i}")
             destinations[to] += 1
         return destinations
 
@@ -56,11 +56,11 @@
     cluster = AssignmentWithPeers(PeerCapacity("near", "a", True, 0, 900))
     cluster.arrive(300)
     redirected = list(cluster.assignment.redirected_at)[:20]
-    assert [cluster.assignment.where(machine, "a", False) for machine in redirected] == ["node-0"] * 20
+    assert [cluster.assignment.choose_controller(machine, "a", False) for machine in redirected] == ["node-0"] * 20
     cluster.clock.now += KEEP_RETURNING_S + 1.0
-    cluster.assignment.tidy()
+    cluster.assignment.update_rate_and_expire()
     # no worker has sent a heartbeat for that long
-    assert not cluster.assignment.redirected_at and not cluster.assignment.kept
+    assert not cluster.assignment.redirected_at and not cluster.assignment.kept_workers
 
 
 def test_surplus_workers_are_shed_at_a_bounded_rate() -> None:
@@ -70,17 +70,17 @@
     moved = 0
     for _ in range(40):
         cluster.clock.now += 0.5
-        for machine in list(cluster.assignment.kept):
-            to = cluster.assignment.where(machine, "a", False)
+        for machine in list(cluster.assignment.kept_workers):
+            to = cluster.assignment.choose_controller(machine, "a", False)
             if to == "new":
                 moved += 1
             else:
-                cluster.assignment.keep(machine)
+                cluster.assignment.record_heartbeat(machine)
         cluster.others = [PeerCapacity("new", "a", False, moved, 900)]
-        cluster.assignment.heard("new")
+        cluster.assignment.record_peer_status("new")
         # SHED_FRACTION_PER_S of the 300 workers at the start is 18 per second
         assert moved <= 19 * (cluster.clock.now - 1000.0) + 19
-    assert 150 <= len(cluster.assignment.kept) <= 180
+    assert 150 <= len(cluster.assignment.kept_workers) <= 180
 
 
 def test_surplus_heartbeats_are_shed() -> None:
@@ -95,17 +95,17 @@
     )
     cluster.assignment.machines = 290
     for i in range(100):
-        cluster.assignment.keep(f"n-{i}")
+        cluster.assignment.record_heartbeat(f"n-{i}")
     moved = Counter[str | None]()
     for _ in range(12):
         cluster.clock.now += 1.0
-        for machine in list(cluster.assignment.kept) * 2:
-            if machine in cluster.assignment.kept:
-                to = cluster.assignment.where(machine, "a", False)
+        for machine in list(cluster.assignment.kept_workers) * 2:
+            if machine in cluster.assignment.kept_workers:
+                to = cluster.assignment.choose_controller(machine, "a", False)
                 moved[to] += 1
                 if to == "node-0":
-                    cluster.assignment.keep(machine)
-        cluster.assignment.tidy()
+                    cluster.assignment.record_heartbeat(machine)
+        cluster.assignment.update_rate_and_expire()
     assert cluster.assignment.rate > 120.0 and 5 <= moved["near"] + moved["far"] <= 14
 
 
@@ -113,7 +113,7 @@
     cluster = AssignmentWithPeers(PeerCapacity("near", "a", True, 290, 3), limit=20)
     destinations = cluster.arrive(40)
     assert destinations["node-0"] == 20 and destinations["near"] == 3 and destinations[None] == 17
-    assert cluster.assignment.where("n-0", "a", False, over_limit=True) is None
+    assert cluster.assignment.choose_controller("n-0", "a", False, over_limit=True) is None
 
 
 def test_overloaded_controller_gets_workers_only_as_a_last_resort() -> None:
@@ -159,7 +159,7 @@
     unaware = AssignmentWithPeers(leader)
     unaware.assignment.followers = 5
     assert sum(unaware.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 48
-    cluster.assignment.heard("leader")
+    cluster.assignment.record_peer_status("leader")
     cluster.others[0] = PeerCapacity("leader", "a", True, 1140, 0)
     assert sum(cluster.assignment.may_redirect_to_leader("leader") for _ in range(300)) == 20
     assert cluster.assignment.may_redirect_to_leader("nobody knows")
--- a/tests/scenarios/test_cancellation_during_failover.py
+++ b/tests/scenarios/test_cancellation_during_failover.py
@@ -7,7 +7,7 @@
 import gevent
 import pytest
 
-from grebestand.leader.cancellation_horizon import STARTS_S, CancellationHorizon
+from grebestand.leader.cancellation_horizon import MAX_AGE_FOR_STARTS_S, CancellationHorizon
 from grebestand.leader.durable_grants import DurableGrants
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
 from grebestand.simulation.virtual_time import VirtualLoop, simulated
@@ -87,7 +87,7 @@
     loop: VirtualLoop, mode: LinkMode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = cancel_while_leader_is_alone(loop, mode, monkeypatch)
-    assert max((seconds for seconds, _ in world.after_cancel), default=0.0) < STARTS_S + COMMAND_DELAY_S
+    assert max((seconds for seconds, _ in world.after_cancel), default=0.0) < MAX_AGE_FOR_STARTS_S + COMMAND_DELAY_S
     assert world.settled(100.0) == []
 
 
@@ -95,7 +95,7 @@
     """Broken on purpose."""
     monkeypatch.setattr(CancellationHorizon, "allows_starts", lambda self: True)
     world = cancel_while_leader_is_alone(loop, LinkMode.HELD, monkeypatch)
-    assert max(seconds for seconds, _ in world.after_cancel) > STARTS_S + COMMAND_DELAY_S
+    assert max(seconds for seconds, _ in world.after_cancel) > MAX_AGE_FOR_STARTS_S + COMMAND_DELAY_S
 
 
 @pytest.mark.parametrize("absent_peers", [0, 1])
@@ -125,8 +125,8 @@
     leader, peer_name = world.nodes[leader_name], next(name for name in world.controllers if name != leader_name)
     assert leader is not None
     horizon = leader.election.cancellation_horizon
-    peer = next(peer for peer in leader.peers.peers if peer.name == peer_name)
-    assert leader.peers.cancellations_confirmed_up_to(horizon.known_at) > leader.clock() - 2.0
+    peer = next(peer for peer in leader.peer_api.peers if peer.name == peer_name)
+    assert leader.peer_api.cancellations_confirmed_up_to(horizon.known_at) > leader.clock() - 2.0
     world.store.down = True
     world.crash(peer_name)
     back(world, peer_name)
--- a/tests/support/tiny_feature.py
+++ b/tests/support/tiny_feature.py
@@ -7,7 +7,7 @@
 from grebestand.clients.kv_store import put
 from grebestand.cluster_state.jobs import Job
 from grebestand.features.hooks import Features, HookRefusal, Listener, Records
-from grebestand.features.registry import Feature, Plain
+from grebestand.features.registry import Feature, PlainValues
 from grebestand.settings.expressions import Expressions, Rule, Vocabulary
 from grebestand.settings.platform import Settings
 from grebestand.storage.job_records import CompletedJobRecord
@@ -39,7 +39,7 @@
         return HookRefusal(429, "too many tasks", RETRY_AFTER_S) if spec.tasks > self.max_tasks else None
 
     def place(self, job: Job, now: float) -> str | None:
-        return "curfew" if self.active and not job.gang else None
+        return "curfew" if self.active and not job.is_gang else None
 
     def close(self, job: Job, record: CompletedJobRecord) -> list[Change]:
         return [put(f"curfew-done/{job.spec.id}", record.tasks)]
@@ -57,7 +57,7 @@
     return body[::-1]
 
 
-def make(values: Expressions, settings: Settings, plain: Plain) -> Features:
+def make(values: Expressions, settings: Settings, plain: PlainValues) -> Features:
     """The feature's hooks."""
     curfew = Curfew(values, settings)
     MADE.append(curfew)
