--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -68,5 +68,5 @@
             if term is not None or self.forwarder.accepts_heartbeats()
             else NO_WORKERS_ACCEPTED,
             heartbeats_per_s=self.assignment.rate,
-            shared_machines=self.assignment.machines if term is not None else 0,
+            shared_machines=self.assignment.machine_count if term is not None else 0,
         )
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -101,7 +101,7 @@
         self._paused_for_term = ("", 0)
         self._overloaded_until = -math.inf
         #: Numbers of heartbeats and of batches sent since the process started.
-        self.passed = self.batches = 0
+        self.forwarded_count = self.batch_count = 0
 
     def change_state(self, new: ForwarderState, reason: str) -> None:
         """Change the state and log the change; all changes of `state` have to be made by this method.
@@ -203,8 +203,8 @@
         leader, sent_at = self.leader(), self.clock()
         if leader is None:
             return None
-        self.batches += 1
-        self.passed += len(batch)
+        self.batch_count += 1
+        self.forwarded_count += len(batch)
         message = HeartbeatBatch(self.name, [heartbeat.body for heartbeat in batch])
         reply = leader.tell(PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
         if reply is None or len(reply.responses) != len(batch):
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -132,7 +132,7 @@
         max_connections: int,
         heartbeat_interval_s: float,
         clock: Callable[[], float],
-        others: Callable[[], list[PeerCapacity]],
+        accepting_peers: Callable[[], list[PeerCapacity]],
         is_overloaded: Callable[[], bool] = lambda: False,
     ) -> None:
         """Create an assignment without workers.
@@ -143,7 +143,7 @@
             max_connections: Largest number of workers' connections to this controller.
             heartbeat_interval_s: Interval between two heartbeats of a worker, in seconds.
             clock: Returns the current time, in seconds.
-            others: Returns the other controllers that answer heartbeats now.
+            accepting_peers: Returns the other controllers that answer heartbeats now.
             is_overloaded: Returns whether this controller is overloaded; if so, it accepts workers only if no other
                 controller does.
         """
@@ -152,11 +152,11 @@
         self.max_connections = max_connections
         self.heartbeat_interval_s = heartbeat_interval_s
         self.clock = clock
-        self.others = others
+        self.accepting_peers = accepting_peers
         self.is_overloaded = is_overloaded
         self.state = AssignmentMode.LEADER_ONLY
         #: Number of machines in the cluster according to the leader; 0 while the leader answers all heartbeats itself.
-        self.machines = 0
+        self.machine_count = 0
         #: By machine name of each worker kept here, the time of the last heartbeat and the connection used for it.
         self.kept_workers: dict[str, tuple[float, object]] = {}
         #: By `id` of each connection, the machine name of the worker that last sent a heartbeat over the connection.
@@ -196,7 +196,7 @@
 
     def update_machine_count(self, machines: int) -> None:
         """Apply the number of machines announced by the leader; 0 means that the leader answers all heartbeats."""
-        self.machines = machines
+        self.machine_count = machines
         if machines:
             self.change_state(AssignmentMode.EVERY_CONTROLLER, f"{machines} machines")
         else:
@@ -264,8 +264,8 @@
             The name of this controller to keep the worker, the name of another controller to redirect the worker, or
             None if no controller is known to have a connection for the worker.
         """
-        peers = self.others()
-        share = EvenShare(self.machines, self.rate, is_leader, peers)
+        peers = self.accepting_peers()
+        share = EvenShare(self.machine_count, self.rate, is_leader, peers)
         kept = machine in self.kept_workers and not over_limit
         free_connections = 0 if over_limit else self.free_connections
         if kept and not self._should_shed(is_leader, share, peers):
@@ -295,7 +295,7 @@
         All followers together redirect no more workers between two of the leader's status messages than the leader has
         free connections: when a cluster starts, hundreds of workers connect within 0.1 s.
         """
-        peers = self.others()
+        peers = self.accepting_peers()
         for peer in peers:
             if peer.name == leader:
                 limit = max(MIN_REDIRECTS_TO_LEADER, peer.free_connections // max(len(peers), self.followers))
--- a/src/grebestand/settings/expressions.py
+++ b/src/grebestand/settings/expressions.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Rule:
+class ValidValues:
     """The allowed values of a key.
 
     Attributes:
@@ -78,11 +78,11 @@
 
     Attributes:
         keys: By key, the allowed values.
-        names: By name of each variable, the lowest and the highest value that the program guarantees.
+        variables: By name of each variable, the lowest and the highest value that the program guarantees.
     """
 
-    keys: Mapping[str, Rule]
-    names: VariableRanges
+    keys: Mapping[str, ValidValues]
+    variables: VariableRanges
 
 
 class Expressions:
@@ -98,21 +98,21 @@
         self.vocabulary = vocabulary
         self.expressions = expressions
 
-    def value(self, key: str, names: Mapping[str, float]) -> float:
+    def value(self, key: str, variables: Mapping[str, float]) -> float:
         """Return the value of a key.
 
         Args:
             key: The key.
-            names: By name, the current values of the variables. Each value is clamped to the range of its variable, as
+            variables: By name, the current values of the variables. Each value is clamped to the range of its variable, as
                 the checker has accepted the expression for this range only.
 
         Returns:
             The value of the expression, clamped to the allowed values of the key; 0 or 1 for a truth value.
         """
-        ranges = self.vocabulary.names
-        limited = {name: min(max(value, ranges[name][0]), ranges[name][1]) for name, value in names.items()}
-        rule = self.vocabulary.keys[key]
-        return min(max(evaluate(self.expressions[key], limited), rule.low), rule.high)
+        ranges = self.vocabulary.variables
+        limited = {name: min(max(value, ranges[name][0]), ranges[name][1]) for name, value in variables.items()}
+        allowed = self.vocabulary.keys[key]
+        return min(max(evaluate(self.expressions[key], limited), allowed.low), allowed.high)
 
 
 def parse(raw: Mapping[str, object], file: str, vocabulary: Vocabulary, base: Expressions | None = None) -> Expressions:
@@ -163,7 +163,7 @@
     if key not in vocabulary.keys:
         raise InvalidExpressionError(f"unknown setting (known: {', '.join(sorted(vocabulary.keys))})")
     tree = _parse_expression(_expression_text(value))
-    _check_rule(_infer_type(tree, vocabulary.names), vocabulary.keys[key])
+    _check_allowed(_infer_type(tree, vocabulary.variables), vocabulary.keys[key])
     return tree
 
 
@@ -199,10 +199,10 @@
         raise InvalidExpressionError(f"the expression is too deep or too large: {error}") from error
 
 
-def _check_rule(inferred: InferredType, rule: Rule) -> None:
+def _check_allowed(inferred: InferredType, allowed: ValidValues) -> None:
     """Check that an expression has the type required by its key and can evaluate to an allowed value."""
-    if inferred.boolean != rule.boolean:
-        needed = "true or false" if rule.boolean else "a number"
+    if inferred.boolean != allowed.boolean:
+        needed = "true or false" if allowed.boolean else "a number"
         raise InvalidExpressionError(f"type error: {needed} is needed")
-    if not inferred.boolean and (inferred.range.high < rule.low or inferred.range.low > rule.high):
-        raise InvalidExpressionError(f"always outside the allowed range {rule.low:g} to {rule.high:g}")
+    if not inferred.boolean and (inferred.range.high < allowed.low or inferred.range.low > allowed.high):
+        raise InvalidExpressionError(f"always outside the allowed range {allowed.low:g} to {allowed.high:g}")
--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -93,7 +93,7 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct):
+class WorkerTimes(msgspec.Struct):
     """Intervals and timeouts of the protocol with workers, in seconds.
 
     Attributes:
@@ -111,7 +111,7 @@
     cancel_s: float
 
 
-class State(msgspec.Struct):
+class StoreLimits(msgspec.Struct):
     """Limits that the key-value store imposes on its clients.
 
     Attributes:
@@ -127,7 +127,7 @@
     txn_ops: int
 
 
-class Cloud(msgspec.Struct):
+class CloudLimits(msgspec.Struct):
     """Limits of the cloud API.
 
     Attributes:
@@ -170,9 +170,9 @@
 
     nodes: int
     zones: list[str]
-    workers: Workers
-    state: State
-    cloud: Cloud
+    workers: WorkerTimes
+    state: StoreLimits
+    cloud: CloudLimits
     clock_off_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -93,7 +93,7 @@
         PeerCapacity("near", "a", False, 95, 900, heartbeats_per_s=40.0),
         PeerCapacity("far", "b", False, 95, 900, heartbeats_per_s=40.0),
     )
-    cluster.assignment.machines = 290
+    cluster.assignment.machine_count = 290
     for i in range(100):
         cluster.assignment.record_heartbeat(f"n-{i}")
     moved = Counter[str | None]()
