--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..heartbeat_relay.forwarder import ANSWER_S, HeartbeatForwarder
+from ..heartbeat_relay.forwarder import RESPONSE_TIMEOUT_S, HeartbeatForwarder
 from ..heartbeat_relay.worker_assignment import WorkerAssignment
 from ..leader.election import LeaderElection
 from ..leader.term import Term
@@ -143,7 +143,7 @@
     def _forward(self, forwarder: HeartbeatForwarder, body: bytes, heartbeat: Heartbeat) -> Response:
         """Return the leader's answer. While the leader changes the heartbeat waits for the next, maybe this one."""
         received_at = forwarder.clock()
-        answer_until = received_at + ANSWER_S
+        answer_until = received_at + RESPONSE_TIMEOUT_S
         while True:
             if forwarder.accepts_heartbeats():
                 status, answer = forwarder.forward(body, received_at)
--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -14,7 +14,7 @@
 from ..connectivity.store_proxy import StoreProxyHandler
 from ..features.hooks import Features
 from ..heartbeat_relay.batch_receiver import BatchRefusedError
-from ..heartbeat_relay.forwarder import PATH as HEARTBEAT_BATCH_PATH
+from ..heartbeat_relay.forwarder import BATCH_PATH as HEARTBEAT_BATCH_PATH
 from ..log_events import LogEvent
 from ..wire.peers import CachedImages, PeerStatus, ResignationNotice
 
--- a/src/grebestand/cli.py
+++ b/src/grebestand/cli.py
@@ -34,7 +34,7 @@
 def _load_features(files: list[str], listed: str | None, loaded: Settings) -> Features:
     from .features import registry
 
-    return registry.load([*(registry.listed(listed) if listed else []), *files], loaded)
+    return registry.load([*(registry.read_file_list(listed) if listed else []), *files], loaded)
 
 
 def _serve(arguments: argparse.Namespace) -> int:
--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -71,7 +71,7 @@
 
     # offered to features (`features.hooks.Host`) ----------------------------------------------------------
 
-    def present(self) -> Term | None:
+    def leading_term(self) -> Term | None:
         """Return the term in which this controller leads now, its records loaded; else None."""
         term = self.current_term.loaded()
         return term if term is not None and term.writer.is_leader() else None
--- a/src/grebestand/fault_test/many_clusters.py
+++ b/src/grebestand/fault_test/many_clusters.py
@@ -94,7 +94,7 @@
             values, self.world.settings, settings, clock, random.Random(name), lambda work: work()
         )
 
-    def present(self) -> Term:
+    def leading_term(self) -> Term:
         """The term of this cluster's leader."""
         return self.term
 
--- a/src/grebestand/features/hooks.py
+++ b/src/grebestand/features/hooks.py
@@ -87,7 +87,7 @@
 
     name: str
 
-    def present(self) -> Any:
+    def leading_term(self) -> Any:
         """Return the current `leader.term.Term` if this controller leads and has loaded its records, else None."""
 
     def leader(self) -> str | None:
--- a/src/grebestand/features/registry.py
+++ b/src/grebestand/features/registry.py
@@ -115,7 +115,7 @@
     return feature
 
 
-def listed(path: str) -> list[str]:
+def read_file_list(path: str) -> list[str]:
     """Return the paths of feature files in a list file.
 
     Args:
--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -167,7 +167,7 @@
         self.pool.spawn(work)
 
     def _leads(self) -> bool:
-        return self.host is not None and self.term is not None and self.host.present() is self.term
+        return self.host is not None and self.term is not None and self.host.leading_term() is self.term
 
     def step(self) -> None:
         """Advance both sides, while this controller leads."""
--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -21,7 +21,7 @@
 from ..wire.jobs import MalformedError
 from ..wire.peers import HeartbeatBatch, HeartbeatBatchResponse
 from ..wire.workers import Heartbeat, HeartbeatResponse
-from .forwarder import BATCH_TIMEOUT_S, MAX_BATCH_BYTES, MOST_REPORTS, REFUSED, Response
+from .forwarder import BATCH_TIMEOUT_S, MAX_BATCH_BYTES, MAX_BATCH_HEARTBEATS, REFUSED, Response
 
 log = logging.getLogger(__name__)
 
@@ -130,7 +130,7 @@
             raise UnknownSenderError(batch.sender)
         # senders stop filling a batch only after it has reached MAX_BATCH_BYTES, so the last heartbeat may exceed that
         if (
-            len(batch.heartbeats) > MOST_REPORTS
+            len(batch.heartbeats) > MAX_BATCH_HEARTBEATS
             or sum(map(len, batch.heartbeats)) > MAX_BATCH_BYTES + MAX_HEARTBEAT_BYTES
         ):
             raise BatchTooLargeError(batch.sender, len(batch.heartbeats))
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -25,17 +25,17 @@
 log = logging.getLogger(__name__)
 
 #: URL path at which the leader receives batches.
-PATH = "/reports"
+BATCH_PATH = "/reports"
 #: Time for which heartbeats are collected into a batch, in seconds.
 GATHER_S = 0.04
 #: Largest number of heartbeats in a batch.
-MOST_REPORTS = 256
+MAX_BATCH_HEARTBEATS = 256
 #: Size of a batch, in bytes, from which no further heartbeat is added.
 MAX_BATCH_BYTES = 1 << 20
 #: Time after which a heartbeat receives no response any more, in seconds; the worker times out a second later.
-ANSWER_S = 3.0
-#: Time limit for the leader's response to a batch, in seconds; shorter than `ANSWER_S`, so that responses reach the
-#: workers in time.
+RESPONSE_TIMEOUT_S = 3.0
+#: Time limit for the leader's response to a batch, in seconds; shorter than `RESPONSE_TIMEOUT_S`, so that responses
+#: reach the workers in time.
 BATCH_TIMEOUT_S = 2.5
 #: New heartbeats are refused while the oldest one in the queue has waited for longer than this, in seconds.
 MAX_QUEUE_WAIT_S = 1.2
@@ -152,9 +152,11 @@
         heartbeat = ForwardedHeartbeat(body, received_at)
         self._queue.append(heartbeat)
         self._sendable.set()
-        response: Response | None = heartbeat.response.wait(timeout=max(0.0, received_at + ANSWER_S - self.clock()))
+        response: Response | None = heartbeat.response.wait(
+            timeout=max(0.0, received_at + RESPONSE_TIMEOUT_S - self.clock())
+        )
         # the wait takes longer than its timeout if this process is suspended
-        if response is None or self.clock() - received_at > ANSWER_S:
+        if response is None or self.clock() - received_at > RESPONSE_TIMEOUT_S:
             return NO_RESPONSE
         return response
 
@@ -175,9 +177,9 @@
         """Remove the next batch from the queue; heartbeats that are too old for a timely response are dropped."""
         batch: list[ForwardedHeartbeat] = []
         size, now = 0, self.clock()
-        while self._queue and len(batch) < MOST_REPORTS and size < MAX_BATCH_BYTES:
+        while self._queue and len(batch) < MAX_BATCH_HEARTBEATS and size < MAX_BATCH_BYTES:
             heartbeat = self._queue.popleft()
-            if now - heartbeat.received_at < ANSWER_S:
+            if now - heartbeat.received_at < RESPONSE_TIMEOUT_S:
                 size += len(heartbeat.body)
                 batch.append(heartbeat)
         return batch
@@ -206,7 +208,7 @@
         self.batch_count += 1
         self.forwarded_count += len(batch)
         message = HeartbeatBatch(self.name, [heartbeat.body for heartbeat in batch])
-        reply = leader.tell(PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
+        reply = leader.tell(BATCH_PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
         if reply is None or len(reply.responses) != len(batch):
             self._record_failure(sent_at, leader)
             return None
--- a/src/grebestand/settings/expressions.py
+++ b/src/grebestand/settings/expressions.py
@@ -103,8 +103,8 @@
 
         Args:
             key: The key.
-            variables: By name, the current values of the variables. Each value is clamped to the range of its variable, as
-                the checker has accepted the expression for this range only.
+            variables: By name, the current values of the variables. Each value is clamped to the range of its variable,
+                as the checker has accepted the expression for this range only.
 
         Returns:
             The value of the expression, clamped to the allowed values of the key; 0 or 1 for a truth value.
@@ -191,10 +191,10 @@
         raise InvalidExpressionError(f"not an expression: {error}", column) from error
 
 
-def _infer_type(tree: ast.expr, names: VariableRanges) -> InferredType:
+def _infer_type(tree: ast.expr, variables: VariableRanges) -> InferredType:
     """Return the type of an expression; reject an expression that is too deep or whose numbers are too large."""
     try:
-        return infer_type(tree, names)
+        return infer_type(tree, variables)
     except (RecursionError, OverflowError) as error:
         raise InvalidExpressionError(f"the expression is too deep or too large: {error}") from error
 
--- a/tests/features/test_feature_registry.py
+++ b/tests/features/test_feature_registry.py
@@ -7,7 +7,7 @@
 import pytest
 
 from grebestand.cli import main
-from grebestand.features.registry import listed, load
+from grebestand.features.registry import load, read_file_list
 from grebestand.settings.expressions import ExpressionError
 from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster
 
@@ -48,11 +48,11 @@
 def test_listed_paths_are_relative_to_the_list_file(tmp_path: Path) -> None:
     file = tmp_path / "features.toml"
     file.write_text('with = ["curfew.toml"]\n')
-    assert listed(str(file)) == [str(tmp_path / "curfew.toml")]
+    assert read_file_list(str(file)) == [str(tmp_path / "curfew.toml")]
 
 
 def test_value_that_is_not_a_list_is_refused(tmp_path: Path) -> None:
     file = tmp_path / "features.toml"
     file.write_text('with = "curfew.toml"\n')
     with pytest.raises(ExpressionError, match="with: column 1: must be a list of files"):
-        listed(str(file))
+        read_file_list(str(file))
--- a/tests/federation/test_federation_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -275,7 +275,7 @@
         self.term = term
         self.asked: list[tuple[str, bytes]] = []
 
-    def present(self) -> Term | None:
+    def leading_term(self) -> Term | None:
         return self.term
 
     def leader(self) -> str | None:
--- a/tests/heartbeat_relay/test_batch_receiver.py
+++ b/tests/heartbeat_relay/test_batch_receiver.py
@@ -6,7 +6,7 @@
 import pytest
 
 from grebestand.heartbeat_relay.batch_receiver import BatchRefusedError
-from grebestand.heartbeat_relay.forwarder import BATCH_TIMEOUT_S, MOST_REPORTS
+from grebestand.heartbeat_relay.forwarder import BATCH_TIMEOUT_S, MAX_BATCH_HEARTBEATS
 from grebestand.wire.peers import HeartbeatBatch
 from grebestand.wire.workers import HeartbeatResponse
 from support.heartbeat_batches import responses_to, start_batch_receiver
@@ -49,7 +49,7 @@
 def test_invalid_batch_is_refused_and_logged_at_intervals(caplog: pytest.LogCaptureFixture) -> None:
     cluster, _, _, receiver, workers = start_batch_receiver()
     body = msgspec.json.encode(workers[0].report())
-    too_many = msgspec.msgpack.encode(HeartbeatBatch("node-1", [b"{}"] * (MOST_REPORTS + 1)))
+    too_many = msgspec.msgpack.encode(HeartbeatBatch("node-1", [b"{}"] * (MAX_BATCH_HEARTBEATS + 1)))
     too_large = msgspec.msgpack.encode(HeartbeatBatch("node-1", [b" " * (1 << 19)] * 4))
     unknown_sender = msgspec.msgpack.encode(HeartbeatBatch("somebody", [body]))
     for invalid in (b"", b"\xc1", msgspec.msgpack.encode([1, 2]), too_many, too_large, unknown_sender) * 3:
--- a/tests/heartbeat_relay/test_forwarder.py
+++ b/tests/heartbeat_relay/test_forwarder.py
@@ -12,11 +12,11 @@
 from grebestand.clients.peer import PeerClient
 from grebestand.flow_control.connection_limits import BATCHES
 from grebestand.heartbeat_relay.forwarder import (
-    ANSWER_S,
+    BATCH_PATH,
+    MAX_BATCH_HEARTBEATS,
     MAX_QUEUE_WAIT_S,
-    MOST_REPORTS,
-    PATH,
     PAUSE_S,
+    RESPONSE_TIMEOUT_S,
     UNRESPONSIVE_AFTER_S,
     HeartbeatForwarder,
 )
@@ -39,7 +39,7 @@
         self.batches: list[HeartbeatBatch] = []
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        assert (method, path) == ("POST", PATH)
+        assert (method, path) == ("POST", BATCH_PATH)
         batch = msgspec.msgpack.decode(body, type=HeartbeatBatch)
         self.batches.append(batch)
         with gevent.Timeout(timeout, False):
@@ -66,7 +66,11 @@
     forwarding = [gevent.spawn(forwarder.forward, b"%d" % i, loop.time) for i in range(600)]
     gevent.joinall(forwarding)
     assert [greenlet.value for greenlet in forwarding] == [(200, b"%d" % i) for i in range(600)]
-    assert [len(batch.heartbeats) for batch in leader.batches] == [MOST_REPORTS, MOST_REPORTS, 600 - 2 * MOST_REPORTS]
+    assert [len(batch.heartbeats) for batch in leader.batches] == [
+        MAX_BATCH_HEARTBEATS,
+        MAX_BATCH_HEARTBEATS,
+        600 - 2 * MAX_BATCH_HEARTBEATS,
+    ]
 
 
 def test_response_that_is_too_old_is_dropped(loop: VirtualLoop) -> None:
@@ -78,7 +82,7 @@
 
     forwarder, _ = start_forwarder(loop, slow_echo)
     assert forwarder.forward(b"new", loop.time) == (200, b"new")
-    assert forwarder.forward(b"old", loop.time - ANSWER_S + 1.0) == (0, b"")
+    assert forwarder.forward(b"old", loop.time - RESPONSE_TIMEOUT_S + 1.0) == (0, b"")
 
 
 def test_overloaded_leader_bounds_batches_and_queue(loop: VirtualLoop) -> None:
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -30,7 +30,7 @@
 from grebestand.controller.controller import RENEW_S, TELL_S  # noqa: E402
 from grebestand.federation.circuit_breaker import LONGEST_S  # noqa: E402
 from grebestand.flow_control.connection_limits import plan_connections  # noqa: E402
-from grebestand.heartbeat_relay.forwarder import GATHER_S, MOST_REPORTS  # noqa: E402
+from grebestand.heartbeat_relay.forwarder import GATHER_S, MAX_BATCH_HEARTBEATS  # noqa: E402
 from grebestand.heartbeat_relay.worker_assignment import SHARE_SLACK  # noqa: E402
 from grebestand.leader.machine_reconciliation import MOST_ASKED  # noqa: E402
 from grebestand.leader.provisioning import MAX_MACHINES_PER_REQUEST  # noqa: E402
@@ -444,7 +444,8 @@
         lambda m, s: m.sockets(s)),
     Row("reports a second, peak, even share", "1/s", lambda m, s: m.reports(s) / s.controllers, RELAYED),
     Row("batches a second to the leader", "1/s",
-        lambda m, s: max(min(1 / GATHER_S, m.reports(s) / s.controllers), m.reports(s) / s.controllers / MOST_REPORTS),
+        lambda m, s: max(
+            min(1 / GATHER_S, m.reports(s) / s.controllers), m.reports(s) / s.controllers / MAX_BATCH_HEARTBEATS),
         RELAYED),
     Row("bytes a second to the leader", "KB/s", lambda m, s: m.reports(s) / s.controllers * m.report_bytes(s) / 1e3,
         RELAYED),
