--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -67,6 +67,6 @@
             free_connections=self.assignment.free_connections
             if term is not None or self.forwarder.accepts_heartbeats()
             else NO_WORKERS_ACCEPTED,
-            heartbeats_per_s=self.assignment.rate,
+            heartbeats_per_s=self.assignment.heartbeats_per_s,
             shared_machines=self.assignment.machine_count if term is not None else 0,
         )
--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -102,7 +102,7 @@
         #: Number of batches that are being processed.
         self.batches_in_progress = 0
         #: Number of heartbeats received from other controllers since the process started.
-        self.reports = 0
+        self.heartbeats_received = 0
         self._refusal_logged_at = -math.inf
 
     def answer(self, body: bytes) -> bytes:
@@ -150,7 +150,7 @@
             return HeartbeatBatchResponse([REFUSED] * len(batch.heartbeats), overloaded=True)
         self.batches_in_progress += 1
         try:
-            self.reports += len(batch.heartbeats)
+            self.heartbeats_received += len(batch.heartbeats)
             return HeartbeatBatchResponse(self._answer_heartbeats(batch.heartbeats), overloaded=overloaded)
         finally:
             self.batches_in_progress -= 1
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -27,7 +27,7 @@
 #: URL path at which the leader receives batches.
 BATCH_PATH = "/reports"
 #: Time for which heartbeats are collected into a batch, in seconds.
-GATHER_S = 0.04
+BATCH_DELAY_S = 0.04
 #: Largest number of heartbeats in a batch.
 MAX_BATCH_HEARTBEATS = 256
 #: Size of a batch, in bytes, from which no further heartbeat is added.
@@ -164,7 +164,7 @@
         """Send batches of queued heartbeats; never returns."""
         while True:
             self._sendable.wait()
-            gevent.sleep(GATHER_S)
+            gevent.sleep(BATCH_DELAY_S)
             while self._queue and self._batches_in_flight < BATCHES:
                 batch = self._next_batch()
                 if batch:
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -170,11 +170,11 @@
         #: Number of kept workers that may be redirected now, and when this number was computed.
         self._shed_allowance, self._shed_allowance_at = 0.0, clock()
         #: Moving average of the heartbeats that this controller answers per second.
-        self.rate = 0.0
-        #: Number of heartbeats answered since `rate` was last updated, and when `rate` was last updated.
+        self.heartbeats_per_s = 0.0
+        #: Number of heartbeats answered since `heartbeats_per_s` was last updated, and when that was.
         self._heartbeats, self._rate_updated_at = 0, clock()
         #: Number of redirects since the process started.
-        self.redirected = 0
+        self.redirect_count = 0
 
     # mode -------------------------------------------------------------------------------------------------
 
@@ -237,7 +237,7 @@
         now = self.clock()
         if now > self._rate_updated_at:
             latest = self._heartbeats / (now - self._rate_updated_at)
-            self.rate += RATE_SMOOTHING * (latest - self.rate)
+            self.heartbeats_per_s += RATE_SMOOTHING * (latest - self.heartbeats_per_s)
             self._heartbeats, self._rate_updated_at = 0, now
         silent_after_s = EXPIRED_AFTER_INTERVALS * self.heartbeat_interval_s
         silent = [
@@ -265,7 +265,7 @@
             None if no controller is known to have a connection for the worker.
         """
         peers = self.accepting_peers()
-        share = EvenShare(self.machine_count, self.rate, is_leader, peers)
+        share = EvenShare(self.machine_count, self.heartbeats_per_s, is_leader, peers)
         kept = machine in self.kept_workers and not over_limit
         free_connections = 0 if over_limit else self.free_connections
         if kept and not self._should_shed(is_leader, share, peers):
@@ -276,7 +276,7 @@
         below_share = [(missing, peer) for missing, peer in missing_workers if missing >= 1]
         in_zone = [(missing, peer) for missing, peer in below_share if peer.zone == zone]
         accepts = not self.is_overloaded() and (
-            share.missing_workers(is_leader, len(self.kept_workers), self.rate) + EXTRA_WORKERS > 0
+            share.missing_workers(is_leader, len(self.kept_workers), self.heartbeats_per_s) + EXTRA_WORKERS > 0
         )
         if not kept and free_connections and accepts and (zone == self.zone or not in_zone):
             return self.name
@@ -321,7 +321,7 @@
         self.redirected_at[machine] = self.clock()
         self.redirected_at.move_to_end(machine)
         self.kept_workers.pop(machine, None)
-        self.redirected += 1
+        self.redirect_count += 1
         return peer.name
 
     def _should_shed(self, is_leader: bool, share: EvenShare, peers: list[PeerCapacity]) -> bool:
@@ -337,7 +337,9 @@
         too_many_workers = len(self.kept_workers) > min(
             workers * SHED_SLACK + EXTRA_WORKERS, float(self.max_connections)
         )
-        too_many_heartbeats = share.balances_heartbeats and self.rate > share.heartbeat_share(is_leader) * SHED_SLACK
+        too_many_heartbeats = (
+            share.balances_heartbeats and self.heartbeats_per_s > share.heartbeat_share(is_leader) * SHED_SLACK
+        )
         if not (too_many_workers or too_many_heartbeats) or self._shed_allowance < 1.0:
             return False
         if all(self._missing_workers(peer, share) < 1 for peer in peers):
--- a/src/grebestand/settings/platform.py
+++ b/src/grebestand/settings/platform.py
@@ -139,7 +139,7 @@
     list_lag_s: float
 
 
-class Quota(msgspec.Struct, rename={"cpu_share": "cpu", "max_connections": "sockets"}):
+class ProcessLimits(msgspec.Struct, rename={"cpu_share": "cpu", "max_connections": "sockets"}):
     """Limits on the resources used by the process of a controller.
 
     Attributes:
@@ -153,7 +153,7 @@
     max_connections: int = 1000
 
 
-class Params(msgspec.Struct, rename={"nodes": "count", "clock_off_ms": "skew_ms"}):
+class PlatformParams(msgspec.Struct, rename={"nodes": "count", "clock_off_ms": "skew_ms"}):
     """Parameters of the platform that are the same for all controllers.
 
     Attributes:
@@ -176,7 +176,7 @@
     clock_off_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
-    quota: Quota = msgspec.field(default_factory=Quota)
+    quota: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
 
 
 class Settings(msgspec.Struct, rename={"name": "host_name", "zone": "area", "listen": "serve_on", "peers": "known"}):
@@ -197,7 +197,7 @@
     listen: str
     peer_listen: str
     outside: ServiceAddresses
-    params: Params
+    params: PlatformParams
     peers: list[PeerAddress] = []
 
 
@@ -253,7 +253,7 @@
         parse_address(peer.address, "known.address")
 
 
-def _check_params(params: Params) -> None:
+def _check_params(params: PlatformParams) -> None:
     """Check that the parameters of the platform are within their allowed ranges."""
     if not params.zones:
         raise SettingsError("must name at least one zone", "params.zones")
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -30,13 +30,13 @@
 from grebestand.controller.controller import RENEW_S, TELL_S  # noqa: E402
 from grebestand.federation.circuit_breaker import LONGEST_S  # noqa: E402
 from grebestand.flow_control.connection_limits import plan_connections  # noqa: E402
-from grebestand.heartbeat_relay.forwarder import GATHER_S, MAX_BATCH_HEARTBEATS  # noqa: E402
+from grebestand.heartbeat_relay.forwarder import BATCH_DELAY_S, MAX_BATCH_HEARTBEATS  # noqa: E402
 from grebestand.heartbeat_relay.worker_assignment import SHARE_SLACK  # noqa: E402
 from grebestand.leader.machine_reconciliation import MOST_ASKED  # noqa: E402
 from grebestand.leader.provisioning import MAX_MACHINES_PER_REQUEST  # noqa: E402
 from grebestand.leader.scheduling_loop import ARRIVAL_GAP_S, MAX_REST_S, PASS_GAP_S, PASS_REST, TARGETS_REST_FACTOR  # noqa: E402
 from grebestand.settings import policy  # noqa: E402
-from grebestand.settings.platform import Quota  # noqa: E402
+from grebestand.settings.platform import ProcessLimits  # noqa: E402
 from grebestand.storage.completed_jobs import MAX_COMPLETED_KEPT  # noqa: E402
 
 SLOPES, PAGE, CODE = _ROOT / "tools" / "capacity.toml", _ROOT / "docs" / "CAPACITY.md", _ROOT / "src" / "grebestand"
@@ -237,7 +237,7 @@
 
     def sockets(self, s: Size) -> float:
         """Connections of workers that a controller may keep."""
-        quota = Quota(self.limits["core"], self.limits["memory_mb"], self.limits["sockets"])
+        quota = ProcessLimits(self.limits["core"], self.limits["memory_mb"], self.limits["sockets"])
         return float(plan_connections(quota, s.controllers - 1).workers)
 
     def spread_from(self, s: Size) -> float:
@@ -445,7 +445,7 @@
     Row("reports a second, peak, even share", "1/s", lambda m, s: m.reports(s) / s.controllers, RELAYED),
     Row("batches a second to the leader", "1/s",
         lambda m, s: max(
-            min(1 / GATHER_S, m.reports(s) / s.controllers), m.reports(s) / s.controllers / MAX_BATCH_HEARTBEATS),
+            min(1 / BATCH_DELAY_S, m.reports(s) / s.controllers), m.reports(s) / s.controllers / MAX_BATCH_HEARTBEATS),
         RELAYED),
     Row("bytes a second to the leader", "KB/s", lambda m, s: m.reports(s) / s.controllers * m.report_bytes(s) / 1e3,
         RELAYED),
