--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -17,7 +17,7 @@
 from ..connectivity.store_proxy import StoreProxyHandler
 from ..features.hooks import Features
 from ..heartbeat_relay.batch_receiver import BatchRefusedError
-from ..heartbeat_relay.forwarder import PATH as HEARTBEAT_BATCH_PATH
+from ..heartbeat_relay.forwarder import BATCH_PATH as HEARTBEAT_BATCH_PATH
 from ..log_events import LogEvent
 from ..wire.peers import CachedImages, PeerStatus, ResignationNotice
 
@@ -242,8 +242,8 @@
         if status.cancelled:
             self._listener.on_peer_cancellations(status.cancelled)
         if status.token:
-            self.leader_task_counts = status.counts
-            self.sampled_worker_addresses = status.samples or self.sampled_worker_addresses
+            self.leader_task_counts = status.task_counts
+            self.sampled_worker_addresses = status.worker_addresses or self.sampled_worker_addresses
 
     # requests from peers ----------------------------------------------------------------------------------
 
--- a/src/grebestand/clients/kv_store.py
+++ b/src/grebestand/clients/kv_store.py
@@ -86,7 +86,7 @@
         lease: Number of the lease that the key is attached to, so that the key is deleted when the lease expires. None
             for a key without a lease.
     """
-    return Change(put=key, value=value, hold=lease)
+    return Change(put=key, value=value, lease_id=lease)
 
 
 def delete(key: str) -> Change:
@@ -228,7 +228,7 @@
         status, body = self._call("POST", "/holds", LeaseRequest(ttl_ms=ttl_ms), Urgency.LEASE, REQUEST_TIMEOUT_S)
         if status != HTTPStatus.OK:
             raise _unexpected_status("POST", "/holds", status)
-        return self._decode(body, LeaseGrant).hold
+        return self._decode(body, LeaseGrant).lease_id
 
     def keep_alive(self, lease: int, /) -> None:
         """Renew a lease.
--- a/src/grebestand/controller/assignment_loop.py
+++ b/src/grebestand/controller/assignment_loop.py
@@ -81,7 +81,7 @@
         """Mark a peer's capacity as current and, if the peer leads, adopt its assignment decision."""
         self.assignment.record_peer_status(status.name)
         if status.token and self.current_term.term is None:
-            self.assignment.update_machine_count(status.spread)
+            self.assignment.update_machine_count(status.shared_machines)
 
     def _log_status(self) -> None:
         log.info(
--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -78,7 +78,7 @@
 
     # implementation of `features.hooks.Host` --------------------------------------------------------------
 
-    def present(self) -> Term | None:
+    def leading_term(self) -> Term | None:
         """Return the term if its records are loaded and this controller leads now, else None."""
         term = self.current_term.loaded()
         return term if term is not None and term.writer.is_leader() else None
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -234,7 +234,7 @@
 
     def handle_resignation(self, notice: ResignationNotice) -> None:
         """Remove the leader key of a peer that resigned, and try to lead unless the notice names another successor."""
-        may_lead = notice.heir in ("", self.name)
+        may_lead = notice.successor in ("", self.name)
         if not may_lead:
             self._successor_first_until = self.clock() + SUCCESSOR_HEAD_START_S
         try:
--- a/src/grebestand/controller/peer_directory.py
+++ b/src/grebestand/controller/peer_directory.py
@@ -44,13 +44,15 @@
                 peer.name,
                 self.zones[peer.name],
                 peer.last_status.token > 0,
-                peer.last_status.kept,
-                peer.last_status.room,
+                peer.last_status.kept_workers,
+                peer.last_status.free_connections,
                 peer.last_status.load == LoadState.OVERLOADED.value,
-                peer.last_status.reports,
+                peer.last_status.heartbeats_per_s,
             )
             for peer in self.peers
-            if peer.last_status is not None and peer.last_status.room >= 0 and now - peer.last_heard_at < STATUS_VALID_S
+            if peer.last_status is not None
+            and peer.last_status.free_connections >= 0
+            and now - peer.last_heard_at < STATUS_VALID_S
         ]
 
     def leading_peer(self) -> PeerClient | None:
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -57,18 +57,18 @@
             name=self.name,
             token=self.election.token if term is not None else 0,
             state_age_s=self.store_link.silence_s,
-            counts=term.status_broadcast.counts() if term is not None else {},
+            task_counts=term.status_broadcast.counts() if term is not None else {},
             load=self.overload.state.value,
             workers_age_s=self.workers_link.silence_s
             if self.workers_link.last_received_at > -math.inf
             else NO_WORKER_SEEN_S,
-            samples=term.status_broadcast.sample_addresses(self.rng) if term is not None else [],
+            worker_addresses=term.status_broadcast.sample_addresses(self.rng) if term is not None else [],
             incarnation=self.incarnation,
             cancelled=self.cancellations.recent(),
-            kept=len(self.assignment.kept_workers),
-            room=self.assignment.free_connections
+            kept_workers=len(self.assignment.kept_workers),
+            free_connections=self.assignment.free_connections
             if term is not None or self.forwarder.accepts_heartbeats()
             else NO_WORKERS_ACCEPTED,
-            reports=self.assignment.heartbeats_per_s,
-            spread=self.assignment.machine_count if term is not None else 0,
+            heartbeats_per_s=self.assignment.heartbeats_per_s,
+            shared_machines=self.assignment.machine_count if term is not None else 0,
         )
