--- a/src/grebestand/commands/up.py
+++ b/src/grebestand/commands/up.py
@@ -38,7 +38,7 @@
     if not 1 <= arguments.machines <= 200:
         print("grebestand: up: --machines must be 1 to 200", file=sys.stderr)
         return 2
-    from ..emulators.controller_processes import Controllers
+    from ..emulators.controller_processes import SiteControllers
     from ..emulators.site import EmulatedSite
 
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -50,13 +50,13 @@
         limits = "[params.state]\nrps = 1000.0\nwrite_rps = 200.0\nvalue_kb = 4.0\ntxn_ops = 12\n"
         params = f'zones = ["a"]\n{TEAMS}{workers}{limits}[params.cloud]\nrps = 50.0\nlist_lag_s = 2.0\n'
         policy = "rent = false\nidle_return_s = 1000000\nhold_s = 4\n"
-        controllers = Controllers(site, arguments.controllers, Path(directory), params, policy)
+        controllers = SiteControllers(site, arguments.controllers, Path(directory), params, policy)
         try:
             for _ in range(arguments.machines):
-                site.machine("m16", "a")
+                site.add_machine("m16", "a")
             controllers.start_all()
-            if not controllers.ready(30.0):
-                print(f"grebestand: up: no controller came to lead: {controllers.last_words()}", file=sys.stderr)
+            if not controllers.wait_until_ready(30.0):
+                print(f"grebestand: up: no controller came to lead: {controllers.last_log_lines()}", file=sys.stderr)
                 return 1
             for name, address in controllers.addresses.items():
                 print(f"{name}  http://{address}")
--- a/src/grebestand/emulators/controller_processes.py
+++ b/src/grebestand/emulators/controller_processes.py
@@ -14,7 +14,7 @@
 from .site import HOST, EmulatedSite
 
 #: a controller ends by itself within this, in seconds, before it is killed
-END_S = 3.0
+TERMINATION_TIMEOUT_S = 3.0
 READY_POLL_S = 0.1
 
 
@@ -50,7 +50,7 @@
         self.root = root
         root.mkdir(parents=True, exist_ok=True)
         self.names = list(names)
-        self.descriptors = descriptors
+        self.max_open_files = descriptors
         self.addresses = {n: f"{HOST}:{free_port()}" for n in self.names}
         peers = {n: f"{HOST}:{free_port()}" for n in self.names}
         self.features: list[Path] = []
@@ -76,7 +76,7 @@
 
     def start(self, name: str) -> None:
         """Start a controller's process, unless it is alive."""
-        if self.alive(name):
+        if self.is_running(name):
             return
         command = [sys.executable, "-m", "grebestand", "serve", "--config", str(self.root / f"{name}.toml")]
         command += ["--policy", str(self.root / "policy.toml")]
@@ -88,20 +88,20 @@
             self._running[name] = subprocess.Popen(
                 command, stdin=subprocess.DEVNULL, stdout=out, stderr=out, env=environment, start_new_session=True
             )
-        if self.descriptors is not None:
-            limits = (self.descriptors, self.descriptors)
+        if self.max_open_files is not None:
+            limits = (self.max_open_files, self.max_open_files)
             resource.prlimit(self._running[name].pid, resource.RLIMIT_NOFILE, limits)
 
     def pid(self, name: str) -> int | None:
         """Return the process id of a controller, None if it is not alive."""
-        return self._running[name].pid if self.alive(name) else None
+        return self._running[name].pid if self.is_running(name) else None
 
     def start_all(self) -> None:
         """Start every controller that is not alive."""
         for name in self.names:
             self.start(name)
 
-    def alive(self, name: str) -> bool:
+    def is_running(self, name: str) -> bool:
         """Whether a controller's process is running."""
         process = self._running.get(name)
         return process is not None and process.poll() is None
@@ -113,7 +113,7 @@
             process.kill()
             process.wait()
 
-    def freeze(self, name: str, seconds: float) -> None:
+    def pause(self, name: str, seconds: float) -> None:
         """Stop a controller with SIGSTOP for a while, and return at once."""
         process = self._running.get(name)
         if process is None or process.poll() is not None:
@@ -127,7 +127,7 @@
 
         gevent.spawn(stop_and_continue)
 
-    def last_words(self) -> str:
+    def last_log_lines(self) -> str:
         """Return the last line of each controller's log."""
         lines = []
         for name in self.names:
@@ -144,13 +144,13 @@
                 process.terminate()
         for process in self._running.values():
             try:
-                process.wait(timeout=END_S)
+                process.wait(timeout=TERMINATION_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
 
 
-class Controllers(ControllerProcesses):
+class SiteControllers(ControllerProcesses):
     """The controllers of one site."""
 
     def __init__(self, site: EmulatedSite, count: int, root: Path, params: str, policy: str) -> None:
@@ -158,20 +158,20 @@
         outside = {"cloud": site.cloud_address, "state": site.store.address}
         super().__init__(names, outside, root, params, policy)
         self.site = site
-        site.controllers = dict(self.addresses)
+        site.controller_addresses = dict(self.addresses)
 
     def leader(self) -> str | None:
         """Return who leads by the key-value store, or None."""
-        found = self.site.store.model.data.get("leader")
+        found = self.site.store.store.data.get("leader")
         return str(found[0]["name"]) if found is not None else None
 
-    def ready(self, within_s: float) -> bool:
+    def wait_until_ready(self, within_s: float) -> bool:
         """Wait until a controller leads and a worker has its token; return whether that came in time."""
         end = self.site.clock() + within_s
         while self.site.clock() < end:
-            if self.leader() is not None and any(player.token for player in self.site.yard.players.values()):
+            if self.leader() is not None and any(player.token for player in self.site.task_execution.workers.values()):
                 return True
-            if not any(self.alive(name) for name in self.names):
+            if not any(self.is_running(name) for name in self.names):
                 return False  # none is left that could
             gevent.sleep(READY_POLL_S)
         return False
--- a/src/grebestand/emulators/kv_store.py
+++ b/src/grebestand/emulators/kv_store.py
@@ -12,7 +12,7 @@
 from ..clients.http import UnreachableError
 
 #: changes that are kept for watchers
-MOST_LOGGED = 10_000
+MAX_LOGGED_CHANGES = 10_000
 
 
 class KeyValueStoreEmulator:
@@ -22,86 +22,86 @@
         self.clock = clock
         self.revision = 10
         self.data: dict[str, tuple[Any, int, int | None]] = {}
-        self.log: list[dict[str, Any]] = []
-        self.holds: dict[int, tuple[float, float]] = {}
-        self._down = False
+        self.changes: list[dict[str, Any]] = []
+        self.leases: dict[int, tuple[float, float]] = {}
+        self._unavailable = False
         #: requests, and puts and deletes, a second, with one second's worth as a burst; more are answered 429
         self.rps = self.write_rps = math.inf
-        self._left: dict[str, tuple[float, float]] = {}
+        self._rate_budgets: dict[str, tuple[float, float]] = {}
         #: puts and deletes that were asked for, whether their conditions held or not
-        self.writes = 0
-        self.lose_answers = 0  # the next so many changes are made, but nobody hears of it
+        self.write_count = 0
+        self.responses_to_drop = 0  # the next so many changes are made, but nobody hears of it
         self.largest_txn = 0
         self.largest_value = 0
 
     @property
-    def down(self) -> bool:
+    def unavailable(self) -> bool:
         """Nobody is answered. Holds do not end meanwhile, and have their full time again once it is over."""
-        return self._down
+        return self._unavailable
 
-    @down.setter
-    def down(self, down: bool) -> None:
+    @unavailable.setter
+    def unavailable(self, down: bool) -> None:
         """Begin or end an outage."""
-        if down == self._down:
+        if down == self._unavailable:
             return
         if down:
-            self.expire()
+            self.expire_leases()
         else:
-            self.holds = {hold: (life, self.clock() + life) for hold, (life, _) in self.holds.items()}
-        self._down = down
+            self.leases = {hold: (life, self.clock() + life) for hold, (life, _) in self.leases.items()}
+        self._unavailable = down
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         """Answer a request of the store's protocol; raise `UnreachableError` while answers are to be lost."""
-        if self.down:
+        if self.unavailable:
             return 503, b"{}"
         content = json.loads(body) if body else {}
         changes = len(content.get("apply") or ()) if path == "/commit" else 0
-        if self._too_many("requests", self.rps, 1) or self._too_many("writes", self.write_rps, changes):
+        if self._exceeds_rate("requests", self.rps, 1) or self._exceeds_rate("writes", self.write_rps, changes):
             return 429, b"{}"
-        self.writes += changes
-        self.expire()
+        self.write_count += changes
+        self.expire_leases()
         url = urlsplit(path)
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
         status, answer = self._route(method, url.path, query, content)
-        if self.lose_answers and method == "POST" and url.path == "/commit":
-            self.lose_answers -= 1
+        if self.responses_to_drop and method == "POST" and url.path == "/commit":
+            self.responses_to_drop -= 1
             raise UnreachableError("the answer was lost")
         return status, json.dumps(answer).encode()
 
-    def _too_many(self, what: str, rate: float, count: int) -> bool:
+    def _exceeds_rate(self, what: str, rate: float, count: int) -> bool:
         if rate == math.inf or not count:
             return False
         now = self.clock()
-        left, at = self._left.get(what, (rate, now))
+        left, at = self._rate_budgets.get(what, (rate, now))
         left = min(rate, left + rate * (now - at))
         enough = left >= count
-        self._left[what] = left - count * enough, now
+        self._rate_budgets[what] = left - count * enough, now
         return not enough
 
-    def expire(self) -> None:
+    def expire_leases(self) -> None:
         """End leases whose time is over, with the keys attached to them."""
-        for hold, (_, end) in list(self.holds.items()):
+        for hold, (_, end) in list(self.leases.items()):
             if self.clock() > end:
-                self._end(hold)
+                self._end_lease(hold)
 
-    def _end(self, hold: int) -> None:
-        del self.holds[hold]
+    def _end_lease(self, hold: int) -> None:
+        del self.leases[hold]
         for key in [k for k, (_, _, h) in self.data.items() if h == hold]:
             self.revision += 1
             self._remove(key)
 
-    def _record(self, event: dict[str, Any]) -> None:
-        self.log.append(event)
-        if len(self.log) > 2 * MOST_LOGGED:
-            del self.log[:MOST_LOGGED]
+    def _append_change(self, event: dict[str, Any]) -> None:
+        self.changes.append(event)
+        if len(self.changes) > 2 * MAX_LOGGED_CHANGES:
+            del self.changes[:MAX_LOGGED_CHANGES]
 
     def _remove(self, key: str) -> None:
         if self.data.pop(key, None) is not None:
-            self._record({"remove": key, "stamp": self.revision})
+            self._append_change({"remove": key, "stamp": self.revision})
 
     def _route(self, method: str, path: str, query: dict[str, str], body: Any) -> tuple[int, Any]:
         if path == "/store":
-            return self._scan(query)
+            return self._list_keys(query)
         if path.startswith("/store/"):
             found = self.data.get(path[7:])
             if found is None:
@@ -112,35 +112,35 @@
         if path == "/holds":
             self.revision += 1
             life = body["lifeMs"] / 1000
-            self.holds[self.revision] = (life, self.clock() + life)
+            self.leases[self.revision] = (life, self.clock() + life)
             return 200, {"tenure": self.revision}
         if path.endswith("/touch"):
             hold = int(path.split("/")[2])
-            if hold not in self.holds:
+            if hold not in self.leases:
                 return 404, {}
-            self.holds[hold] = (self.holds[hold][0], self.clock() + self.holds[hold][0])
+            self.leases[hold] = (self.leases[hold][0], self.clock() + self.leases[hold][0])
             return 200, {"tenure": hold}
         if path.startswith("/holds/") and method == "DELETE":
-            if int(path.split("/")[2]) in self.holds:
-                self._end(int(path.split("/")[2]))
+            if int(path.split("/")[2]) in self.leases:
+                self._end_lease(int(path.split("/")[2]))
             return 200, {}
         if path == "/changes":
             since = int(query["since"])
-            if len(self.log) >= MOST_LOGGED and since < self.log[0]["stamp"]:
+            if len(self.changes) >= MAX_LOGGED_CHANGES and since < self.changes[0]["stamp"]:
                 return 410, {}
-            return 200, {"logline": self.revision, "events": self.events(query["prefix"], since)}
+            return 200, {"logline": self.revision, "events": self.changes_after(query["prefix"], since)}
         return 404, {}
 
-    def events(self, prefix: str, since: int) -> list[dict[str, Any]]:
+    def changes_after(self, prefix: str, since: int) -> list[dict[str, Any]]:
         """Kept changes under a prefix after a revision; the log is in the order of revisions."""
-        begin = bisect_right(self.log, since, key=lambda e: int(e["stamp"]))
-        return [e for e in self.log[begin:] if self._key(e).startswith(prefix)]
+        begin = bisect_right(self.changes, since, key=lambda e: int(e["stamp"]))
+        return [e for e in self.changes[begin:] if self._key_of(e).startswith(prefix)]
 
     @staticmethod
-    def _key(event: dict[str, Any]) -> str:
+    def _key_of(event: dict[str, Any]) -> str:
         return str(event.get("set") or event.get("remove"))
 
-    def _scan(self, query: dict[str, str]) -> tuple[int, Any]:
+    def _list_keys(self, query: dict[str, str]) -> tuple[int, Any]:
         keys = sorted(k for k in self.data if k.startswith(query["prefix"]) and k > query.get("since", ""))
         page = keys[: int(query.get("page", 1000))]
         pairs = [{"k": k, "value": self.data[k][0], "stamp": self.data[k][1]} for k in page]
@@ -153,7 +153,7 @@
         for change in changes:
             if "set" in change:
                 self.largest_value = max(self.largest_value, len(json.dumps(change["value"], separators=(",", ":"))))
-                if change.get("tenure") is not None and change["tenure"] not in self.holds:
+                if change.get("tenure") is not None and change["tenure"] not in self.leases:
                     return 400, {"error": "no such lease"}
         if failed:
             return 409, {"failed": failed, "logline": self.revision}
@@ -162,7 +162,7 @@
             if "set" in change:
                 key = change["set"]
                 self.data[key] = (change["value"], self.revision, change.get("tenure"))
-                self._record({"set": key, "value": change["value"], "stamp": self.revision})
+                self._append_change({"set": key, "value": change["value"], "stamp": self.revision})
             else:
                 self._remove(change["remove"])
         return 200, {"logline": self.revision}
--- a/src/grebestand/emulators/task_execution.py
+++ b/src/grebestand/emulators/task_execution.py
@@ -33,53 +33,53 @@
     tasks: int = 0
 
 
-Tell = Callable[[TaskEvent], None]
+EventRecorder = Callable[[TaskEvent], None]
 
 
 @dataclass
-class HeldTask:
+class LocalTask:
     """One task on a machine, beside what its worker reports of it."""
 
     spec: JobSpec
     index: int
     attempt: int
-    since: float
-    image_at: float
-    on: bool = False
-    run_at: float = 0.0
-    left_s: float = 0.0
-    stop_at: float | None = None
-    save_until: float = 0.0
+    state_since: float
+    image_fetched_at: float
+    occupies_machine: bool = False
+    running_since: float = 0.0
+    remaining_s: float = 0.0
+    stopped_work_at: float | None = None
+    save_ends_at: float = 0.0
     grace_s: float = 0.0
     #: the whole gang was told in time to save
-    kept: bool = False
+    gang_work_saved: bool = False
 
 
 @dataclass
 class TaskRunner(WorkerEmulator):
     """A worker whose tasks are played: what is stopped may save first."""
 
-    held: dict[str, HeldTask] = field(default_factory=dict)
+    local_tasks: dict[str, LocalTask] = field(default_factory=dict)
     #: tasks that another attempt has followed before the yard saw their end
-    followed: list[HeldTask] = field(default_factory=list)
-    images: set[str] = field(default_factory=set)
+    superseded_tasks: list[LocalTask] = field(default_factory=list)
+    cached_images: set[str] = field(default_factory=set)
     #: when the last answered report was sent, by the yard's clock
-    answered_at: float = 0.0
+    lease_renewed_at: float = 0.0
     #: neither runs nor reports until then
-    hangs_until: float = 0.0
-    changed: bool = True
+    hung_until: float = 0.0
+    heartbeat_due: bool = True
 
-    def begin(self, task: str, attempt: int) -> None:
+    def start_task(self, task: str, attempt: int) -> None:
         """Start fetching a task's image; what an earlier attempt left behind is kept until its end was seen."""
         self.tasks[task] = TaskStatus(task, attempt, T.FETCHING)
-        old = self.held.pop(task, None)
+        old = self.local_tasks.pop(task, None)
         if old is not None:
-            self.followed.append(old)
-        self.changed = True
+            self.superseded_tasks.append(old)
+        self.heartbeat_due = True
 
-    def end(self, held: TaskStatus, grace_s: float) -> None:
+    def stop_task(self, held: TaskStatus, grace_s: float) -> None:
         """Stop a task: it saves first if it runs, can save, and was given the time for it."""
-        more = self.held.get(held.task)
+        more = self.local_tasks.get(held.task)
         if held.state is T.EXITED:
             return
         if more is None or held.state in (T.FETCHING, T.WAITING):
@@ -88,7 +88,7 @@
             held.state, more.grace_s = T.SAVING, grace_s
         elif held.state is T.RUNNING or grace_s < more.grace_s:
             held.state, held.why = T.EXITED, ExitReason.STOPPED
-        self.changed = True
+        self.heartbeat_due = True
 
 
 class TaskExecution:
@@ -101,50 +101,50 @@
         gang_wait_s: float,
         gang_peer_s: float,
         describe: Callable[[str], JobSpec | None],
-        tell: Tell,
+        tell: EventRecorder,
         fetch_gb_per_s: float = 2.0,
     ) -> None:
         self.name = name
         self.lease_s = lease_s
         self.gang_wait_s = gang_wait_s
         self.gang_peer_s = gang_peer_s
-        self.describe = describe
-        self.tell = tell
+        self.find_job_spec = describe
+        self.record_event = tell
         self.fetch_gb_per_s = fetch_gb_per_s
-        self.players: dict[str, TaskRunner] = {}
+        self.workers: dict[str, TaskRunner] = {}
         #: of each job: seconds of work that are saved, and tasks whose result is kept
-        self.saved_s: dict[str, float] = {}
-        self.results: set[str] = set()
+        self.saved_work_s: dict[str, float] = {}
+        self.completed_tasks: set[str] = set()
 
-    def add(self, player: TaskRunner, now: float) -> None:
+    def add_worker(self, player: TaskRunner, now: float) -> None:
         """Take in a machine that is up from now on."""
-        player.answered_at = now
-        self.players[player.name] = player
+        player.lease_renewed_at = now
+        self.workers[player.name] = player
 
-    def lose(self, name: str, now: float) -> None:
+    def remove_worker(self, name: str, now: float) -> None:
         """The machine is gone, with everything on it."""
-        player = self.players.pop(name, None)
+        player = self.workers.pop(name, None)
         if player is not None:
-            self._clear(player, now, "machine gone")
+            self._remove_all_tasks(player, now, "machine gone")
 
     def step(self, now: float) -> None:
         """Advance every task to the given time, in seconds of the site's clock."""
-        for player in self.players.values():
+        for player in self.workers.values():
             # stopped and forgotten, or followed by another attempt, between two steps
-            gone = [player.held.pop(t) for t in [t for t in player.held if t not in player.tasks]]
-            for past in gone + player.followed:
-                self._off(player, past, now, ExitReason.STOPPED.value)
-            player.followed.clear()
-        gangs: dict[tuple[str, int], list[tuple[TaskRunner, TaskStatus, HeldTask]]] = {}
-        for player in list(self.players.values()):
-            if now < player.hangs_until:
+            gone = [player.local_tasks.pop(t) for t in [t for t in player.local_tasks if t not in player.tasks]]
+            for past in gone + player.superseded_tasks:
+                self._release_machine(player, past, now, ExitReason.STOPPED.value)
+            player.superseded_tasks.clear()
+        gangs: dict[tuple[str, int], list[tuple[TaskRunner, TaskStatus, LocalTask]]] = {}
+        for player in list(self.workers.values()):
+            if now < player.hung_until:
                 continue
-            if now - player.answered_at > self.lease_s:
-                self._clear(player, now, "lease")
-                player.lapse()
-                player.answered_at, player.changed = now, True
+            if now - player.lease_renewed_at > self.lease_s:
+                self._remove_all_tasks(player, now, "lease")
+                player.expire_lease()
+                player.lease_renewed_at, player.heartbeat_due = now, True
             for task, status in list(player.tasks.items()):
-                held = self._held(player, task, status, now)
+                held = self._local_task(player, task, status, now)
                 if held is None:
                     continue
                 self._step_task(player, status, held, now)
@@ -153,92 +153,101 @@
         for members in gangs.values():
             self._step_gang(members, now)
 
-    def _held(self, player: TaskRunner, task: str, status: TaskStatus, now: float) -> HeldTask | None:
-        found = player.held.get(task)
+    def _local_task(self, player: TaskRunner, task: str, status: TaskStatus, now: float) -> LocalTask | None:
+        found = player.local_tasks.get(task)
         if found is None and status.state is T.FETCHING:
             job, index = split_task(task)
-            spec = self.describe(job)
+            spec = self.find_job_spec(job)
             if spec is None:
-                status.state, status.why, player.changed = T.EXITED, ExitReason.UNKNOWN, True
+                status.state, status.why, player.heartbeat_due = T.EXITED, ExitReason.UNKNOWN, True
                 return None
-            fetch = 0.0 if spec.image in player.images else spec.image_gb / self.fetch_gb_per_s
-            found = player.held[task] = HeldTask(spec, index, status.attempt, now, now + fetch)
+            fetch = 0.0 if spec.image in player.cached_images else spec.image_gb / self.fetch_gb_per_s
+            found = player.local_tasks[task] = LocalTask(spec, index, status.attempt, now, now + fetch)
         return found
 
-    def _say(self, what: str, player: TaskRunner, held: HeldTask, now: float, why: str = "") -> None:
+    def _record_event(self, what: str, player: TaskRunner, held: LocalTask, now: float, why: str = "") -> None:
         spec = held.spec
-        self.tell(
+        self.record_event(
             TaskEvent(now, self.name, what, spec.klass, spec.id, held.index, held.attempt, player.name, why, spec.tasks)
         )
 
-    def _off(self, player: TaskRunner, held: HeldTask, now: float, why: str) -> None:
-        if held.on:
-            held.on = False
-            self._say("off", player, held, now, why)
+    def _release_machine(self, player: TaskRunner, held: LocalTask, now: float, why: str) -> None:
+        if held.occupies_machine:
+            held.occupies_machine = False
+            self._record_event("off", player, held, now, why)
 
-    def _exit(self, player: TaskRunner, status: TaskStatus, held: HeldTask, now: float, why: ExitReason) -> None:
-        status.state, status.why, player.changed = T.EXITED, why, True
+    def _exit_task(self, player: TaskRunner, status: TaskStatus, held: LocalTask, now: float, why: ExitReason) -> None:
+        status.state, status.why, player.heartbeat_due = T.EXITED, why, True
         if why is ExitReason.DONE:
-            self.results.add(status.task)
-        self._off(player, held, now, why.value)
-
-    def _clear(self, player: TaskRunner, now: float, why: str) -> None:
-        for held in (*player.held.values(), *player.followed):
-            self._off(player, held, now, why)
-        player.held.clear()
-        player.followed.clear()
-
-    def _run_s(self, held: HeldTask) -> float:
-        return max(0.05, held.spec.estimate_s - self.saved_s.get(held.spec.id, 0.0))
-
-    def _step_task(self, player: TaskRunner, status: TaskStatus, held: HeldTask, now: float) -> None:
-        if status.state is T.FETCHING and now >= held.image_at:
-            player.images.add(held.spec.image)
-            held.on, player.changed = True, True
-            self._say("on", player, held, now)
-            if status.task in self.results:
-                self._exit(player, status, held, now, ExitReason.DONE)
+            self.completed_tasks.add(status.task)
+        self._release_machine(player, held, now, why.value)
+
+    def _remove_all_tasks(self, player: TaskRunner, now: float, why: str) -> None:
+        for held in (*player.local_tasks.values(), *player.superseded_tasks):
+            self._release_machine(player, held, now, why)
+        player.local_tasks.clear()
+        player.superseded_tasks.clear()
+
+    def _remaining_work_s(self, held: LocalTask) -> float:
+        return max(0.05, held.spec.estimate_s - self.saved_work_s.get(held.spec.id, 0.0))
+
+    def _step_task(self, player: TaskRunner, status: TaskStatus, held: LocalTask, now: float) -> None:
+        if status.state is T.FETCHING and now >= held.image_fetched_at:
+            player.cached_images.add(held.spec.image)
+            held.occupies_machine, player.heartbeat_due = True, True
+            self._record_event("on", player, held, now)
+            if status.task in self.completed_tasks:
+                self._exit_task(player, status, held, now, ExitReason.DONE)
             elif held.spec.kind is Kind.GANG:
-                status.state, held.since = T.WAITING, now
+                status.state, held.state_since = T.WAITING, now
             else:
-                status.state, held.run_at, held.left_s = T.RUNNING, now, self._run_s(held)
-        elif status.state is T.RUNNING and held.spec.kind is Kind.ARRAY and now - held.run_at >= held.left_s:
-            self._exit(player, status, held, now, ExitReason.DONE)
-        elif status.state is T.SAVING and held.stop_at is None:
-            held.stop_at, held.save_until = now, now + held.spec.save_s
-        elif status.state is T.SAVING and now >= held.save_until:
+                status.state, held.running_since, held.remaining_s = T.RUNNING, now, self._remaining_work_s(held)
+        elif (
+            status.state is T.RUNNING and held.spec.kind is Kind.ARRAY and now - held.running_since >= held.remaining_s
+        ):
+            self._exit_task(player, status, held, now, ExitReason.DONE)
+        elif status.state is T.SAVING and held.stopped_work_at is None:
+            held.stopped_work_at, held.save_ends_at = now, now + held.spec.save_s
+        elif status.state is T.SAVING and now >= held.save_ends_at:
             if held.spec.kind is not Kind.GANG:
-                self._save(held)
+                self._save_work(held)
             status.saved = True
-            self._exit(player, status, held, now, ExitReason.STOPPED)
+            self._exit_task(player, status, held, now, ExitReason.STOPPED)
         elif status.state is T.EXITED:
-            self._off(player, held, now, str(status.why))
+            self._release_machine(player, held, now, str(status.why))
 
-    def _save(self, held: HeldTask) -> None:
-        worked = self.saved_s.get(held.spec.id, 0.0) + (held.stop_at or held.run_at) - held.run_at
-        self.saved_s[held.spec.id] = worked - worked % held.spec.checkpoint_s
+    def _save_work(self, held: LocalTask) -> None:
+        worked = (
+            self.saved_work_s.get(held.spec.id, 0.0) + (held.stopped_work_at or held.running_since) - held.running_since
+        )
+        self.saved_work_s[held.spec.id] = worked - worked % held.spec.checkpoint_s
 
-    def _step_gang(self, members: list[tuple[TaskRunner, TaskStatus, HeldTask]], now: float) -> None:
+    def _step_gang(self, members: list[tuple[TaskRunner, TaskStatus, LocalTask]], now: float) -> None:
         spec = members[0][2].spec
         there = [(p, s, h) for p, s, h in members if s.state is not T.EXITED]
         waiting = [(p, s, h) for p, s, h in there if s.state is T.WAITING]
         running = [(p, s, h) for p, s, h in there if s.state is T.RUNNING]
         if len(waiting) == spec.tasks:
             for player, status, held in waiting:
-                status.state, held.run_at, held.left_s, player.changed = T.RUNNING, now, self._run_s(held), True
-        elif len(running) == spec.tasks and now - running[0][2].run_at >= running[0][2].left_s:
+                status.state, held.running_since, held.remaining_s, player.heartbeat_due = (
+                    T.RUNNING,
+                    now,
+                    self._remaining_work_s(held),
+                    True,
+                )
+        elif len(running) == spec.tasks and now - running[0][2].running_since >= running[0][2].remaining_s:
             for player, status, held in running:
-                self._exit(player, status, held, now, ExitReason.DONE)
-        elif not members[0][2].kept and sum(s.state is T.SAVING for _, s, _ in there) == spec.tasks:
-            members[0][2].kept = True
-            self._save(members[0][2])
+                self._exit_task(player, status, held, now, ExitReason.DONE)
+        elif not members[0][2].gang_work_saved and sum(s.state is T.SAVING for _, s, _ in there) == spec.tasks:
+            members[0][2].gang_work_saved = True
+            self._save_work(members[0][2])
         elif running and len(running) < spec.tasks:
             for player, status, held in running:
-                if held.stop_at is None:
-                    held.stop_at = now  # the first moment at which somebody is missing
-                elif now - held.stop_at >= self.gang_peer_s:
-                    self._exit(player, status, held, now, ExitReason.PEERS)
+                if held.stopped_work_at is None:
+                    held.stopped_work_at = now  # the first moment at which somebody is missing
+                elif now - held.stopped_work_at >= self.gang_peer_s:
+                    self._exit_task(player, status, held, now, ExitReason.PEERS)
         else:
             for player, status, held in waiting:
-                if now - held.since >= self.gang_wait_s:
-                    self._exit(player, status, held, now, ExitReason.ALONE)
+                if now - held.state_since >= self.gang_wait_s:
+                    self._exit_task(player, status, held, now, ExitReason.ALONE)
--- a/src/grebestand/emulators/tcp_relay.py
+++ b/src/grebestand/emulators/tcp_relay.py
@@ -37,15 +37,15 @@
         self.rng = rng
         self._mode = RelayMode.OPEN
         #: the longest delay of a delivery, in seconds
-        self.late_s = 0.0
+        self.max_delay_s = 0.0
         #: connections and bytes that have passed
-        self.connections = self.bytes = 0
+        self.connection_count = self.byte_count = 0
         self._open: set[socket.socket] = set()
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
         self.address = f"127.0.0.1:{self._server.server_port}"
 
-    def set(self, mode: RelayMode) -> None:
+    def set_mode(self, mode: RelayMode) -> None:
         """Switch the mode; `BROKEN` closes the connections that are open."""
         self._mode = mode
         if mode is RelayMode.BROKEN:
@@ -64,7 +64,7 @@
         except OSError:
             near.close()
             return
-        self.connections += 1
+        self.connection_count += 1
         self._open |= {near, far}
         back = gevent.spawn(self._pump, far, near)
         self._pump(near, far)
@@ -79,10 +79,10 @@
         try:
             source.settimeout(IDLE_TIMEOUT_S)
             while data := source.recv(READ_BYTES):
-                if self.late_s:
-                    gevent.sleep(self.late_s * self.rng.random())
+                if self.max_delay_s:
+                    gevent.sleep(self.max_delay_s * self.rng.random())
                 self._wait_while_held()
-                self.bytes += len(data)
+                self.byte_count += len(data)
                 sink.sendall(data)
         except OSError:
             pass  # one end is gone, or the relay was switched to `BROKEN`
--- a/src/grebestand/emulators/worker.py
+++ b/src/grebestand/emulators/worker.py
@@ -24,9 +24,9 @@
     addr: str = ""
     type: str = "m4"
     tasks: dict[str, TaskStatus] = field(default_factory=dict)
-    started: list[tuple[str, int]] = field(default_factory=list)
+    started_attempts: list[tuple[str, int]] = field(default_factory=list)
 
-    def report(self) -> Heartbeat:
+    def next_heartbeat(self) -> Heartbeat:
         """The next heartbeat, with a sequence number above the last one's."""
         self.sequence += 1
         tasks = [msgspec.structs.replace(t) for t in self.tasks.values()]
@@ -43,7 +43,7 @@
             tasks,
         )
 
-    def obey(self, orders: HeartbeatResponse) -> None:
+    def apply_response(self, orders: HeartbeatResponse) -> None:
         """Execute the commands of a response, unless its token is older than one that was seen."""
         if orders.token < self.token:
             return
@@ -51,38 +51,38 @@
         for c in orders.commands:
             held = self.tasks.get(c.task)
             if c.op == "start" and (held is None or held.attempt != c.attempt):
-                self.begin(c.task, c.attempt)
-                self.started.append((c.task, c.attempt))
+                self.start_task(c.task, c.attempt)
+                self.started_attempts.append((c.task, c.attempt))
             elif c.op == "stop" and held is not None and held.attempt == c.attempt:
-                self.end(held, c.grace_s or 0.0)
+                self.stop_task(held, c.grace_s or 0.0)
             elif c.op == "forget" and held is not None and held.state is TaskPhase.EXITED:
                 del self.tasks[c.task]
 
-    def begin(self, task: str, attempt: int) -> None:
+    def start_task(self, task: str, attempt: int) -> None:
         """A start that is not a repeat."""
         self.tasks[task] = TaskStatus(task, attempt, TaskPhase.RUNNING)
 
-    def end(self, held: TaskStatus, grace_s: float) -> None:
+    def stop_task(self, held: TaskStatus, grace_s: float) -> None:
         """A stop of what is there."""
         held.state, held.why = TaskPhase.EXITED, ExitReason.STOPPED
 
-    def finish(self, task: str, why: ExitReason = ExitReason.DONE) -> None:
+    def finish_task(self, task: str, why: ExitReason = ExitReason.DONE) -> None:
         """End a task by itself, for the given reason."""
         self.tasks[task].state, self.tasks[task].why = TaskPhase.EXITED, why
 
-    def direct(self, orders: DirectCommands) -> tuple[int, Heartbeat]:
+    def handle_direct_commands(self, orders: DirectCommands) -> tuple[int, Heartbeat]:
         """The answer to a direct order: executed if neither token nor session is an old one."""
         stale = orders.token < self.token or orders.epoch != self.epoch
         if not stale:
-            self.obey(HeartbeatResponse(orders.token, orders.commands))
-        return (409 if stale else 200), self.report()
+            self.apply_response(HeartbeatResponse(orders.token, orders.commands))
+        return (409 if stale else 200), self.next_heartbeat()
 
-    def lapse(self) -> None:
+    def expire_lease(self) -> None:
         """Its lease ran out: all tasks are killed and forgotten."""
         self.epoch += 1
         self.sequence = 0
         self.tasks.clear()
 
-    def running(self) -> list[str]:
+    def running_tasks(self) -> list[str]:
         """Names of the tasks that have not exited, sorted."""
         return sorted(t.task for t in self.tasks.values() if t.state is not TaskPhase.EXITED)
--- a/src/grebestand/fault_test/federation.py
+++ b/src/grebestand/fault_test/federation.py
@@ -15,7 +15,7 @@
 
 import gevent
 
-from ..emulators.controller_processes import Controllers, free_port
+from ..emulators.controller_processes import SiteControllers, free_port
 from ..emulators.site import HOST, EmulatedSite
 from ..emulators.tcp_relay import TcpRelay
 from ..errors import GrebestandError
@@ -95,7 +95,8 @@
             name: EmulatedSite(name, MACHINE_TYPES, WORKERS, self.history.tell, plan.seed) for name in self.names
         }
         self.controllers = {
-            name: Controllers(self.sites[name], plan.controllers, root / name, PARAMS, POLICY) for name in self.names
+            name: SiteControllers(self.sites[name], plan.controllers, root / name, PARAMS, POLICY)
+            for name in self.names
         }
         self.clock = self.sites[self.names[0]].clock
         #: between a cluster and one controller of another
@@ -174,11 +175,11 @@
     def _start_clusters(self) -> None:
         for name in self.names:
             for _ in range(self.plan.machines):
-                self.sites[name].machine(MACHINE_TYPE, ZONE)
+                self.sites[name].add_machine(MACHINE_TYPE, ZONE)
             self.controllers[name].start_all()
         for name in self.names:
-            if not self.controllers[name].ready(READY_S):
-                raise NoLeaderError(name, self.controllers[name].last_words())
+            if not self.controllers[name].wait_until_ready(READY_S):
+                raise NoLeaderError(name, self.controllers[name].last_log_lines())
 
     def _end(self) -> None:
         self.users.ended = self.faults.ended = True
@@ -193,9 +194,9 @@
         on_time = self._record_durations(sketches)
         relays = self.relays.values()
         counts = {
-            "messages": float(sum(relay.connections for relay in relays)),
-            "bytes": float(sum(relay.bytes for relay in relays)),
-            "writes": float(sum(site.store.writes for site in self.sites.values())),
+            "messages": float(sum(relay.connection_count for relay in relays)),
+            "bytes": float(sum(relay.byte_count for relay in relays)),
+            "writes": float(sum(site.store.commit_count for site in self.sites.values())),
             "abroad": float(
                 sum(any(cluster != gang.home for cluster, _ in attempts.get(gang.klass, [])) for gang in self.gangs)
             ),
--- a/src/grebestand/fault_test/federation_faults.py
+++ b/src/grebestand/fault_test/federation_faults.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ..clients.http import HttpTransport, UnreachableError
-from ..emulators.controller_processes import Controllers
+from ..emulators.controller_processes import SiteControllers
 from ..emulators.site import HOST, EmulatedSite
 from ..emulators.tcp_relay import RelayMode, TcpRelay
 from ..federation import keys
@@ -52,7 +52,7 @@
     root: Path
     names: tuple[str, ...]
     sites: dict[str, EmulatedSite]
-    controllers: dict[str, Controllers]
+    controllers: dict[str, SiteControllers]
     relays: dict[tuple[str, str], TcpRelay]
     gangs: list[Gang]
 
@@ -103,16 +103,16 @@
             faults[index % len(faults)]()
             index += 1
         for relay in self.relays.values():
-            relay.set(RelayMode.OPEN)
-            relay.late_s = 0.0
+            relay.set_mode(RelayMode.OPEN)
+            relay.max_delay_s = 0.0
 
     def _switch_links(self, mode: RelayMode, seconds: float) -> None:
         """Switch all links to a mode for a while."""
         for relay in self.relays.values():
-            relay.set(mode)
+            relay.set_mode(mode)
         gevent.sleep(seconds)
         for relay in self.relays.values():
-            relay.set(RelayMode.OPEN)
+            relay.set_mode(RelayMode.OPEN)
 
     def _hold_links(self) -> None:
         self.say("all links are held for 7 s; what was sent arrives afterwards")
@@ -189,10 +189,10 @@
     def _delay_links(self) -> None:
         self.say("links are up to 1 s late from now on for 5 s")
         for relay in self.relays.values():
-            relay.late_s = 1.0
+            relay.max_delay_s = 1.0
         gevent.sleep(5.0)
         for relay in self.relays.values():
-            relay.late_s = 0.0
+            relay.max_delay_s = 0.0
 
     def _kill(self, site: str, pause_s: float) -> None:
         """Kill the leader of a cluster, and start it again after a pause."""
@@ -215,7 +215,7 @@
 
     def _hold_links_and_kill(self) -> None:
         for relay in self.relays.values():
-            relay.set(RelayMode.HELD)
+            relay.set_mode(RelayMode.HELD)
         for name in self.names:
             self._kill(name, 2.0)
         self._switch_links(RelayMode.HELD, 5.0)
@@ -232,20 +232,20 @@
         leader = self.controllers[site].leader()
         if leader is not None:
             self.say(f"{leader}, which leads, is stopped for 5 s, longer than its hold")
-            self.controllers[site].freeze(leader, 5.0)
+            self.controllers[site].pause(leader, 5.0)
 
     def _silence_store(self) -> None:
         site = self.rng.choice(self.names)
         self.say(f"the state service of {site} is silent for 5 s")
-        self.sites[site].store.silent = True
+        self.sites[site].store.unresponsive = True
         gevent.sleep(5.0)
-        self.sites[site].store.speak()
+        self.sites[site].store.resume_responses()
 
     def _lose_machine(self) -> None:
         site = self.sites[self.names[-1]]
-        busy = [player.name for player in site.yard.players.values() if player.held]
-        if busy and len(site.yard.players) > LEAST_MACHINES:
+        busy = [player.name for player in site.task_execution.workers.values() if player.local_tasks]
+        if busy and len(site.task_execution.workers) > LEAST_MACHINES:
             name = self.rng.choice(sorted(busy))
             self.say(f"machine {name} of {site.name} dies, and another comes up")
-            site.lose(name)
-            site.machine(MACHINE_TYPE, ZONE)
+            site.fail_machine(name)
+            site.add_machine(MACHINE_TYPE, ZONE)
--- a/src/grebestand/fault_test/federation_users.py
+++ b/src/grebestand/fault_test/federation_users.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ..clients.http import HttpTransport, UnreachableError
-from ..emulators.controller_processes import Controllers
+from ..emulators.controller_processes import SiteControllers
 from ..emulators.task_execution import TaskEvent
 from ..wire.jobs import JobStatusResponse
 from .federation_plan import Gang
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        controllers: dict[str, Controllers],
+        controllers: dict[str, SiteControllers],
         history: History,
         clock: Callable[[], float],
         rng: random.Random,
--- a/src/grebestand/fault_test/many_clusters.py
+++ b/src/grebestand/fault_test/many_clusters.py
@@ -76,7 +76,7 @@
         self.rng = random.Random(f"{seed} {name}")
         self.world = InMemoryCluster(SETTINGS.replace("cpus_max = 64.0", "cpus_max = 6400.0"))
         self.world.clock = self.world.store.clock = clock
-        self.workers = [self.world.worker(f"n-{i:06d}") for i in range(MACHINES)]
+        self.workers = [self.world.add_worker(f"n-{i:06d}") for i in range(MACHINES)]
         self.node = InMemoryController(self.world, f"{name}-0")
         self.term: Term = self.node.lead()
         self.rate = load * (CROWDED_LOAD if crowded else IDLE_LOAD) * (MACHINES // GANG_TASKS) / RUN_S
@@ -104,7 +104,7 @@
 
     def cancel(self, ref: str) -> bool:
         """Cancel a job of this cluster; whether it was known."""
-        return self.node.users.cancel(ref).status == 200
+        return self.node.job_api.cancel(ref).status == 200
 
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
         """None: the only controller leads."""
@@ -114,7 +114,7 @@
         """Play one second: submissions, ends of tasks, and heartbeats."""
         now = self.clock.now
         while not last and self.rng.random() < self.rate:
-            job_id = self.world.accept(self.node, shape="ensemble", shards=GANG_TASKS, cpus=15.0, pullGb=0.0)
+            job_id = self.world.submit_job(self.node, shape="ensemble", shards=GANG_TASKS, cpus=15.0, pullGb=0.0)
             self.asked[job_id] = self.open[job_id] = now
             if self.rng.random() > self.rate:
                 break
@@ -122,8 +122,8 @@
             for status in worker.tasks.values():
                 key = (worker.name, f"{status.task} {status.attempt}")
                 if status.state is TaskPhase.RUNNING and now - self.began.setdefault(key, now) >= RUN_S:
-                    worker.finish(status.task)
-        self.world.settle(self.term, 1, 0.0)
+                    worker.finish_task(status.task)
+        self.world.run_rounds(self.term, 1, 0.0)
         self.federation.step()
         for job_id in [job_id for job_id in self.open if self.node.completed_jobs.get(job_id) is not None]:
             self.waits.append(now - self.open.pop(job_id))
--- a/src/grebestand/load_test/gang_rendezvous.py
+++ b/src/grebestand/load_test/gang_rendezvous.py
@@ -20,7 +20,7 @@
 from gevent.server import StreamServer
 
 from ..emulators.cloud import CloudEmulator
-from ..emulators.site import HOST, serve
+from ..emulators.site import HOST, start_http_server
 from ..wire.cloud import ListedMachine, MachineType
 from ..wire.jobs import JobSpec
 
@@ -113,14 +113,14 @@
     def __init__(self, types: list[MachineType]) -> None:
         """Serve the cloud and the lines of processes; the cloud has these machine types."""
         self.cloud = CloudEmulator()
-        self.cloud.types, self.cloud.capacity = types, 0
-        self.cloud.removed = self._machines_deleted
+        self.cloud.machine_types, self.cloud.free_capacity = types, 0
+        self.cloud.on_deleted = self._machines_deleted
         self.cloud_requests = self.messages = 0
         self.specs: dict[str, JobSpec] = {}
         self.results: set[tuple[str, int]] = set()
         self.gangs: dict[tuple[str, int], Gang] = {}
         self.lines: list[MessageLine] = []
-        self._cloud_server = serve(self._answer_cloud_request)
+        self._cloud_server = start_http_server(self._answer_cloud_request)
         self.cloud_address = f"{HOST}:{self._cloud_server.server_port}"
         self._server = StreamServer((HOST, 0), self._serve_line)
         self._server.start()
@@ -131,7 +131,7 @@
         return self.cloud.request(method, path, body, 0.0)
 
     def _machines_deleted(self, names: list[str]) -> None:
-        self.cloud.listed = [entry for entry in self.cloud.listed if entry["ref"] not in names]
+        self.cloud.listed_machines = [entry for entry in self.cloud.listed_machines if entry["ref"] not in names]
         for line in self.lines:
             line.say("lose", names)
 
@@ -147,7 +147,7 @@
         if what == "machine":
             name, addr, kind, zone = rest
             entry = msgspec.to_builtins(ListedMachine(name, kind, zone, False, "running", 60.0, addr))
-            insort(self.cloud.listed, entry, key=lambda e: str(e["ref"]))
+            insort(self.cloud.listed_machines, entry, key=lambda e: str(e["ref"]))
         elif what == "put":
             spec = msgspec.convert(rest[0], JobSpec)
             self.specs[spec.id] = spec
@@ -201,4 +201,8 @@
 
     def counts(self) -> dict[str, float]:
         """Return the counters so far: requests to the cloud, messages, and deleted machines."""
-        return {"cloud_requests": self.cloud_requests, "messages": self.messages, "deleted": len(self.cloud.deleted)}
+        return {
+            "cloud_requests": self.cloud_requests,
+            "messages": self.messages,
+            "deleted": len(self.cloud.deleted_machines),
+        }
--- a/src/grebestand/load_test/scale_run.py
+++ b/src/grebestand/load_test/scale_run.py
@@ -235,7 +235,9 @@
             Connection(address, Traffic()).ask("GET", "/healthz", b"", STARTUP_PROBE_TIMEOUT_S)
         except NoResponseError as error:
             if self.clock() > deadline:
-                raise ControllersUnavailableError("not all controllers came up", controllers.last_words()) from error
+                raise ControllersUnavailableError(
+                    "not all controllers came up", controllers.last_log_lines()
+                ) from error
             return False
         return True
 
@@ -245,8 +247,8 @@
         most, wanted = 0, self.plan.workers + 1
         while self.clock() - begin < SETTLE_S:
             gevent.sleep(SETTLE_POLL_S)
-            if not any(controllers.alive(name) for name in controllers.names):
-                raise ControllersUnavailableError("no controller is left", controllers.last_words())
+            if not any(controllers.is_running(name) for name in controllers.names):
+                raise ControllersUnavailableError("no controller is left", controllers.last_log_lines())
             answered = self._answered_workers()
             if answered > most:
                 most, last_increase = answered, self.clock()
@@ -255,7 +257,9 @@
             if most and self.clock() - last_increase > SETTLED_AFTER_S:
                 break
         if most == 0:
-            raise ControllersUnavailableError(f"no worker was answered in {SETTLE_S:.0f} s", controllers.last_words())
+            raise ControllersUnavailableError(
+                f"no worker was answered in {SETTLE_S:.0f} s", controllers.last_log_lines()
+            )
         self.say(f"{most} of {wanted} workers have had orders, {self.clock() - begin:.1f} s after the start")
         if most < wanted:
             self.say(f"{wanted - most} workers were never answered with orders; the load begins all the same")
@@ -348,7 +352,7 @@
     def _kill_leader(self, controllers: ControllerProcesses, sample: Sample) -> bool:
         """Kill the leader; return whether there was one."""
         name = sample.leader
-        if name is None or not controllers.alive(name):
+        if name is None or not controllers.is_running(name):
             return False
         self._kill(controllers, name, "leader")
         return True
@@ -358,7 +362,7 @@
         if sample.leader is None:
             return False
         earlier = self.samples[max(0, len(self.samples) - ANSWERING_SAMPLES)]
-        followers = [name for name in controllers.names if name != sample.leader and controllers.alive(name)]
+        followers = [name for name in controllers.names if name != sample.leader and controllers.is_running(name)]
 
         def recent_answers(name: str) -> int:
             now, before = sample.answers.get(name, {}), earlier.answers.get(name, {})
--- a/src/grebestand/simulation/cluster.py
+++ b/src/grebestand/simulation/cluster.py
@@ -52,43 +52,59 @@
         self.checks = InvariantChecks(self, self.machines)
         self.processes = SimulatedControllers(self, self.store, self.cloud, self.machines)
         self.users = SimulatedUsers(self, self.checks, self.processes)
-        self.odd = InvalidRequests(self, self.checks, self.processes)
-        self.inventory = SimulatedMachines(self, self.machines, self.cloud, self.checks, self.users, self.processes)
-        self.aftermath = QuiescenceChecks(self, self.checks)
+        self.invalid_requests = InvalidRequests(self, self.checks, self.processes)
+        self.machine_lifecycle = SimulatedMachines(
+            self, self.machines, self.cloud, self.checks, self.users, self.processes
+        )
+        self.quiescence_checks = QuiescenceChecks(self, self.checks)
         # what tests do to a cluster, and look at, is done and kept by its parts
-        self.nodes, self.hosts = self.processes.nodes, self.processes.hosts
-        self.leaders, self.both = self.processes.leaders, self.processes.both
-        self.start, self.crash, self.freeze = self.processes.start, self.processes.crash, self.processes.freeze
-        self.leading = self.processes.leading
-        self.submit, self.crowd, self._ask = self.users.submit, self.users.crowd, self.users.ask
-        self.told_late = self.users.told_late
-        self.odd_requests = self.odd.until
-        self.starts, self.after_cancel, self.wrong = self.checks.starts, self.checks.after_cancel, self.checks.wrong
-        self._tasks, self._use_of_teams = self.checks.tasks, self.checks.use_of_teams
-        self.longest_pause, self.longest_unanswered = self.checks.longest_pause, self.aftermath.longest_unanswered
-        self._limits, self._removed = self.limits, self.inventory.removed
-        for name in self.controllers:
+        self.controllers, self.runtimes = self.processes.controllers, self.processes.runtimes
+        self.leader_history, self.multiple_leader_times = (
+            self.processes.leader_history,
+            self.processes.multiple_leader_times,
+        )
+        self.start, self.crash, self.pause = self.processes.start, self.processes.crash, self.processes.pause
+        self.current_leaders = self.processes.current_leaders
+        self.submit, self.submit_continuously, self._send_request = (
+            self.users.submit,
+            self.users.submit_continuously,
+            self.users.send_request,
+        )
+        self.completion_delays_s = self.users.completion_delays_s
+        self.send_invalid_requests = self.invalid_requests.send_until
+        self.task_start_times, self.starts_after_cancellation, self.other_violations = (
+            self.checks.task_start_times,
+            self.checks.starts_after_cancellation,
+            self.checks.other_violations,
+        )
+        self._machine_by_task, self._team_usage = self.checks.machine_by_task, self.checks.team_usage
+        self.longest_gap_between_starts, self.longest_unanswered = (
+            self.checks.longest_gap_between_starts,
+            self.quiescence_checks.longest_unanswered,
+        )
+        self._team_limits, self._delete_machines = self.team_limits, self.machine_lifecycle.delete
+        for name in self.controller_names:
             self.start(name)
-        self.inventory.begin(machines)
-        gevent.spawn(self.processes.watch)
+        self.machine_lifecycle.create_initial_machines(machines)
+        gevent.spawn(self.processes.record_leaders)
 
     @property
-    def killed(self) -> int:
+    def lease_expiry_kills(self) -> int:
         """How many tasks ended because a lease did."""
-        return self.checks.killed
+        return self.checks.lease_expiry_kills
 
-    def cancel_now(self, count: int, hang_s: float = 0.0) -> list[str]:
+    def cancel_running_jobs(self, count: int, hang_s: float = 0.0) -> list[str]:
         """Users call off so many jobs that run, within a fifth of a second; some of their machines hang that long."""
-        refs = self.users.cancel_now(count)
+        refs = self.users.cancel_running_jobs(count)
         if hang_s:
-            self.inventory.hang(refs, hang_s)
+            self.machine_lifecycle.hang_machines_of(refs, hang_s)
         return refs
 
-    def settled(self, most_s: float) -> list[str]:
+    def wait_until_settled(self, most_s: float) -> list[str]:
         """All troubles are over: lets everybody go on until all is done, or for so long, and says what is wrong."""
-        left = self.aftermath.settled(most_s)
-        return self.broken() + left
+        left = self.quiescence_checks.wait_until_settled(most_s)
+        return self.violations() + left
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Rules that were broken, as workers and users saw it."""
-        return self.checks.broken() + [f"two leaders at {t:.1f}" for t in self.both]
+        return self.checks.violations() + [f"two leaders at {t:.1f}" for t in self.multiple_leader_times]
--- a/src/grebestand/simulation/cluster_base.py
+++ b/src/grebestand/simulation/cluster_base.py
@@ -14,10 +14,10 @@
 from .virtual_time import VirtualLoop
 
 #: what a machine has
-ROOM = 16.0
+MACHINE_CPUS = 16.0
 
 
-def settings_of(index: int, names: list[str], rates: tuple[float, float]) -> Settings:
+def controller_settings(index: int, names: list[str], rates: tuple[float, float]) -> Settings:
     """The platform's file of one controller among these; the rates are those of the state service."""
     text = SETTINGS.replace('host_name = "node-0"', f'host_name = "node-{index}"')
     text = text.replace("cpus_max = 16.0", "cpus_max = 16.0\ngpus = 2.0\ngpus_max = 4.0")
@@ -41,20 +41,22 @@
         self.seed = seed
         self.rng = random.Random(f"world {seed}")
         #: draws troubles, so that a world without any plays as it would without them
-        self.luck = random.Random(f"luck {seed}")
+        self.fault_rng = random.Random(f"luck {seed}")
         self.links = NetworkLinks()
-        self.controllers = [f"node-{i}" for i in range(controllers)]
+        self.controller_names = [f"node-{i}" for i in range(controllers)]
         self.policy = policy.parse(rules, "cluster.toml", policy.default())
-        self.settings = {name: settings_of(i, self.controllers, rates) for i, name in enumerate(self.controllers)}
+        self.settings = {
+            name: controller_settings(i, self.controller_names, rates) for i, name in enumerate(self.controller_names)
+        }
         params = self.settings["node-0"].params
-        self.lease_s, self.report_s = params.workers.lease_s, params.workers.report_s
+        self.lease_s, self.heartbeat_interval_s = params.workers.lease_s, params.workers.report_s
         self.cancel_s = params.workers.cancel_s
         #: how long tasks run
-        self.task_s = (3.0, 12.0)
+        self.task_duration_s = (3.0, 12.0)
         self.jobs: dict[str, ClientHistory] = {}
         #: since when all troubles are over
-        self.calm_at = math.inf
+        self.faults_ended_at = math.inf
 
-    def limits(self) -> dict[str, tuple[float, float]]:
+    def team_limits(self) -> dict[str, tuple[float, float]]:
         """CPUs and cards that each team may use at most."""
         return {t.name: (t.cpus_max, t.gpus_max) for t in self.settings["node-0"].params.teams}
--- a/src/grebestand/simulation/fault_injection.py
+++ b/src/grebestand/simulation/fault_injection.py
@@ -14,28 +14,28 @@
     """None at first."""
 
     #: which part of all reports is copied, to arrive late
-    copies: float = 0.0
+    duplicate_heartbeat_rate: float = 0.0
     #: which part of the reports is kept, to come to all controllers just as the next leader begins; what was kept
-    kept: float = 0.0
-    kept_reports: list[bytes] = field(default_factory=list)
+    retained_heartbeat_rate: float = 0.0
+    retained_heartbeats: list[bytes] = field(default_factory=list)
     #: which part of the writes to the state service is carried out late and not answered
-    late_writes: float = 0.0
+    late_write_rate: float = 0.0
     #: which part of the writes is carried out at once, with nobody answered
-    lost_answers: float = 0.0
+    lost_response_rate: float = 0.0
     #: how late the other answers of the state service are at most, in seconds
-    slow_s: float = 0.0
+    max_response_delay_s: float = 0.0
     #: which part of the direct commands, or of their answers, is held up
-    late_orders: float = 0.0
+    late_command_rate: float = 0.0
     #: users ask so many times as often
-    eager: float = 1.0
+    poll_rate_factor: float = 1.0
     #: users ask at all controllers within milliseconds of every acceptance, cancellation and end
-    close_looks: bool = False
+    burst_requests: bool = False
     #: which part of a crowd's jobs is cancelled by its users
-    cancelling: float = 0.0
+    cancelled_job_rate: float = 0.0
     #: which part of the jobs is cancelled at the moment of its end
-    at_end: float = 0.0
+    cancel_at_end_rate: float = 0.0
     #: how long machines take until they are up, and until they are listed, in seconds
     boot_s: tuple[float, float] = (0.2, 2.0)
-    listed_after_s: float = 8.0
+    listing_delay_s: float = 8.0
     #: which part of them never comes up
-    never_up: float = 0.0
+    boot_failure_rate: float = 0.0
--- a/src/grebestand/simulation/network_links.py
+++ b/src/grebestand/simulation/network_links.py
@@ -10,22 +10,22 @@
 import gevent
 
 from ..clients.http import UnreachableError
-from .virtual_time import own
+from .virtual_time import set_owner
 
 STATE, CLOUD = "state", "cloud"
 #: a message takes so long, in seconds, at the least and at the most
 DELAY_S = (0.001, 0.006)
 #: what a slow link adds to each message, at most
-SLOW_S = 0.8
+MAX_SLOW_DELAY_S = 0.8
 #: what is carried out late, comes so long after it was sent, in seconds
-LATE_S = (2.0, 12.0)
+LATE_DELIVERY_S = (2.0, 12.0)
 
 
-def later(seconds: float, call: Callable[..., object], *args: object) -> None:
+def run_detached(seconds: float, call: Callable[..., object], *args: object) -> None:
     """What a controller has set off goes on though it stands still: it is on its way, or a machine's own."""
 
     def go() -> None:
-        own(None)
+        set_owner(None)
         gevent.sleep(seconds)
         call(*args)
 
@@ -41,8 +41,8 @@
     #: nothing comes through; what was sent is delivered once the link is open again, though its sender has given up
     HELD = auto()
     #: what is sent is lost, or what is answered
-    ASKS_LOST = auto()
-    ANSWERS_LOST = auto()
+    REQUESTS_LOST = auto()
+    RESPONSES_LOST = auto()
     SLOW = auto()
 
 
@@ -50,26 +50,26 @@
     """The matrix. A pair that is not in it is open."""
 
     def __init__(self) -> None:
-        self.ways: dict[tuple[str, str], LinkMode] = {}
+        self.modes: dict[tuple[str, str], LinkMode] = {}
         #: deliveries of what was held, by pair
-        self.held: dict[tuple[str, str], list[Callable[[], object]]] = {}
+        self.held_deliveries: dict[tuple[str, str], list[Callable[[], object]]] = {}
 
-    def set(self, a: str, b: str, way: LinkMode) -> None:
+    def set_mode(self, a: str, b: str, way: LinkMode) -> None:
         """Both directions between two hosts."""
         for pair in ((a, b), (b, a)):
-            self.ways[pair] = way
+            self.modes[pair] = way
             if way is not LinkMode.HELD:
-                for deliver in self.held.pop(pair, ()):
+                for deliver in self.held_deliveries.pop(pair, ()):
                     gevent.spawn(deliver)
 
-    def heal(self) -> None:
+    def open_all(self) -> None:
         """Open every link."""
-        for a, b in list(self.ways):
-            self.set(a, b, LinkMode.OPEN)
+        for a, b in list(self.modes):
+            self.set_mode(a, b, LinkMode.OPEN)
 
-    def way(self, a: str, b: str) -> LinkMode:
+    def mode(self, a: str, b: str) -> LinkMode:
         """The mode of the link from one end to another."""
-        return self.ways.get((a, b), LinkMode.OPEN)
+        return self.modes.get((a, b), LinkMode.OPEN)
 
 
 Handler = Callable[[str, str, bytes], tuple[int, bytes]]
@@ -81,10 +81,10 @@
 
     links: NetworkLinks
     rng: random.Random
-    near: str
-    far: str
+    source: str
+    target: str
     #: finds who answers there now; None: the process is gone
-    handler: Callable[[], Handler | None]
+    find_handler: Callable[[], Handler | None]
 
     def request(self, method: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
         """Send a request over the link; raise `UnreachableError` after `timeout` seconds without an answer."""
@@ -93,23 +93,27 @@
         raise UnreachableError("timeout")
 
     def _request(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-        self._travel()
-        way, handler = self.links.way(self.near, self.far), self.handler()
-        if way is LinkMode.REFUSED and self.far == STATE:
+        self._sleep_for_delay()
+        way, handler = self.links.mode(self.source, self.target), self.find_handler()
+        if way is LinkMode.REFUSED and self.target == STATE:
             return 503, b"{}"
         if way is LinkMode.REFUSED or handler is None:
             raise UnreachableError("refused")
         if way is LinkMode.HELD:
             deliver = handler
-            self.links.held.setdefault((self.near, self.far), []).append(lambda: deliver(method, path, body))
-        if way in (LinkMode.HELD, LinkMode.ASKS_LOST):
+            self.links.held_deliveries.setdefault((self.source, self.target), []).append(
+                lambda: deliver(method, path, body)
+            )
+        if way in (LinkMode.HELD, LinkMode.REQUESTS_LOST):
             gevent.sleep(1e6)
         status, answer = handler(method, path, body)
-        if self.links.way(self.far, self.near) in (LinkMode.HELD, LinkMode.ANSWERS_LOST):
+        if self.links.mode(self.target, self.source) in (LinkMode.HELD, LinkMode.RESPONSES_LOST):
             gevent.sleep(1e6)
-        self._travel()
+        self._sleep_for_delay()
         return status, answer
 
-    def _travel(self) -> None:
-        late = SLOW_S * self.rng.random() if self.links.way(self.near, self.far) is LinkMode.SLOW else 0.0
+    def _sleep_for_delay(self) -> None:
+        late = (
+            MAX_SLOW_DELAY_S * self.rng.random() if self.links.mode(self.source, self.target) is LinkMode.SLOW else 0.0
+        )
         gevent.sleep(self.rng.uniform(*DELAY_S) + late)
--- a/src/grebestand/simulation/simulated_runtime.py
+++ b/src/grebestand/simulation/simulated_runtime.py
@@ -10,16 +10,16 @@
 
 from ..clients.http import Transport, UnreachableError
 from .cluster_base import ClusterBase
-from .network_links import LATE_S, Handler, SimulatedTransport, later
+from .network_links import LATE_DELIVERY_S, Handler, SimulatedTransport, run_detached
 
 
-class Commanded(Protocol):
+class DirectRequestReceiver(Protocol):
     """What a controller reaches of a machine."""
 
     zone: str
-    deaf_to: frozenset[str]
+    unheard_controllers: frozenset[str]
 
-    def answer(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+    def handle_direct_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         """Answer a direct request of a controller."""
 
 
@@ -34,7 +34,7 @@
         drift: float,
         addresses: dict[str, str],
         server: Callable[[str, str], Handler | None],
-        machines: Mapping[str, Commanded],
+        machines: Mapping[str, DirectRequestReceiver],
     ) -> None:
         self.basis = basis
         self.name = name
@@ -42,11 +42,11 @@
         #: who is there, by address
         self.addresses = addresses
         #: finds who answers, for one who asks and one who is asked
-        self.server = server
+        self.find_handler = server
         self.machines = machines
         self.rng = random.Random(f"{basis.seed} {name} {life}")
         #: its process has ended
-        self.gone = False
+        self.terminated = False
 
     def clock(self) -> float:
         """This host's monotonic clock, in seconds; it drifts against the simulated time."""
@@ -56,16 +56,20 @@
         """The time of day, in seconds."""
         return 1.7e9 + self.basis.loop.time
 
-    def awake(self) -> None:
+    def wait_while_paused(self) -> None:
         """Comes back once this controller does not stand still."""
-        while (left := self.basis.loop.frozen.get(self, 0.0) - self.basis.loop.time) > 0:
+        while (left := self.basis.loop.paused_until.get(self, 0.0) - self.basis.loop.time) > 0:
             gevent.sleep(left)
 
     def connect(self, address: str, field: str, connections: int, connect_s: float = 1.5) -> Transport:
         """A transport over the simulated link to the server at an address."""
         far = self.addresses[address]
         return SimulatedTransport(
-            self.basis.links, self.rng, self.name, far, lambda: None if self.gone else self.server(self.name, far)
+            self.basis.links,
+            self.rng,
+            self.name,
+            far,
+            lambda: None if self.terminated else self.find_handler(self.name, far),
         )
 
     def once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
@@ -74,22 +78,26 @@
         if machine not in self.machines:
             raise UnreachableError("no such machine")
         seat = self.machines[machine]
-        if self.name in seat.deaf_to:
+        if self.name in seat.unheard_controllers:
             gevent.sleep(timeout)
             raise UnreachableError("timeout")
-        if self.basis.luck.random() < self.basis.late_orders:
+        if self.basis.fault_rng.random() < self.basis.late_command_rate:
             # it is held up, and carried out if it is still valid then; or its answer is
-            late = self.basis.luck.uniform(*LATE_S)
-            if self.basis.luck.random() < 0.5:
-                later(late, seat.answer, method, path, body)
+            late = self.basis.fault_rng.uniform(*LATE_DELIVERY_S)
+            if self.basis.fault_rng.random() < 0.5:
+                run_detached(late, seat.handle_direct_request, method, path, body)
                 gevent.sleep(timeout)
                 raise UnreachableError("timeout")
-            status, answer = seat.answer(method, path, body)
+            status, answer = seat.handle_direct_request(method, path, body)
             gevent.sleep(min(late, timeout))
             if late < timeout:
                 return status, answer
             raise UnreachableError("timeout")
         wire = SimulatedTransport(
-            self.basis.links, self.rng, self.name, seat.zone, lambda: None if self.gone else seat.answer
+            self.basis.links,
+            self.rng,
+            self.name,
+            seat.zone,
+            lambda: None if self.terminated else seat.handle_direct_request,
         )
         return wire.request(method, path, body, timeout)
--- a/src/grebestand/simulation/simulated_worker.py
+++ b/src/grebestand/simulation/simulated_worker.py
@@ -17,7 +17,7 @@
 from .simulated_users import SimulatedUsers
 
 #: so many reports are kept at the most
-MOST_KEPT = 60
+MAX_RETAINED_HEARTBEATS = 60
 
 
 @dataclass(kw_only=True)
@@ -29,101 +29,107 @@
     users: SimulatedUsers
     processes: SimulatedControllers
     #: the controller that it reports to, by its place among all
-    node: int = 0
-    answered_at: float = 0.0
-    ends: dict[str, float] = field(default_factory=dict)
-    hung: bool = False
-    dead: bool = False
+    controller_index: int = 0
+    lease_renewed_at: float = 0.0
+    task_end_times: dict[str, float] = field(default_factory=dict)
+    is_hung: bool = False
+    terminated: bool = False
     #: controllers whose answers and commands do not come through, while its reports arrive there
-    deaf_to: frozenset[str] = frozenset()
+    unheard_controllers: frozenset[str] = frozenset()
     #: it can open no connection to any controller, while direct commands reach it
-    mute: bool = False
+    cannot_connect: bool = False
     #: how often it has begun anew
-    begun: int = 0
+    restart_count: int = 0
 
-    def answer(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+    def handle_direct_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         """Answer a direct request; never, while it hangs or is dead."""
-        if self.hung or self.dead:
+        if self.is_hung or self.terminated:
             gevent.sleep(1e6)
         if path == "/show":
-            return 200, msgspec.json.encode(self.report())
-        status, report = self.direct(msgspec.json.decode(body, type=DirectCommands))
-        self.checks.saw(self)
+            return 200, msgspec.json.encode(self.next_heartbeat())
+        status, report = self.handle_direct_commands(msgspec.json.decode(body, type=DirectCommands))
+        self.checks.record_running_tasks(self)
         return status, msgspec.json.encode(report)
 
-    def begin(self, task: str, attempt: int) -> None:
+    def start_task(self, task: str, attempt: int) -> None:
         """Start a task that ends by itself after a time drawn for it."""
-        super().begin(task, attempt)
-        self.checks.began(task)
-        self.ends[task] = self.basis.loop.time + self.basis.rng.uniform(*self.basis.task_s)
-        if self.basis.jobs[task.rpartition("/")[0]].broken:
-            self.ends[task] = self.basis.loop.time + 1.0
+        super().start_task(task, attempt)
+        self.checks.record_task_start(task)
+        self.task_end_times[task] = self.basis.loop.time + self.basis.rng.uniform(*self.basis.task_duration_s)
+        if self.basis.jobs[task.rpartition("/")[0]].always_fails:
+            self.task_end_times[task] = self.basis.loop.time + 1.0
 
-    def play(self) -> None:
+    def step(self) -> None:
         """One look at the lease, and at the tasks; of a machine that hangs, only the lease goes on."""
         now = self.basis.loop.time
-        if now - self.answered_at > self.basis.lease_s:
-            self.checks.killed += len(self.running())
-            self.lapse()
-            self.answered_at = now
-        for task in self.running():
-            if now >= self.ends.get(task, now) and not self.hung:
-                broken = self.basis.jobs[task.rpartition("/")[0]].broken
-                self.finish(task, ExitReason.ERROR if broken else ExitReason.DONE)
+        if now - self.lease_renewed_at > self.basis.lease_s:
+            self.checks.lease_expiry_kills += len(self.running_tasks())
+            self.expire_lease()
+            self.lease_renewed_at = now
+        for task in self.running_tasks():
+            if now >= self.task_end_times.get(task, now) and not self.is_hung:
+                broken = self.basis.jobs[task.rpartition("/")[0]].always_fails
+                self.finish_task(task, ExitReason.ERROR if broken else ExitReason.DONE)
                 if not broken:
-                    self.checks.finished.add(task)
+                    self.checks.completed_tasks.add(task)
                     self.users.task_ended(task)
-        self.checks.saw(self)
+        self.checks.record_running_tasks(self)
 
     def restart(self, anew: bool) -> None:
         """It is back at once with nothing on it; its session and its count go on, or begin anew with no token."""
-        self.begun += 1
+        self.restart_count += 1
         if anew:
             self.epoch, self.sequence, self.token = 0, 0, 0
-        self.lapse()
-        self.answered_at = self.basis.loop.time
-        self.checks.saw(self)
+        self.expire_lease()
+        self.lease_renewed_at = self.basis.loop.time
+        self.checks.record_running_tasks(self)
 
-    def gone(self) -> None:
+    def terminate(self) -> None:
         """The cloud has taken it away, with all that is on it."""
-        self.dead = True
-        self.lapse()
-        self.checks.saw(self)
+        self.terminated = True
+        self.expire_lease()
+        self.checks.record_running_tasks(self)
 
-    def report_to(self, name: str) -> tuple[int, bytes]:
+    def send_heartbeat(self, name: str) -> tuple[int, bytes]:
         """Send a heartbeat to a controller and return status and body; raise `UnreachableError` without an answer."""
         basis = self.basis
-        if self.mute:
+        if self.cannot_connect:
             gevent.sleep(1.0)
             raise UnreachableError("no connection")
-        wire = SimulatedTransport(basis.links, basis.rng, self.zone, name, lambda: self.processes.door(name))
+        wire = SimulatedTransport(
+            basis.links, basis.rng, self.zone, name, lambda: self.processes.heartbeat_handler(name)
+        )
         sent = basis.loop.time
-        epoch, begun = self.epoch, self.begun
-        body = msgspec.json.encode(self.report())
-        if basis.rng.random() < basis.copies:
+        epoch, begun = self.epoch, self.restart_count
+        body = msgspec.json.encode(self.next_heartbeat())
+        if basis.rng.random() < basis.duplicate_heartbeat_rate:
             # to whoever is there then, long after its worker has gone on, or is gone
-            late, at = basis.rng.uniform(1.0, 3.0 * basis.lease_s), basis.rng.choice(basis.controllers)
-            gevent.spawn_later(late, self.processes.deliver, at, body)
-        if basis.kept and len(basis.kept_reports) < MOST_KEPT and basis.luck.random() < basis.kept:
-            basis.kept_reports.append(body)
+            late, at = basis.rng.uniform(1.0, 3.0 * basis.lease_s), basis.rng.choice(basis.controller_names)
+            gevent.spawn_later(late, self.processes.deliver_heartbeat, at, body)
+        if (
+            basis.retained_heartbeat_rate
+            and len(basis.retained_heartbeats) < MAX_RETAINED_HEARTBEATS
+            and basis.fault_rng.random() < basis.retained_heartbeat_rate
+        ):
+            basis.retained_heartbeats.append(body)
         status, answer = wire.request("POST", "/checkin", body, 4.0)
-        if name in self.deaf_to:
+        if name in self.unheard_controllers:
             gevent.sleep(4.0)
             raise UnreachableError("timeout")
-        same = epoch == self.epoch and begun == self.begun
-        if status == 200 and same and not self.hung and not self.dead:
+        same = epoch == self.epoch and begun == self.restart_count
+        if status == 200 and same and not self.is_hung and not self.terminated:
             orders = msgspec.json.decode(answer, type=HeartbeatResponse)
             if orders.token >= self.token:
-                self.answered_at = sent
-                self.checks.served_at[self.zone] = basis.loop.time
-            self.obey(orders)
-            self.checks.saw(self)
+                self.lease_renewed_at = sent
+                self.checks.last_response_by_zone[self.zone] = basis.loop.time
+            self.apply_response(orders)
+            self.checks.record_running_tasks(self)
         return status, answer
 
-    def keep(self) -> None:
+    def run_lease(self) -> None:
         """Leases end on time, also while a report is under way."""
-        while not self.dead:
-            self.play()
+        while not self.terminated:
+            self.step()
             gevent.sleep(0.25)
 
     def run(self) -> None:
@@ -131,22 +137,22 @@
         failure.
         """
         basis = self.basis
-        gevent.spawn(self.keep)
-        while not self.dead:
-            if self.hung:
+        gevent.spawn(self.run_lease)
+        while not self.terminated:
+            if self.is_hung:
                 gevent.sleep(0.5)
                 continue
             try:
-                status, answer = self.report_to(basis.controllers[self.node])
+                status, answer = self.send_heartbeat(basis.controller_names[self.controller_index])
             except UnreachableError:
                 status, answer = 0, b""
-            others = [n for i, n in enumerate(basis.controllers) if i != self.node]
+            others = [n for i, n in enumerate(basis.controller_names) if i != self.controller_index]
             if status == 421 and (to := msgspec.json.decode(answer, type=Redirect).report_to) and to in others:
-                self.node = basis.controllers.index(to)
+                self.controller_index = basis.controller_names.index(to)
                 gevent.sleep(0.5 * basis.rng.random())
                 continue
             if status != 200:
-                self.node = (self.node + 1) % len(basis.controllers)
+                self.controller_index = (self.controller_index + 1) % len(basis.controller_names)
                 gevent.sleep(1.0)
                 continue
-            gevent.sleep(basis.report_s * basis.rng.uniform(0.75, 1.25))
+            gevent.sleep(basis.heartbeat_interval_s * basis.rng.uniform(0.75, 1.25))
--- a/src/grebestand/simulation/single_controller_cluster.py
+++ b/src/grebestand/simulation/single_controller_cluster.py
@@ -80,14 +80,14 @@
         return self.now
 
 
-TYPES = [MachineType("m4", 16.0, 0.0, 64.0, ["a", "b"], 50.0, 1.0, 1.0, 0.4, 30.0)]
+MACHINE_TYPES = [MachineType("m4", 16.0, 0.0, 64.0, ["a", "b"], 50.0, 1.0, 1.0, 0.4, 30.0)]
 
 
 class InMemoryController:
     """One controller's library parts, without servers or loops."""
 
     def __init__(self, world: InMemoryCluster, name: str, features: Features | None = None) -> None:
-        self.world = world
+        self.cluster = world
         self.name = name
         p = world.settings.params
         plenty = RateLimiter(1e9, 1e9, world.clock, lambda s, f: None)
@@ -95,36 +95,37 @@
         self.cloud = CloudClient(world.cloud, plenty)
         self.completed_jobs = CompletedJobs()
         self.features = features if features is not None else Features()
-        self.users = JobApi(
+        self.job_api = JobApi(
             self.store, p.teams, int(p.state.value_kb * 1024) - 16, world.clock, world.clock,
-            lambda: TYPES, lambda ident: (0, 0), self.completed_jobs, self.features,
+            lambda: MACHINE_TYPES, lambda ident: (0, 0), self.completed_jobs, self.features,
             BatchedReads(self.store, p.state.txn_ops),
         )  # fmt: skip
         self.election = LeaderElection(name, self.store, world.clock, 12.0)
-        self.load = OverloadMonitor(p.quota, world.clock)
+        self.overload = OverloadMonitor(p.quota, world.clock)
         self.term: Term | None = None
 
     def leadership_transfer(self, *peers: PeerClient) -> LeadershipTransfer:
         """What decides whether this node gives way, with these other controllers."""
-        clock = self.world.clock
+        clock = self.cluster.clock
         door = PeerApi(list(peers), clock, lambda: PeerStatus(self.name, 0, 0.0), self.features)
-        w = self.world.settings.params.workers
+        w = self.cluster.settings.params.workers
         self.state_link, self.workers_link = LinkHealth("key-value store", clock), LinkHealth("workers", clock)
         return LeadershipTransfer(
             name=self.name, heartbeat_interval_s=w.report_s, election=self.election, peer_api=door,
-            overload=self.load, clock=clock, term=lambda: self.term, store_link=self.state_link,
+            overload=self.overload, clock=clock, term=lambda: self.term, store_link=self.state_link,
             workers_link=self.workers_link,
         )  # fmt: skip
 
     def lead(self) -> Term:
         """Win the election, load a term and lead it."""
-        p = self.world.settings.params
+        p = self.cluster.settings.params
         self.election.read_leader_key()
         assert self.election.state is LeaderState.LOADING, self.election.state
-        writer = FencedWriter(self.election, self.store, self.users.value_bytes, p.state.txn_ops)
+        writer = FencedWriter(self.election, self.store, self.job_api.value_bytes, p.state.txn_ops)
         self.term = Term(
-            self.world.settings, self.world.policy, writer, self.cloud, self.world.direct, self.world.clock,
-            self.world.clock, self.completed_jobs, lambda: TYPES, self.load, self.features,
+            self.cluster.settings, self.cluster.policy, writer, self.cloud, self.cluster.send_direct_request,
+            self.cluster.clock, self.cluster.clock, self.completed_jobs, lambda: MACHINE_TYPES,
+            self.overload, self.features,
         )  # fmt: skip
         self.term.load()
         self.election.change_state(LeaderState.LEADING, "test")
@@ -141,26 +142,26 @@
         self.store = KeyValueStoreEmulator(self.clock)
         self.cloud = CloudEmulator()
         self.workers: dict[str, WorkerEmulator] = {}
-        self._jobs = 0
+        self._job_count = 0
 
-    def worker(self, name: str, **more: Any) -> WorkerEmulator:
+    def add_worker(self, name: str, **more: Any) -> WorkerEmulator:
         """Add a worker."""
         w = self.workers[name] = WorkerEmulator(name, **more)
         return w
 
-    def direct(self, addr: str, path: str, body: bytes) -> tuple[int, bytes]:
+    def send_direct_request(self, addr: str, path: str, body: bytes) -> tuple[int, bytes]:
         """Deliver a direct request to the worker at an address; raise `UnreachableError` if it is cut off."""
         w = self.workers[addr.rpartition(":")[0]]
         if not w.reachable:
             raise UnreachableError("cut off")
-        status, report = w.direct(msgspec.json.decode(body, type=DirectCommands))
+        status, report = w.handle_direct_commands(msgspec.json.decode(body, type=DirectCommands))
         return status, msgspec.json.encode(report)
 
-    def job(self, **more: Any) -> bytes:
+    def submission_body(self, **more: Any) -> bytes:
         """The body of a submission with the next id; keyword arguments replace fields by their wire names."""
-        self._jobs += 1
+        self._job_count += 1
         spec = {
-            "ref": f"j-{self._jobs:06d}", "lane": "train", "crew": "blue", "shape": "array", "rank": "standard",
+            "ref": f"j-{self._job_count:06d}", "lane": "train", "crew": "blue", "shape": "array", "rank": "standard",
             "shards": 1, "cpus": 1.0, "cards": 0.0, "ramGb": 1.0, "cargo": "img", "pullGb": 1.0, "hulls": None,
             "quay": None, "samePlace": False, "scatter": False, "driftwood": True, "reckonS": 60.0, "markS": 0.0,
             "stowS": 0.0, "dueS": None,
@@ -171,10 +172,10 @@
         """All records that stand on the pages under a prefix."""
         return {n: r for k, v in self.store.data.items() if k.startswith(prefix) for n, r in v[0].items()}
 
-    def accept(self, node: InMemoryController, **more: Any) -> str:
+    def submit_job(self, node: InMemoryController, **more: Any) -> str:
         """Submit a job, have the leader see it, and return its id."""
-        body = self.job(**more)
-        answer = node.users.submit(body)
+        body = self.submission_body(**more)
+        answer = node.job_api.submit(body)
         assert answer.status == 201, answer
         if node.term is not None:
             node.term.job_watch.watch()
@@ -182,12 +183,12 @@
 
     def handle_heartbeat(self, term: Term, worker: WorkerEmulator, lose: bool = False) -> HeartbeatResponse | None:
         """Deliver a worker's heartbeat to a term and, unless it is to be lost, the response to the worker."""
-        orders = term.handle_heartbeat(worker.report())
+        orders = term.handle_heartbeat(worker.next_heartbeat())
         if isinstance(orders, HeartbeatResponse) and not lose:
-            worker.obey(orders)
+            worker.apply_response(orders)
         return orders if isinstance(orders, HeartbeatResponse) else None
 
-    def settle(self, term: Term, rounds: int = 4, step_s: float = 1.0) -> None:
+    def run_rounds(self, term: Term, rounds: int = 4, step_s: float = 1.0) -> None:
         """Some rounds of everybody reporting and the leader's steps."""
         for _ in range(rounds):
             self.clock.now += step_s
--- a/src/grebestand/simulation/store_access.py
+++ b/src/grebestand/simulation/store_access.py
@@ -9,7 +9,7 @@
 
 from ..emulators.kv_store import KeyValueStoreEmulator
 from .cluster_base import ClusterBase
-from .network_links import LATE_S, STATE, LinkMode, later
+from .network_links import LATE_DELIVERY_S, STATE, LinkMode, run_detached
 
 
 class StoreAccess:
@@ -19,31 +19,35 @@
         self.basis = basis
         self.store = state
         #: called as soon as a controller has taken the leader key, while reports are kept for that moment
-        self.new_leader = new_leader
+        self.on_leader_elected = new_leader
 
     def request(self, near: str, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         """Answer a controller's request, under the faults in force."""
-        if method != "GET" and self.basis.luck.random() < self.basis.late_writes:
+        if method != "GET" and self.basis.fault_rng.random() < self.basis.late_write_rate:
             # nobody is answered, and it is carried out after what the same controller sends next
-            later(self.basis.luck.uniform(*LATE_S), self.store.request, method, path, body, 1.0)
+            run_detached(self.basis.fault_rng.uniform(*LATE_DELIVERY_S), self.store.request, method, path, body, 1.0)
             gevent.sleep(1e6)
         status, answer = self.store.request(method, path, body, 1.0)
-        if self.basis.kept_reports and status == 200 and path == "/commit" and b'"set":"leader"' in body:
-            self.new_leader()
-        if self.basis.lost_answers and method != "GET" and self.basis.luck.random() < self.basis.lost_answers:
+        if self.basis.retained_heartbeats and status == 200 and path == "/commit" and b'"set":"leader"' in body:
+            self.on_leader_elected()
+        if (
+            self.basis.lost_response_rate
+            and method != "GET"
+            and self.basis.fault_rng.random() < self.basis.lost_response_rate
+        ):
             gevent.sleep(1e6)
         if path.startswith("/changes") and status == 200:
-            answer = self._follow(near, path, answer)
-        elif self.basis.slow_s:
-            gevent.sleep(self.basis.luck.uniform(0.0, self.basis.slow_s))
+            answer = self._watch(near, path, answer)
+        elif self.basis.max_response_delay_s:
+            gevent.sleep(self.basis.fault_rng.uniform(0.0, self.basis.max_response_delay_s))
         return status, answer
 
-    def _follow(self, near: str, path: str, answer: bytes) -> bytes:
+    def _watch(self, near: str, path: str, answer: bytes) -> bytes:
         """An open watch. In an outage, and while its controller alone is refused, it waits and says nothing."""
         end = self.basis.loop.time + float(path.partition("&waitMs=")[2] or 0) / 1000
         while self.basis.loop.time < end and not json.loads(answer)["events"]:
             gevent.sleep(0.1)
-            if self.basis.links.way(near, STATE) is LinkMode.REFUSED:
+            if self.basis.links.mode(near, STATE) is LinkMode.REFUSED:
                 continue
             status, news = self.store.request("GET", path, b"", 1.0)
             if status == 200:
--- a/src/grebestand/simulation/virtual_time.py
+++ b/src/grebestand/simulation/virtual_time.py
@@ -17,17 +17,17 @@
 import gevent.hub
 
 #: under this name, who owns a tree of greenlets, among what all that one spawns share
-OWNER = "owner"
+OWNER_KEY = "owner"
 
 
-def own(owner: object) -> None:
+def set_owner(owner: object) -> None:
     """From here on this greenlet, all that it spawns, and their timers belong to that owner."""
-    gevent.getcurrent().spawn_tree_locals = {OWNER: owner}
+    gevent.getcurrent().spawn_tree_locals = {OWNER_KEY: owner}
 
 
-def owner_now() -> object:
+def current_owner() -> object:
     """The owner of the running greenlet, or None."""
-    return getattr(gevent.getcurrent(), "spawn_tree_locals", {}).get(OWNER)
+    return getattr(gevent.getcurrent(), "spawn_tree_locals", {}).get(OWNER_KEY)
 
 
 class _Call:
@@ -60,7 +60,7 @@
         self.callback: Callable[..., Any] | None = None
         self.args: tuple[Any, ...] | None = None
         self.entry: list[Any] | None = None
-        self.owner = owner_now()
+        self.owner = current_owner()
 
     def start(self, callback: Callable[..., Any], *args: Any, update: bool = True) -> None:
         self.callback, self.args = callback, args
@@ -72,7 +72,7 @@
         self._set(self.repeat or self.after)
 
     def _set(self, after: float) -> None:
-        self.entry = [self.loop.time + max(0.0, after), next(self.loop.order), self]
+        self.entry = [self.loop.time + max(0.0, after), next(self.loop.timer_numbers), self]
         heapq.heappush(self.loop.timers, self.entry)
 
     def fire(self) -> None:
@@ -115,12 +115,12 @@
 
     def __init__(self) -> None:
         self.time = 0.0
-        self.order = itertools.count()
+        self.timer_numbers = itertools.count()
         self.ready: deque[_Call] = deque()
         self.timers: list[list[Any]] = []
         self.error_handler: Any = None
         #: who stands still, and until when: their timers fire late, while all clocks go on
-        self.frozen: dict[object, float] = {}
+        self.paused_until: dict[object, float] = {}
 
     def run_callback(self, func: Callable[..., Any], *args: Any) -> _Call:
         """Have a function called in this turn of the loop."""
@@ -162,9 +162,9 @@
             if not self.timers:
                 return
             due, _, timer = heapq.heappop(self.timers)
-            thaw = self.frozen.get(timer.owner, due)
+            thaw = self.paused_until.get(timer.owner, due)
             if thaw > due:
-                timer.entry = [thaw, next(self.order), timer]
+                timer.entry = [thaw, next(self.timer_numbers), timer]
                 heapq.heappush(self.timers, timer.entry)
                 continue
             self.time = max(self.time, due)
@@ -180,7 +180,7 @@
 
 
 @contextlib.contextmanager
-def simulated() -> Iterator[VirtualLoop]:
+def simulated_time() -> Iterator[VirtualLoop]:
     """Everything that gevent does in this thread until the end of the block happens on simulated time."""
     before = gevent.hub.get_hub()
     loop = VirtualLoop()
--- a/tests/api/test_consistent_reads.py
+++ b/tests/api/test_consistent_reads.py
@@ -37,23 +37,23 @@
 
 def test_read_before_a_stall_is_not_given_as_the_present_state() -> None:
     cluster, controller, term = start_cluster(1)
-    job_id = cluster.accept(controller)
-    read = controller.users._live
+    job_id = cluster.submit_job(controller)
+    read = controller.job_api._live
 
     def slow(job_id: str, urgency: Urgency, until: float) -> tuple[int, bool]:
         found = read(job_id, urgency, until)
         cluster.clock.now += 10.0
         return found
 
-    controller.users._live = slow  # type: ignore[method-assign]
-    assert controller.users.poll(job_id).status == 503
+    controller.job_api._live = slow  # type: ignore[method-assign]
+    assert controller.job_api.poll(job_id).status == 503
     assert term.token
 
 
 def test_simultaneous_polls_share_reads() -> None:
     """Eight users in ten would have waited: each poll was a request of its own to the state service."""
     cluster, controller, term = start_cluster(1)
-    job_ids = [cluster.accept(controller) for _ in range(30)]
+    job_ids = [cluster.submit_job(controller) for _ in range(30)]
     count = 0
     request = cluster.store.request
 
@@ -64,7 +64,7 @@
         return request(method, path, body, timeout)
 
     cluster.store.request = counted  # type: ignore[method-assign]
-    requests = [gevent.spawn(controller.users.poll, job_ids[i % 30]) for i in range(600)]
+    requests = [gevent.spawn(controller.job_api.poll, job_ids[i % 30]) for i in range(600)]
     gevent.joinall(requests)
     assert all(poll.value.status == 200 for poll in requests) and count <= 60
     assert term.token
@@ -74,10 +74,10 @@
     """The poll that comes after the commit of a cancellation must not be served by a comparison begun before it."""
     cluster, controller, _term = start_cluster(1)
     other = InMemoryController(cluster, "node-1")
-    job_ids = [cluster.accept(controller) for _ in range(4)]
-    assert other.users.cancel(job_ids[0]).status == 200
-    views = [json.loads(controller.users.poll(job_id).body)["tide"] for job_id in job_ids]
+    job_ids = [cluster.submit_job(controller) for _ in range(4)]
+    assert other.job_api.cancel(job_ids[0]).status == 200
+    views = [json.loads(controller.job_api.poll(job_id).body)["tide"] for job_id in job_ids]
     assert views[0] == "cancelled" and "cancelled" not in views[1:]
-    cluster.store.down = True
-    assert controller.users.poll(job_ids[1]).status == 503
-    assert controller.users.poll(job_ids[0]).status == 200  # a final state needs nobody
+    cluster.store.unavailable = True
+    assert controller.job_api.poll(job_ids[1]).status == 503
+    assert controller.job_api.poll(job_ids[0]).status == 200  # a final state needs nobody
--- a/tests/api/test_heartbeat_redirects.py
+++ b/tests/api/test_heartbeat_redirects.py
@@ -28,7 +28,7 @@
     )
     workers = [WorkerEmulator(f"n-{i:06d}") for i in range(5)]
     for _ in range(2):
-        answers = [api.handle_heartbeat(msgspec.json.encode(worker.report())) for worker in workers]
+        answers = [api.handle_heartbeat(msgspec.json.encode(worker.next_heartbeat())) for worker in workers]
         assert [a.status for a in answers] == [200, 200, 200, 421, 421] and answers[-1].close
         assert json.loads(answers[-1].body) == {}
 
@@ -47,7 +47,7 @@
     for i in range(10):
         worker = WorkerEmulator(f"n-{i:06d}")
         assignment.keep(worker.name)
-        answer = api.handle_heartbeat(msgspec.json.encode(worker.report()))
+        answer = api.handle_heartbeat(msgspec.json.encode(worker.next_heartbeat()))
         assert answer.status == 421 and answer.close
         sent[json.loads(answer.body).get("harborMaster")] += 1
     assert sent == {"leader": 2, None: 8}
--- a/tests/api/test_malformed_heartbeats.py
+++ b/tests/api/test_malformed_heartbeats.py
@@ -19,9 +19,9 @@
 def test_malformed_heartbeat_is_answered_400_and_changes_nothing(malformed: dict[str, object]) -> None:
     cluster, controller, term = start_cluster(1)
     (worker,) = cluster.workers.values()
-    assert cluster.accept(controller, shards=4) == "j-000001"
-    cluster.settle(term, 2)
-    body = json.loads(msgspec.json.encode(worker.report()))
+    assert cluster.submit_job(controller, shards=4) == "j-000001"
+    cluster.run_rounds(term, 2)
+    body = json.loads(msgspec.json.encode(worker.next_heartbeat()))
     for task in malformed.get("shards", ()):  # type: ignore[attr-defined]
         task |= {"launch": 1, "tide": "running"}
     api = HeartbeatApi("node-0", controller.election, lambda: term)
--- a/tests/connectivity/test_partial_partitions.py
+++ b/tests/connectivity/test_partial_partitions.py
@@ -11,19 +11,19 @@
 
 from grebestand.leader.election import REJOIN_AFTER_KEY_FREE_S
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
 def cut_links(world: SimulatedCluster, links: list[tuple[str, str]], mode: LinkMode, seconds: float) -> None:
     """Disturb links and let so much time pass."""
     for one_end, other_end in links:
-        world.links.set(one_end, other_end, mode)
+        world.links.set_mode(one_end, other_end, mode)
     gevent.sleep(seconds)
 
 
@@ -33,54 +33,54 @@
 
 
 def others_than(world: SimulatedCluster, controller: str) -> list[str]:
-    return [name for name in world.controllers if name != controller]
+    return [name for name in world.controller_names if name != controller]
 
 
 def proxied_requests(world: SimulatedCluster) -> list[int]:
     """Return how many requests each controller has sent to the store through another one."""
-    return [controller.store_transport.relayed for controller in world.nodes.values() if controller is not None]
+    return [controller.store_transport.relayed for controller in world.controllers.values() if controller is not None]
 
 
 # without the key-value store ------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("mode", [LinkMode.REFUSED, LinkMode.HELD, LinkMode.ASKS_LOST, LinkMode.ANSWERS_LOST])
+@pytest.mark.parametrize("mode", [LinkMode.REFUSED, LinkMode.HELD, LinkMode.REQUESTS_LOST, LinkMode.RESPONSES_LOST])
 def test_leader_without_store_goes_on_through_a_peer(loop: VirtualLoop, mode: LinkMode) -> None:
     world = SimulatedCluster(loop, seed=3)
-    world.crowd(1.0, 90.0)
+    world.submit_continuously(1.0, 90.0)
     gevent.sleep(20)
-    (leader,) = world.leading()
+    (leader,) = world.current_leaders()
     cut_links(world, [(leader, STATE)], mode, 60)
-    assert world.leading() == [leader] and len(world.leaders) == 1 and not world.killed
-    assert world.longest_pause(20.0, 80.0) < 6.0
-    world.links.heal()
+    assert world.current_leaders() == [leader] and len(world.leader_history) == 1 and not world.lease_expiry_kills
+    assert world.longest_gap_between_starts(20.0, 80.0) < 6.0
+    world.links.open_all()
     gevent.sleep(40)
-    assert not world.broken() and all(job.accepted_at is not None for job in world.jobs.values())
+    assert not world.violations() and all(job.accepted_at is not None for job in world.jobs.values())
 
 
 def test_users_of_controller_without_store_are_served_through_a_peer(loop: VirtualLoop) -> None:
     world = SimulatedCluster(loop, seed=4)
     gevent.sleep(20)
-    follower = others_than(world, world.leading()[0])[0]
+    follower = others_than(world, world.current_leaders()[0])[0]
     cut_links(world, [(follower, STATE)], LinkMode.HELD, 5)
     job_id = world.submit(name=follower)
     gevent.sleep(20)
     job = world.jobs[job_id]
-    assert job.accepted_at is not None and job.accepted_at - job.asked_at < 1.0 and job.done_at is not None
+    assert job.accepted_at is not None and job.accepted_at - job.submitted_at < 1.0 and job.done_at is not None
 
 
 def test_store_outage_changes_no_leader_and_proxies_nothing(loop: VirtualLoop) -> None:
     world = SimulatedCluster(loop, seed=8)
-    world.crowd(1.0, 60.0)
+    world.submit_continuously(1.0, 60.0)
     gevent.sleep(20)
     proxied_before = proxied_requests(world)
-    world.store.down = True
+    world.store.unavailable = True
     gevent.sleep(9)
-    assert len(world.leading()) == 1 and len(world.leaders) == 1
+    assert len(world.current_leaders()) == 1 and len(world.leader_history) == 1
     assert proxied_requests(world) == proxied_before
-    world.store.down = False
+    world.store.unavailable = False
     gevent.sleep(20)
-    assert len(world.leaders) == 1 and not world.broken()
+    assert len(world.leader_history) == 1 and not world.violations()
 
 
 # without workers ------------------------------------------------------------------------------------------
@@ -90,56 +90,56 @@
 def test_leader_without_workers_resigns_with_or_without_peers(loop: VirtualLoop, peers_cut_off: bool) -> None:
     """It kept the lead for 33 s while no peer answered, though it reached the state service all the time."""
     world = SimulatedCluster(loop, seed=5)
-    world.crowd(1.0, 70.0)
+    world.submit_continuously(1.0, 70.0)
     gevent.sleep(20)
-    (leader,) = world.leading()
+    (leader,) = world.current_leaders()
     first, second = others_than(world, leader)
     links = links_to_workers(leader)
     if peers_cut_off:
         links += [(leader, first), (leader, second), (first, second)]
     cut_links(world, links, LinkMode.HELD, 40)
-    assert world.leading() and world.leading() != [leader]
-    assert len(world.leaders) == 2 and world.leaders[1][0] - 20.0 < 1.6 * world.report_s + 2.5
-    assert not world.killed and not world.broken()
+    assert world.current_leaders() and world.current_leaders() != [leader]
+    assert len(world.leader_history) == 2 and world.leader_history[1][0] - 20.0 < 1.6 * world.heartbeat_interval_s + 2.5
+    assert not world.lease_expiry_kills and not world.violations()
 
 
 def test_peer_that_workers_reach_takes_the_key_before_one_that_they_do_not(loop: VirtualLoop) -> None:
     """The lead went from one controller without workers to another, ten seconds each."""
     world = SimulatedCluster(loop, seed=6)
-    world.crowd(1.0, 80.0)
+    world.submit_continuously(1.0, 80.0)
     gevent.sleep(20)
-    (leader,) = world.leading()
+    (leader,) = world.current_leaders()
     reached, unreached = others_than(world, leader)
     links = [*links_to_workers(leader), *links_to_workers(unreached), (leader, unreached)]
     cut_links(world, links, LinkMode.HELD, 50)
-    assert [name for _, name, _ in world.leaders] == [leader, reached]
-    assert not world.broken()
+    assert [name for _, name, _ in world.leader_history] == [leader, reached]
+    assert not world.violations()
 
 
 def test_controller_with_workers_leads_through_peers_with_the_store(loop: VirtualLoop) -> None:
     """One reaches the workers and not the state service, two the other way round: nothing ran."""
     world = SimulatedCluster(loop, seed=7)
-    world.crowd(1.0, 90.0)
+    world.submit_continuously(1.0, 90.0)
     gevent.sleep(20)
-    (leader,) = world.leading()
+    (leader,) = world.current_leaders()
     third, second = others_than(world, leader)
     links = [*links_to_workers(leader), *links_to_workers(second), (third, STATE)]
     cut_links(world, links, LinkMode.HELD, 60)
-    assert world.leading() == [third] and len(world.leaders) <= 3
-    assert world.longest_pause(20.0, 80.0) < 16.0 and not world.broken()
+    assert world.current_leaders() == [third] and len(world.leader_history) <= 3
+    assert world.longest_gap_between_starts(20.0, 80.0) < 16.0 and not world.violations()
 
 
 def test_resigned_leader_leads_again_if_nobody_else_does(loop: VirtualLoop) -> None:
     world = SimulatedCluster(loop, seed=9, controllers=2)
     gevent.sleep(20)
-    (leader,) = world.leading()
+    (leader,) = world.current_leaders()
     (follower,) = others_than(world, leader)
     world.crash(follower)
     cut_links(world, links_to_workers(leader), LinkMode.HELD, 8)
-    assert world.leading() == []
-    world.links.heal()
+    assert world.current_leaders() == []
+    world.links.open_all()
     gevent.sleep(REJOIN_AFTER_KEY_FREE_S + 3.0)
-    assert world.leading() == [leader]
+    assert world.current_leaders() == [leader]
 
 
 # the simulation -------------------------------------------------------------------------------------------
@@ -147,12 +147,12 @@
 
 def test_same_seed_gives_the_same_history_to_the_byte() -> None:
     def history() -> str:
-        with simulated() as loop:
+        with simulated_time() as loop:
             world = SimulatedCluster(loop, seed=11)
-            world.crowd(1.5, 30.0)
+            world.submit_continuously(1.5, 30.0)
             gevent.sleep(15)
-            cut_links(world, [(world.leading()[0], STATE)], LinkMode.HELD, 15)
-            facts: list[Any] = [world.leaders, world.starts, world.store.log]
+            cut_links(world, [(world.current_leaders()[0], STATE)], LinkMode.HELD, 15)
+            facts: list[Any] = [world.leader_history, world.task_start_times, world.store.changes]
             return json.dumps(facts)
 
     assert history() == history()
--- a/tests/connectivity/test_store_proxy.py
+++ b/tests/connectivity/test_store_proxy.py
@@ -14,7 +14,7 @@
 from grebestand.connectivity.store_proxy import DOWN_AFTER_S, PATH, WATCH_MS, ProxiedStoreTransport, StoreProxyHandler
 from grebestand.flow_control.connection_limits import RELAYED
 from grebestand.simulation.single_controller_cluster import ManualClock
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 from grebestand.state_machines import LinkState
 from grebestand.wire.peers import PeerStatus, ProxiedRequest, ProxiedResponse
 from support.peers import ScriptedTransport, present_peer
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
--- a/tests/controller/test_leadership_transfer.py
+++ b/tests/controller/test_leadership_transfer.py
@@ -10,7 +10,7 @@
 from grebestand.controller.leadership_transfer import PEER_PRESENT_S, LeadershipTransfer
 from grebestand.simulation.cluster import SimulatedCluster
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 from grebestand.state_machines import LeaderState
 from grebestand.wire.peers import ResignationNotice
 from support.peers import ScriptedTransport, present_peer
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
@@ -46,7 +46,7 @@
     """A leader that stood still for 25 s would have given way for heartbeats that were still to be read."""
     world = SimulatedCluster(loop)
     gevent.sleep(10)
-    controller = world.nodes[world.leading()[0]]
+    controller = world.controllers[world.current_leaders()[0]]
     assert controller is not None and controller.term is not None
     controller.leadership_transfer.checked_workers_at -= 25.0
     controller.term.heartbeat_handler.last_heartbeat_at -= 25.0
--- a/tests/fault_test/test_history_checker.py
+++ b/tests/fault_test/test_history_checker.py
@@ -16,7 +16,7 @@
 from grebestand.simulation.single_controller_cluster import InMemoryCluster
 from grebestand.wire.jobs import JobSpec, decode_spec
 from grebestand.wire.workers import Command, HeartbeatResponse, TaskPhase
-from support.federated_clusters import Clusters
+from support.federated_clusters import FederatedClusters
 
 
 def rows(*steps: tuple[float, str, str, str, int, str, str]) -> list[TaskEvent]:
@@ -79,17 +79,17 @@
     assert capsys.readouterr().err.count("\n") == 2
 
 
-def recorded(c: Clusters, seconds: int) -> History:
+def recorded(c: FederatedClusters, seconds: int) -> History:
     """What tasks and the user saw, looked at once a second."""
     history = History(20.0, [TaskEvent(c.clock.now, "home", "accepted", "g", c.gang, tasks=3)])
     on: dict[tuple[str, str, str], TaskEvent] = {}
     for _ in range(seconds):
-        c.go(1)
+        c.advance(1)
         now = {}
         for side in c.sides:
             jobs = {c.gang} if side is c.home else {r.job for r in side.guest.records.values()}
             for w in side.workers:
-                for task in w.running():
+                for task in w.running_tasks():
                     job, _, index = task.rpartition("/")
                     if job in jobs:
                         row = TaskEvent(c.clock.now, side.name, "on", "g", job, int(index), 1, w.name, tasks=3)
@@ -104,10 +104,10 @@
     """The same day twice: room appears at home while the gang is abroad. Without that mark home starts it too."""
 
     def day() -> History:
-        c = Clusters()
+        c = FederatedClusters()
         monkeypatch.setattr(c, "check", lambda: None)
-        c.until(lambda: c.runs_in() == "east")
-        c.finish(c.home)
+        c.advance_until(lambda: c.running_cluster() == "east")
+        c.finish_tasks(c.home)
         return recorded(c, 12)
 
     assert not [f for f in check(day()).faults if "while in" in f]
@@ -129,23 +129,23 @@
     """Three machines and one job, on a clock that the story turns."""
 
     def __init__(self, **more: object) -> None:
-        self.spec: JobSpec = decode_spec(InMemoryCluster().job(**more))
+        self.spec: JobSpec = decode_spec(InMemoryCluster().submission_body(**more))
         self.rows: list[TaskEvent] = []
         self.yard = TaskExecution("here", 8.0, 10.0, 2.0, lambda job: self.spec, self.rows.append)
         self.players = [TaskRunner(f"m{i}") for i in range(3)]
         self.now = 0.0
         for p in self.players:
-            self.yard.add(p, 0.0)
+            self.yard.add_worker(p, 0.0)
 
     def order(self, at: int, op: str, task: int, grace: float | None = None, attempt: int = 1) -> None:
-        self.players[at].obey(HeartbeatResponse(1, [Command(op, f"{self.spec.id}/{task}", attempt, grace)]))
+        self.players[at].apply_response(HeartbeatResponse(1, [Command(op, f"{self.spec.id}/{task}", attempt, grace)]))
 
     def go(self, seconds: float, answered: bool = True) -> None:
         for _ in range(round(seconds * 10)):
             self.now += 0.1
             for p in self.players:
                 if answered:
-                    p.answered_at = self.now
+                    p.lease_renewed_at = self.now
             self.yard.step(self.now)
 
     def states(self) -> list[str]:
@@ -154,7 +154,7 @@
 
 def test_a_gang_starts_when_all_have_the_image_and_ends_together() -> None:
     p = Played(shape="ensemble", shards=2, reckonS=3.0, pullGb=2.0)
-    p.players[0].images.add("img")
+    p.players[0].cached_images.add("img")
     p.order(0, "start", 0)
     p.order(1, "start", 1)
     p.go(0.5)
@@ -175,7 +175,7 @@
     for i in range(3):
         p.order(i, "start", i)
     p.go(2.0)
-    p.yard.lose("m2", p.now)
+    p.yard.remove_worker("m2", p.now)
     p.players.pop()
     p.go(3.0)
     assert p.states() == ["mates_gone", "mates_gone"]
@@ -203,7 +203,7 @@
     q.go(5.0)
     q.order(0, "stop", 0, grace=5.0)
     q.go(0.1)
-    assert q.states() == ["stopped"] and not q.yard.saved_s
+    assert q.states() == ["stopped"] and not q.yard.saved_work_s
 
 
 def test_a_lease_that_runs_out_ends_all_tasks_and_what_is_forgotten_at_once_is_said_to_be_off() -> None:
--- a/tests/fault_test/test_offer_log.py
+++ b/tests/fault_test/test_offer_log.py
@@ -8,13 +8,13 @@
 
 from grebestand.fault_test.offer_log import count_offers
 from grebestand.metrics.duration_sketches import DurationSketches
-from support.federated_clusters import Clusters
+from support.federated_clusters import FederatedClusters
 
 
 def test_offers_and_decisions_of_a_home_cluster_are_found_in_its_log(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "grebestand.federation")
-    clusters = Clusters()
-    clusters.until(lambda: clusters.runs_in() == "east")
+    clusters = FederatedClusters()
+    clusters.advance_until(lambda: clusters.running_cluster() == "east")
     lines = [f"{record.levelname} {record.name}: {record.getMessage()}" for record in caplog.records]
     sketches = DurationSketches()
     offers = count_offers(lines, sketches)
--- a/tests/features/test_feature_hooks.py
+++ b/tests/features/test_feature_hooks.py
@@ -26,16 +26,16 @@
         file.write_text('feature = "curfew"\nmost_tasks = "20 * teams + 1"\n')
         self.cluster = InMemoryCluster()
         self.features = load([str(file)], self.cluster.settings, KNOWN)
-        self.curfew = tiny_feature.MADE[-1]
-        self.worker: WorkerEmulator = self.cluster.worker("n-000000")
+        self.curfew = tiny_feature.CREATED_CURFEWS[-1]
+        self.worker: WorkerEmulator = self.cluster.add_worker("n-000000")
         self.node = InMemoryController(self.cluster, "node-0", self.features)
         self.term: Term = self.node.lead()
 
     def start_job(self) -> str:
         """A job of two tasks that are running."""
-        job_id = self.cluster.accept(self.node, shards=2)
-        self.cluster.settle(self.term, 8)
-        assert len(self.worker.running()) == 2
+        job_id = self.cluster.submit_job(self.node, shards=2)
+        self.cluster.run_rounds(self.term, 8)
+        assert len(self.worker.running_tasks()) == 2
         return job_id
 
 
@@ -45,34 +45,34 @@
 
 
 def test_accept_hook_refuses_a_submission_for_now(curfew_cluster: CurfewCluster) -> None:
-    response = curfew_cluster.node.users.submit(curfew_cluster.cluster.job(shards=42))
+    response = curfew_cluster.node.job_api.submit(curfew_cluster.cluster.submission_body(shards=42))
     assert (response.status, response.retry_after) == (429, 7)
 
 
 def test_accept_hook_is_not_asked_about_a_known_job(curfew_cluster: CurfewCluster) -> None:
     cluster, node = curfew_cluster.cluster, curfew_cluster.node
-    job_id = cluster.accept(node, shards=2)
-    repetition = {**json.loads(cluster.job(shards=42)), "ref": job_id}
-    assert node.users.submit(json.dumps(repetition).encode()).status == 200
+    job_id = cluster.submit_job(node, shards=2)
+    repetition = {**json.loads(cluster.submission_body(shards=42)), "ref": job_id}
+    assert node.job_api.submit(json.dumps(repetition).encode()).status == 200
 
 
 def test_place_hook_delays_a_job_and_gives_the_reason(curfew_cluster: CurfewCluster) -> None:
     cluster, term, worker = curfew_cluster.cluster, curfew_cluster.term, curfew_cluster.worker
-    job_id = cluster.accept(curfew_cluster.node, shards=2)
+    job_id = cluster.submit_job(curfew_cluster.node, shards=2)
     curfew_cluster.curfew.active = True
-    cluster.settle(term, 4)
-    assert not worker.started and term.registry.jobs[job_id].pending_reason == "curfew"
+    cluster.run_rounds(term, 4)
+    assert not worker.started_attempts and term.registry.jobs[job_id].pending_reason == "curfew"
     curfew_cluster.curfew.active = False
     term.registry.changed_since_scheduling = True
-    cluster.settle(term, 4)
-    assert len(worker.running()) == 2
+    cluster.run_rounds(term, 4)
+    assert len(worker.running_tasks()) == 2
 
 
 def test_change_of_close_hook_is_made_in_the_transaction_that_completes_the_job(curfew_cluster: CurfewCluster) -> None:
     job_id = curfew_cluster.start_job()
-    for task in curfew_cluster.worker.running():
-        curfew_cluster.worker.finish(task)
-    curfew_cluster.cluster.settle(curfew_cluster.term, 3)
+    for task in curfew_cluster.worker.running_tasks():
+        curfew_cluster.worker.finish_task(task)
+    curfew_cluster.cluster.run_rounds(curfew_cluster.term, 3)
     stored = curfew_cluster.cluster.store.data
     assert stored[f"curfew-done/{job_id}"][1] == stored[f"over/{job_id}"][1]
 
--- a/tests/federation/test_federation_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -23,7 +23,7 @@
 from grebestand.settings.platform import parse
 from grebestand.simulation.single_controller_cluster import SETTINGS
 from grebestand.wire.jobs import Priority
-from support.federated_clusters import Clusters, offer
+from support.federated_clusters import FederatedClusters, reservation_request
 
 NOW = dt.datetime.now(dt.UTC)
 HEAD = 'feature = "federation"\ncluster = "home"\n'
@@ -42,9 +42,9 @@
 def test_without_other_clusters_nothing_is_served_and_gangs_stay_home(tmp_path: Path) -> None:
     features = load([write(tmp_path, HEAD)], parse(SETTINGS))
     assert features.names == ["federation"] and not features.listeners
-    clusters = Clusters()
+    clusters = FederatedClusters()
     clusters.home.home.remotes.by_name.clear()
-    clusters.go(20)
+    clusters.advance(20)
     assert (
         not clusters.home.home.counts["offers"]
         and clusters.home.term.registry.jobs[clusters.gang].startable_count() == 3
@@ -102,7 +102,7 @@
 
 def test_preference_follows_free_capacity_age_images_and_price(tmp_path: Path) -> None:
     f = federation(tmp_path)
-    clusters = Clusters()
+    clusters = FederatedClusters()
     f.term = clusters.home.term
     job = clusters.home.term.registry.jobs[clusters.gang]
     room = FreeCapacity(VERSION, 6, 16.0, 0.1, [])
@@ -122,7 +122,7 @@
 
 def test_overflow_time_follows_the_operators_expression(tmp_path: Path) -> None:
     f = federation(tmp_path, 'overflow_after_s = "20 if gang_size < 3 else 100 * (1 - zone_load) + gang_cpus"\n')
-    clusters = Clusters()
+    clusters = FederatedClusters()
     f.term = clusters.home.term
     job = clusters.home.term.registry.jobs[clusters.gang]
     load_now = 45.0 / 48.0  # of one zone; the other has no machines
@@ -130,16 +130,16 @@
 
 
 def test_cluster_with_capacity_is_asked_first() -> None:
-    clusters = Clusters("east", "west")
+    clusters = FederatedClusters("east", "west")
     clusters.home.home.limits.max_clusters_at_once = 1
     clusters.home.home.limits.overflow_after_s = lambda job, now: 15.0  # long enough for a look at who has room by then
-    clusters.east.world.accept(clusters.east.node, shards=4, cpus=15.0, rank="critical")
-    clusters.until(lambda: clusters.runs_in() is not None)
-    assert clusters.runs_in() == "west" and clusters.home.home.counts["offers"] == 1
+    clusters.east.cluster.submit_job(clusters.east.node, shards=4, cpus=15.0, rank="critical")
+    clusters.advance_until(lambda: clusters.running_cluster() is not None)
+    assert clusters.running_cluster() == "west" and clusters.home.home.counts["offers"] == 1
 
 
 def test_cluster_of_another_version_is_offered_nothing() -> None:
-    clusters = Clusters()
+    clusters = FederatedClusters()
     look = clusters.east.guest._probe
 
     def newer(message: Probe) -> object:
@@ -147,27 +147,27 @@
         return msgspec.structs.replace(told, version=VERSION + 1) if isinstance(told, FreeCapacity) else told
 
     clusters.east.guest._probe = newer  # type: ignore[method-assign, assignment]
-    clusters.go(30)
+    clusters.advance(30)
     assert clusters.home.home.remotes.by_name["east"].incompatible and not clusters.home.home.counts["offers"]
     clusters.east.guest._probe = look  # type: ignore[method-assign]
-    clusters.until(lambda: clusters.runs_in() == "east")
+    clusters.advance_until(lambda: clusters.running_cluster() == "east")
 
 
 def test_guest_gets_low_priority_and_only_suitable_machines() -> None:
-    clusters = Clusters()
+    clusters = FederatedClusters()
     guest = clusters.east.guest
-    asked = offer(clusters, rank="critical")
+    asked = reservation_request(clusters, rank="critical")
     guest.answer(asked)
     (kept,) = guest.reservations.by_id.values()
     assert kept.spec.priority is Priority.LOW and kept.spec.team == "blue"
-    assert guest.answer(offer(clusters, hulls=["m4"])) != Rejection(
+    assert guest.answer(reservation_request(clusters, hulls=["m4"])) != Rejection(
         "none of the machine types that it may run on is known here"
     )
-    assert guest.answer(offer(clusters, hulls=["g8"])) == Rejection(
+    assert guest.answer(reservation_request(clusters, hulls=["g8"])) == Rejection(
         "none of the machine types that it may run on is known here"
     )
-    assert guest.answer(offer(clusters, quay="a")) == Rejection("it may run in one zone of its home only")
-    bound = clusters.home.world.accept(clusters.home.node, shape="ensemble", shards=3, cpus=15.0, quay="a")
+    assert guest.answer(reservation_request(clusters, quay="a")) == Rejection("it may run in one zone of its home only")
+    bound = clusters.home.cluster.submit_job(clusters.home.node, shape="ensemble", shards=3, cpus=15.0, quay="a")
     assert not clusters.home.home.offer_planner.eligible(
         clusters.home.term.registry.jobs[bound], clusters.clock.now + 1000.0
     )
@@ -180,10 +180,10 @@
 
 def test_equal_job_ids_in_two_clusters_do_not_collide() -> None:
     """The guest's job has a reference drawn there; its own job of the same name is another."""
-    clusters = Clusters()
-    own = clusters.east.world.accept(clusters.east.node, ref=clusters.gang, shards=1, cpus=1.0)
+    clusters = FederatedClusters()
+    own = clusters.east.cluster.submit_job(clusters.east.node, ref=clusters.gang, shards=1, cpus=1.0)
     assert own == clusters.gang
-    clusters.until(lambda: clusters.runs_in() == "east")
+    clusters.advance_until(lambda: clusters.running_cluster() == "east")
     (record,) = clusters.east.guest.records.values()
     assert record.ref == clusters.gang != record.job and clusters.gang in clusters.east.term.registry.jobs
 
@@ -192,41 +192,41 @@
 
 
 def test_settled_gang_returns_home_and_ends_in_a_cluster_that_comes_back() -> None:
-    clusters = Clusters()
-    clusters.until(lambda: clusters.runs_in() == "east")
+    clusters = FederatedClusters()
+    clusters.advance_until(lambda: clusters.running_cluster() == "east")
     wire = clusters.home.links["east"]
-    wire.drop = lambda m: "request"
+    wire.select_loss = lambda m: "request"
     for worker in clusters.east.workers:  # they are off, as the operators have made sure
-        worker.lapse()
+        worker.expire_lease()
         worker.reachable = False
-    clusters.go(int(QUIET_S) + 5)  # and have waited for longer than it would start anything unasked
+    clusters.advance(int(QUIET_S) + 5)  # and have waited for longer than it would start anything unasked
     (gang,) = remote_gangs(clusters.home.node.store, "east")
     assert gang.ref == clusters.gang and not remote_gangs(clusters.home.node.store, "west")
     assert settle(clusters.home.node.store, gang, "somebody") and not settle(clusters.home.node.store, gang, "somebody")
-    clusters.go(15)
+    clusters.advance(15)
     assert clusters.home.term.registry.jobs[clusters.gang].startable_count() == 3 and clusters.home.home.settled.records
     clusters.home.home.limits.overflow_after_s = lambda job, now: 1e9
-    clusters.finish(clusters.home)
-    clusters.until(lambda: clusters.runs_in() == "home")
+    clusters.finish_tasks(clusters.home)
+    clusters.advance_until(lambda: clusters.running_cluster() == "home")
     # the cluster is back, with a record of a gang that it would start again
     for worker in clusters.east.workers:
         worker.reachable = True
-    wire.drop = lambda m: ""
+    wire.select_loss = lambda m: ""
     assert clusters.east.guest.records
-    clusters.until(lambda: not clusters.home.home.settled.records, 200)
-    clusters.go(30)
-    assert clusters.runs_in() == "home" and not clusters.east.guest.records
-    assert not [k for k in clusters.home.world.store.data if k.startswith(PREFIX)]
+    clusters.advance_until(lambda: not clusters.home.home.settled.records, 200)
+    clusters.advance(30)
+    assert clusters.running_cluster() == "home" and not clusters.east.guest.records
+    assert not [k for k in clusters.home.cluster.store.data if k.startswith(PREFIX)]
 
 
 def test_settle_command_changes_nothing_without_confirmation(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clusters = Clusters()
-    clusters.until(lambda: clusters.runs_in() == "east")
+    clusters = FederatedClusters()
+    clusters.advance_until(lambda: clusters.running_cluster() == "east")
     config = tmp_path / "settings.toml"
     config.write_text(SETTINGS)
-    monkeypatch.setattr("grebestand.clients.http.HttpTransport", lambda *a, **k: clusters.home.world.store)
+    monkeypatch.setattr("grebestand.clients.http.HttpTransport", lambda *a, **k: clusters.home.cluster.store)
     command = ["federation", "settle", "--config", str(config), "--cluster", "east", "--confirm"]
     assert main([*command, "yes"]) == 1
     assert len(remote_gangs(clusters.home.node.store, "east")) == 1
@@ -292,8 +292,8 @@
 def test_an_abort_that_another_controller_was_asked_for_reaches_the_leader(tmp_path: Path) -> None:
     """Users reach any controller; only the leader's home can ask the other cluster to end a gang."""
     f = federation(tmp_path)
-    clusters = Clusters()
-    clusters.until(lambda: clusters.runs_in() == "east")
+    clusters = FederatedClusters()
+    clusters.advance_until(lambda: clusters.running_cluster() == "east")
     follower = Process("node-1", None)
     f.take_host(follower)
     f.recall(clusters.gang)
--- a/tests/flow_control/test_admission.py
+++ b/tests/flow_control/test_admission.py
@@ -50,7 +50,7 @@
     cluster = InMemoryCluster()
     node = InMemoryController(cluster, "node-0")
     term = node.lead()
-    worker = cluster.worker("n-000000")
+    worker = cluster.add_worker("n-000000")
     front = overloaded_front(cluster)
     front.workers = HeartbeatApi("node-0", node.election, lambda: term)
     assert front.workers.handle_heartbeat(json.dumps({
--- a/tests/flow_control/test_connection_shares.py
+++ b/tests/flow_control/test_connection_shares.py
@@ -16,12 +16,12 @@
 from grebestand.flow_control.connection_limits import ConnectionPlan, plan_connections
 from grebestand.settings.platform import Quota
 from grebestand.simulation.cluster import SimulatedCluster
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
@@ -61,7 +61,7 @@
 
 def test_direct_commands_have_connections_of_their_own(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     cluster = SimulatedCluster(loop, machines=2)
-    controller: Controller | None = cluster.nodes["node-0"]
+    controller: Controller | None = cluster.controllers["node-0"]
     assert controller is not None
     open_now, most = 0, 0
 
--- a/tests/flow_control/test_overloaded_leader.py
+++ b/tests/flow_control/test_overloaded_leader.py
@@ -22,8 +22,8 @@
     cluster = InMemoryCluster()
     node = InMemoryController(cluster, "node-0")
     term = node.lead()
-    worker = cluster.worker("n-000000")
-    cluster.settle(term, 3)
+    worker = cluster.add_worker("n-000000")
+    cluster.run_rounds(term, 3)
     return cluster, node, term, worker
 
 
@@ -36,8 +36,8 @@
     term.scheduling_loop.step(cluster.clock.now)
     assert len(migrations) == 1
     term.overload.record_lag(0.5)
-    job_id = cluster.accept(node, shape="ensemble", shards=1, cpus=8.0)
-    cluster.settle(term, 2)
+    job_id = cluster.submit_job(node, shape="ensemble", shards=1, cpus=8.0)
+    cluster.run_rounds(term, 2)
     assert len(migrations) == 1
     assert term.registry.jobs[job_id].running_count()
 
@@ -45,13 +45,13 @@
 def test_leader_paused_beyond_its_lease_starts_nothing() -> None:
     """A controller stopped for a minute finds its authority gone before it does anything else."""
     cluster, node, term, worker = cluster_with_leader()
-    job_id = cluster.accept(node, shards=2)
+    job_id = cluster.submit_job(node, shards=2)
     cluster.clock.now += 60.0
     assert cluster.handle_heartbeat(term, worker) is None
     term.scheduling_loop.step(cluster.clock.now)
     node.election.check_clock()
     term.scheduling_loop.step(cluster.clock.now)
-    assert not worker.started
+    assert not worker.started_attempts
     assert not term.registry.jobs[job_id].running_count()
 
 
@@ -62,7 +62,7 @@
     node.lead()
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = node.leadership_transfer(peer)
-    node.load.record_lag(2.0)
+    node.overload.record_lag(2.0)
     for passed_s, peer_load, stays in (
         (3.0, LoadState.NORMAL, True),
         (4.0, LoadState.STRAINED, True),
@@ -70,7 +70,7 @@
     ):
         cluster.clock.now += passed_s
         node.election.renew()
-        node.load.record_lag(2.0)
+        node.overload.record_lag(2.0)
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1, load=peer_load.value)
         leadership_transfer.check_overload()
         assert node.election.is_leader() is stays
@@ -84,12 +84,12 @@
     peer = PeerClient("node-1", UnreachableTransport())
     leadership_transfer = node.leadership_transfer(peer)
     term.machine_reconciliation.all_reconciled = False
-    node.load.record_lag(2.0)
+    node.overload.record_lag(2.0)
     overloaded_at = cluster.clock.now
     while node.election.is_leader() and cluster.clock.now - overloaded_at < 60.0:
         cluster.clock.now += 0.5
         node.election.renew()
-        node.load.record_lag(2.0)
+        node.overload.record_lag(2.0)
         peer.last_heard_at, peer.last = cluster.clock.now, PeerStatus("node-1", 0, 0.1)
         leadership_transfer.check_overload()
     assert cluster.clock.now - overloaded_at == pytest.approx(
@@ -102,9 +102,9 @@
     cluster = InMemoryCluster()
     node = InMemoryController(cluster, "node-0")
     term = node.lead()
-    workers = [cluster.worker(f"n-{i:06d}") for i in range(100)]
-    cluster.settle(term, 3)
-    cluster.accept(node, shards=3000, cpus=1.0, ramGb=0.1)
+    workers = [cluster.add_worker(f"n-{i:06d}") for i in range(100)]
+    cluster.run_rounds(term, 3)
+    cluster.submit_job(node, shards=3000, cpus=1.0, ramGb=0.1)
     passes: list[float] = []
     full_pass_steps = term.scheduler.full_pass_steps
 
@@ -132,7 +132,7 @@
     second_term = restarted.lead()
     machine = second_term.inventory.by_name[worker.name]
     assert machine in second_term.machine_reconciliation.select_machines_to_query(cluster.clock.now)
-    direct = cluster.direct
+    direct = cluster.send_direct_request
 
     def late_response(addr: str, path: str, body: bytes) -> tuple[int, bytes]:
         response = direct(addr, path, body)
@@ -148,7 +148,7 @@
 def test_array_is_granted_once_while_completion_writes_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """Widenings took nine tenths of the writes: 52 of some 400 finished jobs were recorded within two minutes."""
     cluster, node, term, _ = cluster_with_leader()
-    first_job = cluster.accept(node, shards=10)
+    first_job = cluster.submit_job(node, shards=10)
     commit = type(term.writer).commit
 
     def slow_completion(self: object, conditions: object, changes: object, urgency: Urgency) -> object:
@@ -156,13 +156,13 @@
             cluster.clock.now += SLOW_COMMIT_S
         return commit(self, conditions, changes, urgency)  # type: ignore[arg-type]
 
-    cluster.settle(term, 3)
+    cluster.run_rounds(term, 3)
     assert cluster.records("grants/")[first_job][1] is not None
     monkeypatch.setattr(type(term.writer), "commit", slow_completion)
     for worker in cluster.workers.values():
-        for task in worker.running():
-            worker.finish(task)
-    cluster.settle(term, 4)
-    second_job = cluster.accept(node, shards=100)
-    cluster.settle(term, 3)
+        for task in worker.running_tasks():
+            worker.finish_task(task)
+    cluster.run_rounds(term, 4)
+    second_job = cluster.submit_job(node, shards=100)
+    cluster.run_rounds(term, 3)
     assert cluster.records("grants/")[second_job] == [100, None]
--- a/tests/heartbeat_relay/test_batch_receiver.py
+++ b/tests/heartbeat_relay/test_batch_receiver.py
@@ -14,30 +14,30 @@
 
 def test_batch_is_answered_like_single_heartbeats() -> None:
     cluster, controller, term, receiver, workers = start_batch_receiver()
-    cluster.accept(controller, shards=30)
+    cluster.submit_job(controller, shards=30)
     term.scheduling_loop.step(cluster.clock.now + 10.0)
     cluster.clock.now += 1.0
-    answers = responses_to(receiver, *(msgspec.json.encode(worker.report()) for worker in workers))
+    answers = responses_to(receiver, *(msgspec.json.encode(worker.next_heartbeat()) for worker in workers))
     responses = [msgspec.json.decode(body, type=HeartbeatResponse) for _, body in answers]
     assert [status for status, _ in answers] == [200] * 3 and {response.token for response in responses} == {term.token}
     for worker, response in zip(workers, responses, strict=True):
-        worker.obey(response)
-    assert sum(len(worker.running()) for worker in workers) == 30
+        worker.apply_response(response)
+    assert sum(len(worker.running_tasks()) for worker in workers) == 30
 
 
 def test_heartbeat_forwarded_twice_starts_tasks_once() -> None:
     cluster, controller, term, receiver, (worker, *_) = start_batch_receiver()
-    cluster.accept(controller, shards=4)
+    cluster.submit_job(controller, shards=4)
     term.scheduling_loop.step(cluster.clock.now + 10.0)
-    body = msgspec.json.encode(worker.report())
+    body = msgspec.json.encode(worker.next_heartbeat())
     first, second = (msgspec.json.decode(responses_to(receiver, body)[0][1], type=HeartbeatResponse) for _ in range(2))
     assert [command.op for command in first.commands].count("start") == 4 and second.commands == []
 
 
 def test_malformed_heartbeat_leaves_the_rest_of_its_batch(caplog: pytest.LogCaptureFixture) -> None:
     _, _, _, receiver, workers = start_batch_receiver()
-    good = msgspec.json.encode(workers[0].report())
-    nameless = msgspec.json.encode(msgspec.structs.replace(workers[1].report(), machine=""))
+    good = msgspec.json.encode(workers[0].next_heartbeat())
+    nameless = msgspec.json.encode(msgspec.structs.replace(workers[1].next_heartbeat(), machine=""))
     large = b" " * (1 << 16) + good
     deep = b'{"shards":' + b"[" * 30_000
     answers = responses_to(receiver, b"{", good, b"\xff", large, deep, b"[]")
@@ -48,7 +48,7 @@
 
 def test_invalid_batch_is_refused_and_logged_at_intervals(caplog: pytest.LogCaptureFixture) -> None:
     cluster, _, _, receiver, workers = start_batch_receiver()
-    body = msgspec.json.encode(workers[0].report())
+    body = msgspec.json.encode(workers[0].next_heartbeat())
     too_many = msgspec.msgpack.encode(HeartbeatBatch("node-1", [b"{}"] * (MOST_REPORTS + 1)))
     too_large = msgspec.msgpack.encode(HeartbeatBatch("node-1", [b" " * (1 << 19)] * 4))
     unknown_sender = msgspec.msgpack.encode(HeartbeatBatch("somebody", [body]))
@@ -64,7 +64,7 @@
 
 def test_controller_without_lease_refuses_each_heartbeat() -> None:
     cluster, controller, _, receiver, workers = start_batch_receiver()
-    body = msgspec.json.encode(workers[0].report())
+    body = msgspec.json.encode(workers[0].next_heartbeat())
     cluster.clock.now += 30.0  # its leader lease was not renewed
     assert responses_to(receiver, body) == [(503, b"")]
     controller.term = None
@@ -78,7 +78,7 @@
         cluster.clock.now += 30.0
 
     monkeypatch.setattr(term, "cover_heartbeats", slow_wait)
-    assert responses_to(receiver, msgspec.json.encode(workers[0].report())) == [(503, b"")]
+    assert responses_to(receiver, msgspec.json.encode(workers[0].next_heartbeat())) == [(503, b"")]
 
 
 def test_batch_that_its_sender_gave_up_is_not_answered(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -90,5 +90,8 @@
 
     monkeypatch.setattr(term, "cover_heartbeats", slow_wait)
     before = [machine.last_response_at for machine in term.inventory.machines]
-    assert responses_to(receiver, *(msgspec.json.encode(worker.report()) for worker in workers)) == [(503, b"")] * 3
+    assert (
+        responses_to(receiver, *(msgspec.json.encode(worker.next_heartbeat()) for worker in workers))
+        == [(503, b"")] * 3
+    )
     assert [machine.last_response_at for machine in term.inventory.machines] == before
--- a/tests/heartbeat_relay/test_forwarder.py
+++ b/tests/heartbeat_relay/test_forwarder.py
@@ -20,14 +20,14 @@
     UNRESPONSIVE_AFTER_S,
     HeartbeatForwarder,
 )
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 from grebestand.state_machines import ForwarderState
 from grebestand.wire.peers import HeartbeatBatch, HeartbeatBatchResponse
 
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -15,36 +15,38 @@
 from grebestand.leader.election import LeaderElection
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
 from grebestand.simulation.simulated_worker import SimulatedWorker
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 from grebestand.wire.peers import HeartbeatBatch, HeartbeatBatchResponse
-from support.cluster_actions import SPREAD, back, crash_leader, heal
+from support.cluster_actions import SPREAD_HEARTBEATS, crash_leader, end_faults, start_if_stopped
 
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
 def start_busy_cluster(loop: VirtualLoop, seed: int = 1, machines: int = 18, controllers: int = 3) -> SimulatedCluster:
     """Return a cluster at work whose controllers all answer heartbeats."""
-    cluster = SimulatedCluster(loop, seed=seed, machines=machines, controllers=controllers, rules=SPREAD)
-    cluster.task_s = (3.0, 20.0)
-    cluster.cancelling = 0.2
-    cluster.crowd(2.0, 75.0)
+    cluster = SimulatedCluster(loop, seed=seed, machines=machines, controllers=controllers, rules=SPREAD_HEARTBEATS)
+    cluster.task_duration_s = (3.0, 20.0)
+    cluster.cancelled_job_rate = 0.2
+    cluster.submit_continuously(2.0, 75.0)
     gevent.sleep(15)
     return cluster
 
 
 def kept_workers(cluster: SimulatedCluster) -> dict[str, int]:
     """Return how many workers each controller keeps."""
-    return {name: len(controller.spread.kept) for name, controller in cluster.nodes.items() if controller is not None}
+    return {
+        name: len(controller.spread.kept) for name, controller in cluster.controllers.items() if controller is not None
+    }
 
 
 def followers(cluster: SimulatedCluster) -> list[str]:
     """Return the names of the controllers that do not lead."""
-    (leader,) = cluster.leading()
-    return [name for name in cluster.controllers if name != leader]
+    (leader,) = cluster.current_leaders()
+    return [name for name in cluster.controller_names if name != leader]
 
 
 def test_workers_are_spread_evenly_and_answered_by_the_leader(loop: VirtualLoop) -> None:
@@ -52,7 +54,7 @@
     even = 30 / 3
     assert all(0.8 * even <= count <= 1.2 * even for count in kept_workers(cluster).values()), kept_workers(cluster)
     statuses = Counter[str]()
-    report_to = SimulatedWorker.report_to
+    report_to = SimulatedWorker.send_heartbeat
 
     def counted(self: SimulatedWorker, name: str) -> tuple[int, bytes]:
         status, body = report_to(self, name)
@@ -60,21 +62,21 @@
         return status, body
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(SimulatedWorker, "report_to", counted)
+        patch.setattr(SimulatedWorker, "send_heartbeat", counted)
         gevent.sleep(30)
     # nobody is sent to and fro once all have found their place
     assert statuses["200"] > 250 and set(statuses) == {"200"}
-    (leader,) = cluster.leading()
-    controller = cluster.nodes[leader]
-    assert controller is not None and controller.receiver.reports > 250 and len(cluster.leaders) == 1
-    assert cluster.settled(200.0) == []
+    (leader,) = cluster.current_leaders()
+    controller = cluster.controllers[leader]
+    assert controller is not None and controller.receiver.reports > 250 and len(cluster.leader_history) == 1
+    assert cluster.wait_until_settled(200.0) == []
 
 
 def crash_for(cluster: SimulatedCluster, names: list[str], seconds: float) -> None:
     """Crash controllers, and start them again after some seconds."""
     for name in names:
         cluster.crash(name)
-        gevent.spawn_later(seconds, back, cluster, name)
+        gevent.spawn_later(seconds, start_if_stopped, cluster, name)
 
 
 def follower_crashes(cluster: SimulatedCluster) -> None:
@@ -90,14 +92,14 @@
 
 
 def follower_stalls(cluster: SimulatedCluster) -> None:
-    cluster.freeze(followers(cluster)[0], 12.0)
+    cluster.pause(followers(cluster)[0], 12.0)
 
 
 def follower_loses_leader(cluster: SimulatedCluster, mode: LinkMode = LinkMode.HELD, seconds: float = 25.0) -> None:
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     follower = followers(cluster)[0]
-    cluster.links.set(follower, leader, mode)
-    gevent.spawn_later(seconds, cluster.links.set, follower, leader, LinkMode.OPEN)
+    cluster.links.set_mode(follower, leader, mode)
+    gevent.spawn_later(seconds, cluster.links.set_mode, follower, leader, LinkMode.OPEN)
 
 
 def follower_is_refused_by_leader(cluster: SimulatedCluster) -> None:
@@ -105,17 +107,17 @@
 
 
 def batches_are_lost(cluster: SimulatedCluster) -> None:
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     for follower in followers(cluster):
-        cluster.links.ways[follower, leader] = LinkMode.ASKS_LOST
-    gevent.spawn_later(25.0, cluster.links.heal)
+        cluster.links.modes[follower, leader] = LinkMode.REQUESTS_LOST
+    gevent.spawn_later(25.0, cluster.links.open_all)
 
 
 def batch_responses_are_lost(cluster: SimulatedCluster) -> None:
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     for follower in followers(cluster):
-        cluster.links.ways[leader, follower] = LinkMode.ANSWERS_LOST
-    gevent.spawn_later(25.0, cluster.links.heal)
+        cluster.links.modes[leader, follower] = LinkMode.RESPONSES_LOST
+    gevent.spawn_later(25.0, cluster.links.open_all)
 
 
 def follower_is_slow(cluster: SimulatedCluster) -> None:
@@ -125,14 +127,14 @@
 def follower_loses_its_workers(cluster: SimulatedCluster) -> None:
     follower = followers(cluster)[0]
     for zone in "ab":
-        cluster.links.set(follower, zone, LinkMode.HELD)
-    gevent.spawn_later(25.0, cluster.links.heal)
+        cluster.links.set_mode(follower, zone, LinkMode.HELD)
+    gevent.spawn_later(25.0, cluster.links.open_all)
 
 
 def follower_loses_store(cluster: SimulatedCluster) -> None:
     follower = followers(cluster)[0]
-    cluster.links.set(follower, STATE, LinkMode.HELD)
-    gevent.spawn_later(25.0, cluster.links.heal)
+    cluster.links.set_mode(follower, STATE, LinkMode.HELD)
+    gevent.spawn_later(25.0, cluster.links.open_all)
 
 
 def leader_crashes(cluster: SimulatedCluster) -> None:
@@ -144,33 +146,33 @@
 
 
 def leader_stalls(cluster: SimulatedCluster) -> None:
-    cluster.freeze(cluster.leading()[0], 20.0)
+    cluster.pause(cluster.current_leaders()[0], 20.0)
 
 
 def leader_is_deposed(cluster: SimulatedCluster) -> None:
     """Cut from the state service and the others, and not from its workers; jobs are cancelled through the next."""
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     for peer in (STATE, *followers(cluster)):
-        cluster.links.set(leader, peer, LinkMode.HELD)
-    gevent.spawn_later(20.0, cluster.cancel_now, 4)
-    gevent.spawn_later(40.0, cluster.links.heal)
+        cluster.links.set_mode(leader, peer, LinkMode.HELD)
+    gevent.spawn_later(20.0, cluster.cancel_running_jobs, 4)
+    gevent.spawn_later(40.0, cluster.links.open_all)
 
 
 def leader_transfers_leadership(cluster: SimulatedCluster) -> None:
-    controller = cluster.nodes[cluster.leading()[0]]
+    controller = cluster.controllers[cluster.current_leaders()[0]]
     assert controller is not None
     gevent.spawn(controller.leadership_transfer.resign, "played", "")
 
 
 def leader_and_follower_crash(cluster: SimulatedCluster) -> None:
-    crash_for(cluster, [cluster.leading()[0], followers(cluster)[0]], 5.0)
+    crash_for(cluster, [cluster.current_leaders()[0], followers(cluster)[0]], 5.0)
 
 
 def several_failures_at_once(cluster: SimulatedCluster) -> None:
     follower_loses_its_workers(cluster)
     leader_crashes(cluster)
-    cluster.copies = 0.3
-    cluster.late_orders = 0.5
+    cluster.duplicate_heartbeat_rate = 0.3
+    cluster.late_command_rate = 0.5
 
 
 def follower_loses_leader_for_long(cluster: SimulatedCluster) -> None:
@@ -191,11 +193,11 @@
     """Return what was broken or lost by the time that a failure is over."""
     failure(cluster)
     gevent.sleep(6)
-    if cluster.leading():
-        cluster.cancel_now(3)
+    if cluster.current_leaders():
+        cluster.cancel_running_jobs(3)
     gevent.sleep(seconds)
-    heal(cluster)
-    return cluster.settled(400.0)
+    end_faults(cluster)
+    return cluster.wait_until_settled(400.0)
 
 
 @pytest.mark.parametrize("failure", FAILURES)
@@ -205,7 +207,7 @@
 ) -> None:
     cluster = start_busy_cluster(loop, seed, controllers=3 if seed == 1 else 5)
     assert broken_after(cluster, failure) == []
-    assert not cluster.both
+    assert not cluster.multiple_leader_times
 
 
 @pytest.mark.parametrize("failure", [follower_crashes, follower_loses_leader, follower_stalls, follower_is_slow])
@@ -216,18 +218,20 @@
     cluster = start_busy_cluster(loop)
     failure(cluster)
     gevent.sleep(35)
-    assert cluster.killed == 0 and len(cluster.leaders) == 1
-    assert cluster.longest_pause(15.0, 45.0) < 9.0
+    assert cluster.lease_expiry_kills == 0 and len(cluster.leader_history) == 1
+    assert cluster.longest_gap_between_starts(15.0, 45.0) < 9.0
 
 
 def test_leader_that_no_worker_reaches_goes_on_over_followers(loop: VirtualLoop) -> None:
     """Alone it would have had to give way: one change of leader less."""
     cluster = start_busy_cluster(loop)
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     for zone in "ab":
-        cluster.links.set(leader, zone, LinkMode.HELD)
+        cluster.links.set_mode(leader, zone, LinkMode.HELD)
     gevent.sleep(40)
-    assert cluster.leading() == [leader] and len(cluster.leaders) == 1 and cluster.killed == 0
+    assert (
+        cluster.current_leaders() == [leader] and len(cluster.leader_history) == 1 and cluster.lease_expiry_kills == 0
+    )
 
 
 def test_followers_keep_their_workers_through_a_failover(loop: VirtualLoop) -> None:
@@ -235,7 +239,7 @@
     before = kept_workers(cluster)
     leader_transfers_leadership(cluster)
     gevent.sleep(12)
-    assert len(cluster.leaders) == 2 and cluster.killed == 0
+    assert len(cluster.leader_history) == 2 and cluster.lease_expiry_kills == 0
     now = kept_workers(cluster)
     assert all(abs(count - before[name]) <= 4 for name, count in now.items()), (before, now)
 
@@ -246,7 +250,7 @@
     name = followers(cluster)[0]
     cluster.crash(name)
     gevent.sleep(10)
-    back(cluster, name)
+    start_if_stopped(cluster, name)
     counts = []
     for _ in range(30):
         gevent.sleep(1)
@@ -292,8 +296,8 @@
     break_it(monkeypatch)
     found: list[str] = []
     for seed, failure in itertools.product(range(3), (follower_loses_leader_for_long, leader_is_deposed)):
-        with simulated() as loop:
+        with simulated_time() as loop:
             cluster = start_busy_cluster(loop, seed)
-            cluster.task_s = (20.0, 90.0)
+            cluster.task_duration_s = (20.0, 90.0)
             found += broken_after(cluster, failure, seconds=90.0)
     assert found
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -130,7 +130,7 @@
 def test_heartbeat_names_its_machine_and_zone() -> None:
     """The spread goes by the names that reports carry: read here and at the leader, they mean the same worker."""
     worker = WorkerEmulator("n-000007", zone="b")
-    report = msgspec.json.decode(msgspec.json.encode(worker.report()), type=Heartbeat)
+    report = msgspec.json.decode(msgspec.json.encode(worker.next_heartbeat()), type=Heartbeat)
     assert (report.machine, report.zone) == ("n-000007", "b")
 
 
--- a/tests/heartbeats/test_heartbeat_evidence.py
+++ b/tests/heartbeats/test_heartbeat_evidence.py
@@ -16,16 +16,16 @@
 def test_job_start_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO")
     cluster = InMemoryCluster()
-    workers = [cluster.worker(f"n-{i:06d}") for i in range(2)]
+    workers = [cluster.add_worker(f"n-{i:06d}") for i in range(2)]
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    cluster.settle(term, 3)
-    gang = cluster.accept(controller, shape="ensemble", shards=2, cpus=4.0)
-    cluster.settle(term, 2)
+    cluster.run_rounds(term, 3)
+    gang = cluster.submit_job(controller, shape="ensemble", shards=2, cpus=4.0)
+    cluster.run_rounds(term, 2)
     for worker in workers:
-        for task in worker.running():
-            worker.finish(task)
-    cluster.settle(term, 2)
+        for task in worker.running_tasks():
+            worker.finish_task(task)
+    cluster.run_rounds(term, 2)
     start_events = [record.getMessage() for record in caplog.records if "job_started" in record.getMessage()]
     assert len(start_events) == 1 and start_events[0].startswith(f"job_started job_id={gang} wait_s=")
     assert start_events[0].endswith(" kind=gang tasks=2")
@@ -37,14 +37,14 @@
     """A delayed heartbeat of a deleted machine must not add the machine again, which would bring back its tasks."""
     cluster, controller, term = start_cluster()
     deleted, expired = cluster.workers.values()
-    job_id = cluster.accept(controller, shards=20)
-    cluster.settle(term, 2)
-    held_tasks = set(deleted.running()) | set(expired.running())
-    delayed_heartbeats = [deleted.report(), expired.report()]  # sent and not delivered yet
+    job_id = cluster.submit_job(controller, shards=20)
+    cluster.run_rounds(term, 2)
+    held_tasks = set(deleted.running_tasks()) | set(expired.running_tasks())
+    delayed_heartbeats = [deleted.next_heartbeat(), expired.next_heartbeat()]  # sent and not delivered yet
     deleted.reachable = expired.reachable = False
     del cluster.workers[deleted.name]
     term.deprovisioning._remove([deleted.name])
-    cluster.settle(term, 25)
+    cluster.run_rounds(term, 25)
     assert term.inventory.by_name[expired.name].state is MachineState.LEASE_EXPIRED
     for delayed in delayed_heartbeats:
         term.handle_heartbeat(delayed)
@@ -61,13 +61,13 @@
     """
     cluster, controller, term = start_cluster()
     first, second = cluster.workers.values()
-    job_id = cluster.accept(controller, shards=1)
-    cluster.settle(term, 2)
-    holder, other = (first, second) if first.running() else (second, first)
-    delayed = holder.report()
-    holder.finish(f"{job_id}/0", ExitReason.STOPPED)
-    cluster.settle(term, 3)
-    holder, other = (first, second) if first.running() else (second, first)
+    job_id = cluster.submit_job(controller, shards=1)
+    cluster.run_rounds(term, 2)
+    holder, other = (first, second) if first.running_tasks() else (second, first)
+    delayed = holder.next_heartbeat()
+    holder.finish_task(f"{job_id}/0", ExitReason.STOPPED)
+    cluster.run_rounds(term, 3)
+    holder, other = (first, second) if first.running_tasks() else (second, first)
     moved = delayed.machine != holder.name
     cluster.clock.now += 13.0
     next_controller = InMemoryController(cluster, "node-1")
@@ -77,9 +77,11 @@
     for report in (delayed, from_unknown_machine):
         next_term.handle_heartbeat(report)
     any_accepted = next_term.heartbeat_handler.heartbeat_received_in_term
-    cluster.settle(next_term, 3)
+    cluster.run_rounds(next_term, 3)
     assert not any_accepted and "n-000777" not in cluster.records("machines/")
-    assert holder.running() == [f"{job_id}/0"] and not other.running() and (moved or holder.started)
+    assert (
+        holder.running_tasks() == [f"{job_id}/0"] and not other.running_tasks() and (moved or holder.started_attempts)
+    )
 
 
 def test_new_machine_gets_tasks_with_its_second_heartbeat() -> None:
@@ -88,24 +90,24 @@
     Otherwise it would get its first tasks with its third heartbeat, one heartbeat interval later.
     """
     cluster, controller, term = start_cluster(1)
-    cluster.accept(controller, shards=40)
-    worker = cluster.worker("n-000009")
-    cluster.settle(term, 2)
-    assert len(worker.running()) == 16
+    cluster.submit_job(controller, shards=40)
+    worker = cluster.add_worker("n-000009")
+    cluster.run_rounds(term, 2)
+    assert len(worker.running_tasks()) == 16
 
 
 def test_result_counts_from_a_delayed_heartbeat() -> None:
     cluster, controller, term = start_cluster(1)
     (worker,) = cluster.workers.values()
-    job_id = cluster.accept(controller)
-    cluster.settle(term, 2)
-    worker.finish(f"{job_id}/0")
-    delayed = worker.report()
+    job_id = cluster.submit_job(controller)
+    cluster.run_rounds(term, 2)
+    worker.finish_task(f"{job_id}/0")
+    delayed = worker.next_heartbeat()
     worker.reachable = False
-    cluster.settle(term, 30)
+    cluster.run_rounds(term, 30)
     term.handle_heartbeat(delayed)
-    cluster.settle(term, 1)
-    assert json.loads(controller.users.poll(job_id).body)["tide"] == "done"
+    cluster.run_rounds(term, 1)
+    assert json.loads(controller.job_api.poll(job_id).body)["tide"] == "done"
 
 
 def test_token_that_no_leader_had_does_not_end_the_term() -> None:
@@ -116,10 +118,10 @@
     cluster, _controller, term = start_cluster(1)
     (worker,) = cluster.workers.values()
     worker.token = 1 << 50
-    assert term.handle_heartbeat(worker.report()) is None and not term.writer.is_leader()
+    assert term.handle_heartbeat(worker.next_heartbeat()) is None and not term.writer.is_leader()
     assert term.election.renew() and term.election.state is LeaderState.PAUSED
     term.election.change_state(LeaderState.LEADING, "test")
-    assert term.handle_heartbeat(worker.report()) is None and term.writer.is_leader()
+    assert term.handle_heartbeat(worker.next_heartbeat()) is None and term.writer.is_leader()
 
 
 def test_unreachable_machine_does_not_block_jobs_after_failover() -> None:
@@ -129,16 +131,16 @@
     """
     cluster, controller, term = start_cluster()
     unreachable, _other = cluster.workers.values()
-    job_id = cluster.accept(controller, shards=32)
-    cluster.settle(term, 3)
+    job_id = cluster.submit_job(controller, shards=32)
+    cluster.run_rounds(term, 3)
     make_unreachable(unreachable)
     cluster.clock.now += 13.0
     next_controller = InMemoryController(cluster, "node-1")
     next_term = next_controller.lead()
     for second in range(40):
-        cluster.settle(next_term, 1)
+        cluster.run_rounds(next_term, 1)
         if not second % 3:
-            next_term.handle_heartbeat(unreachable.report())
+            next_term.handle_heartbeat(unreachable.next_heartbeat())
     assert next_term.machine_reconciliation.all_reconciled and not next_term.registry.jobs[job_id].possible_holders
 
 
@@ -150,11 +152,11 @@
     """
     cluster, controller, term = start_cluster(1)
     (worker,) = cluster.workers.values()
-    job_id = cluster.accept(controller, shards=4)
-    cluster.settle(term, 3)
+    job_id = cluster.submit_job(controller, shards=4)
+    cluster.run_rounds(term, 3)
     worker.tasks.clear()
     if counts_start_over:
         worker.epoch, worker.sequence, worker.token = 1, 0, 0
-    cluster.settle(term, 5)
-    assert sorted(worker.running()) == [f"{job_id}/{i}" for i in range(4)]
-    assert len(worker.started) == 8  # each of the 4 tasks was started exactly once more
+    cluster.run_rounds(term, 5)
+    assert sorted(worker.running_tasks()) == [f"{job_id}/{i}" for i in range(4)]
+    assert len(worker.started_attempts) == 8  # each of the 4 tasks was started exactly once more
--- a/tests/leader/test_cancellation_scenarios.py
+++ b/tests/leader/test_cancellation_scenarios.py
@@ -17,32 +17,32 @@
 from grebestand.leader.job_audit import JobAudit
 from grebestand.leader.job_watch import JobWatch
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 from grebestand.state_machines import JobState
 from grebestand.wire.store import ChangeEvents
 
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
 def busy_cluster(loop: VirtualLoop, seed: int, task_s: float = 150.0) -> SimulatedCluster:
     """Start a cluster with many long tasks."""
     cluster = SimulatedCluster(loop, seed=seed, machines=12)
-    cluster.task_s = (0.8 * task_s, 1.2 * task_s)
+    cluster.task_duration_s = (0.8 * task_s, 1.2 * task_s)
     for _ in range(24):
         cluster.submit(cluster.rng.choice(["red", "blue"]), cluster.rng.randint(1, 4), 1.0)
     gevent.sleep(20)
-    assert len(cluster.starts) > 10 and not cluster.broken()
+    assert len(cluster.task_start_times) > 10 and not cluster.violations()
     return cluster
 
 
 def cancel_some_jobs(cluster: SimulatedCluster, share: float = 0.7) -> None:
     """Let the users of a share of the jobs cancel them now."""
     for job in cluster.jobs.values():
-        if not job.over and cluster.luck.random() < share:
+        if not job.is_finished and cluster.fault_rng.random() < share:
             job.cancel_at = min(job.cancel_at, cluster.loop.time)
 
 
@@ -50,14 +50,14 @@
     cluster: SimulatedCluster, link_mode: LinkMode, gap_s: float, outage_s: float, refused_s: float = 14.0
 ) -> None:
     """Cut the leader alone off from the store while users cancel elsewhere; then nobody is served."""
-    (first,) = cluster.leading()
-    cluster.links.set(first, STATE, link_mode)
-    gevent.spawn_later(refused_s, cluster.links.set, first, STATE, LinkMode.OPEN)
+    (first,) = cluster.current_leaders()
+    cluster.links.set_mode(first, STATE, link_mode)
+    gevent.spawn_later(refused_s, cluster.links.set_mode, first, STATE, LinkMode.OPEN)
     cancel_some_jobs(cluster)
     gevent.sleep(gap_s)
-    cluster.store.down = True
+    cluster.store.unavailable = True
     gevent.sleep(outage_s)
-    cluster.store.down = False
+    cluster.store.unavailable = False
 
 
 @pytest.mark.parametrize("link_mode", [LinkMode.REFUSED, LinkMode.HELD])
@@ -70,13 +70,13 @@
 ) -> None:
     cluster = busy_cluster(loop, seed=round(gap_s * 10 + outage_s))
     if not relay:
-        for source in cluster.controllers:
-            for target in cluster.controllers:
-                cluster.links.set(source, target, LinkMode.REFUSED)
+        for source in cluster.controller_names:
+            for target in cluster.controller_names:
+                cluster.links.set_mode(source, target, LinkMode.REFUSED)
     store_gap(cluster, link_mode, gap_s, outage_s)
-    cluster.links.heal()
+    cluster.links.open_all()
     assert [j for j in cluster.jobs.values() if j.cancelled_at is not None]
-    assert cluster.settled(400.0) == []
+    assert cluster.wait_until_settled(400.0) == []
 
 
 def test_cancelled_tasks_end_in_time_after_two_store_gaps(loop: VirtualLoop) -> None:
@@ -84,7 +84,7 @@
     store_gap(cluster, LinkMode.REFUSED, 2.0, 63.0)
     gevent.sleep(21)
     store_gap(cluster, LinkMode.REFUSED, 1.5, 63.0)
-    assert cluster.settled(400.0) == []
+    assert cluster.wait_until_settled(400.0) == []
 
 
 def delay_watches(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -123,14 +123,14 @@
 def resume_after_outage(loop: VirtualLoop) -> list[str]:
     """Run a leader that keeps its key through refusals and an outage; return the rules that were broken."""
     cluster = SimulatedCluster(loop, seed=1, machines=48)
-    cluster.task_s = (100.0, 160.0)
+    cluster.task_duration_s = (100.0, 160.0)
     for _ in range(60):
         cluster.submit(cluster.rng.choice(["red", "blue"]), cluster.rng.randint(1, 6), 1.0)
     gevent.sleep(20)
     store_gap(cluster, LinkMode.REFUSED, 1.2, 63.0, refused_s=8.0)
     gevent.sleep(40)
-    assert len(cluster.leaders) == 1  # it is the same term
-    return cluster.broken()
+    assert len(cluster.leader_history) == 1  # it is the same term
+    return cluster.violations()
 
 
 def test_resumed_leader_reads_before_it_answers(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -149,8 +149,8 @@
 def run_with_silent_watches(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Run a leader whose lease is renewed and whose watches are never answered, while users cancel elsewhere."""
     cluster = busy_cluster(loop, seed=3)
-    (first,) = cluster.leading()
-    controller = cluster.nodes[first]
+    (first,) = cluster.current_leaders()
+    controller = cluster.controllers[first]
     assert controller is not None
     changes = controller.store.changes
 
@@ -162,7 +162,7 @@
     cancel_some_jobs(cluster)
     gevent.sleep(80)
     controller.store.changes = changes  # type: ignore[method-assign]
-    return cluster.broken()
+    return cluster.violations()
 
 
 def test_leader_without_watch_answers_lets_leases_expire(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -184,54 +184,54 @@
         cluster.crash(first)
         gevent.spawn_later(0.2 if fault == "back at once" else 8.0, cluster.start, first)
     elif fault == "freeze":
-        cluster.freeze(first, 50.0)
+        cluster.pause(first, 50.0)
     elif fault == "deaf":
         for machine in affected:
-            machine.deaf_to = frozenset({first})
+            machine.unheard_controllers = frozenset({first})
     elif fault == "hang":
         for machine in affected:
-            machine.hung = True
+            machine.is_hung = True
 
 
 @pytest.mark.parametrize("fault", ["crash", "back at once", "freeze", "deaf", "hang", "successor"])
 def test_further_fault_inside_store_gap(loop: VirtualLoop, fault: str) -> None:
     cluster = busy_cluster(loop, seed=11)
-    (first,) = cluster.leading()
+    (first,) = cluster.current_leaders()
     gevent.spawn_later(20.0, inject_fault, cluster, first, fault)
     if fault == "successor":
         # nor does any controller reach it, so that another one leads before the outage and again after it
-        for other in cluster.controllers:
-            cluster.links.set(first, other, LinkMode.HELD)
+        for other in cluster.controller_names:
+            cluster.links.set_mode(first, other, LinkMode.HELD)
         store_gap(cluster, LinkMode.REFUSED, 16.0, 63.0, refused_s=30.0)
     else:
         store_gap(cluster, LinkMode.REFUSED, 2.0, 63.0)
     gevent.sleep(20)
-    cluster.links.heal()
+    cluster.links.open_all()
     for machine in cluster.machines.values():
-        machine.hung, machine.deaf_to = False, frozenset()
-    assert cluster.settled(400.0) == []
+        machine.is_hung, machine.unheard_controllers = False, frozenset()
+    assert cluster.wait_until_settled(400.0) == []
 
 
 @pytest.mark.parametrize("shape", ["array", "ensemble"])
 def test_cancelled_queued_jobs_and_gangs_end_in_time(loop: VirtualLoop, shape: str) -> None:
     cluster = SimulatedCluster(loop, seed=7, machines=12)
-    cluster.task_s = (60.0, 90.0)
+    cluster.task_duration_s = (60.0, 90.0)
     for _ in range(40):
         cluster.submit("red", cluster.rng.randint(2, 8), 1.0, shape=shape)
     gevent.sleep(12)
     store_gap(cluster, LinkMode.HELD, 3.0, 70.0)
-    cluster.links.heal()
-    assert cluster.settled(500.0 if shape == "array" else 900.0) == []
+    cluster.links.open_all()
+    assert cluster.wait_until_settled(500.0 if shape == "array" else 900.0) == []
 
 
 def test_late_writes_and_slow_answers_around_store_gap(loop: VirtualLoop) -> None:
     cluster = busy_cluster(loop, seed=9)
-    cluster.late_writes, cluster.slow_s = 0.3, 0.8
+    cluster.late_write_rate, cluster.max_response_delay_s = 0.3, 0.8
     store_gap(cluster, LinkMode.REFUSED, 4.0, 40.0)
     gevent.sleep(10)
-    cluster.late_writes = cluster.slow_s = 0.0
-    cluster.links.heal()
-    assert cluster.settled(400.0) == []
+    cluster.late_write_rate = cluster.max_response_delay_s = 0.0
+    cluster.links.open_all()
+    assert cluster.wait_until_settled(400.0) == []
 
 
 @pytest.mark.parametrize(
@@ -242,7 +242,7 @@
 ) -> None:
     """Broken on purpose: every poll gets the same answer."""
     cluster = SimulatedCluster(loop, seed=2, machines=4)
-    cluster.task_s = (60.0, 90.0)
+    cluster.task_duration_s = (60.0, 90.0)
     job_id = cluster.submit("blue", 3)
     gevent.sleep(10)
     if cancels:
@@ -251,12 +251,12 @@
     same = Response(200, json.dumps({"ref": job_id, "tide": tide, "done": 0, "running": 0}).encode())
     monkeypatch.setattr(JobApi, "poll", lambda self, job_id: same)
     gevent.sleep(20)
-    assert any(found in text for text in cluster.broken())
+    assert any(found in text for text in cluster.violations())
 
 
 def test_hint_of_cancellation_stops_job_and_malformed_hint_changes_nothing(loop: VirtualLoop) -> None:
     cluster = busy_cluster(loop, seed=4)
-    controller = cluster.nodes[cluster.leading()[0]]
+    controller = cluster.controllers[cluster.current_leaders()[0]]
     assert controller is not None and controller.term is not None
     job_id = next(r for r, j in controller.term.registry.jobs.items() if j.allocations)
     status = {"name": "node-9", "token": 0, "state_age_s": 0.1}
--- a/tests/leader/test_cancellations.py
+++ b/tests/leader/test_cancellations.py
@@ -15,10 +15,10 @@
     cluster = InMemoryCluster()
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    worker = cluster.worker("n-1")
+    worker = cluster.add_worker("n-1")
     worker.token = 3
     worker.tasks["j-000007/0"] = TaskStatus("j-000007/0", 5, TaskPhase.RUNNING)
-    response = term.handle_heartbeat(worker.report())
+    response = term.handle_heartbeat(worker.next_heartbeat())
     assert response is not None and [(c.op, c.task) for c in response.commands] == [("stop", "j-000007/0")]
 
 
@@ -27,19 +27,19 @@
     """Cancelled through another controller: its machine is answered while that is allowed, then stopped first."""
     cluster = InMemoryCluster()
     controller, other = InMemoryController(cluster, "node-0"), InMemoryController(cluster, "node-1")
-    worker = cluster.worker("n-000000")
+    worker = cluster.add_worker("n-000000")
     term = controller.lead()
     controller.election.cancellation_horizon.max_age_s = 29.0
-    cluster.settle(term, 3)
-    job_id = cluster.accept(controller, shape="ensemble", shards=2, stowS=4.0, markS=5.0)
-    cluster.settle(term, 3)
-    for task in worker.running():
+    cluster.run_rounds(term, 3)
+    job_id = cluster.submit_job(controller, shape="ensemble", shards=2, stowS=4.0, markS=5.0)
+    cluster.run_rounds(term, 3)
+    for task in worker.running_tasks():
         worker.tasks[task].state = state
     cluster.handle_heartbeat(term, worker)
-    assert json.loads(other.users.cancel(job_id).body)["tide"] == "cancelled"
+    assert json.loads(other.job_api.cancel(job_id).body)["tide"] == "cancelled"
     cluster.clock.now += 28.0
     controller.election.authority_until = cluster.clock.now + 10.0  # its lease is renewed, and it learns nothing
-    assert cluster.handle_heartbeat(term, worker) is not None and len(worker.running()) == 2
+    assert cluster.handle_heartbeat(term, worker) is not None and len(worker.running_tasks()) == 2
     cluster.clock.now += 2.0
     assert cluster.handle_heartbeat(term, worker) is None
     term.job_watch.catch_up()
@@ -48,4 +48,4 @@
     (machine,) = term.inventory.machines
     term.machine_reconciliation.send_stops(machine)
     assert cluster.handle_heartbeat(term, worker) is not None
-    assert not worker.running() and job_id not in term.registry.jobs
+    assert not worker.running_tasks() and job_id not in term.registry.jobs
--- a/tests/leader/test_election.py
+++ b/tests/leader/test_election.py
@@ -19,7 +19,7 @@
     cluster, controller, term, (worker,) = start_cluster(1)
     _successor, _new_term = fail_over(cluster, "node-1")
     # its clock says so first
-    assert term.handle_heartbeat(worker.report()) is None
+    assert term.handle_heartbeat(worker.next_heartbeat()) is None
     # and if that clock were wrong, the store would refuse its write
     controller.election.authority_until = cluster.clock.now + 100
     with pytest.raises(FencedError):
@@ -31,21 +31,21 @@
 def test_leader_pauses_in_store_outage_and_resumes_with_same_token() -> None:
     cluster, controller, term, (worker,) = start_cluster(1)
     token = controller.election.token
-    cluster.store.down = True
+    cluster.store.unavailable = True
     cluster.clock.now += 5.0
     assert not controller.election.renew()
-    assert isinstance(term.handle_heartbeat(worker.report()), HeartbeatResponse)
+    assert isinstance(term.handle_heartbeat(worker.next_heartbeat()), HeartbeatResponse)
     cluster.clock.now += 8.0
     controller.election.check_clock()
     assert controller.election.state is LeaderState.PAUSED
-    assert term.handle_heartbeat(worker.report()) is None
-    cluster.store.down = False
-    for lease_id in cluster.store.holds:  # after an outage all leases have their full time again
-        cluster.store.holds[lease_id] = (12.0, cluster.clock.now + 12.0)
+    assert term.handle_heartbeat(worker.next_heartbeat()) is None
+    cluster.store.unavailable = False
+    for lease_id in cluster.store.leases:  # after an outage all leases have their full time again
+        cluster.store.leases[lease_id] = (12.0, cluster.clock.now + 12.0)
     assert controller.election.renew()
     controller.election.change_state(LeaderState.LEADING, "test")
     assert controller.election.token == token
-    assert isinstance(term.handle_heartbeat(worker.report()), HeartbeatResponse)
+    assert isinstance(term.handle_heartbeat(worker.next_heartbeat()), HeartbeatResponse)
 
 
 def test_restarted_controller_takes_own_key_with_higher_token() -> None:
@@ -63,7 +63,7 @@
     """Used where workers or the state service reach others but not the leader."""
     cluster, controller, term, (worker,) = start_cluster(1)
     token = controller.election.resign("no worker reports", 20.0)
-    assert term.handle_heartbeat(worker.report()) is None  # nothing more is answered, whatever the key says
+    assert term.handle_heartbeat(worker.next_heartbeat()) is None  # nothing more is answered, whatever the key says
     peer = InMemoryController(cluster, "node-1")
     peer.election.clear_key(token)
     peer.lead()
--- a/tests/leader/test_job_audit_repairs.py
+++ b/tests/leader/test_job_audit_repairs.py
@@ -7,8 +7,8 @@
 
 def test_task_left_on_a_deleted_machine_runs_again() -> None:
     cluster, controller, term = start_cluster(2)
-    job_id = cluster.accept(controller, shards=2)
-    cluster.settle(term, 2)
+    job_id = cluster.submit_job(controller, shards=2)
+    cluster.run_rounds(term, 2)
     job = term.registry.jobs[job_id]
     allocation = next(iter(job.allocations.values()))
     machine = term.inventory.find_by_index(allocation.machine_index)
@@ -18,69 +18,72 @@
     term.deprovisioning._remove([machine.name])
     for _ in range(6):
         term.job_audit.step()
-        cluster.settle(term, 2)
+        cluster.run_rounds(term, 2)
     assert term.job_audit.defects_repaired == 1 and len(cluster.workers) == 1
-    running = sorted(task for worker in cluster.workers.values() for task in worker.running())
+    running = sorted(task for worker in cluster.workers.values() for task in worker.running_tasks())
     assert running == [f"{job_id}/0", f"{job_id}/1"]
 
 
 def test_job_of_an_unread_record_runs_once_it_can_run_nowhere_else() -> None:
     cluster, controller, term = start_cluster(2)
-    job_id = cluster.accept(controller, shards=2)
+    job_id = cluster.submit_job(controller, shards=2)
     job = term.registry.jobs.pop(job_id)  # broken on purpose
     term.registry.teams[job.team_index].used[:] = [0, 0]
     for _ in range(20):
-        cluster.settle(term, 1)
+        cluster.run_rounds(term, 1)
         term.job_audit.step()
-    assert term.job_audit.defects_repaired == 1 and not any(worker.running() for worker in cluster.workers.values())
+    assert term.job_audit.defects_repaired == 1 and not any(
+        worker.running_tasks() for worker in cluster.workers.values()
+    )
     for _ in range(20):
-        cluster.settle(term, 1)
+        cluster.run_rounds(term, 1)
         term.job_audit.step()
     assert (
-        sum(len(worker.running()) for worker in cluster.workers.values()) == 2 and term.job_audit.defects_repaired == 1
+        sum(len(worker.running_tasks()) for worker in cluster.workers.values()) == 2
+        and term.job_audit.defects_repaired == 1
     )
 
 
 def test_job_without_a_record_does_not_go_on() -> None:
     cluster, controller, term = start_cluster(1)
-    job_id = cluster.accept(controller, shards=2)
-    cluster.settle(term, 2)
+    job_id = cluster.submit_job(controller, shards=2)
+    cluster.run_rounds(term, 2)
     cluster.store.data.pop(f"live/{job_id}")  # removed, and the watch told nothing
-    cluster.settle(term, 1)
+    cluster.run_rounds(term, 1)
     for _ in range(4):
         term.job_audit.step()
-        cluster.settle(term, 2)
-    assert job_id not in term.registry.jobs and not cluster.workers["n-000000"].running()
+        cluster.run_rounds(term, 2)
+    assert job_id not in term.registry.jobs and not cluster.workers["n-000000"].running_tasks()
 
 
 def test_task_in_no_list_is_found() -> None:
     cluster, controller, term = start_cluster(1)
-    job_id = cluster.accept(controller, shards=40)
-    cluster.settle(term, 2)
+    job_id = cluster.submit_job(controller, shards=40)
+    cluster.run_rounds(term, 2)
     job = term.registry.jobs[job_id]
     job.first_unallocated = 40  # broken on purpose: passed over
     worker = cluster.workers["n-000000"]
     for _ in range(16):
-        for task in worker.running()[:1]:
-            worker.finish(task)
-        cluster.settle(term, 1)
-    before = len(worker.started)
+        for task in worker.running_tasks()[:1]:
+            worker.finish_task(task)
+        cluster.run_rounds(term, 1)
+    before = len(worker.started_attempts)
     for _ in range(90):
-        cluster.settle(term, 1)
+        cluster.run_rounds(term, 1)
         term.job_audit.step()
-    assert term.job_audit.defects_repaired == 1 and len(worker.started) > before
+    assert term.job_audit.defects_repaired == 1 and len(worker.started_attempts) > before
 
 
 def test_healthy_jobs_are_left_alone() -> None:
     cluster, controller, term = start_cluster(2)
     for shards in (1, 30, 200):
-        cluster.accept(controller, shards=shards, ramGb=0.1)
-    cluster.accept(controller, shape="ensemble", shards=2, cpus=15.0)
+        cluster.submit_job(controller, shards=shards, ramGb=0.1)
+    cluster.submit_job(controller, shape="ensemble", shards=2, cpus=15.0)
     for second in range(120):
         for worker in cluster.workers.values():
             if second % 3 == 0:
-                for task in worker.running()[:2]:
-                    worker.finish(task)
-        cluster.settle(term, 1)
+                for task in worker.running_tasks()[:2]:
+                    worker.finish_task(task)
+        cluster.run_rounds(term, 1)
         term.job_audit.step()
     assert not term.job_audit.defects_repaired
--- a/tests/leader/test_job_completion.py
+++ b/tests/leader/test_job_completion.py
@@ -17,14 +17,14 @@
     assert polled_state(controller, job_id) == "done"
     assert job_id not in term.registry.jobs
     fresh = InMemoryController(cluster, "node-9")
-    assert fresh.users.submit(cluster.job(ref=job_id)).status == 200
-    assert json.loads(fresh.users.cancel(job_id).body)["tide"] == "done"
+    assert fresh.job_api.submit(cluster.submission_body(ref=job_id)).status == 200
+    assert json.loads(fresh.job_api.cancel(job_id).body)["tide"] == "done"
 
 
 def test_store_decides_between_done_and_cancelled() -> None:
     cluster, controller, term, job_id = start_finished_job()
     other = InMemoryController(cluster, "node-1")
-    assert json.loads(other.users.cancel(job_id).body)["tide"] == "cancelled"
+    assert json.loads(other.job_api.cancel(job_id).body)["tide"] == "cancelled"
     term.job_completion.complete_jobs()
     assert polled_state(controller, job_id) == "cancelled"
     assert not term.registry.closing_jobs
@@ -32,7 +32,7 @@
 
 def test_completion_continues_after_lost_answer() -> None:
     cluster, controller, term, job_id = start_finished_job()
-    cluster.store.lose_answers = 1
+    cluster.store.responses_to_drop = 1
     with pytest.raises(Exception, match="lost"):
         term.job_completion.complete_jobs()
     term.job_completion.complete_jobs()
@@ -41,9 +41,9 @@
 
 def test_gang_is_done_with_its_first_done_task() -> None:
     cluster, controller, term, workers = start_cluster(2)
-    job_id = cluster.accept(controller, shape="ensemble", shards=2, cpus=15.0)
-    cluster.settle(term)
-    workers[0].finish(f"{job_id}/{workers[0].running()[0].split('/')[1]}")
+    job_id = cluster.submit_job(controller, shape="ensemble", shards=2, cpus=15.0)
+    cluster.run_rounds(term)
+    workers[0].finish_task(f"{job_id}/{workers[0].running_tasks()[0].split('/')[1]}")
     cluster.handle_heartbeat(term, workers[0])
     term.job_completion.complete_jobs()
     assert polled_state(controller, job_id) == "done"
@@ -52,11 +52,11 @@
 def test_finished_jobs_leave_no_memory_and_few_records() -> None:
     cluster, controller, term, (worker,) = start_cluster(1)
     for _ in range(30):
-        job_id = cluster.accept(controller)
-        cluster.settle(term, 7)
-        worker.finish(f"{job_id}/0")
-        cluster.settle(term, 1)
-    cluster.settle(term, 2)
+        job_id = cluster.submit_job(controller)
+        cluster.run_rounds(term, 7)
+        worker.finish_task(f"{job_id}/0")
+        cluster.run_rounds(term, 1)
+    cluster.run_rounds(term, 2)
     assert not term.registry.jobs and not worker.tasks
     assert not [k for k in cluster.store.data if k.startswith("live/")]
     assert len(term.progress.pages) == len(term.grants.pages) == 0
--- a/tests/leader/test_job_watch.py
+++ b/tests/leader/test_job_watch.py
@@ -28,9 +28,9 @@
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
     before = term.job_watch.watched
-    job_id = cluster.accept(controller)
+    job_id = cluster.submit_job(controller)
     early = controller.store.changes("live/", before, 0)
-    controller.users.cancel(job_id)
+    controller.job_api.cancel(job_id)
     term.job_watch.catch_up()
     monkeypatch.setattr(controller.store, "changes", lambda *_: early)
     with pytest.raises(StoreError):  # and it is an earlier state than is known
--- a/tests/leader/test_malformed_provider_responses.py
+++ b/tests/leader/test_malformed_provider_responses.py
@@ -26,5 +26,5 @@
         cluster.store.request = lambda *_, answer=answer: (200, answer)  # type: ignore[method-assign]
         with pytest.raises(StoreError):
             term.job_watch.watch()
-        assert controller.users.poll("j-000077").status == 503
+        assert controller.job_api.poll("j-000077").status == 503
     assert term.writer.is_leader() and len(term.inventory.machines) == 1
--- a/tests/leader/test_provisioning.py
+++ b/tests/leader/test_provisioning.py
@@ -6,7 +6,7 @@
 
 from grebestand.flow_control.rate_limiter import Urgency
 from grebestand.leader.provisioning import PoolKey
-from grebestand.simulation.single_controller_cluster import SETTINGS, TYPES, InMemoryCluster, InMemoryController
+from grebestand.simulation.single_controller_cluster import MACHINE_TYPES, SETTINGS, InMemoryCluster, InMemoryController
 from grebestand.wire.store import Change, Condition
 from support.single_leader import fail_over
 
@@ -15,17 +15,17 @@
     cluster = InMemoryCluster(rules="rent = true\n")
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    cluster.accept(controller, shards=20)
+    cluster.submit_job(controller, shards=20)
     term.scheduling_loop.step(cluster.clock.now)
-    cluster.cloud.lose_answers = 1
+    cluster.cloud.responses_to_drop = 1
     with pytest.raises(Exception, match="lost"):
         term.step_machines()
     assert len([k for k in cluster.store.data if k.startswith("rent/")]) == 1
-    (name,) = cluster.cloud.requests
+    (name,) = cluster.cloud.rentals
     _successor, new_term = fail_over(cluster, "node-1")
     assert name in new_term.provisioning.unsettled
     new_term.step_machines()
-    assert set(new_term.provisioning.expected) >= set(cluster.cloud.requests[name])
+    assert set(new_term.provisioning.expected) >= set(cluster.cloud.rentals[name])
     new_term.provisioning.delete_settled_records()
     assert f"rent/{name}" not in cluster.store.data
 
@@ -33,13 +33,13 @@
 def test_whole_shortage_is_requested_in_one_step() -> None:
     """At one request a step, a day that began with half its machines took 20 s to ask for the rest."""
     cluster = InMemoryCluster(SETTINGS.replace("cpus_max = 64.0", "cpus_max = 6400.0"), rules="rent = true\n")
-    cluster.worker("n-000000")
+    cluster.add_worker("n-000000")
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    term.inventory.set_machine_types(TYPES)
-    cluster.settle(term, 2)
-    cluster.accept(controller, shards=240, cpus=4.0, ramGb=1.0)
-    cluster.cloud.capacity = 12
+    term.inventory.set_machine_types(MACHINE_TYPES)
+    cluster.run_rounds(term, 2)
+    cluster.submit_job(controller, shards=240, cpus=4.0, ramGb=1.0)
+    cluster.cloud.free_capacity = 12
     cluster.clock.now += 6.0
     term.scheduling_loop.step(cluster.clock.now)
     lack = max(s.count for s in term.scheduler.scale_out.shortages)
@@ -68,12 +68,12 @@
         return commit(conditions, changes, urgency, timeout)
 
     monkeypatch.setattr(term.writer.store, "commit", watched)
-    term.inventory.set_machine_types(TYPES)
-    cluster.accept(controller, shards=200)
+    term.inventory.set_machine_types(MACHINE_TYPES)
+    cluster.submit_job(controller, shards=200)
     cluster.clock.now += 10.0
     term.scheduling_loop.step(cluster.clock.now)
     term.step_machines()
-    assert cluster.cloud.requests
-    cluster.worker("n-000100")
-    cluster.settle(term, 4)
+    assert cluster.cloud.rentals
+    cluster.add_worker("n-000100")
+    cluster.run_rounds(term, 4)
     assert urgencies["rent"] < urgencies["grants"]
--- a/tests/leader/test_scheduling_loop.py
+++ b/tests/leader/test_scheduling_loop.py
@@ -14,23 +14,23 @@
 def test_heartbeat_fills_freed_capacity_between_passes() -> None:
     """On hundreds of machines a full pass at each report took the leader's whole core."""
     cluster, controller, term, (worker,) = start_cluster(1)
-    job_id = cluster.accept(controller, shards=40, cpus=1.0, ramGb=1.0)
-    cluster.settle(term, 3)
-    assert len(worker.running()) == 16
+    job_id = cluster.submit_job(controller, shards=40, cpus=1.0, ramGb=1.0)
+    cluster.run_rounds(term, 3)
+    assert len(worker.running_tasks()) == 16
     term.scheduling_loop.next_pass_at = term.scheduling_loop.next_targets_at = cluster.clock.now + 100.0
-    for task in worker.running()[:4]:
-        worker.finish(task)
+    for task in worker.running_tasks()[:4]:
+        worker.finish_task(task)
     cluster.clock.now += 1.0
     cluster.handle_heartbeat(term, worker)
-    assert len(worker.running()) == 16 and len(worker.started) == 20
+    assert len(worker.running_tasks()) == 16 and len(worker.started_attempts) == 20
     # what a user cancels meanwhile is not started from the old queue
-    assert controller.users.cancel(job_id).status == 200
+    assert controller.job_api.cancel(job_id).status == 200
     term.job_watch.watch()
-    worker.finish(worker.running()[0])
+    worker.finish_task(worker.running_tasks()[0])
     cluster.clock.now += 1.0
-    before = len(worker.started)
+    before = len(worker.started_attempts)
     cluster.handle_heartbeat(term, worker)
-    assert len(worker.started) == before
+    assert len(worker.started_attempts) == before
 
 
 def test_pass_is_followed_by_proportional_rest() -> None:
@@ -56,7 +56,7 @@
 def test_pass_that_outlasts_authority_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """A controller that is stopped or slowed down while it computes finds out only when it looks at its clock."""
     cluster, controller, term, (worker,) = start_cluster(1)
-    job_id = cluster.accept(controller)
+    job_id = cluster.submit_job(controller)
     full_pass_steps = term.scheduler.full_pass_steps
 
     def late(now: float) -> Steps:
@@ -65,4 +65,4 @@
 
     monkeypatch.setattr(term.scheduler, "full_pass_steps", late)
     assert cluster.handle_heartbeat(term, worker) is None
-    assert term.registry.jobs[job_id].allocations[0].state is AllocationState.QUEUED and not worker.started
+    assert term.registry.jobs[job_id].allocations[0].state is AllocationState.QUEUED and not worker.started_attempts
--- a/tests/leader/test_status_broadcast.py
+++ b/tests/leader/test_status_broadcast.py
@@ -11,17 +11,17 @@
 def test_successor_knows_cached_images() -> None:
     """Reports do not tell; without this a successor sent gangs to machines that had to fetch for half a minute."""
     cluster, controller, term, (connected, cut_off) = start_cluster()
-    first = cluster.accept(controller, cargo="big", pullGb=40.0)
-    cluster.settle(term, 3)
-    with_image, without_image = (connected, cut_off) if connected.running() else (cut_off, connected)
-    with_image.finish(f"{first}/0")
-    cluster.settle(term, 4)
+    first = cluster.submit_job(controller, cargo="big", pullGb=40.0)
+    cluster.run_rounds(term, 3)
+    with_image, without_image = (connected, cut_off) if connected.running_tasks() else (cut_off, connected)
+    with_image.finish_task(f"{first}/0")
+    cluster.run_rounds(term, 4)
     sent_images = msgspec.msgpack.decode(
         msgspec.msgpack.encode(term.status_broadcast.cached_images()), type=CachedImages
     )
     successor, new_term = fail_over(cluster, "node-1")
     new_term.status_broadcast.restore_cached_images(sent_images)
-    cluster.settle(new_term, 3)
-    second = cluster.accept(successor, cargo="big", pullGb=40.0)
-    cluster.settle(new_term, 3)
-    assert with_image.running() == [f"{second}/0"] and not without_image.running()
+    cluster.run_rounds(new_term, 3)
+    second = cluster.submit_job(successor, cargo="big", pullGb=40.0)
+    cluster.run_rounds(new_term, 3)
+    assert with_image.running_tasks() == [f"{second}/0"] and not without_image.running_tasks()
--- a/tests/leader/test_unbooted_machines.py
+++ b/tests/leader/test_unbooted_machines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from grebestand.simulation.single_controller_cluster import TYPES
+from grebestand.simulation.single_controller_cluster import MACHINE_TYPES
 from support.heartbeat_clusters import listed_machine, start_cluster
 
 
@@ -13,21 +13,21 @@
 
     def rented(names: list[str], wanted: dict[str, object]) -> None:
         requests.append(wanted)
-        cluster.cloud.listed += [listed_machine(name, 0.0, str(wanted["quay"])) for name in names]
+        cluster.cloud.listed_machines += [listed_machine(name, 0.0, str(wanted["quay"])) for name in names]
 
-    cluster.cloud.rented = rented
-    cluster.accept(controller, shards=30, cpus=1.0)
+    cluster.cloud.on_rented = rented
+    cluster.submit_job(controller, shards=30, cpus=1.0)
     times = []
     for _ in range(170):
-        cluster.settle(term, 1)
-        for entry in cluster.cloud.listed:
+        cluster.run_rounds(term, 1)
+        for entry in cluster.cloud.listed_machines:
             entry["heldS"] = float(entry["heldS"]) + 1.0
         before = len(requests)
         term.step_machines()
         times += [cluster.clock.now] * (len(requests) - before)
-    boot = TYPES[0].boot_s
+    boot = MACHINE_TYPES[0].boot_s
     assert times[1] - times[0] < 2.5 * boot  # replaced, not after they were given up
     assert len({wanted["quay"] for wanted in requests[:2]}) == 2
-    first = next(iter(cluster.cloud.requests.values()))
-    assert set(first) <= set(cluster.cloud.deleted)  # and no longer paid
+    first = next(iter(cluster.cloud.rentals.values()))
+    assert set(first) <= set(cluster.cloud.deleted_machines)  # and no longer paid
     assert len(requests) <= 6  # no herd
--- a/tests/load_test/test_scale_run.py
+++ b/tests/load_test/test_scale_run.py
@@ -159,7 +159,7 @@
 
 
 def put(meeting: GangRendezvous, **more: Any) -> str:
-    spec = decode_spec(InMemoryCluster().job(pullGb=0.0, **more))
+    spec = decode_spec(InMemoryCluster().submission_body(pullGb=0.0, **more))
     line = dial(meeting.address, lambda message: None, lambda: None)
     line.say("put", spec)
     until(lambda: spec.id in meeting.specs)
@@ -176,7 +176,7 @@
     said = {(s["shard"], s["launch"]): s.get("wake") for s in controllers.reports[-1]["shards"]}
     assert said == {(f"{ident}/0", 1): "done", ("j-77/0", 1): "no_such", (f"{ident}/0", 2): "busy"}
     assert [(r.what, r.why) for r in process.rows] == [("on", ""), ("run", ""), ("off", "done")]
-    assert len(meeting.cloud.listed) == 1 and (ident, 0) in meeting.results
+    assert len(meeting.cloud.listed_machines) == 1 and (ident, 0) in meeting.results
     # directly: a lower token or another session changes nothing, and no lease is renewed
     ask = Connection(process.machines["n-1"].addr, Traffic())
     forget = {"signal": "forget", "shard": f"{ident}/0", "launch": 1}
@@ -258,7 +258,7 @@
     assert {"leader", "state", "hollow-0", "worker", "users"} <= set(found["windows"]["whole"]["roles"])
     assert not [h for h in found["hollow"].values() if h["faults"]]
     assert not any(p.alive for p in run.parts.values())
-    assert run.controllers is not None and not any(run.controllers.alive(n) for n in run.controllers.names)
+    assert run.controllers is not None and not any(run.controllers.is_running(n) for n in run.controllers.names)
 
 
 def test_bounds_of_the_scale_run_are_said(capsys: pytest.CaptureFixture[str]) -> None:
