--- a/tests/scenarios/test_cancellation_during_failover.py
+++ b/tests/scenarios/test_cancellation_during_failover.py
@@ -10,9 +10,9 @@
 from grebestand.leader.cancellation_horizon import MAX_AGE_FOR_STARTS_S, CancellationHorizon
 from grebestand.leader.durable_grants import DurableGrants
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 from grebestand.storage.leader_records import GrantRecord
-from support.cluster_actions import CHANGES, back, change, heal
+from support.cluster_actions import LEADER_CHANGES, change_leader, end_faults, start_if_stopped
 
 #: commands to a worker may be under way for this long
 COMMAND_DELAY_S = 4.0
@@ -20,35 +20,39 @@
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
 @pytest.mark.parametrize("twice", [False, True])
-@pytest.mark.parametrize("how", CHANGES)
+@pytest.mark.parametrize("how", LEADER_CHANGES)
 def test_jobs_cancelled_during_failover_end(loop: VirtualLoop, how: str, twice: bool) -> None:
     """Before, in and after it, fifty milliseconds apart; also those accepted and cancelled within that time."""
     world = SimulatedCluster(loop, seed=34, machines=10)
-    world.close_looks = True
-    world.task_s = (30.0, 60.0)
+    world.burst_requests = True
+    world.task_duration_s = (30.0, 60.0)
     for _ in range(60):
         world.submit(world.rng.choice(["red", "blue"]), 2, 1.0)
     gevent.sleep(12)
     for number, job_id in enumerate(list(world.jobs)):
         world.jobs[job_id].cancel_at = world.loop.time + 0.05 * number
-        gevent.spawn_later(0.05 * number + 0.001, world._ask, "cancel", job_id, world.rng.choice(world.controllers))
+        gevent.spawn_later(
+            0.05 * number + 0.001, world._send_request, "cancel", job_id, world.rng.choice(world.controller_names)
+        )
     gevent.sleep(1.0)
-    change(world, how)
+    change_leader(world, how)
     for number in range(30):
         gevent.sleep(0.1)
         job_id = world.submit("blue", 2, 1.0)
         world.jobs[job_id].cancel_at = world.loop.time + 0.1 * (number % 10)
         if twice and number == 12:
-            change(world, how)
+            change_leader(world, how)
     gevent.sleep(20)
-    heal(world)
-    assert world.settled(300.0) == []
-    assert max((seconds for seconds, _ in world.after_cancel), default=0.0) < 1.0, world.after_cancel
+    end_faults(world)
+    assert world.wait_until_settled(300.0) == []
+    assert max((seconds for seconds, _ in world.starts_after_cancellation), default=0.0) < 1.0, (
+        world.starts_after_cancellation
+    )
 
 
 # a leader that does not hear of cancellations -------------------------------------------------------------
@@ -66,19 +70,19 @@
     """Cut a leader off from the store and its peers, not from its workers, and cancel its job through its peers."""
     grant_whole_jobs(monkeypatch)
     world = SimulatedCluster(loop, seed=38, machines=10)
-    world.task_s = (2.0, 5.0)
+    world.task_duration_s = (2.0, 5.0)
     world.submit("blue", 2000, 1.0)
     gevent.sleep(12)
-    (leader,) = world.leading()
-    followers = [name for name in world.controllers if name != leader]
+    (leader,) = world.current_leaders()
+    followers = [name for name in world.controller_names if name != leader]
     for other_end in (STATE, *followers):
-        world.links.set(leader, other_end, mode)
+        world.links.set_mode(leader, other_end, mode)
     gevent.sleep(1.0)
     for job_id in world.jobs:
         world.jobs[job_id].cancel_at = world.loop.time
-        gevent.spawn(world._ask, "cancel", job_id, world.rng.choice(followers))
+        gevent.spawn(world._send_request, "cancel", job_id, world.rng.choice(followers))
     gevent.sleep(25)
-    heal(world)
+    end_faults(world)
     return world
 
 
@@ -87,15 +91,18 @@
     loop: VirtualLoop, mode: LinkMode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = cancel_while_leader_is_alone(loop, mode, monkeypatch)
-    assert max((seconds for seconds, _ in world.after_cancel), default=0.0) < MAX_AGE_FOR_STARTS_S + COMMAND_DELAY_S
-    assert world.settled(100.0) == []
+    assert (
+        max((seconds for seconds, _ in world.starts_after_cancellation), default=0.0)
+        < MAX_AGE_FOR_STARTS_S + COMMAND_DELAY_S
+    )
+    assert world.wait_until_settled(100.0) == []
 
 
 def test_starts_on_old_knowledge_are_found(loop: VirtualLoop, monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose."""
     monkeypatch.setattr(CancellationHorizon, "allows_starts", lambda self: True)
     world = cancel_while_leader_is_alone(loop, LinkMode.HELD, monkeypatch)
-    assert max(seconds for seconds, _ in world.after_cancel) > MAX_AGE_FOR_STARTS_S + COMMAND_DELAY_S
+    assert max(seconds for seconds, _ in world.starts_after_cancellation) > MAX_AGE_FOR_STARTS_S + COMMAND_DELAY_S
 
 
 @pytest.mark.parametrize("absent_peers", [0, 1])
@@ -105,15 +112,15 @@
     """Nobody is served, so nobody confirms a cancellation; an absent peer cannot say so."""
     grant_whole_jobs(monkeypatch)
     world = SimulatedCluster(loop, seed=39, machines=10)
-    world.task_s = (2.0, 5.0)
+    world.task_duration_s = (2.0, 5.0)
     world.submit("blue", 2000, 1.0)
     gevent.sleep(12)
-    (leader,) = world.leading()
-    for name in [name for name in world.controllers if name != leader][:absent_peers]:
+    (leader,) = world.current_leaders()
+    for name in [name for name in world.controller_names if name != leader][:absent_peers]:
         world.crash(name)
-    world.store.down = True
+    world.store.unavailable = True
     gevent.sleep(11)
-    starts_go_on = world.longest_pause(world.loop.time - 6.0, world.loop.time) < 2.0
+    starts_go_on = world.longest_gap_between_starts(world.loop.time - 6.0, world.loop.time) < 2.0
     assert bool(starts_go_on) is not bool(absent_peers)
 
 
@@ -121,17 +128,20 @@
     """It confirms and ends at once, while the leader reads nothing: its next process knows of no cancellation."""
     world = SimulatedCluster(loop, seed=40, machines=4)
     gevent.sleep(12)
-    (leader_name,) = world.leading()
-    leader, peer_name = world.nodes[leader_name], next(name for name in world.controllers if name != leader_name)
+    (leader_name,) = world.current_leaders()
+    leader, peer_name = (
+        world.controllers[leader_name],
+        next(name for name in world.controller_names if name != leader_name),
+    )
     assert leader is not None
     horizon = leader.election.cancellation_horizon
     peer = next(peer for peer in leader.peer_api.peers if peer.name == peer_name)
     assert leader.peer_api.cancellations_confirmed_up_to(horizon.known_at) > leader.clock() - 2.0
-    world.store.down = True
+    world.store.unavailable = True
     world.crash(peer_name)
-    back(world, peer_name)
+    start_if_stopped(world, peer_name)
     gevent.sleep(5.0)
     assert peer.acknowledged_at > leader.clock() - 2.0 and not horizon.allows_starts()
-    world.store.down = False
+    world.store.unavailable = False
     gevent.sleep(2.0)
     assert horizon.allows_starts()
--- a/tests/scenarios/test_concurrent_key_reads.py
+++ b/tests/scenarios/test_concurrent_key_reads.py
@@ -11,13 +11,13 @@
 from grebestand.clients.kv_store import KeyValueStoreClient
 from grebestand.leader.election import LEADER_KEY
 from grebestand.simulation.cluster import SimulatedCluster
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
-from support.cluster_actions import change
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
+from support.cluster_actions import change_leader
 
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
@@ -38,11 +38,13 @@
         return found
 
     monkeypatch.setattr(KeyValueStoreClient, "get", get_slowly)
-    world.crowd(2.0, 60.0)
+    world.submit_continuously(2.0, 60.0)
     gevent.sleep(12)
     for transfers in range(1, 9):
-        token_before = world.leaders[-1][2]
-        change(world, "hand over")
+        token_before = world.leader_history[-1][2]
+        change_leader(world, "hand over")
         gevent.sleep(8)
-        assert world.leaders[-1][2] > token_before and len(world.leaders) == 1 + transfers, world.leaders
-    assert not world.both
+        assert world.leader_history[-1][2] > token_before and len(world.leader_history) == 1 + transfers, (
+            world.leader_history
+        )
+    assert not world.multiple_leader_times
--- a/tests/scenarios/test_durable_results.py
+++ b/tests/scenarios/test_durable_results.py
@@ -15,21 +15,21 @@
     """The first task of two is done, its leader ends before progress is written, and its page is dropped and written
     late: the next leader has it from the worker's heartbeat, which still has it."""
     cluster = InMemoryCluster()
-    worker = cluster.worker("n-000000")
+    worker = cluster.add_worker("n-000000")
     term = InMemoryController(cluster, "node-0").lead()
-    cluster.settle(term, 3)
-    job_id = cluster.accept(InMemoryController(cluster, "node-9"), shards=2)
-    cluster.settle(term, 3)
-    worker.finish(f"{job_id}/0")
+    cluster.run_rounds(term, 3)
+    job_id = cluster.submit_job(InMemoryController(cluster, "node-9"), shards=2)
+    cluster.run_rounds(term, 3)
+    worker.finish_task(f"{job_id}/0")
     cluster.handle_heartbeat(term, worker)
     assert worker.tasks[f"{job_id}/0"].why is ExitReason.DONE  # still there: nothing is durable yet
     cluster.clock.now += 13.0
     next_term = InMemoryController(cluster, "node-1").lead()
-    cluster.settle(next_term, 3)
+    cluster.run_rounds(next_term, 3)
     jobs = next_term.registry.jobs
     assert jobs[job_id].is_done(0) and not jobs[job_id].is_done(1)
-    worker.finish(f"{job_id}/1")
-    cluster.settle(next_term, 4)
+    worker.finish_task(f"{job_id}/1")
+    cluster.run_rounds(next_term, 4)
     assert job_id not in jobs or jobs[job_id].state is JobState.DONE
 
 
--- a/tests/scenarios/test_fault_pairs.py
+++ b/tests/scenarios/test_fault_pairs.py
@@ -22,9 +22,9 @@
 from grebestand.scheduling.placement import Placement
 from grebestand.simulation.cluster import RULES, STATE, LinkMode, SimulatedCluster
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
-from grebestand.simulation.virtual_time import simulated
+from grebestand.simulation.virtual_time import simulated_time
 from grebestand.wire.workers import TaskPhase, TaskStatus
-from support.cluster_actions import SPREAD, back, heal
+from support.cluster_actions import SPREAD_HEARTBEATS, end_faults, start_if_stopped
 
 MACHINES = 12
 #: runs with a higher seed also have jobs that are bound to one zone, or spread over both
@@ -39,7 +39,9 @@
 
 def current_leader(world: SimulatedCluster) -> str:
     """Return the controller that leads, or led last."""
-    leaders = world.leading() or [name for _, name, _ in world.leaders[-1:]] or world.controllers[:1]
+    leaders = (
+        world.current_leaders() or [name for _, name, _ in world.leader_history[-1:]] or world.controller_names[:1]
+    )
     return leaders[0]
 
 
@@ -55,18 +57,18 @@
 
 def cut_links(world: SimulatedCluster, controller: str, other_ends: list[str], mode: LinkMode, seconds: float) -> None:
     for other_end in other_ends:
-        world.links.set(controller, other_end, mode)
-        gevent.spawn_later(seconds, world.links.set, controller, other_end, LinkMode.OPEN)
+        world.links.set_mode(controller, other_end, mode)
+        gevent.spawn_later(seconds, world.links.set_mode, controller, other_end, LinkMode.OPEN)
 
 
 def peers_of(world: SimulatedCluster, name: str) -> list[str]:
-    return [controller for controller in world.controllers if controller != name]
+    return [controller for controller in world.controller_names if controller != name]
 
 
 def crash(world: SimulatedCluster, names: list[str], seconds: float) -> None:
     for name in names:
         world.crash(name)
-        gevent.spawn_later(seconds, back, world, name)
+        gevent.spawn_later(seconds, start_if_stopped, world, name)
 
 
 def refused_or_held(rng: random.Random) -> LinkMode:
@@ -83,15 +85,15 @@
 
 
 def store_outage(world: SimulatedCluster, rng: random.Random) -> None:
-    set_temporarily(world.store, "down", True, rng.uniform(5.0, 70.0), False)
+    set_temporarily(world.store, "unavailable", True, rng.uniform(5.0, 70.0), False)
 
 
 def slow_store(world: SimulatedCluster, rng: random.Random) -> None:
-    set_temporarily(world, "slow_s", rng.uniform(0.3, 2.5), rng.uniform(5.0, 40.0))
+    set_temporarily(world, "max_response_delay_s", rng.uniform(0.3, 2.5), rng.uniform(5.0, 40.0))
 
 
 def late_writes(world: SimulatedCluster, rng: random.Random) -> None:
-    set_temporarily(world, "late_writes", rng.uniform(0.1, 0.7), rng.uniform(5.0, 40.0))
+    set_temporarily(world, "late_write_rate", rng.uniform(0.1, 0.7), rng.uniform(5.0, 40.0))
 
 
 def leader_crashes(world: SimulatedCluster, rng: random.Random) -> None:
@@ -104,7 +106,7 @@
 
 
 def all_controllers_crash(world: SimulatedCluster, rng: random.Random) -> None:
-    crash(world, world.controllers, rng.uniform(0.1, 15.0))
+    crash(world, world.controller_names, rng.uniform(0.1, 15.0))
 
 
 def leadership_transfers(world: SimulatedCluster, rng: random.Random) -> None:
@@ -114,8 +116,8 @@
 
 
 def give_way(world: SimulatedCluster, rng: random.Random) -> None:
-    for name in world.leading():
-        node = world.nodes[name]
+    for name in world.current_leaders():
+        node = world.controllers[name]
         if node is not None:
             gevent.spawn(node.leadership_transfer.resign, "played", rng.choice(peers_of(world, name)))
 
@@ -130,29 +132,29 @@
 
 
 def freeze_leader(world: SimulatedCluster, rng: random.Random) -> None:
-    world.freeze(current_leader(world), rng.uniform(1.0, 45.0))
+    world.pause(current_leader(world), rng.uniform(1.0, 45.0))
 
 
 def cut_zone_off(world: SimulatedCluster, rng: random.Random) -> None:
     """Cut one zone's machines off from all controllers."""
     zone, seconds = rng.choice("ab"), rng.uniform(5.0, 60.0)
-    for name in world.controllers:
+    for name in world.controller_names:
         cut_links(world, name, [zone], LinkMode.HELD, seconds)
 
 
 def deaf_machines(world: SimulatedCluster, rng: random.Random) -> None:
     """To all, or to the next leaders and not to this one, or to this one alone."""
     now = current_leader(world)
-    to = rng.choice([world.controllers, peers_of(world, now), [now]])
+    to = rng.choice([world.controller_names, peers_of(world, now), [now]])
     seconds = rng.uniform(5.0, 60.0)
     for name in random_machines(world, rng):
-        set_temporarily(world.machines[name], "deaf_to", frozenset(to), seconds, frozenset())
+        set_temporarily(world.machines[name], "unheard_controllers", frozenset(to), seconds, frozenset())
 
 
 def hanging_machines(world: SimulatedCluster, rng: random.Random) -> None:
     seconds = rng.uniform(2.0, 40.0)
     for name in random_machines(world, rng):
-        set_temporarily(world.machines[name], "hung", True, seconds, False)
+        set_temporarily(world.machines[name], "is_hung", True, seconds, False)
 
 
 def restart_machines(world: SimulatedCluster, rng: random.Random) -> None:
@@ -162,47 +164,47 @@
 
 
 def repeated_heartbeats(world: SimulatedCluster, rng: random.Random) -> None:
-    set_temporarily(world, "copies", rng.uniform(0.1, 0.5), rng.uniform(5.0, 40.0))
+    set_temporarily(world, "duplicate_heartbeat_rate", rng.uniform(0.1, 0.5), rng.uniform(5.0, 40.0))
 
 
 def late_commands(world: SimulatedCluster, rng: random.Random) -> None:
-    set_temporarily(world, "late_orders", rng.uniform(0.3, 1.0), rng.uniform(5.0, 40.0))
+    set_temporarily(world, "late_command_rate", rng.uniform(0.3, 1.0), rng.uniform(5.0, 40.0))
 
 
 def poll_storm(world: SimulatedCluster, rng: random.Random) -> None:
-    set_temporarily(world, "eager", 10.0, rng.uniform(3.0, 15.0), 1.0)
+    set_temporarily(world, "poll_rate_factor", 10.0, rng.uniform(3.0, 15.0), 1.0)
 
 
 def isolate_zone(world: SimulatedCluster, rng: random.Random) -> None:
     """One zone's machines with one controller, from the other controllers and from all that is outside."""
     zone, seconds = rng.choice("ab"), rng.uniform(5.0, 60.0)
-    inside = rng.choice([current_leader(world), *world.controllers])
+    inside = rng.choice([current_leader(world), *world.controller_names])
     cut_links(world, inside, [STATE, *peers_of(world, inside), "b" if zone == "a" else "a"], LinkMode.HELD, seconds)
     for name in peers_of(world, inside):
         cut_links(world, name, [zone], LinkMode.HELD, seconds)
 
 
 def lost_store_answers(world: SimulatedCluster, rng: random.Random) -> None:
-    set_temporarily(world, "lost_answers", rng.uniform(0.1, 0.7), rng.uniform(5.0, 40.0))
+    set_temporarily(world, "lost_response_rate", rng.uniform(0.1, 0.7), rng.uniform(5.0, 40.0))
 
 
 def delayed_heartbeats(world: SimulatedCluster, rng: random.Random) -> None:
     """Kept for the next leader, which begins some time later; machines have gone on, or are gone, by then."""
-    set_temporarily(world, "kept", 0.6, rng.uniform(3.0, 12.0))
+    set_temporarily(world, "retained_heartbeat_rate", 0.6, rng.uniform(3.0, 12.0))
     for pause in (rng.uniform(3.0, 12.0), rng.uniform(14.0, 40.0)):
         gevent.spawn_later(pause, crash, world, [current_leader(world)], rng.uniform(0.1, 6.0))
 
 
 def frequent_polls(world: SimulatedCluster, rng: random.Random) -> None:
-    set_temporarily(world, "close_looks", True, rng.uniform(10.0, 60.0), False)
+    set_temporarily(world, "burst_requests", True, rng.uniform(10.0, 60.0), False)
 
 
 def cancel_at_end(world: SimulatedCluster, rng: random.Random) -> None:
-    set_temporarily(world, "at_end", rng.uniform(0.3, 1.0), rng.uniform(10.0, 60.0))
+    set_temporarily(world, "cancel_at_end_rate", rng.uniform(0.3, 1.0), rng.uniform(10.0, 60.0))
 
 
 def cancel_jobs(world: SimulatedCluster, rng: random.Random) -> None:
-    world.cancel_now(rng.randint(2, 8), rng.choice([0.0, rng.uniform(5.0, 60.0)]))
+    world.cancel_running_jobs(rng.randint(2, 8), rng.choice([0.0, rng.uniform(5.0, 60.0)]))
 
 
 def silent_machines(world: SimulatedCluster, rng: random.Random) -> None:
@@ -210,16 +212,16 @@
     names = rng.choice([random_machines(world, rng), sorted(world.machines)[::2], sorted(world.machines)])
     seconds = rng.uniform(5.0, 60.0)
     for name in names:
-        set_temporarily(world.machines[name], "mute", True, seconds, False)
+        set_temporarily(world.machines[name], "cannot_connect", True, seconds, False)
 
 
 def invalid_requests(world: SimulatedCluster, rng: random.Random) -> None:
-    world.odd_requests(world.loop.time + rng.uniform(5.0, 40.0))
+    world.send_invalid_requests(world.loop.time + rng.uniform(5.0, 40.0))
 
 
 def all_controllers_absent(world: SimulatedCluster, rng: random.Random) -> None:
     """All controllers, for longer than the workers' lease."""
-    crash(world, world.controllers, rng.uniform(1.05, 2.5) * world.lease_s)
+    crash(world, world.controller_names, rng.uniform(1.05, 2.5) * world.lease_s)
 
 
 def ten_leader_changes(world: SimulatedCluster, rng: random.Random) -> None:
@@ -229,7 +231,7 @@
 
 
 def change_leader(world: SimulatedCluster, rng: random.Random) -> None:
-    if world.calm_at == math.inf:
+    if world.faults_ended_at == math.inf:
         crash(world, [current_leader(world)], rng.uniform(0.1, 5.0)) if rng.random() < 0.5 else give_way(world, rng)
 
 
@@ -242,7 +244,7 @@
 def cancel_as_leader_is_refused(world: SimulatedCluster, rng: random.Random) -> None:
     """Jobs are cancelled as the store refuses the leader alone; then it is down for all, for longer than `cancel_s`."""
     cut_links(world, current_leader(world), [STATE], refused_or_held(rng), rng.uniform(4.0, 20.0))
-    world.cancel_now(6)
+    world.cancel_running_jobs(6)
     gevent.spawn_later(
         rng.uniform(0.3, 1.5), set_temporarily, world.store, "down", True, rng.uniform(51.0, 70.0), False
     )
@@ -297,7 +299,7 @@
     """A controller that forwards heartbeats loses the leader, or stands still while it has some."""
     forwarder = rng.choice(peers_of(world, current_leader(world)))
     if rng.random() < 0.5:
-        world.freeze(forwarder, rng.uniform(1.0, 25.0))
+        world.pause(forwarder, rng.uniform(1.0, 25.0))
     else:
         cut_links(world, forwarder, [current_leader(world)], refused_or_held(rng), rng.uniform(4.0, 40.0))
 
@@ -312,14 +314,14 @@
 def play_pair(first: int, second: int, seed: int) -> list[str]:
     """Play two kinds of fault together; return broken invariants, lost jobs and late starts."""
     rng = random.Random(f"{first} {second} {seed}")
-    with simulated() as loop:
+    with simulated_time() as loop:
         spread = max(first, second) >= FIRST_FORWARDER_FAULT or (seed > SPREAD_ABOVE and seed % 3 == 0)
-        rules = SPREAD if spread else RULES
+        rules = SPREAD_HEARTBEATS if spread else RULES
         world = SimulatedCluster(loop, seed=seed, controllers=3 if seed % 2 else 5, machines=MACHINES, rules=rules)
-        world.cancelling = 0.4
+        world.cancelled_job_rate = 0.4
         # jobs of a few tasks, which end far apart, and more of them than can run at once
-        world.task_s = rng.choice([(3.0, 12.0), (5.0, 60.0), (30.0, 90.0)])
-        world.crowd(rng.uniform(2.0, 5.0), 45.0)
+        world.task_duration_s = rng.choice([(3.0, 12.0), (5.0, 60.0), (30.0, 90.0)])
+        world.submit_continuously(rng.uniform(2.0, 5.0), 45.0)
         if seed > FULL_ABOVE:
             # every team is at its limit, of CPUs and of cards
             for _ in range(6):
@@ -342,12 +344,12 @@
         gevent.sleep(rng.uniform(0.0, 15.0))
         order[1](world, rng)
         gevent.sleep(rng.uniform(20.0, 90.0))
-        heal(world)
-        faults = world.settled(900.0)
+        end_faults(world)
+        faults = world.wait_until_settled(900.0)
         # no invariant of the protocol, but counted: a cancellation that the leader could have known of
         return faults + [
             f"{task} started {seconds:.1f} s after its cancellation"
-            for seconds, task in world.after_cancel
+            for seconds, task in world.starts_after_cancellation
             if seconds > START_AFTER_CANCELLATION_S
         ]
 
@@ -376,14 +378,14 @@
 def fill_machine_with_unknown_tasks() -> tuple[InMemoryCluster, Term]:
     """A machine that cannot be queried is full of tasks that are in no record; their team is thereby at its limit."""
     cluster = InMemoryCluster()
-    full, empty = cluster.worker("n-000000"), cluster.worker("n-000001")
-    cluster.settle(InMemoryController(cluster, "node-0").lead(), 3)
+    full, empty = cluster.add_worker("n-000000"), cluster.add_worker("n-000001")
+    cluster.run_rounds(InMemoryController(cluster, "node-0").lead(), 3)
     for index in range(16):
         full.tasks[f"j-000900/{index}"] = TaskStatus(f"j-000900/{index}", 5, TaskPhase.RUNNING)
     cluster.clock.now += 13.0
     controller = InMemoryController(cluster, "node-1")
     term = controller.lead()
-    cluster.accept(controller, crew="red", shards=4)
+    cluster.submit_job(controller, crew="red", shards=4)
     cluster.handle_heartbeat(term, empty)
     cluster.handle_heartbeat(term, full, lose=True)
     full.token = term.token
@@ -400,10 +402,10 @@
     cluster, term = fill_machine_with_unknown_tasks()
     assert [len(job.allocations) for job in term.registry.jobs.values()] == [0]
     for _ in range(4):
-        cluster.settle(term, 1)
+        cluster.run_rounds(term, 1)
         term.scheduling_loop.step(cluster.clock.now)
-    assert not any(task.startswith("j-000900") for task in cluster.workers["n-000000"].running())
-    assert sum(len(worker.running()) for worker in cluster.workers.values()) == 4
+    assert not any(task.startswith("j-000900") for task in cluster.workers["n-000000"].running_tasks())
+    assert sum(len(worker.running_tasks()) for worker in cluster.workers.values()) == 4
 
 
 def test_ignored_tasks_without_a_record_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/scenarios/test_full_teams.py
+++ b/tests/scenarios/test_full_teams.py
@@ -11,53 +11,53 @@
 from grebestand.cluster_state.job_registry import JobRegistry
 from grebestand.cluster_state.machine_inventory import MachineInventory
 from grebestand.simulation.cluster import LinkMode, SimulatedCluster
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
-from support.cluster_actions import CHANGES, change, heal
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
+from support.cluster_actions import LEADER_CHANGES, change_leader, end_faults
 
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
 def cluster_with_full_teams(loop: VirtualLoop, seed: int) -> SimulatedCluster:
     """Return a cluster with both teams at their limits of CPUs and GPUs, more jobs waiting, and tasks that run long."""
     world = SimulatedCluster(loop, seed=seed, machines=10)
-    world.task_s = (60.0, 120.0)
+    world.task_duration_s = (60.0, 120.0)
     for _ in range(10):
         world.submit("red", 2, 2.0, cards=1.0)
         world.submit("red", 4, 1.0)
         world.submit("blue", 5, 2.0)
     gevent.sleep(14)
-    use, limits = world._use_of_teams(), world._limits()
+    use, limits = world._team_usage(), world._team_limits()
     assert all(use[team][0] == limits[team][0] for team in limits), use
     return world
 
 
 @pytest.mark.parametrize("fault", ["hang", "cut", "deaf"])
-@pytest.mark.parametrize("how", CHANGES)
+@pytest.mark.parametrize("how", LEADER_CHANGES)
 def test_limits_hold_while_cancelled_tasks_are_out_of_reach(loop: VirtualLoop, how: str, fault: str) -> None:
     world = cluster_with_full_teams(loop, 33)
-    used_machines = sorted(set(world._tasks.values()))[:5]
+    used_machines = sorted(set(world._machine_by_task.values()))[:5]
     for name in used_machines:
         machine = world.machines[name]
         if fault == "hang":
-            machine.hung = True
+            machine.is_hung = True
         elif fault == "deaf":
-            machine.deaf_to = frozenset(world.controllers)
+            machine.unheard_controllers = frozenset(world.controller_names)
     if fault == "cut":
-        for name in world.controllers:
-            world.links.set(name, "a", LinkMode.HELD)
-    world.cancel_now(12)
+        for name in world.controller_names:
+            world.links.set_mode(name, "a", LinkMode.HELD)
+    world.cancel_running_jobs(12)
     gevent.sleep(1.5)
-    change(world, how)
+    change_leader(world, how)
     gevent.sleep(17)
-    world.cancel_now(3)
-    change(world, how)
+    world.cancel_running_jobs(3)
+    change_leader(world, how)
     gevent.sleep(25)
-    heal(world)
-    assert world.settled(900.0) == []
+    end_faults(world)
+    assert world.wait_until_settled(900.0) == []
 
 
 # broken on purpose ----------------------------------------------------------------------------------------
--- a/tests/scenarios/test_late_transactions.py
+++ b/tests/scenarios/test_late_transactions.py
@@ -27,9 +27,9 @@
     """A submission after its cancellation, a close after a cancellation, a key after a later term."""
     cluster = InMemoryCluster()
     controller = InMemoryController(cluster, "node-0")
-    job_id = cluster.accept(controller)
+    job_id = cluster.submit_job(controller)
     version = cluster.store.data[f"live/{job_id}"][1]
-    assert json.loads(controller.users.cancel(job_id).body)["tide"] == "cancelled"
+    assert json.loads(controller.job_api.cancel(job_id).body)["tide"] == "cancelled"
     late_transactions = [
         ([key_absent(f"live/{job_id}"), key_absent(f"over/{job_id}")], [put(f"live/{job_id}", {})]),
         completion_transaction(job_id, version, CompletedJobRecord(JobStatus.DONE, 1)),
@@ -81,8 +81,8 @@
     cluster = InMemoryCluster(rules="rent = true\n")
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    cluster.accept(controller, shards=40)
-    cluster.store.lose_answers = 0
+    cluster.submit_job(controller, shards=40)
+    cluster.store.responses_to_drop = 0
     rental_keys: list[str] = []
     commit = term.writer.commit
 
--- a/tests/scenarios/test_mass_failure.py
+++ b/tests/scenarios/test_mass_failure.py
@@ -9,7 +9,7 @@
 
 from grebestand.emulators.worker import WorkerEmulator
 from grebestand.leader.term import Term
-from grebestand.simulation.single_controller_cluster import SETTINGS, TYPES, InMemoryCluster, InMemoryController
+from grebestand.simulation.single_controller_cluster import MACHINE_TYPES, SETTINGS, InMemoryCluster, InMemoryController
 
 MACHINES = 120
 GANG_TASKS = 6
@@ -33,17 +33,17 @@
 
 def fill_cluster(policy: str) -> FullCluster:
     cluster = InMemoryCluster(SETTINGS_WITHOUT_LIMIT, policy)
-    workers = [cluster.worker(f"n-{index:06d}", zone="ab"[index % 2]) for index in range(MACHINES)]
+    workers = [cluster.add_worker(f"n-{index:06d}", zone="ab"[index % 2]) for index in range(MACHINES)]
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    term.inventory.set_machine_types(TYPES)
-    cluster.settle(term, 3)
+    term.inventory.set_machine_types(MACHINE_TYPES)
+    cluster.run_rounds(term, 3)
     gangs = [
-        cluster.accept(controller, shape="ensemble", shards=GANG_TASKS, cpus=15.0, samePlace=True)
+        cluster.submit_job(controller, shape="ensemble", shards=GANG_TASKS, cpus=15.0, samePlace=True)
         for _ in range(MACHINES // 24)
     ]
-    cluster.accept(controller, shards=ARRAY_TASKS, cpus=1.0, ramGb=0.1, rank="best_effort")
-    cluster.settle(term, 6)
+    cluster.submit_job(controller, shards=ARRAY_TASKS, cpus=1.0, ramGb=0.1, rank="best_effort")
+    cluster.run_rounds(term, 6)
     list_all_machines(cluster)
     return FullCluster(cluster, controller, term, workers, gangs)
 
@@ -51,7 +51,9 @@
 def list_all_machines(cluster: InMemoryCluster) -> None:
     """Let the cloud list every machine as running."""
     row = {"addr": "x:1", "hull": "m4", "driftwood": False, "tide": "running", "heldS": 999.0}
-    cluster.cloud.listed = [{"ref": worker.name, "quay": worker.zone, **row} for worker in cluster.workers.values()]
+    cluster.cloud.listed_machines = [
+        {"ref": worker.name, "quay": worker.zone, **row} for worker in cluster.workers.values()
+    ]
 
 
 def gang_is_whole(workers: list[WorkerEmulator], gang: str) -> bool:
@@ -64,11 +66,11 @@
 
 
 def started_attempts(workers: list[WorkerEmulator]) -> Counter[tuple[str, int]]:
-    return Counter(attempt for worker in workers for attempt in worker.started)
+    return Counter(attempt for worker in workers for attempt in worker.started_attempts)
 
 
 def requested_machines(cluster: InMemoryCluster) -> int:
-    return sum(len(names) for names in cluster.cloud.requests.values())
+    return sum(len(names) for names in cluster.cloud.rentals.values())
 
 
 def test_machines_that_return_together_get_their_gangs_back_whole_without_repeated_commands(
@@ -80,7 +82,7 @@
     assert full.all_gangs_are_whole()
     started_before = started_attempts(workers)
     direct_commands: Counter[str] = Counter()
-    send = cluster.direct
+    send = cluster.send_direct_request
 
     def count_and_send(address: str, path: str, body: bytes) -> tuple[int, bytes]:
         direct_commands[address] += 1
@@ -90,22 +92,22 @@
     for worker in workers:
         worker.reachable = False
     for _ in range(13):
-        cluster.settle(term, 2)
+        cluster.run_rounds(term, 2)
         term.step_machines()
     requested_while_silent = requested_machines(cluster)
     # one request for each machine that is lacking, not one at each look; and none that may come back is deleted
-    assert 0 < requested_while_silent <= MACHINES and len(cluster.cloud.requests) <= 2 * 6
-    assert not cluster.cloud.deleted
+    assert 0 < requested_while_silent <= MACHINES and len(cluster.cloud.rentals) <= 2 * 6
+    assert not cluster.cloud.deleted_machines
     for worker in workers:
         worker.reachable = True
-        worker.lapse()
+        worker.expire_lease()
     returned_at = cluster.clock.now
     while not full.all_gangs_are_whole():
-        cluster.settle(term, 1)
+        cluster.run_rounds(term, 1)
         assert cluster.clock.now - returned_at < 12.0
     # capacity is known at the first heartbeat, the start follows at the next, and is confirmed by the one after
     assert cluster.clock.now - returned_at <= 5.0
-    cluster.settle(term, 6)
+    cluster.run_rounds(term, 6)
     assert max((started_attempts(workers) - started_before).values()) == 1
     # each machine's heartbeat brings the news; nobody is told directly what its own answer tells
     assert max(direct_commands.values(), default=0) <= 2
@@ -123,7 +125,7 @@
     term = InMemoryController(cluster, "node-1").lead()
     inventory, registry = term.inventory, term.registry
     assert inventory.unreconciled_count == MACHINES
-    cluster.settle(term, 4)
+    cluster.run_rounds(term, 4)
     assert inventory.unreconciled_count == len(inventory.unreconciled_machines()) == len(silent)
     unknown_cpus = sum(machine.capacity[0] for machine in inventory.unreconciled_machines())
     assert all(team.unreconciled_usage[0] == unknown_cpus for team in registry.teams)
@@ -132,10 +134,10 @@
     assert array.possible_holders is registry.unreconciled_machines and len(array.possible_holders) == len(silent)
     for worker in silent:
         worker.reachable = True
-        worker.lapse()
-    cluster.settle(term, 8)
+        worker.expire_lease()
+    cluster.run_rounds(term, 8)
     assert term.machine_reconciliation.all_reconciled
     assert not registry.unreconciled_machines and not array.possible_holders and not array.unseen_tasks_below
     assert all(team.unreconciled_usage == [0, 0] for team in registry.teams)
     assert full.all_gangs_are_whole()
-    assert full.term.handle_heartbeat(workers[0].report()) is None
+    assert full.term.handle_heartbeat(workers[0].next_heartbeat()) is None
--- a/tests/scenarios/test_paused_leader.py
+++ b/tests/scenarios/test_paused_leader.py
@@ -23,8 +23,8 @@
 from grebestand.leader.provisioning import Provisioning
 from grebestand.leader.task_progress import TaskProgress
 from grebestand.simulation.cluster import SimulatedCluster
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
-from support.cluster_actions import heal
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
+from support.cluster_actions import end_faults
 
 #: a method, and the place in it at which the leader stops: as it begins, or when it has done its work
 STEPS: list[tuple[type, str]] = [
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
@@ -60,12 +60,12 @@
         (world,) = worlds
         if leader and not stopped:
             stopped.append(world.loop.time)
-            world.freeze(leader, seconds)
-            world.hosts[leader].awake()
+            world.pause(leader, seconds)
+            world.runtimes[leader].wait_while_paused()
 
     def stopping(self: Any, *args: Any, **more: Any) -> Any:
         due = worlds and worlds[0].loop.time >= (RENTING_S if kind is Provisioning else FROM_S)
-        leader = (worlds[0].leading() or [""])[0] if due else ""
+        leader = (worlds[0].current_leaders() or [""])[0] if due else ""
         if not after:
             stand_still(leader)
         found = inner(self, *args, **more)
@@ -87,19 +87,19 @@
     stopped = stop_at(worlds, monkeypatch, step, after, seconds)
     world = SimulatedCluster(loop, seed=71, machines=3, rules="idle_return_s = 30\n")
     worlds.append(world)
-    world.task_s, world.cancelling, world.close_looks = (4.0, 25.0), 0.3, True
+    world.task_duration_s, world.cancelled_job_rate, world.burst_requests = (4.0, 25.0), 0.3, True
     world.boot_s = (0.5, 6.0)
-    world.crowd(1.2, 60.0)
+    world.submit_continuously(1.2, 60.0)
     gevent.sleep(FROM_S)
     if step[0] is LeadershipTransfer:
-        for name in world.leading():
-            node = world.nodes[name]
+        for name in world.current_leaders():
+            node = world.controllers[name]
             assert node is not None
             gevent.spawn(node.leadership_transfer.resign, "played", "")
     gevent.sleep(4)
     for _ in range(3):
-        world.cancel_now(3)
+        world.cancel_running_jobs(3)
         gevent.sleep(0.4 * seconds + 3.0)
-    heal(world)
+    end_faults(world)
     assert stopped
-    assert world.settled(500.0) == []
+    assert world.wait_until_settled(500.0) == []
--- a/tests/scenarios/test_random_fault_schedules.py
+++ b/tests/scenarios/test_random_fault_schedules.py
@@ -20,15 +20,22 @@
 from grebestand.cluster_state.machine_inventory import MachineInventory
 from grebestand.leader.election import LeaderElection
 from grebestand.simulation.cluster import RULES, STATE, LinkMode, SimulatedCluster
-from grebestand.simulation.virtual_time import simulated
-from support.cluster_actions import SPREAD, any_report_is_proof, back, heal
+from grebestand.simulation.virtual_time import simulated_time
+from support.cluster_actions import SPREAD_HEARTBEATS, accept_every_heartbeat, end_faults, start_if_stopped
 
 Schedule = list[tuple[float, tuple[object, ...]]]
 
 #: the controllers
 NODES = ("node-0", "node-1", "node-2")
 LINK_ENDS = (STATE, "a", "b", *NODES)
-LINK_MODES = (LinkMode.OPEN, LinkMode.REFUSED, LinkMode.HELD, LinkMode.ASKS_LOST, LinkMode.ANSWERS_LOST, LinkMode.SLOW)
+LINK_MODES = (
+    LinkMode.OPEN,
+    LinkMode.REFUSED,
+    LinkMode.HELD,
+    LinkMode.REQUESTS_LOST,
+    LinkMode.RESPONSES_LOST,
+    LinkMode.SLOW,
+)
 
 cuts = st.tuples(st.just("cut"), st.sampled_from(NODES), st.sampled_from(LINK_ENDS), st.sampled_from(LINK_MODES))
 crashes = st.tuples(st.just("crash"), st.sampled_from(NODES), st.floats(1.0, 12.0))
@@ -115,109 +122,109 @@
     """Begin one fault of a schedule, and see to its end."""
     match fault:
         case ("cut", str(near), str(far), LinkMode() as mode) if near != far:
-            world.links.set(near, far, mode)
+            world.links.set_mode(near, far, mode)
         case ("crash", str(name), float(seconds)):
             world.crash(name)
-            gevent.spawn_later(seconds, back, world, name)
+            gevent.spawn_later(seconds, start_if_stopped, world, name)
         case ("outage", float(seconds)):
-            world.store.down = True
-            gevent.spawn_later(seconds, setattr, world.store, "down", False)
+            world.store.unavailable = True
+            gevent.spawn_later(seconds, setattr, world.store, "unavailable", False)
         case ("hang", int(index), float(seconds)):
             machine = world.machines[f"n-{index:06d}"]
-            machine.hung = True
-            gevent.spawn_later(seconds, setattr, machine, "hung", False)
+            machine.is_hung = True
+            gevent.spawn_later(seconds, setattr, machine, "is_hung", False)
         case ("heal",):
-            world.links.heal()
+            world.links.open_all()
         case ("blink", set() as names, float(seconds)):
             for name in sorted(names):
                 world.crash(name)
-                gevent.spawn_later(seconds, back, world, name)
+                gevent.spawn_later(seconds, start_if_stopped, world, name)
         case ("restart", int(index), bool(anew)):
             world.machines[f"n-{index:06d}"].restart(anew)
         case ("deaf", int(first), int(count), set() as names, float(seconds)):
             for index in range(first, min(12, first + count)):
                 machine = world.machines[f"n-{index:06d}"]
-                machine.deaf_to = frozenset(names)
-                gevent.spawn_later(seconds, setattr, machine, "deaf_to", frozenset())
+                machine.unheard_controllers = frozenset(names)
+                gevent.spawn_later(seconds, setattr, machine, "unheard_controllers", frozenset())
         case ("copies", float(part), float(seconds)):
-            world.copies = part
-            gevent.spawn_later(seconds, setattr, world, "copies", 0.0)
+            world.duplicate_heartbeat_rate = part
+            gevent.spawn_later(seconds, setattr, world, "duplicate_heartbeat_rate", 0.0)
         case ("freeze", str(name), float(seconds)):
-            world.freeze(name, seconds)
+            world.pause(name, seconds)
         case ("mistake", int(tasks)):
             world.submit("blue", tasks, 1.0, broken=True)
         case ("storm", float(factor), float(seconds)):
-            world.eager = factor
-            gevent.spawn_later(seconds, setattr, world, "eager", 1.0)
+            world.poll_rate_factor = factor
+            gevent.spawn_later(seconds, setattr, world, "poll_rate_factor", 1.0)
         case ("late writes", float(part), float(seconds)):
-            world.late_writes = part
-            gevent.spawn_later(seconds, setattr, world, "late_writes", 0.0)
+            world.late_write_rate = part
+            gevent.spawn_later(seconds, setattr, world, "late_write_rate", 0.0)
         case ("slow", float(most), float(seconds)):
-            world.slow_s = most
-            gevent.spawn_later(seconds, setattr, world, "slow_s", 0.0)
+            world.max_response_delay_s = most
+            gevent.spawn_later(seconds, setattr, world, "max_response_delay_s", 0.0)
         case ("late orders", float(part), float(seconds)):
-            world.late_orders = part
-            gevent.spawn_later(seconds, setattr, world, "late_orders", 0.0)
+            world.late_command_rate = part
+            gevent.spawn_later(seconds, setattr, world, "late_command_rate", 0.0)
         case ("gap", float(gap), float(outage), LinkMode() as mode):
-            for name in world.leading():
-                world.links.set(name, STATE, mode)
-                gevent.spawn_later(gap + 10.0, world.links.set, name, STATE, LinkMode.OPEN)
-            gevent.spawn_later(gap, setattr, world.store, "down", True)
-            gevent.spawn_later(gap + outage, setattr, world.store, "down", False)
+            for name in world.current_leaders():
+                world.links.set_mode(name, STATE, mode)
+                gevent.spawn_later(gap + 10.0, world.links.set_mode, name, STATE, LinkMode.OPEN)
+            gevent.spawn_later(gap, setattr, world.store, "unavailable", True)
+            gevent.spawn_later(gap + outage, setattr, world.store, "unavailable", False)
         case ("lost answers", float(part), float(seconds)):
-            world.lost_answers = part
-            gevent.spawn_later(seconds, setattr, world, "lost_answers", 0.0)
+            world.lost_response_rate = part
+            gevent.spawn_later(seconds, setattr, world, "lost_response_rate", 0.0)
         case ("kept", float(seconds), float(pause)):
-            world.kept = 0.6
-            gevent.spawn_later(seconds, setattr, world, "kept", 0.0)
-            for name in world.leading():
+            world.retained_heartbeat_rate = 0.6
+            gevent.spawn_later(seconds, setattr, world, "retained_heartbeat_rate", 0.0)
+            for name in world.current_leaders():
                 gevent.spawn_later(seconds + pause, apply_fault, world, ("crash", name, 1.0))
         case ("looks", float(seconds)):
-            world.close_looks = True
-            gevent.spawn_later(seconds, setattr, world, "close_looks", False)
+            world.burst_requests = True
+            gevent.spawn_later(seconds, setattr, world, "burst_requests", False)
         case ("at end", float(part), float(seconds)):
-            world.at_end = part
-            gevent.spawn_later(seconds, setattr, world, "at_end", 0.0)
+            world.cancel_at_end_rate = part
+            gevent.spawn_later(seconds, setattr, world, "cancel_at_end_rate", 0.0)
         case ("cancels", int(count), float(seconds)):
-            world.cancel_now(count, seconds)
+            world.cancel_running_jobs(count, seconds)
         case ("mute", int(first), int(count), float(seconds)):
             for index in range(first, min(12, first + count)):
                 machine = world.machines[f"n-{index:06d}"]
-                machine.mute = True
-                gevent.spawn_later(seconds, setattr, machine, "mute", False)
+                machine.cannot_connect = True
+                gevent.spawn_later(seconds, setattr, machine, "cannot_connect", False)
         case ("odd", float(seconds)):
-            world.odd_requests(world.loop.time + seconds)
+            world.send_invalid_requests(world.loop.time + seconds)
         case ("taken", int(index)):
             name = f"n-{index:06d}"
-            if sum(not machine.dead for machine in world.machines.values()) > 6:
+            if sum(not machine.terminated for machine in world.machines.values()) > 6:
                 world.cloud.request("POST", "/machines/delete", msgspec.json.encode({"vessels": [name]}), 1.0)
         case ("zone", str(inside), str(zone), float(seconds)):
             outside = [name for name in NODES if name != inside]
             pairs = [(inside, far) for far in (STATE, "b" if zone == "a" else "a", *outside)]
             for near, far in pairs + [(name, zone) for name in outside]:
-                world.links.set(near, far, LinkMode.HELD)
-                gevent.spawn_later(seconds, world.links.set, near, far, LinkMode.OPEN)
+                world.links.set_mode(near, far, LinkMode.HELD)
+                gevent.spawn_later(seconds, world.links.set_mode, near, far, LinkMode.OPEN)
         case ("alone", str(name), LinkMode() as mode):
             for other_end in (STATE, *(other for other in NODES if other != name)):
-                world.links.set(name, other_end, mode)
+                world.links.set_mode(name, other_end, mode)
 
 
 def played(schedule: Schedule, seed: int, longest_s: float = 12.0, rules: str = RULES) -> tuple[list[str], list[str]]:
     """Play a schedule; return what was broken meanwhile, and accepted jobs that were not done long after its end."""
-    with simulated() as loop:
+    with simulated_time() as loop:
         world = SimulatedCluster(loop, seed=seed, machines=12, rules=rules)
-        world.task_s = (3.0, longest_s)
-        world.cancelling = 0.3
-        world.crowd(4.0, 30.0 + sum(pause for pause, _ in schedule))
+        world.task_duration_s = (3.0, longest_s)
+        world.cancelled_job_rate = 0.3
+        world.submit_continuously(4.0, 30.0 + sum(pause for pause, _ in schedule))
         gevent.sleep(8)
         for pause, fault in schedule:
             gevent.sleep(pause)
             apply_fault(world, fault)
         gevent.sleep(15)
-        heal(world)
+        end_faults(world)
         # a team at its limit has its work done late, and all of it
-        wrong = world.settled(400.0)
-        broken = world.broken()
+        wrong = world.wait_until_settled(400.0)
+        broken = world.violations()
         return broken, wrong[len(broken) :]
 
 
@@ -232,7 +239,7 @@
 @SEARCH
 @given(schedules, st.integers(0, 10_000))
 def test_no_invariant_breaks_under_any_schedule_while_every_controller_answers(schedule: Schedule, seed: int) -> None:
-    assert played(schedule, seed, rules=SPREAD) == ([], [])
+    assert played(schedule, seed, rules=SPREAD_HEARTBEATS) == ([], [])
 
 
 def lengthen_authority(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -278,7 +285,7 @@
         ]
         schedule += [(9.0, ("heal",))]
     assert played(schedule, 1) == ([], [])
-    any_report_is_proof(monkeypatch)
+    accept_every_heartbeat(monkeypatch)
     assert any(played(schedule, world_seed) != ([], []) for world_seed in range(4))
 
 
--- a/tests/scenarios/test_stale_heartbeats.py
+++ b/tests/scenarios/test_stale_heartbeats.py
@@ -15,24 +15,24 @@
 from grebestand.leader.term import Term
 from grebestand.simulation.cluster import SimulatedCluster
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 from grebestand.state_machines import Reception
 from grebestand.wire.workers import Heartbeat
-from support.cluster_actions import CHANGES, any_report_is_proof, change, heal
+from support.cluster_actions import LEADER_CHANGES, accept_every_heartbeat, change_leader, end_faults
 
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
 def deliver_stale_heartbeats(loop: VirtualLoop, seed: int, how: str) -> SimulatedCluster:
     """From before the last term, of an earlier epoch or attempt, of a machine deleted since, of one that expired."""
     world = SimulatedCluster(loop, seed=seed, machines=10)
-    world.task_s = (4.0, 20.0)
-    world.kept, world.cancelling = 0.5, 0.3
-    world.crowd(1.5, 70.0)
+    world.task_duration_s = (4.0, 20.0)
+    world.retained_heartbeat_rate, world.cancelled_job_rate = 0.5, 0.3
+    world.submit_continuously(1.5, 70.0)
     for number in range(5):
         machine = f"n-{number:06d}"
         gevent.sleep(6)
@@ -40,27 +40,27 @@
         gevent.sleep(2)
         if number in (1, 3):
             world.cloud.request("POST", "/machines/delete", json.dumps({"vessels": [machine]}).encode(), 1.0)
-        world.cancel_now(3, hang_s=25.0 if number == 2 else 0.0)
+        world.cancel_running_jobs(3, hang_s=25.0 if number == 2 else 0.0)
         gevent.sleep(1)
-        change(world, how)
+        change_leader(world, how)
         gevent.sleep(4)
-    heal(world)
+    end_faults(world)
     return world
 
 
-@pytest.mark.parametrize("how", CHANGES)
+@pytest.mark.parametrize("how", LEADER_CHANGES)
 def test_stale_heartbeats_do_not_mislead_a_new_leader(loop: VirtualLoop, how: str) -> None:
     world = deliver_stale_heartbeats(loop, 36, how)
-    assert world.settled(400.0) == []
+    assert world.wait_until_settled(400.0) == []
 
 
 def test_trust_in_stale_heartbeats_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose."""
-    any_report_is_proof(monkeypatch)
+    accept_every_heartbeat(monkeypatch)
     faults = []
     for seed in range(3):
-        with simulated() as virtual:
-            faults += deliver_stale_heartbeats(virtual, 36 + seed, "crash").settled(200.0)
+        with simulated_time() as virtual:
+            faults += deliver_stale_heartbeats(virtual, 36 + seed, "crash").wait_until_settled(200.0)
     assert faults
 
 
@@ -80,13 +80,13 @@
 def copy() -> CopyFromOtherEpoch:
     """The machine expired and began a new epoch while its leader heard nothing; the copy is of that epoch."""
     cluster = InMemoryCluster()
-    worker = cluster.worker("n-000000")
+    worker = cluster.add_worker("n-000000")
     term = InMemoryController(cluster, "node-0").lead()
-    cluster.settle(term, 3)
-    job_id = cluster.accept(InMemoryController(cluster, "node-9"), shards=2)
-    cluster.settle(term, 4)
-    assert len(worker.running()) == 2
-    heartbeat = worker.report()
+    cluster.run_rounds(term, 3)
+    job_id = cluster.submit_job(InMemoryController(cluster, "node-9"), shards=2)
+    cluster.run_rounds(term, 4)
+    assert len(worker.running_tasks()) == 2
+    heartbeat = worker.next_heartbeat()
     heartbeat = msgspec.structs.replace(heartbeat, epoch=heartbeat.epoch + 1, sequence=3, tasks=[])
     return CopyFromOtherEpoch(term, term.registry.jobs[job_id], heartbeat)
 
--- a/tests/scheduling/test_cached_findings.py
+++ b/tests/scheduling/test_cached_findings.py
@@ -50,22 +50,22 @@
     controller = InMemoryController(world, "node-0")
     term = controller.lead()
     for i in range(12):
-        world.worker(f"n-{i:06d}", zone="ab"[i % 2])
-    world.settle(term, 3)
+        world.add_worker(f"n-{i:06d}", zone="ab"[i % 2])
+    world.run_rounds(term, 3)
     compared = 0
     for _ in range(120):
         shape = rng.choice(["array", "array", "ensemble"])
-        world.accept(
+        world.submit_job(
             controller, shape=shape, crew=rng.choice(["red", "blue"]),
             rank=rng.choice(["high", "standard", "best_effort"]), pullGb=0.5,
             shards=rng.randint(1, 12 if shape == "array" else 2), cpus=rng.choice([1.0, 2.0, 7.0]),
         )  # fmt: skip
         for worker in world.workers.values():
             worker.reachable = rng.random() < 0.95
-            for task in worker.running():
+            for task in worker.running_tasks():
                 if rng.random() < 0.1:
-                    worker.finish(task, ExitReason.ERROR if rng.random() < 0.02 else ExitReason.DONE)
-        world.settle(term, 2)
+                    worker.finish_task(task, ExitReason.ERROR if rng.random() < 0.02 else ExitReason.DONE)
+        world.run_rounds(term, 2)
         now = world.clock.now
         term.scheduler.update_targets(now) if rng.random() < 0.2 else term.scheduler.place(now)
         compared += compare_allowances(term) + compare_victims(term)
--- a/tests/scheduling/test_gang_scheduling.py
+++ b/tests/scheduling/test_gang_scheduling.py
@@ -16,7 +16,7 @@
 
 
 def accept_gang(cluster: SchedulingCluster, tasks: int, cpus: float = 16.0) -> str:
-    return cluster.world.accept(cluster.controller, shape="ensemble", shards=tasks, cpus=cpus)
+    return cluster.cluster.submit_job(cluster.controller, shape="ensemble", shards=tasks, cpus=cpus)
 
 
 def test_gang_does_not_start_on_machine_that_became_suspect_during_search(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -56,7 +56,7 @@
     job = cluster.job(job_id)
     steps = cluster.term.scheduler.full_pass_steps(cluster.now)
     advance(steps, 2)
-    assert cluster.controller.users.cancel(job_id).status == 200
+    assert cluster.controller.job_api.cancel(job_id).status == 200
     cluster.term.job_watch.watch()
     cluster.begin_turn()
     finish(steps)
@@ -94,12 +94,12 @@
     cluster = scheduling_cluster(2, monkeypatch)
     caplog.set_level(logging.INFO)
     job_id = accept_gang(cluster, tasks=2)
-    cluster.world.settle(cluster.term, 2)
+    cluster.cluster.run_rounds(cluster.term, 2)
     for phase, rounds in ((TaskPhase.FETCHING, 2), (TaskPhase.RUNNING, 3)):
         for worker in cluster.workers:
             for status in worker.tasks.values():
                 status.state = phase
-        cluster.world.settle(cluster.term, rounds)
+        cluster.cluster.run_rounds(cluster.term, rounds)
     events = [r.getMessage() for r in caplog.records if "gang_started" in r.getMessage()]
     assert len(events) == 1 and events[0].startswith(f"gang_started job_id={job_id} tasks=2 placement_s=1 ")
     assert events[0].endswith(" image_s=1")
--- a/tests/scheduling/test_large_job_starvation.py
+++ b/tests/scheduling/test_large_job_starvation.py
@@ -29,19 +29,19 @@
     ends: dict[str, float] = {}
     for second in range(300):
         if second % 4 == 0:
-            cluster.accept(controller, shape=shape, **small)
+            cluster.submit_job(controller, shape=shape, **small)
         if second == 12:
-            job_id = cluster.accept(controller, shape=shape, **large)
+            job_id = cluster.submit_job(controller, shape=shape, **large)
         if second == failover_at and failover_at:
             cluster.clock.now += 13.0
             controller = InMemoryController(cluster, "node-1")
             term = controller.lead()
         for worker in cluster.workers.values():
-            for task in worker.running():
+            for task in worker.running_tasks():
                 if cluster.clock.now >= ends.setdefault(task, cluster.clock.now + 18.0 + len(ends) % 7):
-                    worker.finish(task)
-        cluster.settle(term, 1)
-        running = [task for worker in cluster.workers.values() for task in worker.running()]
+                    worker.finish_task(task)
+        cluster.run_rounds(term, 1)
+        running = [task for worker in cluster.workers.values() for task in worker.running_tasks()]
         if second > 12 and any(task.startswith(job_id) for task in running):
             return cluster.clock.now - 1015.0
     return None
--- a/tests/scheduling/test_pending_reasons.py
+++ b/tests/scheduling/test_pending_reasons.py
@@ -21,8 +21,8 @@
 
 def accept_jobs(cluster: SchedulingCluster, count: int) -> list[str]:
     """Accept jobs and advance the clock, without a pass that would place the jobs."""
-    job_ids = [cluster.world.accept(cluster.controller) for _ in range(count)]
-    cluster.world.clock.now += WAIT_S
+    job_ids = [cluster.cluster.submit_job(cluster.controller) for _ in range(count)]
+    cluster.cluster.clock.now += WAIT_S
     return job_ids
 
 
@@ -36,7 +36,7 @@
     caplog.clear()
     reasons.log_if_due(cluster.now)
     assert not logged_events(caplog.records, "cluster_summarised")
-    cluster.world.clock.now += WAIT_S
+    cluster.cluster.clock.now += WAIT_S
     reasons.log_if_due(cluster.now)
     (summary,) = logged_events(caplog.records, "cluster_summarised")
     assert (summary["machines"], summary["ready"], summary["jobs_waiting"]) == (1, 1, 0)
@@ -49,7 +49,7 @@
     job, reasons = cluster.job(job_id), cluster.term.scheduler.pending_reasons
     job.pending_reason = "no slot"
     for wait_s, expected in ((0.0, [job_id]), (1.0, []), (pending_reasons.REPEAT_AFTER_S, [job_id])):
-        cluster.world.clock.now += wait_s
+        cluster.cluster.clock.now += wait_s
         caplog.clear()
         reasons._log_reasons(cluster.now)
         assert logged_job_ids(caplog) == expected
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -19,8 +19,8 @@
     cluster = scheduling_cluster(3, monkeypatch, SETTINGS.replace("cpus_max = 16.0", "cpus_max = 32.0"))
     scheduler = cluster.term.scheduler
     monkeypatch.setattr(placement, "STARTS_PER_STEP", 1)
-    job_id = cluster.world.accept(cluster.controller, crew="red", shards=30, cpus=4.0)
-    other_id = cluster.world.accept(cluster.controller, crew="red", shards=30, cpus=1.0, rank="best_effort")
+    job_id = cluster.cluster.submit_job(cluster.controller, crew="red", shards=30, cpus=4.0)
+    other_id = cluster.cluster.submit_job(cluster.controller, crew="red", shards=30, cpus=1.0, rank="best_effort")
     scheduler.update_targets(cluster.now)
     steps = scheduler.full_pass_steps(cluster.now)
     while not cluster.job(job_id).allocations:
@@ -38,10 +38,10 @@
     With 1500 waiting jobs this is expensive, and useless if nothing on the machine has changed.
     """
     cluster = scheduling_cluster(1, monkeypatch)
-    world, term, (worker,) = cluster.world, cluster.term, cluster.workers
+    world, term, (worker,) = cluster.cluster, cluster.term, cluster.workers
     # the machine has memory for two tasks, and CPUs for three more
-    world.accept(cluster.controller, shards=100, cpus=3.0, ramGb=30.0)
-    world.settle(term, 6)
+    world.submit_job(cluster.controller, shards=100, cpus=3.0, ramGb=30.0)
+    world.run_rounds(term, 6)
     examined: list[str] = []
     slots_for = term.scheduler.placement._slots_for
 
@@ -55,7 +55,7 @@
         world.clock.now += 1.0
         assert world.handle_heartbeat(term, worker) is not None
     assert not examined
-    worker.finish(worker.running()[0])
+    worker.finish_task(worker.running_tasks()[0])
     world.clock.now += 1.0
     assert world.handle_heartbeat(term, worker) is not None
     assert examined
--- a/tests/scheduling/test_scheduling_slices.py
+++ b/tests/scheduling/test_scheduling_slices.py
@@ -15,7 +15,7 @@
 
     def slow_pass_steps(now: float) -> Steps:
         for _ in full_pass_steps(now):
-            cluster.world.clock.now += step_s
+            cluster.cluster.clock.now += step_s
             yield
 
     monkeypatch.setattr(cluster.term.scheduler, "full_pass_steps", slow_pass_steps)
@@ -23,8 +23,8 @@
 
 def accept_gang(cluster: SchedulingCluster) -> str:
     """Accept a gang that needs all machines, and make sure that the next computation is a full pass."""
-    job_id = cluster.world.accept(cluster.controller, shape="ensemble", shards=3, cpus=16.0)
-    cluster.world.clock.now += 1.0
+    job_id = cluster.cluster.submit_job(cluster.controller, shape="ensemble", shards=3, cpus=16.0)
+    cluster.cluster.clock.now += 1.0
     cluster.term.scheduling_loop.next_targets_at = cluster.now + 100.0
     return job_id
 
@@ -42,7 +42,7 @@
     slice_began = cluster.now
     loop.step(slice_began)
     assert loop.busy and cluster.now - slice_began < SLICE_S + step_s
-    assert cluster.world.handle_heartbeat(cluster.term, cluster.workers[0]) is not None
+    assert cluster.cluster.handle_heartbeat(cluster.term, cluster.workers[0]) is not None
     for _ in range(50):
         slice_began = cluster.now
         loop.run_slice()
--- a/tests/scheduling/test_stragglers.py
+++ b/tests/scheduling/test_stragglers.py
@@ -17,7 +17,7 @@
     for worker in (cluster.workers[i] for i in workers):
         for task in started[worker.name]:
             if task in worker.tasks and worker.tasks[task].why is None:
-                worker.finish(task, ExitReason.DONE)
+                worker.finish_task(task, ExitReason.DONE)
 
 
 @pytest.fixture
@@ -27,17 +27,17 @@
     One of the jobs is slow on every machine, which must not affect any machine's estimate.
     """
     cluster = scheduling_cluster(6, monkeypatch, WIDE_LIMIT_SETTINGS)
-    world, term = cluster.world, cluster.term
+    world, term = cluster.cluster, cluster.term
     for number in range(JOBS):
-        job_id = world.accept(cluster.controller, shards=24, cpus=4.0)
-        world.settle(term, 3)
-        started = {w.name: [task for task in w.running() if task.startswith(job_id)] for w in cluster.workers}
+        job_id = world.submit_job(cluster.controller, shards=24, cpus=4.0)
+        world.run_rounds(term, 3)
+        started = {w.name: [task for task in w.running_tasks() if task.startswith(job_id)] for w in cluster.workers}
         run_time_s = 100 if number == SLOW_JOB else 10
-        world.settle(term, run_time_s)
+        world.run_rounds(term, run_time_s)
         finish_tasks(cluster, started, range(5))
-        world.settle(term, run_time_s)
+        world.run_rounds(term, run_time_s)
         finish_tasks(cluster, started, range(5, 6))
-        world.settle(term, 4)
+        world.run_rounds(term, 4)
     return cluster
 
 
@@ -64,4 +64,4 @@
 
 def test_slow_machine_is_returned_once_it_is_empty(cluster: SchedulingCluster, slow_machine: Machine) -> None:
     cluster.term.deprovisioning.return_idle()
-    assert cluster.world.cloud.deleted == [slow_machine.name]
+    assert cluster.cluster.cloud.deleted_machines == [slow_machine.name]
--- a/tests/scheduling/test_team_without_guarantee.py
+++ b/tests/scheduling/test_team_without_guarantee.py
@@ -14,11 +14,13 @@
     """
     guest = '[[params.teams]]\nname = "guest"\ncpus = 0.0\ncpus_max = 0.0\n\n[[params.teams]]'
     cluster = InMemoryCluster(SETTINGS.replace("[[params.teams]]", guest, 1))
-    worker = cluster.worker("n-000000")
+    worker = cluster.add_worker("n-000000")
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    cluster.settle(term, 3)
-    cluster.accept(controller, crew="guest", shards=40, cpus=0.25, ramGb=0.1)
-    cluster.settle(term, 4)
-    assert len(worker.running()) == 40
-    assert json.loads(controller.users.submit(cluster.job(crew="nobody")).body) == {"error": "unknown team"}
+    cluster.run_rounds(term, 3)
+    cluster.submit_job(controller, crew="guest", shards=40, cpus=0.25, ramGb=0.1)
+    cluster.run_rounds(term, 4)
+    assert len(worker.running_tasks()) == 40
+    assert json.loads(controller.job_api.submit(cluster.submission_body(crew="nobody")).body) == {
+        "error": "unknown team"
+    }
--- a/tests/scheduling/test_template_targets.py
+++ b/tests/scheduling/test_template_targets.py
@@ -14,11 +14,11 @@
     """
     cluster = scheduling_cluster(1, monkeypatch)
     scheduler = cluster.term.scheduler
-    first_id = cluster.world.accept(cluster.controller, shards=4, cpus=3.0, rank="best_effort")
+    first_id = cluster.cluster.submit_job(cluster.controller, shards=4, cpus=3.0, rank="best_effort")
     scheduler.update_targets(cluster.now)
     machine = cluster.machine(cluster.workers[0])
     template_before = machine.slot_template
-    cluster.world.accept(cluster.controller, shards=9, cpus=7.0)
+    cluster.cluster.submit_job(cluster.controller, shards=9, cpus=7.0)
     steps = scheduler.update_targets_steps(cluster.now)
     advance(steps, 3)  # the plan now contains a template with two slots of the second type
     for index in range(4):
--- a/tests/storage/test_paged_records.py
+++ b/tests/storage/test_paged_records.py
@@ -115,7 +115,7 @@
     store = KeyValueStoreEmulator(ManualClock())
     records = paged_records(store)
     records.put("a", 1)
-    store.lose_answers = 1
+    store.responses_to_drop = 1
     with pytest.raises(StoreError):
         records.save(Urgency.ACCEPT)
     records.put("b", 2)
--- a/tests/support/federated_clusters.py
+++ b/tests/support/federated_clusters.py
@@ -20,7 +20,7 @@
 from grebestand.wire.jobs import decode_spec
 
 #: the settings with a larger limit for each team
-WIDE = SETTINGS.replace("cpus_max = 64.0", "cpus_max = 640.0")
+WIDE_LIMIT_SETTINGS = SETTINGS.replace("cpus_max = 64.0", "cpus_max = 640.0")
 
 
 class FastClock(ManualClock):
@@ -38,118 +38,120 @@
         """Ignored: the base clock alone is advanced."""
 
 
-class Side:
+class FederatedCluster:
     """One cluster with its present leader."""
 
     def __init__(self, name: str, clock: ManualClock, machines: int) -> None:
         self.name = name
-        self.world = InMemoryCluster(WIDE)
-        self.world.clock = clock
-        self.world.store.clock = clock
-        self.workers = [self.world.worker(f"n-{i:06d}") for i in range(machines)]
+        self.cluster = InMemoryCluster(WIDE_LIMIT_SETTINGS)
+        self.cluster.clock = clock
+        self.cluster.store.clock = clock
+        self.workers = [self.cluster.add_worker(f"n-{i:06d}") for i in range(machines)]
         self.rng = random.Random(name)
-        self.links: dict[str, Wire] = {}
-        self.leaders = 0
-        self.looks = True
-        self.lead()
-        self.world.settle(self.term, 3)
+        self.links: dict[str, LossyLink] = {}
+        self.leader_count = 0
+        self.probes_enabled = True
+        self.elect_leader()
+        self.cluster.run_rounds(self.term, 3)
 
-    def lead(self) -> None:
+    def elect_leader(self) -> None:
         """Begin a term of a new leader."""
-        self.node = InMemoryController(self.world, f"{self.name}-{self.leaders}")
-        self.leaders += 1
+        self.node = InMemoryController(self.cluster, f"{self.name}-{self.leader_count}")
+        self.leader_count += 1
         self.term: Term = self.node.lead()
-        self.begin()
+        self.start_federation()
 
-    def begin(self) -> None:
+    def start_federation(self) -> None:
         """Begin home and guest of the present term, with the links as they are now."""
         clusters = [
-            Cluster(name, link, CircuitBreaker(name, self.world.clock, self.rng)) for name, link in self.links.items()
+            Cluster(name, link, CircuitBreaker(name, self.cluster.clock, self.rng)) for name, link in self.links.items()
         ]
         self.home = HomeCluster(self.name, self.term, clusters, OverflowLimits(lambda job, now: 5.0), self.rng)
-        if not self.looks:
+        if not self.probes_enabled:
             self.home.remotes.probe_due = lambda now: None  # type: ignore[method-assign]
         self.guest = GuestCluster(
             self.name, self.term, GuestLimits(frozenset({"home", "east", "west"}), "blue"),
-            lambda job_id: self.node.users.cancel(job_id).status == 200,
+            lambda job_id: self.node.job_api.cancel(job_id).status == 200,
         )  # fmt: skip
 
-    def round(self) -> None:
+    def run_round(self) -> None:
         """Let the workers, the leader and both sides of federation act once."""
-        self.world.settle(self.term, 1, 0.0)
+        self.cluster.run_rounds(self.term, 1, 0.0)
         self.home.step()
         self.guest.step()
 
 
-class Wire:
+class LossyLink:
     """The link to another cluster. `drop` decides for each message what is lost: "request", "answer" or nothing."""
 
-    def __init__(self, to: Side) -> None:
-        self.to = to
-        self.drop: Callable[[Message], str] = lambda message: ""
-        self.sent: list[Message] = []
+    def __init__(self, to: FederatedCluster) -> None:
+        self.target = to
+        self.select_loss: Callable[[Message], str] = lambda message: ""
+        self.sent_messages: list[Message] = []
 
     def tell(self, message: Message) -> Reply | None:
         """Deliver a message, written and read as on the wire, and return its reply."""
-        fault = self.drop(message)
+        fault = self.select_loss(message)
         if fault == "request":
             return None
         received = messages.decode(msgspec.msgpack.encode(message))
         if not isinstance(received, Probe):
-            self.sent.append(received)
-        reply = self.to.guest.answer(received)
+            self.sent_messages.append(received)
+        reply = self.target.guest.answer(received)
         return None if fault == "answer" else messages.decode_reply(msgspec.msgpack.encode(reply))
 
 
-class Clusters:
+class FederatedClusters:
     """A home cluster without free capacity and others with some, on one clock, and a gang that waits at home."""
 
     def __init__(self, *others: str, looks: bool = True, ahead: bool = False) -> None:
         """Without `looks`, home probes nobody, and offers the gang to two clusters at once."""
         self.clock = ManualClock()
-        self.home = Side("home", self.clock, 3)
-        self.others = [Side(name, FastClock(self.clock) if ahead else self.clock, 4) for name in others or ("east",)]
-        self.home.links = {o.name: Wire(o) for o in self.others}
-        self.home.looks = looks
-        self.home.begin()
-        self.filler = self.home.world.accept(self.home.node, shards=3, cpus=15.0, rank="critical")
-        self.go(6)
-        self.gang = self.home.world.accept(self.home.node, shape="ensemble", shards=3, cpus=15.0)
+        self.home = FederatedCluster("home", self.clock, 3)
+        self.others = [
+            FederatedCluster(name, FastClock(self.clock) if ahead else self.clock, 4) for name in others or ("east",)
+        ]
+        self.home.links = {o.name: LossyLink(o) for o in self.others}
+        self.home.probes_enabled = looks
+        self.home.start_federation()
+        self.filler = self.home.cluster.submit_job(self.home.node, shards=3, cpus=15.0, rank="critical")
+        self.advance(6)
+        self.gang = self.home.cluster.submit_job(self.home.node, shape="ensemble", shards=3, cpus=15.0)
 
     @property
-    def sides(self) -> list[Side]:
+    def sides(self) -> list[FederatedCluster]:
         return [self.home, *self.others]
 
     @property
-    def east(self) -> Side:
+    def east(self) -> FederatedCluster:
         return self.others[0]
 
-    def go(self, rounds: int) -> None:
+    def advance(self, rounds: int) -> None:
         """Advance the clock by so many seconds, one round a second, with a check after each."""
         for _ in range(rounds):
             self.clock.now += 1.0
             for side in self.sides:
-                side.round()
+                side.run_round()
             self.check()
 
-    def crash(self, *down: Side) -> None:
+    def fail_over(self, *down: FederatedCluster) -> None:
         """End the leaders of these clusters; the others go on, and new leaders follow when the leases have expired."""
         for _ in range(13):
             self.clock.now += 1.0
             for side in self.sides:
                 if side not in down:
-                    side.round()
+                    side.run_round()
         for side in down:
-            side.lead()
+            side.elect_leader()
         self.check()
 
-    def gangs(self) -> dict[str, list[str]]:
+    def gang_tasks(self) -> dict[str, list[str]]:
         """Return the running tasks of the gang, by cluster: at home by its own job id, elsewhere by the guests'."""
         found = {}
         for side in self.sides:
             names = {self.gang} if side is self.home else {r.job for r in side.guest.records.values()}
             found[side.name] = [
-                task for worker in side.workers for task in worker.running() if task.rpartition("/")[0] in names
+                task for worker in side.workers for task in worker.running_tasks() if task.rpartition("/")[0] in names
             ]
         return found
 
@@ -157,35 +159,35 @@
         """Check that the gang is neither split nor run twice: its tasks run in one cluster, each once."""
         if not hasattr(self, "gang"):
             return
-        running = {name: tasks for name, tasks in self.gangs().items() if tasks}
+        running = {name: tasks for name, tasks in self.gang_tasks().items() if tasks}
         assert len(running) <= 1, running
         assert all(len(tasks) == len(set(tasks)) <= 3 for tasks in running.values())
 
-    def runs_in(self) -> str | None:
+    def running_cluster(self) -> str | None:
         """Return the cluster that runs all tasks of the gang, or None."""
-        whole = [name for name, tasks in self.gangs().items() if len(tasks) == 3]
+        whole = [name for name, tasks in self.gang_tasks().items() if len(tasks) == 3]
         return whole[0] if whole else None
 
-    def finish(self, side: Side) -> None:
+    def finish_tasks(self, side: FederatedCluster) -> None:
         """Finish all tasks that run in a cluster."""
         for worker in side.workers:
-            for task in worker.running():
-                worker.finish(task)
+            for task in worker.running_tasks():
+                worker.finish_task(task)
 
-    def view(self) -> str:
+    def gang_state(self) -> str:
         """Return the state of the gang as its user is given it."""
-        return str(msgspec.json.decode(self.home.node.users.poll(self.gang).body)["tide"])
+        return str(msgspec.json.decode(self.home.node.job_api.poll(self.gang).body)["tide"])
 
-    def until(self, done: Callable[[], bool], seconds: int = 120) -> None:
+    def advance_until(self, done: Callable[[], bool], seconds: int = 120) -> None:
         """Advance the clock until a condition holds; fail if it does not within so many seconds."""
         for _ in range(seconds):
             if done():
                 return
-            self.go(1)
+            self.advance(1)
         raise AssertionError(f"not within {seconds} s")
 
 
-def offer(clusters: Clusters, **more: Any) -> ReservationRequest:
+def reservation_request(clusters: FederatedClusters, **more: Any) -> ReservationRequest:
     """Return an offer of a new gang of two tasks, as home would send it."""
-    spec = decode_spec(clusters.home.world.job(shape="ensemble", shards=2, cpus=15.0, **more))
+    spec = decode_spec(clusters.home.cluster.submission_body(shape="ensemble", shards=2, cpus=15.0, **more))
     return ReservationRequest("home", spec, ["home"])
--- a/tests/support/heartbeat_batches.py
+++ b/tests/support/heartbeat_batches.py
@@ -18,8 +18,8 @@
     cluster = InMemoryCluster()
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    workers = [cluster.worker(f"n-{i:06d}") for i in range(3)]
-    cluster.settle(term, 3)
+    workers = [cluster.add_worker(f"n-{i:06d}") for i in range(3)]
+    cluster.run_rounds(term, 3)
     load = OverloadMonitor(Quota(), cluster.clock)
     receiver = BatchReceiver(
         ["node-1"], controller.election, lambda: controller.term, load, cluster.clock, lambda: None
--- a/tests/support/heartbeat_clusters.py
+++ b/tests/support/heartbeat_clusters.py
@@ -15,10 +15,10 @@
     """Return a cluster in memory, its leader, and the leader's term; its machines may be given tasks."""
     cluster = InMemoryCluster(settings, rules)
     for i in range(machines):
-        cluster.worker(f"n-{i:06d}")
+        cluster.add_worker(f"n-{i:06d}")
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    cluster.settle(term, 3)
+    cluster.run_rounds(term, 3)
     return cluster, controller, term
 
 
--- a/tests/support/network_faults.py
+++ b/tests/support/network_faults.py
@@ -7,5 +7,5 @@
 
 def isolate(world: SimulatedCluster, controller: str, mode: LinkMode) -> None:
     """Cut a controller off from the key-value store and its peers, but not from workers and users."""
-    for other_end in (STATE, *(name for name in world.controllers if name != controller)):
-        world.links.set(controller, other_end, mode)
+    for other_end in (STATE, *(name for name in world.controller_names if name != controller)):
+        world.links.set_mode(controller, other_end, mode)
--- a/tests/support/scheduling_cluster.py
+++ b/tests/support/scheduling_cluster.py
@@ -27,7 +27,7 @@
 class SchedulingCluster:
     """A cluster of one controller, which leads, and its workers."""
 
-    world: InMemoryCluster
+    cluster: InMemoryCluster
     controller: InMemoryController
     term: Term
     workers: list[WorkerEmulator]
@@ -35,7 +35,7 @@
     @property
     def now(self) -> float:
         """Seconds on the leader's clock."""
-        return self.world.clock.now
+        return self.cluster.clock.now
 
     def job(self, job_id: str) -> Job:
         """Return the leader's state of a job."""
@@ -57,8 +57,8 @@
     world = InMemoryCluster(settings)
     controller = InMemoryController(world, "node-0")
     term = controller.lead()
-    workers = [world.worker(f"n-{i:06d}") for i in range(machines)]
-    world.settle(term, SETTLE_S)
+    workers = [world.add_worker(f"n-{i:06d}") for i in range(machines)]
+    world.run_rounds(term, SETTLE_S)
     return SchedulingCluster(world, controller, term, workers)
 
 
--- a/tests/support/single_leader.py
+++ b/tests/support/single_leader.py
@@ -53,20 +53,20 @@
 def start_cluster(machine_count: int = 2) -> LedCluster:
     """Start machines and a leader, until the machines are ready."""
     cluster = InMemoryCluster()
-    workers = [cluster.worker(f"n-{number:06d}") for number in range(machine_count)]
+    workers = [cluster.add_worker(f"n-{number:06d}") for number in range(machine_count)]
     controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
-    cluster.settle(term, 3)
+    cluster.run_rounds(term, 3)
     return LedCluster(cluster, controller, term, workers)
 
 
 def start_partly_unreachable_job(tasks: int = 20) -> PartlyUnreachableJob:
     """Start an array on two machines and cut one of them off."""
     cluster, controller, term, (connected, cut_off) = start_cluster()
-    job_id = cluster.accept(controller, shards=tasks)
-    cluster.settle(term)
-    cut_off_tasks = set(cut_off.running())
-    assert cut_off_tasks and connected.running()
+    job_id = cluster.submit_job(controller, shards=tasks)
+    cluster.run_rounds(term)
+    cut_off_tasks = set(cut_off.running_tasks())
+    assert cut_off_tasks and connected.running_tasks()
     cut_off.reachable = False
     return PartlyUnreachableJob(cluster, controller, term, connected, cut_off, job_id, cut_off_tasks)
 
@@ -74,9 +74,9 @@
 def start_finished_job() -> FinishedJob:
     """Run a job of one task up to the commit of its final record."""
     cluster, controller, term, (worker,) = start_cluster(1)
-    job_id = cluster.accept(controller)
-    cluster.settle(term)
-    worker.finish(f"{job_id}/0")
+    job_id = cluster.submit_job(controller)
+    cluster.run_rounds(term)
+    worker.finish_task(f"{job_id}/0")
     cluster.handle_heartbeat(term, worker)
     return FinishedJob(cluster, controller, term, job_id)
 
@@ -90,5 +90,5 @@
 
 def polled_state(controller: InMemoryController, job_id: str) -> str:
     """Return what a user who polls the job is answered: its state, or the status of an error."""
-    response = controller.users.poll(job_id)
+    response = controller.job_api.poll(job_id)
     return str(json.loads(response.body)["tide"]) if response.status == 200 else str(response.status)
--- a/tests/support/tiny_feature.py
+++ b/tests/support/tiny_feature.py
@@ -60,7 +60,7 @@
 def make(values: Expressions, settings: Settings, plain: Plain) -> Features:
     """The feature's hooks."""
     curfew = Curfew(values, settings)
-    MADE.append(curfew)
+    CREATED_CURFEWS.append(curfew)
     return Features(
         names=["curfew"],
         accept=[curfew.accept],
@@ -74,5 +74,5 @@
 
 
 #: every feature that was made, for tests to look at
-MADE: list[Curfew] = []
+CREATED_CURFEWS: list[Curfew] = []
 FEATURE = Feature(Vocabulary({"most_tasks": Rule(1, 1e5)}, {"teams": (0.0, 1e6)}), {"most_tasks": "100 * teams"}, make)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -192,22 +192,22 @@
 def keys_now() -> dict[str, Any]:
     """Keys in the state service, most as a leader has written them in its work, and what it has told workers."""
     commands: set[str] = set()
-    obey = WorkerEmulator.obey
+    obey = WorkerEmulator.apply_response
 
     def noted(self: WorkerEmulator, orders: workers.HeartbeatResponse) -> None:
         commands.update(command.op for command in orders.commands)
         obey(self, orders)
 
-    with mock.patch.object(WorkerEmulator, "obey", noted):
+    with mock.patch.object(WorkerEmulator, "apply_response", noted):
         world = InMemoryCluster()
-        worker, node = world.worker("n-000000"), InMemoryController(world, "node-0")
+        worker, node = world.add_worker("n-000000"), InMemoryController(world, "node-0")
         term = node.lead()
-        world.settle(term, 3)
-        ended, cancelled, _ = [world.accept(node) for _ in range(3)]
-        world.settle(term)
-        worker.finish(f"{ended}/0")
-        node.users.cancel(cancelled)
-        world.settle(term)
+        world.run_rounds(term, 3)
+        ended, cancelled, _ = [world.submit_job(node) for _ in range(3)]
+        world.run_rounds(term)
+        worker.finish_task(f"{ended}/0")
+        node.job_api.cancel(cancelled)
+        world.run_rounds(term)
     return {
         "machine types": machine_type_catalog.TYPES_KEY,
         "guest gang": guest.guest_key("id"),
--- a/tools/cuts.py
+++ b/tools/cuts.py
@@ -24,7 +24,7 @@
 import gevent  # noqa: E402
 
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster  # noqa: E402
-from grebestand.simulation.virtual_time import simulated  # noqa: E402
+from grebestand.simulation.virtual_time import simulated_time  # noqa: E402
 
 NODES = ("node-0", "node-1", "node-2")
 LINKS = [(n, STATE) for n in NODES] + [(n, "workers") for n in NODES] + list(itertools.combinations(NODES, 2))
@@ -64,23 +64,23 @@
     """Play one pattern on simulated time."""
     pattern, way, seed = task
     cut = [link for i, link in enumerate(LINKS) if pattern >> i & 1]
-    with simulated() as loop:
+    with simulated_time() as loop:
         world = SimulatedCluster(loop, seed=seed * 1000 + pattern)
-        world.crowd(0.8, HEALTHY_S + CUT_S + HEALED_S)
+        world.submit_continuously(0.8, HEALTHY_S + CUT_S + HEALED_S)
         gevent.sleep(HEALTHY_S)
-        killed, led = world.killed, len(world.leaders)
+        killed, led = world.lease_expiry_kills, len(world.leader_history)
         for a, b in cut:
             for end in ("a", "b") if b == "workers" else (b,):
-                world.links.set(a, end, way)
+                world.links.set_mode(a, end, way)
         gevent.sleep(CUT_S)
         now = loop.time
-        pause = world.longest_pause(HEALTHY_S, now)
-        served = any(t > now - SERVED_S for t in world.starts)
-        changes, lost = len(world.leaders) - led, world.killed - killed
-        world.links.heal()
+        pause = world.longest_gap_between_starts(HEALTHY_S, now)
+        served = any(t > now - SERVED_S for t in world.task_start_times)
+        changes, lost = len(world.leader_history) - led, world.lease_expiry_kills - killed
+        world.links.open_all()
         gevent.sleep(HEALED_S)
-        after = next((t - now for t in world.starts if t > now), HEALED_S)
-        return Outcome(tuple(cut), has_path(set(cut)), served, pause, changes, lost, after, world.broken())
+        after = next((t - now for t in world.task_start_times if t > now), HEALED_S)
+        return Outcome(tuple(cut), has_path(set(cut)), served, pause, changes, lost, after, world.violations())
 
 
 def main() -> int:
--- a/tools/history_digest.py
+++ b/tools/history_digest.py
@@ -31,10 +31,10 @@
 from grebestand.simulation.client_history import ClientHistory, ClientObservation  # noqa: E402
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster  # noqa: E402
 from grebestand.simulation.simulated_worker import SimulatedWorker  # noqa: E402
-from grebestand.simulation.virtual_time import simulated  # noqa: E402
+from grebestand.simulation.virtual_time import simulated_time  # noqa: E402
 from grebestand.wire.workers import HeartbeatResponse  # noqa: E402
 from scenarios.test_random_fault_schedules import NODES, played  # noqa: E402
-from support.cluster_actions import SPREAD  # noqa: E402
+from support.cluster_actions import SPREAD_HEARTBEATS  # noqa: E402
 
 Schedule = list[tuple[float, tuple[object, ...]]]
 
@@ -55,7 +55,7 @@
     (30.0, ("alone", "node-1", LinkMode.HELD)),
     (12.0, ("heal",)),
     (6.0, ("cut", "node-0", STATE, LinkMode.SLOW)),
-    (7.0, ("cut", "node-2", "a", LinkMode.ANSWERS_LOST)),
+    (7.0, ("cut", "node-2", "a", LinkMode.RESPONSES_LOST)),
     (10.0, ("zone", "node-0", "b", 20.0)),
 ]
 LATE: Schedule = [
@@ -74,9 +74,9 @@
 
 def gangs_and_services() -> None:
     """No trouble: arrays, gangs and services of all priorities, bound to zones and spread, on more work than fits."""
-    with simulated() as loop:
+    with simulated_time() as loop:
         world = SimulatedCluster(loop, seed=41, machines=8)
-        world.crowd(3.0, 100.0)
+        world.submit_continuously(3.0, 100.0)
         gevent.sleep(6)
         for number in range(24):
             shape = ("ensemble", "array", "daemon")[number % 3]
@@ -86,16 +86,16 @@
                 ("red", "blue")[number % 2], 2 + number % 5, 1.0 + number % 3, shape=shape, rank=rank, **allocation
             )
             gevent.sleep(4)
-        world.cancel_now(5)
+        world.cancel_running_jobs(5)
         gevent.sleep(60)
 
 
 def one_controller() -> None:
     """One controller alone, whose process ends twice."""
-    with simulated() as loop:
+    with simulated_time() as loop:
         world = SimulatedCluster(loop, seed=42, controllers=1, machines=6)
-        world.cancelling = 0.3
-        world.crowd(2.0, 100.0)
+        world.cancelled_job_rate = 0.3
+        world.submit_continuously(2.0, 100.0)
         for _ in range(2):
             gevent.sleep(25)
             world.crash("node-0")
@@ -110,9 +110,9 @@
     "crashes": lambda: played(CRASHES, 43),
     "cuts": lambda: played(CUTS, 44),
     "late messages": lambda: played(LATE, 45),
-    "crashes, reports over any controller": lambda: played(CRASHES, 46, rules=SPREAD),
-    "cuts, reports over any controller": lambda: played(CUTS, 47, rules=SPREAD),
-    "late messages, reports over any controller": lambda: played(LATE, 48, rules=SPREAD),
+    "crashes, reports over any controller": lambda: played(CRASHES, 46, rules=SPREAD_HEARTBEATS),
+    "cuts, reports over any controller": lambda: played(CUTS, 47, rules=SPREAD_HEARTBEATS),
+    "late messages, reports over any controller": lambda: played(LATE, 48, rules=SPREAD_HEARTBEATS),
 }
 
 
@@ -132,13 +132,13 @@
 def recorded() -> Iterator[History]:
     """All that users are told, workers are told and the state service is made to change, while it lasts."""
     history = History()
-    told, obey, request = ClientHistory.told, SimulatedWorker.obey, KeyValueStoreEmulator.request
+    told, obey, request = ClientHistory.record_response, SimulatedWorker.apply_response, KeyValueStoreEmulator.request
 
     def told_and_kept(
         self: ClientHistory, status: int, body: bytes, asked: float, now: float, calm_at: float, undone: list[str]
     ) -> ClientObservation:
         history.answers += 1
-        history.add(now, f"user {self.ref} {status}", body)
+        history.add(now, f"user {self.job_id} {status}", body)
         return told(self, status, body, asked, now, calm_at, undone)
 
     def obeyed_and_kept(self: SimulatedWorker, orders: HeartbeatResponse) -> None:
@@ -156,8 +156,8 @@
         return status, answer
 
     with (
-        mock.patch.object(ClientHistory, "told", told_and_kept),
-        mock.patch.object(SimulatedWorker, "obey", obeyed_and_kept),
+        mock.patch.object(ClientHistory, "record_response", told_and_kept),
+        mock.patch.object(SimulatedWorker, "apply_response", obeyed_and_kept),
         mock.patch.object(KeyValueStoreEmulator, "request", requested_and_kept),
     ):
         yield history
