--- a/src/grebestand/simulation/client_history.py
+++ b/src/grebestand/simulation/client_history.py
@@ -1,7 +1,7 @@
-"""What a user asked of the service and was told of one job, and what of that may not be.
+"""The responses that users received about one job, and checks of their consistency.
 
-Several may ask about one job at once, at all controllers. Answers are judged as linearizability has it: a question
-that was sent after a newer answer had come may not be answered older.
+Requests about a job may be concurrent, at any controller. Responses must be linearizable: a request that was sent
+after a newer response had been received must not be answered with older state.
 """
 
 from __future__ import annotations
@@ -14,36 +14,51 @@
 
 @dataclass
 class ClientObservation:
-    """What follows from one answer."""
+    """What one response shows.
+
+    Attributes:
+        violations: Rules that the response breaks.
+        stale_overlapping: Older states that the response shows although a newer one had been received; this is allowed,
+            because the request was sent before the newer response was received.
+        is_news: Whether the response is the first to show its state of the job.
+    """
 
-    #: rules that it breaks
     violations: list[str] = field(default_factory=list)
-    #: it came after a newer one, and was asked for before that
     stale_overlapping: list[str] = field(default_factory=list)
-    #: it is the first to say so
     is_news: bool = False
 
 
 @dataclass
 class ClientHistory:
-    """A job by what its user submitted, and was told."""
+    """One job, as its user submitted it and as responses described it. Times are simulated seconds.
+
+    Attributes:
+        job_id: The job's id.
+        spec: The submission, by its field names on the wire.
+        submitted_at: When the user first submitted the job.
+        accepted_at: When the first response that the job was accepted was received, or None.
+        done_at: When the first response that the job is done was received, or None.
+        last_answered_at: When the last request about the job was answered.
+        max_unanswered_s: The longest time between two responses since all faults ended.
+        always_fails: Whether every task of the job fails, on any machine.
+        cancel_at: When the user requests the cancellation; infinite if never.
+        cancelled_at: When the first response that the job is cancelled was received, or None.
+        first_started_at: When the job's first task started; infinite before that.
+        final_result: The final state with the numbers of done and running tasks, from the first response with a final
+            state, or None.
+    """
 
     job_id: str
     spec: dict[str, Any]
     submitted_at: float
     accepted_at: float | None = None
     done_at: float | None = None
-    #: when a question about it was last answered, and the longest that it took since all troubles were over
     last_answered_at: float = 0.0
     max_unanswered_s: float = 0.0
-    #: it was submitted with a mistake, and fails wherever it is started
     always_fails: bool = False
-    #: when its user asks to cancel it, and when it was told that it is cancelled
     cancel_at: float = math.inf
     cancelled_at: float | None = None
-    #: when its first task began
     first_started_at: float = math.inf
-    #: its final state and counts as first told
     final_result: tuple[str, int, int] | None = None
 
     def __post_init__(self) -> None:
@@ -51,72 +66,101 @@
         self.team, self.tasks = str(self.spec["crew"]), int(self.spec["shards"])
         self.cpus, self.gpus = float(self.spec["cpus"]), float(self.spec["cards"])
         self.is_gang = self.spec["shape"] == "ensemble"
-        #: all its tasks have to be in one zone; at most half of them, rounded up, may be; the only zone that may be
-        self.same_place, self.scatter = bool(self.spec["samePlace"]), bool(self.spec["scatter"])
+        #: all tasks must run in one zone
+        self.same_zone = bool(self.spec["samePlace"])
+        #: at most half of the tasks, rounded up, may run in one zone
+        self.spread_zones = bool(self.spec["scatter"])
+        #: the only zone that is allowed, or None
         self.zone = self.spec["quay"]
 
     @property
     def is_finished(self) -> bool:
-        """Whether a final state was told."""
+        """Whether a response with a final state was received."""
         return self.done_at is not None or self.cancelled_at is not None
 
     def record_response(
-        self, status: int, body: bytes, asked: float, now: float, calm_at: float, undone: list[str]
+        self,
+        status: int,
+        body: bytes,
+        sent_at: float,
+        now: float,
+        faults_ended_at: float,
+        unfinished_tasks: list[str],
     ) -> ClientObservation:
-        """An answer has come to a question that was sent at `asked`; `undone` are tasks that have not completed."""
-        news = ClientObservation()
-        known, over = self.accepted_at, self.done_at if self.done_at is not None else self.cancelled_at
-        if status in (400, 422) and known is not None:
-            news.violations.append(f"accepted and then answered {status}")
+        """Record a response, and check it against the earlier ones.
+
+        Args:
+            status: The HTTP status.
+            body: The JSON body.
+            sent_at: When the request was sent, in simulated seconds.
+            now: When the response was received, in simulated seconds.
+            faults_ended_at: When all faults ended, in simulated seconds; infinite before that.
+            unfinished_tasks: The job's tasks that no worker has completed.
+
+        Returns:
+            What the response shows.
+        """
+        observation = ClientObservation()
+        accepted_at = self.accepted_at
+        finished_at = self.done_at if self.done_at is not None else self.cancelled_at
+        if status in (400, 422) and accepted_at is not None:
+            observation.violations.append(f"accepted and then answered {status}")
         if status == 404:
-            self._add_stale_response(news, asked, known, "accepted and then unknown")
-            return news
+            self._add_stale_response(observation, sent_at, accepted_at, "accepted and then unknown")
+            return observation
         if status not in (200, 201):
-            return news
-        if known is None:
+            return observation
+        if accepted_at is None:
             self.accepted_at = self.last_answered_at = now
-            news.is_news = True
-        self.max_unanswered_s = max(self.max_unanswered_s, now - max(self.last_answered_at, calm_at))
+            observation.is_news = True
+        self.max_unanswered_s = max(self.max_unanswered_s, now - max(self.last_answered_at, faults_ended_at))
         self.last_answered_at = now
-        said = json.loads(body)
-        tide, final = said["tide"], (said["tide"], said.get("done", 0), said.get("running", 0))
-        if tide not in ("done", "cancelled"):
-            self._add_stale_response(
-                news, asked, over, f"was {'done' if self.done_at is not None else 'cancelled'} and is {tide}"
-            )
-            return news
+        response = json.loads(body)
+        state = response["tide"]
+        result = (state, response.get("done", 0), response.get("running", 0))
+        if state not in ("done", "cancelled"):
+            final_state = "done" if self.done_at is not None else "cancelled"
+            self._add_stale_response(observation, sent_at, finished_at, f"was {final_state} and is {state}")
+            return observation
         if self.final_result is not None:
-            if final != self.final_result:
-                news.violations.append(f"was told as {self.final_result} and is {final}")
-            return news
-        news.is_news = True
-        self.final_result = final
-        if tide == "done":
+            if result != self.final_result:
+                observation.violations.append(f"was told as {self.final_result} and is {result}")
+            return observation
+        observation.is_news = True
+        self.final_result = result
+        if state == "done":
             self.done_at = now
-            if undone and not self.is_gang:
-                news.violations.append(f"is called done, and {undone[:5]} are not")
+            if unfinished_tasks and not self.is_gang:
+                observation.violations.append(f"is called done, and {unfinished_tasks[:5]} are not")
         else:
             self.cancelled_at = now
             if now < self.cancel_at:
-                news.violations.append("is cancelled, and nobody asked for that")
-        return news
+                observation.violations.append("is cancelled, and nobody asked for that")
+        return observation
 
     @staticmethod
-    def _add_stale_response(news: ClientObservation, asked: float, newer_at: float | None, text: str) -> None:
-        """An answer older than one that came at `newer_at`: wrong if it was asked for after that."""
+    def _add_stale_response(observation: ClientObservation, sent_at: float, newer_at: float | None, text: str) -> None:
+        """Add a response with older state: a violation if it was requested after the newer one was received."""
         if newer_at is not None:
-            (news.violations if asked >= newer_at else news.stale_overlapping).append(text)
+            (observation.violations if sent_at >= newer_at else observation.stale_overlapping).append(text)
+
+    def fits_free_capacity(self, free_cpus: dict[str, float], zone_of: dict[str, str], used_zones: list[str]) -> bool:
+        """Whether another task of the job, or all tasks of a gang, could be placed.
 
-    def fits_free_capacity(self, free: dict[str, float], zone_of: dict[str, str], there: list[str]) -> bool:
-        """Whether a waiting task, or the whole gang, would find room, with tasks of it in these zones."""
+        Args:
+            free_cpus: Free CPUs of each machine.
+            zone_of: The zone of each machine.
+            used_zones: The zone of each running task of the job.
+        """
         slots: dict[str, int] = {}
-        for name, cpus in free.items():
+        for name, cpus in free_cpus.items():
             zone = zone_of[name]
             if self.zone in (None, zone):
                 slots[zone] = slots.get(zone, 0) + int((cpus + 1e-6) // self.cpus)
-        if self.scatter:
+        if self.spread_zones:
             half = -(-self.tasks // 2)
-            slots = {zone: min(n, half - there.count(zone)) for zone, n in slots.items()}
-        if self.same_place:
-            return any(n >= (self.tasks if self.is_gang else 1) for z, n in slots.items() if not there or z == there[0])
-        return sum(slots.values()) >= (self.tasks if self.is_gang else 1)
+            slots = {zone: min(n, half - used_zones.count(zone)) for zone, n in slots.items()}
+        needed = self.tasks if self.is_gang else 1
+        if self.same_zone:
+            return any(n >= needed for zone, n in slots.items() if not used_zones or zone == used_zones[0])
+        return sum(slots.values()) >= needed
--- a/src/grebestand/simulation/fault_injection.py
+++ b/src/grebestand/simulation/fault_injection.py
@@ -1,7 +1,8 @@
-"""What is amiss in a simulated cluster now: which part of messages and writes goes wrong, what users and the cloud do.
+"""The faults in force in a simulated cluster that concern messages, writes, users and the cloud.
 
-Tests set these, and end them. Crashes and freezes of controllers are in `simulated_controllers.py`, cuts in `links.py`,
-what happens to one machine in `seats.py`; an outage is the state service's own (`store.py`).
+Tests set and reset these faults. Crashes and pauses of controllers are in `simulated_controllers.py`, partitions in
+`network_links.py`, faults of one machine in `simulated_worker.py`, outages of the state service in
+`emulators/kv_store.py`.
 """
 
 from __future__ import annotations
@@ -11,31 +12,38 @@
 
 @dataclass(eq=False)
 class FaultInjection:
-    """None at first."""
+    """The faults in force; none by default. Rates are probabilities between 0 and 1.
+
+    Attributes:
+        duplicate_heartbeat_rate: The rate of heartbeats of which a duplicate is delivered late.
+        retained_heartbeat_rate: The rate of heartbeats of which a copy is retained, to be delivered to all controllers
+            when the next leader begins its term.
+        retained_heartbeats: The retained copies.
+        late_write_rate: The rate of writes to the state service that are executed late and never answered.
+        lost_response_rate: The rate of writes that are executed at once and never answered.
+        max_response_delay_s: The longest delay of the state service's other responses, in seconds.
+        late_command_rate: The rate of direct commands that, or whose responses, are delayed.
+        poll_rate_factor: How many times as often as usual users poll.
+        burst_requests: Whether users send requests to all controllers within milliseconds of every acceptance,
+            cancellation and end of a job.
+        cancelled_job_rate: The rate of continuously submitted jobs that users cancel.
+        cancel_at_end_rate: The rate of jobs that users cancel at the moment at which the last task ends.
+        boot_s: The shortest and longest time until a rented machine is up, in seconds.
+        listing_delay_s: The time until the cloud lists a rented machine, in seconds.
+        boot_failure_rate: The rate of rented machines that never come up.
+    """
 
-    #: which part of all reports is copied, to arrive late
     duplicate_heartbeat_rate: float = 0.0
-    #: which part of the reports is kept, to come to all controllers just as the next leader begins; what was kept
     retained_heartbeat_rate: float = 0.0
     retained_heartbeats: list[bytes] = field(default_factory=list)
-    #: which part of the writes to the state service is carried out late and not answered
     late_write_rate: float = 0.0
-    #: which part of the writes is carried out at once, with nobody answered
     lost_response_rate: float = 0.0
-    #: how late the other answers of the state service are at most, in seconds
     max_response_delay_s: float = 0.0
-    #: which part of the direct commands, or of their answers, is held up
     late_command_rate: float = 0.0
-    #: users ask so many times as often
     poll_rate_factor: float = 1.0
-    #: users ask at all controllers within milliseconds of every acceptance, cancellation and end
     burst_requests: bool = False
-    #: which part of a crowd's jobs is cancelled by its users
     cancelled_job_rate: float = 0.0
-    #: which part of the jobs is cancelled at the moment of its end
     cancel_at_end_rate: float = 0.0
-    #: how long machines take until they are up, and until they are listed, in seconds
     boot_s: tuple[float, float] = (0.2, 2.0)
     listing_delay_s: float = 8.0
-    #: which part of them never comes up
     boot_failure_rate: float = 0.0
--- a/src/grebestand/simulation/invalid_requests.py
+++ b/src/grebestand/simulation/invalid_requests.py
@@ -1,4 +1,4 @@
-"""Requests that cannot be: what can't run, lacks a field, repeats an id with nonsense, asks about no job."""
+"""Invalid requests of users: impossible jobs, missing fields, changed repeats of a job id, and unknown jobs."""
 
 from __future__ import annotations
 
@@ -10,66 +10,65 @@
 from .invariant_checks import InvariantChecks
 from .simulated_controllers import SimulatedControllers
 
+SEND_INTERVAL_S = 0.3
+
 
 class InvalidRequests:
-    """Sends requests that break the protocol to controllers, and checks how they are answered."""
+    """Sends invalid requests to controllers, and checks the responses."""
 
-    def __init__(self, basis: ClusterBase, checks: InvariantChecks, processes: SimulatedControllers) -> None:
-        self.basis = basis
+    def __init__(self, cluster: ClusterBase, checks: InvariantChecks, processes: SimulatedControllers) -> None:
+        self.cluster = cluster
         self.checks = checks
         self.processes = processes
 
     def send_one(self) -> None:
-        """Somebody sends what can't run or lacks a field, repeats an accepted id with nonsense, asks about no job."""
-        names = [n for n in self.basis.controller_names if self.processes.accepts_requests(n)]
+        """Send a random invalid request to a random controller, and record a violation if it isn't rejected."""
+        names = [n for n in self.cluster.controller_names if self.processes.accepts_requests(n)]
         if not names:
             return
-        at = self.basis.fault_rng.choice(names)
-        node, known = (
-            self.processes.controllers[at],
-            [r for r, j in self.basis.jobs.items() if j.accepted_at is not None],
-        )
-        assert node is not None
-        spec = dict(
-            next(iter(self.basis.jobs.values())).spec, ref=f"j-{900000 + self.basis.fault_rng.randrange(90000):06d}"
-        )
-        kind = self.basis.fault_rng.randrange(4 if known else 3)
-        asked = self.basis.loop.time
+        name = self.cluster.fault_rng.choice(names)
+        controller = self.processes.controllers[name]
+        accepted = [job_id for job_id, job in self.cluster.jobs.items() if job.accepted_at is not None]
+        assert controller is not None
+        unused_id = f"j-{900000 + self.cluster.fault_rng.randrange(90000):06d}"
+        spec = dict(next(iter(self.cluster.jobs.values())).spec, ref=unused_id)
+        kind = self.cluster.fault_rng.randrange(4 if accepted else 3)
+        sent_at = self.cluster.loop.time
         if kind == 0:
-            del spec[self.basis.fault_rng.choice([f for f in spec if f not in ("ref", "hulls", "quay", "dueS")])]
+            required = [field for field in spec if field not in ("ref", "hulls", "quay", "dueS")]
+            del spec[self.cluster.fault_rng.choice(required)]
         elif kind == 1:
-            field, value = self.basis.fault_rng.choice(
+            field, value = self.cluster.fault_rng.choice(
                 [("cpus", 17.0), ("ramGb", 65.0), ("crew", "nobody"), ("shards", 0), ("shards", "x"), ("cpus", -1.0),
                  ("hulls", ["none"]), ("quay", "nowhere"), ("cards", 5.0), ("shape", "ring"), ("shards", 100_001)]
             )  # fmt: skip
             spec[field] = value
         elif kind == 2:
-            answer = node.job_api.poll(str(spec["ref"]))
-            if answer.status == 200:
-                self.checks.other_violations.append(f"{asked:.2f} {spec['ref']} was invented by {at}")
+            response = controller.job_api.poll(unused_id)
+            if response.status == 200:
+                self.checks.other_violations.append(f"{sent_at:.2f} {unused_id} was invented by {name}")
             return
         else:
-            ref = self.basis.fault_rng.choice(known)
-            answer = node.job_api.submit(
-                json.dumps({**self.basis.jobs[ref].spec, "shards": "x", "crew": "nobody"}).encode()
-            )
-            if answer.status not in (200, 503):
+            job_id = self.cluster.fault_rng.choice(accepted)
+            changed = {**self.cluster.jobs[job_id].spec, "shards": "x", "crew": "nobody"}
+            response = controller.job_api.submit(json.dumps(changed).encode())
+            if response.status not in (200, 503):
                 self.checks.other_violations.append(
-                    f"{asked:.2f} {ref} accepted, its repeat with nonsense answered {answer.status}"
+                    f"{sent_at:.2f} {job_id} accepted, its repeat with nonsense answered {response.status}"
                 )
             return
-        answer = node.job_api.submit(json.dumps(spec).encode())
-        if answer.status not in (400, 422, 503):
+        response = controller.job_api.submit(json.dumps(spec).encode())
+        if response.status not in (400, 422, 503):
             self.checks.other_violations.append(
-                f"{asked:.2f} {spec['ref']}: answered {answer.status} though it can't run: {spec}"
+                f"{sent_at:.2f} {unused_id}: answered {response.status} though it can't run: {spec}"
             )
 
-    def send_until(self, until_s: float) -> None:
-        """Send one every 0.3 s until the given simulated time."""
+    def send_until(self, end_s: float) -> None:
+        """Send invalid requests in the background until the given simulated time, in seconds."""
 
-        def go() -> None:
-            while self.basis.loop.time < until_s:
+        def send_requests() -> None:
+            while self.cluster.loop.time < end_s:
                 gevent.spawn(self.send_one)
-                gevent.sleep(0.3)
+                gevent.sleep(SEND_INTERVAL_S)
 
-        gevent.spawn(go)
+        gevent.spawn(send_requests)
--- a/src/grebestand/simulation/quiescence_checks.py
+++ b/src/grebestand/simulation/quiescence_checks.py
@@ -1,4 +1,4 @@
-"""Once all troubles are over: whether all that was accepted is done, nobody is forgotten, and nothing left waiting."""
+"""Checks after all faults have ended: each accepted job finishes, starts while it can, and is known to controllers."""
 
 from __future__ import annotations
 
@@ -9,83 +9,97 @@
 from .cluster_base import MACHINE_CPUS, ClusterBase
 from .invariant_checks import InvariantChecks
 
-#: a job about which no question is answered for so long, in seconds, counts as forgotten; one that waits for so long,
-#: troubles over, while it could begin, counts as left waiting
-FORGOTTEN_S, WAITED_S = 75.0, 90.0
+#: a job is reported if no request about it was answered for longer than this
+MAX_UNANSWERED_S = 75.0
+#: a job is reported if it could have started for longer than this
+MAX_STARTABLE_S = 90.0
+CHECK_INTERVAL_S = 5
 
 
 class QuiescenceChecks:
-    """Checks once faults are over: every job is known, and none waits that could begin."""
+    """Checks that jobs make progress once all faults have ended."""
 
-    def __init__(self, basis: ClusterBase, checks: InvariantChecks) -> None:
-        self.basis = basis
+    def __init__(self, cluster: ClusterBase, checks: InvariantChecks) -> None:
+        self.cluster = cluster
         self.checks = checks
-        #: since when, troubles over, a job has waited though it could begin
+        #: since when each waiting job could have started, in simulated seconds; infinite once it was reported
         self._startable_since: dict[str, float] = {}
 
-    def wait_until_settled(self, most_s: float) -> list[str]:
-        """All troubles are over: lets everybody go on until all is done, or for so long, and says what is left.
+    def wait_until_settled(self, timeout_s: float) -> list[str]:
+        """Run without faults until all jobs are finished or the timeout, in simulated seconds, has passed.
 
-        Jobs that were accepted, not cancelled, and not done; a job that was left without an answer for `FORGOTTEN_S`,
-        for which it plays on in any case.
+        Unless the timeout is shorter, the run lasts long enough for a job without any response to exceed
+        `MAX_UNANSWERED_S`.
+
+        Returns:
+            The ids of accepted jobs that aren't finished, and the job that was unanswered for too long.
         """
-        self.basis.faults_ended_at = self.basis.loop.time
-        left = ["all"]
-        while self.basis.loop.time < self.basis.faults_ended_at + most_s and (
-            left or self.basis.loop.time < self.basis.faults_ended_at + FORGOTTEN_S + 5.0
+        self.cluster.faults_ended_at = self.cluster.loop.time
+        unsettled = ["all"]
+        while self.cluster.loop.time < self.cluster.faults_ended_at + timeout_s and (
+            unsettled or self.cluster.loop.time < self.cluster.faults_ended_at + MAX_UNANSWERED_S + 5.0
         ):
             for _ in range(2):
-                gevent.sleep(5)
+                gevent.sleep(CHECK_INTERVAL_S)
                 self._check_waiting_jobs()
-            left = [
-                ref
-                for ref, j in self.basis.jobs.items()
-                if j.accepted_at is not None and not j.is_finished and not j.always_fails
+            unsettled = [
+                job_id
+                for job_id, job in self.cluster.jobs.items()
+                if job.accepted_at is not None and not job.is_finished and not job.always_fails
             ]
-        waited, ref = self.longest_unanswered()
-        if waited > FORGOTTEN_S:
-            left.append(f"{ref} unanswered for {waited:.1f} s")
-        return left
+        unanswered_s, job_id = self.longest_unanswered()
+        if unanswered_s > MAX_UNANSWERED_S:
+            unsettled.append(f"{job_id} unanswered for {unanswered_s:.1f} s")
+        return unsettled
 
     def _check_waiting_jobs(self) -> None:
-        """Which jobs wait though machines that fit have room and their teams are under their limits."""
-        # the most since the last look: one of two tasks that follow each other is not room
-        use, limits = self.checks.take_peak_usage(), self.basis.team_limits()
-        free = {name: MACHINE_CPUS for name, seat in self.checks.machines.items() if not seat.terminated}
-        for task, name in self.checks.machine_by_task.items():
-            if name in free:
-                free[name] -= self.basis.jobs[task.rpartition("/")[0]].cpus
-        zone_of = {name: seat.zone for name, seat in self.checks.machines.items()}
-        taken = self.checks.completed_tasks | self.checks.machine_by_task.keys()
-        for ref, job in self.basis.jobs.items():
-            waiting = any(f"{ref}/{i}" not in taken for i in range(job.tasks))
-            there = [
-                self.checks.machines[m].zone
-                for t, m in self.checks.machine_by_task.items()
-                if t.rpartition("/")[0] == ref
+        """Record jobs that wait although suitable machines are free and the team is below its limit."""
+        # The peak usage, because the capacity between two consecutive tasks does not count as free.
+        usage, limits = self.checks.take_peak_usage(), self.cluster.team_limits()
+        machines, machine_by_task = self.checks.machines, self.checks.machine_by_task
+        free_cpus = {name: MACHINE_CPUS for name, worker in machines.items() if not worker.terminated}
+        for task, name in machine_by_task.items():
+            if name in free_cpus:
+                free_cpus[name] -= self.cluster.jobs[task.rpartition("/")[0]].cpus
+        zone_of = {name: worker.zone for name, worker in machines.items()}
+        started = self.checks.completed_tasks | machine_by_task.keys()
+        for job_id, job in self.cluster.jobs.items():
+            has_waiting_task = any(f"{job_id}/{i}" not in started for i in range(job.tasks))
+            used_zones = [
+                machines[name].zone for task, name in machine_by_task.items() if task.rpartition("/")[0] == job_id
             ]
-            asks = job.tasks if job.is_gang else 1
-            under = all(
-                u + asks * a <= most + 1e-6
-                for u, a, most in zip(
-                    use.get(job.team, (0.0, 0.0)), (job.cpus, job.gpus), limits[job.team], strict=True
+            starting_tasks = job.tasks if job.is_gang else 1
+            is_below_limit = all(
+                used + starting_tasks * amount <= limit + 1e-6
+                for used, amount, limit in zip(
+                    usage.get(job.team, (0.0, 0.0)), (job.cpus, job.gpus), limits[job.team], strict=True
                 )
             )
-            could = job.accepted_at is not None and not job.is_finished and not job.always_fails and waiting and under
-            if could and not (job.is_gang and there) and job.fits_free_capacity(free, zone_of, there):
-                since = self._startable_since.setdefault(ref, self.basis.loop.time)
-                if self.basis.loop.time - since > WAITED_S:
-                    self.checks.starved_jobs.append(f"{ref} has waited since {since:.1f} though it could begin")
-                    self._startable_since[ref] = math.inf
+            could_start = (
+                job.accepted_at is not None
+                and not job.is_finished
+                and not job.always_fails
+                and has_waiting_task
+                and is_below_limit
+            )
+            is_running_gang = job.is_gang and bool(used_zones)
+            if could_start and not is_running_gang and job.fits_free_capacity(free_cpus, zone_of, used_zones):
+                since = self._startable_since.setdefault(job_id, self.cluster.loop.time)
+                if self.cluster.loop.time - since > MAX_STARTABLE_S:
+                    self.checks.starved_jobs.append(f"{job_id} has waited since {since:.1f} though it could begin")
+                    self._startable_since[job_id] = math.inf
             else:
-                self._startable_since.pop(ref, None)
+                self._startable_since.pop(job_id, None)
 
     def longest_unanswered(self) -> tuple[float, str]:
-        """The job that was left without an answer for the longest since all troubles were over, and for how long."""
-        now = self.basis.loop.time
-        waits = [
-            (max(j.max_unanswered_s, now - max(j.last_answered_at, self.basis.faults_ended_at)), ref)
-            for ref, j in self.basis.jobs.items()
-            if j.accepted_at is not None
+        """Return the longest time in seconds, since all faults ended, without a response about a job, and its id."""
+        now = self.cluster.loop.time
+        times = [
+            (
+                max(job.max_unanswered_s, now - max(job.last_answered_at, self.cluster.faults_ended_at)),
+                job_id,
+            )
+            for job_id, job in self.cluster.jobs.items()
+            if job.accepted_at is not None
         ]
-        return max(waits, default=(0.0, ""))
+        return max(times, default=(0.0, ""))
--- a/src/grebestand/simulation/simulated_controllers.py
+++ b/src/grebestand/simulation/simulated_controllers.py
@@ -1,4 +1,4 @@
-"""The processes of the real controllers: begun, crashed, frozen; what reaches them; who of them leads."""
+"""The processes of the real controllers: started, crashed and paused, with the requests that reach them."""
 
 from __future__ import annotations
 
@@ -18,145 +18,156 @@
 from .store_access import StoreAccess
 from .virtual_time import set_owner
 
-#: kept copies of reports come within so long of a new key, in seconds
+#: retained heartbeats are delivered within this time after a new leader key, in seconds
 RETAINED_DELIVERY_S = 0.25
+LEADER_POLL_S = 0.1
+#: the largest relative drift of a controller's clock
+MAX_DRIFT = 0.0005
 
 
 class SimulatedControllers:
-    """The controllers of a simulated cluster: real ones, each on a runtime of its own, started, frozen and
-    crashed.
+    """The controllers of a simulated cluster: real ones, each on a simulated runtime of its own.
+
+    Attributes:
+        addresses: The host names by address.
+        process_count: The number of processes that have been started.
+        controllers: By host name, the controller that runs there, or None after a crash.
+        runtimes: By host name, the runtime of the last process.
+        leader_history: For each leader, the simulated time at which it was first observed, its host name and token.
+        multiple_leader_times: The simulated times at which more than one controller led.
     """
 
     def __init__(
         self,
-        basis: ClusterBase,
-        state: KeyValueStoreEmulator,
+        cluster: ClusterBase,
+        store: KeyValueStoreEmulator,
         cloud: CloudEmulator,
         machines: Mapping[str, DirectRequestReceiver],
     ) -> None:
-        self.basis = basis
-        self.store = StoreAccess(basis, state, self._deliver_retained_heartbeats)
+        self.cluster = cluster
+        self.store_access = StoreAccess(cluster, store, self._deliver_retained_heartbeats)
         self.cloud = cloud
         self.machines = machines
         self.addresses = {"127.0.0.1:3": CLOUD, "127.0.0.1:4": STATE}
-        self.addresses |= {f"127.0.1.{i}:2": name for i, name in enumerate(basis.controller_names)}
-        #: how many processes there have been
+        self.addresses |= {f"127.0.1.{i}:2": name for i, name in enumerate(cluster.controller_names)}
         self.process_count = 0
-        self.controllers: dict[str, Controller | None] = dict.fromkeys(basis.controller_names)
+        self.controllers: dict[str, Controller | None] = dict.fromkeys(cluster.controller_names)
         self.runtimes: dict[str, SimulatedRuntime] = {}
-        #: who has led, since when and by which token; when two did
         self.leader_history: list[tuple[float, str, int]] = []
         self.multiple_leader_times: list[float] = []
 
-    # processes --------------------------------------------------------------------------------------------
+    # processes
 
     def start(self, name: str) -> None:
-        """A new process under this name."""
+        """Start a new controller process on a host."""
         self.process_count += 1
-        drift = self.basis.rng.uniform(-0.0005, 0.0005)
-        host = SimulatedRuntime(
-            self.basis, name, self.process_count, drift, self.addresses, self.find_handler, self.machines
+        drift = self.cluster.rng.uniform(-MAX_DRIFT, MAX_DRIFT)
+        runtime = SimulatedRuntime(
+            self.cluster, name, self.process_count, drift, self.addresses, self.find_handler, self.machines
         )
-        self.runtimes[name] = host
-        # all that it spawns is its own, and stands still with it
-        gevent.spawn(self._begin, name, host).join()
+        self.runtimes[name] = runtime
+        # Greenlets inherit the owner of the greenlet that spawns them, so a pause concerns the whole process.
+        gevent.spawn(self._begin, name, runtime).join()
 
-    def _begin(self, name: str, host: SimulatedRuntime) -> None:
-        set_owner(host)
-        node = Controller(self.basis.settings[name], self.basis.policy, runtime=host)
-        self.controllers[name] = node
-        node.begin()
+    def _begin(self, name: str, runtime: SimulatedRuntime) -> None:
+        set_owner(runtime)
+        controller = Controller(self.cluster.settings[name], self.cluster.policy, runtime=runtime)
+        self.controllers[name] = controller
+        controller.begin()
 
     def pause(self, name: str, seconds: float) -> None:
-        """It stands still while its clocks run on; what is sent to it waits."""
-        self.basis.loop.paused_until[self.runtimes[name]] = self.basis.loop.time + seconds
+        """Pause a controller's process; its clocks go on, and requests to it wait."""
+        self.cluster.loop.paused_until[self.runtimes[name]] = self.cluster.loop.time + seconds
 
     def is_paused(self, name: str) -> bool:
-        """Whether a controller's process is frozen at the moment."""
-        return self.basis.loop.paused_until.get(self.runtimes[name], 0.0) > self.basis.loop.time
+        """Whether a controller's process is paused."""
+        return self.cluster.loop.paused_until.get(self.runtimes[name], 0.0) > self.cluster.loop.time
 
     def crash(self, name: str) -> None:
-        """Its loops end at their next step: nothing that it sends from now on arrives, and nothing reaches it."""
-        node, self.controllers[name] = self.controllers[name], None
-        if node is not None:
+        """End a controller's process: its further messages are not delivered, and requests don't reach it."""
+        controller, self.controllers[name] = self.controllers[name], None
+        if controller is not None:
             self.runtimes[name].terminated = True
 
-    # what reaches them, and what they reach ---------------------------------------------------------------
+    # requests
 
-    def find_handler(self, near: str, far: str) -> Handler | None:
-        """What answers `near` at the address of `far`, or None if no process is there."""
-        if far == STATE:
-            return lambda m, p, b: self.store.request(near, m, p, b)
-        if far == CLOUD:
-            return lambda m, p, b: self.cloud.request(m, p, b, 1.0)
-        node, host = self.controllers[far], self.runtimes[far]
-        return None if node is None else lambda m, p, b: self._answer_peer(node, host, p, b)
+    def find_handler(self, source: str, target: str) -> Handler | None:
+        """Return the request handler of one host for requests of another, or None if no process runs there."""
+        if target == STATE:
+            return lambda method, path, body: self.store_access.request(source, method, path, body)
+        if target == CLOUD:
+            return lambda method, path, body: self.cloud.request(method, path, body, 1.0)
+        controller, runtime = self.controllers[target], self.runtimes[target]
+        if controller is None:
+            return None
+        return lambda method, path, body: self._answer_peer(controller, runtime, path, body)
 
     @staticmethod
-    def _answer_peer(node: Controller, host: SimulatedRuntime, path: str, body: bytes) -> tuple[int, bytes]:
-        host.wait_while_paused()
-        answer = node.peer_api.answer(path, body)
-        host.wait_while_paused()
-        if host.terminated:
+    def _answer_peer(controller: Controller, runtime: SimulatedRuntime, path: str, body: bytes) -> tuple[int, bytes]:
+        runtime.wait_while_paused()
+        response = controller.peer_api.answer(path, body)
+        runtime.wait_while_paused()
+        if runtime.terminated:
             raise UnreachableError("its process ended before it answered")
-        return (404, b"") if answer is None else (200, answer)
+        return (404, b"") if response is None else (200, response)
 
     def heartbeat_handler(self, name: str) -> Handler | None:
-        """What answers workers' heartbeats at a controller, or None if its process is gone."""
-        node, host = self.controllers[name], self.runtimes[name]
+        """Return a controller's handler of workers' heartbeats, or None if no process runs on the host."""
+        controller, runtime = self.controllers[name], self.runtimes[name]
 
         def handle_heartbeat(method: str, path: str, body: bytes) -> tuple[int, bytes]:
-            assert node is not None
-            host.wait_while_paused()
-            answer = node.http_front.handle_heartbeat(body)
-            host.wait_while_paused()
-            if host.terminated:
+            assert controller is not None
+            runtime.wait_while_paused()
+            response = controller.http_front.handle_heartbeat(body)
+            runtime.wait_while_paused()
+            if runtime.terminated:
                 raise UnreachableError("its process ended before it answered")
-            return answer.status, answer.body
+            return response.status, response.body
 
-        return handle_heartbeat if node is not None else None
+        return handle_heartbeat if controller is not None else None
 
     def deliver_heartbeat(self, name: str, body: bytes) -> None:
-        """A copy of a report comes late; nobody waits for its answer."""
-        door = self.heartbeat_handler(name)
-        if door is not None:
+        """Deliver a copy of a heartbeat to a controller, and drop the response."""
+        handle_heartbeat = self.heartbeat_handler(name)
+        if handle_heartbeat is not None:
             with contextlib.suppress(UnreachableError):
-                door("POST", "/checkin", body)
+                handle_heartbeat("POST", "/checkin", body)
 
     def _deliver_retained_heartbeats(self) -> None:
-        """A new leader has the key: what was kept for it comes to all, before, while and after it reads the records."""
-        kept, self.basis.retained_heartbeats = self.basis.retained_heartbeats, []
-        for body in kept:
-            for name in self.basis.controller_names:
-                run_detached(self.basis.fault_rng.uniform(0.0, RETAINED_DELIVERY_S), self.deliver_heartbeat, name, body)
+        """Deliver the retained heartbeats to all controllers, before, while and after a new leader loads its term."""
+        heartbeats, self.cluster.retained_heartbeats = self.cluster.retained_heartbeats, []
+        for body in heartbeats:
+            for name in self.cluster.controller_names:
+                delay_s = self.cluster.fault_rng.uniform(0.0, RETAINED_DELIVERY_S)
+                run_detached(delay_s, self.deliver_heartbeat, name, body)
 
-    # who leads, and who serves ----------------------------------------------------------------------------
+    # leadership
 
     def accepts_requests(self, name: str) -> bool:
-        """Whether users are sent to this controller."""
+        """Whether users send requests to a controller: its process runs, and isn't paused."""
         return self.controllers[name] is not None and not self.is_paused(name)
 
     def current_leaders(self) -> list[str]:
-        """Controllers that would give orders now, by their own clocks."""
+        """Return the controllers that lead and may send commands now, according to their own clocks."""
         return [
-            n
-            for n, c in self.controllers.items()
-            if not self.is_paused(n)
-            and c is not None
-            and c.election.state is LeaderState.LEADING
-            and c.election.is_leader()
+            name
+            for name, controller in self.controllers.items()
+            if not self.is_paused(name)
+            and controller is not None
+            and controller.election.state is LeaderState.LEADING
+            and controller.election.is_leader()
         ]
 
     def record_leaders(self) -> None:
-        """Who leads, ten times a second."""
-        last = 0
+        """Record the leaders, and times with more than one, every `LEADER_POLL_S` seconds without end."""
+        last_token = 0
         while True:
-            now = self.current_leaders()
-            if len(now) > 1:
-                self.multiple_leader_times.append(self.basis.loop.time)
-            for name in now:
-                node = self.controllers[name]
-                if node is not None and node.election.token > last:
-                    last = node.election.token
-                    self.leader_history.append((self.basis.loop.time, name, last))
-            gevent.sleep(0.1)
+            leaders = self.current_leaders()
+            if len(leaders) > 1:
+                self.multiple_leader_times.append(self.cluster.loop.time)
+            for name in leaders:
+                controller = self.controllers[name]
+                if controller is not None and controller.election.token > last_token:
+                    last_token = controller.election.token
+                    self.leader_history.append((self.cluster.loop.time, name, last_token))
+            gevent.sleep(LEADER_POLL_S)
--- a/src/grebestand/simulation/simulated_runtime.py
+++ b/src/grebestand/simulation/simulated_runtime.py
@@ -1,4 +1,4 @@
-"""The surroundings of one controller: its clocks, and its ways to other controllers, state service, cloud, machines."""
+"""The simulated runtime of one controller process: clocks, and connections to other hosts."""
 
 from __future__ import annotations
 
@@ -14,90 +14,117 @@
 
 
 class DirectRequestReceiver(Protocol):
-    """What a controller reaches of a machine."""
+    """The part of a machine that controllers reach directly.
+
+    Attributes:
+        zone: The machine's zone.
+        unheard_controllers: Controllers whose direct requests don't reach the machine.
+    """
 
     zone: str
     unheard_controllers: frozenset[str]
 
     def handle_direct_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-        """Answer a direct request of a controller."""
+        """Answer a direct request of a controller with a status and a body."""
 
 
 class SimulatedRuntime:
-    """A `Runtime` on simulated time, for one process of a controller."""
+    """A `Runtime` on virtual time, for one process of a controller.
+
+    Attributes:
+        cluster: The state that all parts of the cluster share.
+        name: The controller's host name.
+        drift: The relative drift of the host's clock.
+        addresses: The host names by address.
+        find_handler: Returns the present request handler for a source and a target host, or None if no process runs at
+            the target.
+        machines: All machines by name.
+        terminated: Whether the process has ended.
+    """
 
     def __init__(
         self,
-        basis: ClusterBase,
+        cluster: ClusterBase,
         name: str,
-        life: int,
+        process_number: int,
         drift: float,
         addresses: dict[str, str],
-        server: Callable[[str, str], Handler | None],
+        find_handler: Callable[[str, str], Handler | None],
         machines: Mapping[str, DirectRequestReceiver],
     ) -> None:
-        self.basis = basis
+        self.cluster = cluster
         self.name = name
         self.drift = drift
-        #: who is there, by address
         self.addresses = addresses
-        #: finds who answers, for one who asks and one who is asked
-        self.find_handler = server
+        self.find_handler = find_handler
         self.machines = machines
-        self.rng = random.Random(f"{basis.seed} {name} {life}")
-        #: its process has ended
+        self.rng = random.Random(f"{cluster.seed} {name} {process_number}")
         self.terminated = False
 
     def clock(self) -> float:
-        """This host's monotonic clock, in seconds; it drifts against the simulated time."""
-        return 1000.0 + self.basis.loop.time * (1 + self.drift)
+        """Return this host's monotonic clock, in seconds; it drifts against simulated time."""
+        return 1000.0 + self.cluster.loop.time * (1 + self.drift)
 
     def wall(self) -> float:
-        """The time of day, in seconds."""
-        return 1.7e9 + self.basis.loop.time
+        """Return the time of day, in seconds."""
+        return 1.7e9 + self.cluster.loop.time
 
     def wait_while_paused(self) -> None:
-        """Comes back once this controller does not stand still."""
-        while (left := self.basis.loop.paused_until.get(self, 0.0) - self.basis.loop.time) > 0:
-            gevent.sleep(left)
+        """Return as soon as this controller's process isn't paused."""
+        while (remaining_s := self.cluster.loop.paused_until.get(self, 0.0) - self.cluster.loop.time) > 0:
+            gevent.sleep(remaining_s)
 
     def connect(self, address: str, field: str, connections: int, connect_s: float = 1.5) -> Transport:
-        """A transport over the simulated link to the server at an address."""
-        far = self.addresses[address]
+        """Return a transport over the simulated link to the server at an address."""
+        target = self.addresses[address]
         return SimulatedTransport(
-            self.basis.links,
+            self.cluster.links,
             self.rng,
             self.name,
-            far,
-            lambda: None if self.terminated else self.find_handler(self.name, far),
+            target,
+            lambda: None if self.terminated else self.find_handler(self.name, target),
         )
 
     def once(self, method: str, address: str, path: str, body: bytes, timeout: float) -> tuple[int, bytes]:
-        """One request to a machine; held up, lost or unanswered by the faults in force."""
-        machine = address.rpartition(":")[0]
-        if machine not in self.machines:
+        """Send one request to a machine; faults may delay or lose the request or the response.
+
+        Args:
+            method: The HTTP method.
+            address: The address of the machine's worker.
+            path: The path with the query.
+            body: The request's body.
+            timeout: The longest wait for the response, in simulated seconds.
+
+        Returns:
+            The status and the body of the response.
+
+        Raises:
+            UnreachableError: No machine has this address, or no response was received in time.
+        """
+        name = address.rpartition(":")[0]
+        if name not in self.machines:
             raise UnreachableError("no such machine")
-        seat = self.machines[machine]
-        if self.name in seat.unheard_controllers:
+        worker = self.machines[name]
+        if self.name in worker.unheard_controllers:
             gevent.sleep(timeout)
             raise UnreachableError("timeout")
-        if self.basis.fault_rng.random() < self.basis.late_command_rate:
-            # it is held up, and carried out if it is still valid then; or its answer is
-            late = self.basis.fault_rng.uniform(*LATE_DELIVERY_S)
-            if self.basis.fault_rng.random() < 0.5:
-                run_detached(late, seat.handle_direct_request, method, path, body)
+        if self.cluster.fault_rng.random() < self.cluster.late_command_rate:
+            # Either the request is late, and executed if it is still valid then, or the response is late.
+            delay_s = self.cluster.fault_rng.uniform(*LATE_DELIVERY_S)
+            if self.cluster.fault_rng.random() < 0.5:
+                run_detached(delay_s, worker.handle_direct_request, method, path, body)
                 gevent.sleep(timeout)
                 raise UnreachableError("timeout")
-            status, answer = seat.handle_direct_request(method, path, body)
-            gevent.sleep(min(late, timeout))
-            if late < timeout:
-                return status, answer
+            status, response = worker.handle_direct_request(method, path, body)
+            gevent.sleep(min(delay_s, timeout))
+            if delay_s < timeout:
+                return status, response
             raise UnreachableError("timeout")
-        wire = SimulatedTransport(
-            self.basis.links,
+        transport = SimulatedTransport(
+            self.cluster.links,
             self.rng,
             self.name,
-            seat.zone,
-            lambda: None if self.terminated else seat.handle_direct_request,
+            worker.zone,
+            lambda: None if self.terminated else worker.handle_direct_request,
         )
-        return wire.request(method, path, body, timeout)
+        return transport.request(method, path, body, timeout)
--- a/src/grebestand/simulation/simulated_worker.py
+++ b/src/grebestand/simulation/simulated_worker.py
@@ -1,4 +1,4 @@
-"""A machine: its worker, whose lease and reports go on, tasks that take a while, and what befalls it."""
+"""A simulated machine: a worker that sends heartbeats, runs tasks for a while, and has faults."""
 
 from __future__ import annotations
 
@@ -12,147 +12,180 @@
 from ..wire.workers import DirectCommands, ExitReason, HeartbeatResponse, Redirect
 from .cluster_base import ClusterBase
 from .invariant_checks import InvariantChecks
-from .network_links import SimulatedTransport
+from .network_links import NEVER_S, SimulatedTransport
 from .simulated_controllers import SimulatedControllers
 from .simulated_users import SimulatedUsers
 
-#: so many reports are kept at the most
+#: at most this many heartbeats are retained
 MAX_RETAINED_HEARTBEATS = 60
+LEASE_CHECK_INTERVAL_S = 0.25
+#: how long a task of a job that always fails runs, in seconds
+FAILING_TASK_S = 1.0
+#: how long a worker waits for the response to a heartbeat, in seconds
+HEARTBEAT_TIMEOUT_S = 4.0
+#: how long a worker waits after a heartbeat without a valid response, in seconds
+RETRY_S = 1.0
 
 
 @dataclass(kw_only=True)
 class SimulatedWorker(WorkerEmulator):
-    """One machine; what it does and what befalls it is told to the checks after every change."""
-
-    basis: ClusterBase
+    """One machine with its worker; the invariant checks are notified of every change.
+
+    Attributes:
+        cluster: The state that all parts of the cluster share.
+        checks: The invariant checks.
+        users: The users, who are notified of ended tasks.
+        processes: The controllers' processes.
+        controller_index: The index of the controller that receives the worker's heartbeats.
+        lease_renewed_at: When the last heartbeat that renewed the lease was sent, in simulated seconds.
+        task_end_times: By task, when it ends by itself, in simulated seconds.
+        is_hung: Whether the machine hangs: only the lease is still checked.
+        terminated: Whether the machine was deleted.
+        unheard_controllers: Controllers whose responses and direct requests don't reach the worker, while its
+            heartbeats reach them.
+        cannot_connect: Whether the worker can't connect to any controller, while direct requests reach it.
+        restart_count: How many times the worker has restarted.
+    """
+
+    cluster: ClusterBase
     checks: InvariantChecks
     users: SimulatedUsers
     processes: SimulatedControllers
-    #: the controller that it reports to, by its place among all
     controller_index: int = 0
     lease_renewed_at: float = 0.0
     task_end_times: dict[str, float] = field(default_factory=dict)
     is_hung: bool = False
     terminated: bool = False
-    #: controllers whose answers and commands do not come through, while its reports arrive there
     unheard_controllers: frozenset[str] = frozenset()
-    #: it can open no connection to any controller, while direct commands reach it
     cannot_connect: bool = False
-    #: how often it has begun anew
     restart_count: int = 0
 
     def handle_direct_request(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-        """Answer a direct request; never, while it hangs or is dead."""
+        """Answer a direct request with a status and a body; never, if the machine hangs or was deleted."""
         if self.is_hung or self.terminated:
-            gevent.sleep(1e6)
+            gevent.sleep(NEVER_S)
         if path == "/show":
             return 200, msgspec.json.encode(self.next_heartbeat())
-        status, report = self.handle_direct_commands(msgspec.json.decode(body, type=DirectCommands))
+        status, heartbeat = self.handle_direct_commands(msgspec.json.decode(body, type=DirectCommands))
         self.checks.record_running_tasks(self)
-        return status, msgspec.json.encode(report)
+        return status, msgspec.json.encode(heartbeat)
 
     def start_task(self, task: str, attempt: int) -> None:
-        """Start a task that ends by itself after a time drawn for it."""
+        """Start a task that ends by itself after a random time."""
         super().start_task(task, attempt)
         self.checks.record_task_start(task)
-        self.task_end_times[task] = self.basis.loop.time + self.basis.rng.uniform(*self.basis.task_duration_s)
-        if self.basis.jobs[task.rpartition("/")[0]].always_fails:
-            self.task_end_times[task] = self.basis.loop.time + 1.0
+        self.task_end_times[task] = self.cluster.loop.time + self.cluster.rng.uniform(*self.cluster.task_duration_s)
+        if self.cluster.jobs[task.rpartition("/")[0]].always_fails:
+            self.task_end_times[task] = self.cluster.loop.time + FAILING_TASK_S
 
     def step(self) -> None:
-        """One look at the lease, and at the tasks; of a machine that hangs, only the lease goes on."""
-        now = self.basis.loop.time
-        if now - self.lease_renewed_at > self.basis.lease_s:
+        """Check the lease, and end tasks whose time is over unless the machine hangs."""
+        now = self.cluster.loop.time
+        if now - self.lease_renewed_at > self.cluster.lease_s:
             self.checks.lease_expiry_kills += len(self.running_tasks())
             self.expire_lease()
             self.lease_renewed_at = now
         for task in self.running_tasks():
             if now >= self.task_end_times.get(task, now) and not self.is_hung:
-                broken = self.basis.jobs[task.rpartition("/")[0]].always_fails
-                self.finish_task(task, ExitReason.ERROR if broken else ExitReason.DONE)
-                if not broken:
+                always_fails = self.cluster.jobs[task.rpartition("/")[0]].always_fails
+                self.finish_task(task, ExitReason.ERROR if always_fails else ExitReason.DONE)
+                if not always_fails:
                     self.checks.completed_tasks.add(task)
                     self.users.task_ended(task)
         self.checks.record_running_tasks(self)
 
-    def restart(self, anew: bool) -> None:
-        """It is back at once with nothing on it; its session and its count go on, or begin anew with no token."""
+    def restart(self, reset_session: bool) -> None:
+        """Restart the worker without any tasks.
+
+        Args:
+            reset_session: Whether session, sequence number and token start again from zero, as after the loss of the
+                worker's stored state; otherwise the session number is incremented.
+        """
         self.restart_count += 1
-        if anew:
+        if reset_session:
             self.epoch, self.sequence, self.token = 0, 0, 0
         self.expire_lease()
-        self.lease_renewed_at = self.basis.loop.time
+        self.lease_renewed_at = self.cluster.loop.time
         self.checks.record_running_tasks(self)
 
     def terminate(self) -> None:
-        """The cloud has taken it away, with all that is on it."""
+        """Delete the machine with its tasks."""
         self.terminated = True
         self.expire_lease()
         self.checks.record_running_tasks(self)
 
-    def send_heartbeat(self, name: str) -> tuple[int, bytes]:
-        """Send a heartbeat to a controller and return status and body; raise `UnreachableError` without an answer."""
-        basis = self.basis
+    def send_heartbeat(self, controller: str) -> tuple[int, bytes]:
+        """Send a heartbeat to a controller, and apply the response.
+
+        Args:
+            controller: The controller's host name.
+
+        Returns:
+            The status and the body of the response.
+
+        Raises:
+            UnreachableError: The worker can't connect, or no response was received in time.
+        """
+        cluster = self.cluster
         if self.cannot_connect:
             gevent.sleep(1.0)
             raise UnreachableError("no connection")
-        wire = SimulatedTransport(
-            basis.links, basis.rng, self.zone, name, lambda: self.processes.heartbeat_handler(name)
+        transport = SimulatedTransport(
+            cluster.links, cluster.rng, self.zone, controller, lambda: self.processes.heartbeat_handler(controller)
         )
-        sent = basis.loop.time
-        epoch, begun = self.epoch, self.restart_count
+        sent_at = cluster.loop.time
+        epoch, restart_count = self.epoch, self.restart_count
         body = msgspec.json.encode(self.next_heartbeat())
-        if basis.rng.random() < basis.duplicate_heartbeat_rate:
-            # to whoever is there then, long after its worker has gone on, or is gone
-            late, at = basis.rng.uniform(1.0, 3.0 * basis.lease_s), basis.rng.choice(basis.controller_names)
-            gevent.spawn_later(late, self.processes.deliver_heartbeat, at, body)
-        if (
-            basis.retained_heartbeat_rate
-            and len(basis.retained_heartbeats) < MAX_RETAINED_HEARTBEATS
-            and basis.fault_rng.random() < basis.retained_heartbeat_rate
-        ):
-            basis.retained_heartbeats.append(body)
-        status, answer = wire.request("POST", "/checkin", body, 4.0)
-        if name in self.unheard_controllers:
-            gevent.sleep(4.0)
+        if cluster.rng.random() < cluster.duplicate_heartbeat_rate:
+            # By the time the duplicate is delivered, the worker has sent newer heartbeats or was deleted.
+            delay_s = cluster.rng.uniform(1.0, 3.0 * cluster.lease_s)
+            receiver = cluster.rng.choice(cluster.controller_names)
+            gevent.spawn_later(delay_s, self.processes.deliver_heartbeat, receiver, body)
+        may_retain = cluster.retained_heartbeat_rate and len(cluster.retained_heartbeats) < MAX_RETAINED_HEARTBEATS
+        if may_retain and cluster.fault_rng.random() < cluster.retained_heartbeat_rate:
+            cluster.retained_heartbeats.append(body)
+        status, response_body = transport.request("POST", "/checkin", body, HEARTBEAT_TIMEOUT_S)
+        if controller in self.unheard_controllers:
+            gevent.sleep(HEARTBEAT_TIMEOUT_S)
             raise UnreachableError("timeout")
-        same = epoch == self.epoch and begun == self.restart_count
-        if status == 200 and same and not self.is_hung and not self.terminated:
-            orders = msgspec.json.decode(answer, type=HeartbeatResponse)
-            if orders.token >= self.token:
-                self.lease_renewed_at = sent
-                self.checks.last_response_by_zone[self.zone] = basis.loop.time
-            self.apply_response(orders)
+        same_session = epoch == self.epoch and restart_count == self.restart_count
+        if status == 200 and same_session and not self.is_hung and not self.terminated:
+            response = msgspec.json.decode(response_body, type=HeartbeatResponse)
+            if response.token >= self.token:
+                self.lease_renewed_at = sent_at
+                self.checks.last_response_by_zone[self.zone] = cluster.loop.time
+            self.apply_response(response)
             self.checks.record_running_tasks(self)
-        return status, answer
+        return status, response_body
 
     def run_lease(self) -> None:
-        """Leases end on time, also while a report is under way."""
+        """Check the lease and the tasks until the machine is deleted, also while a heartbeat waits for its response."""
         while not self.terminated:
             self.step()
-            gevent.sleep(0.25)
+            gevent.sleep(LEASE_CHECK_INTERVAL_S)
 
     def run(self) -> None:
-        """Send heartbeats until the machine is dead, following redirects and going on to the next controller on
-        failure.
+        """Run the worker until the machine is deleted.
+
+        Heartbeats follow redirects, and go to the next controller after a failure.
         """
-        basis = self.basis
+        cluster = self.cluster
         gevent.spawn(self.run_lease)
         while not self.terminated:
             if self.is_hung:
                 gevent.sleep(0.5)
                 continue
             try:
-                status, answer = self.send_heartbeat(basis.controller_names[self.controller_index])
+                status, body = self.send_heartbeat(cluster.controller_names[self.controller_index])
             except UnreachableError:
-                status, answer = 0, b""
-            others = [n for i, n in enumerate(basis.controller_names) if i != self.controller_index]
-            if status == 421 and (to := msgspec.json.decode(answer, type=Redirect).report_to) and to in others:
-                self.controller_index = basis.controller_names.index(to)
-                gevent.sleep(0.5 * basis.rng.random())
+                status, body = 0, b""
+            others = [name for i, name in enumerate(cluster.controller_names) if i != self.controller_index]
+            if status == 421 and (target := msgspec.json.decode(body, type=Redirect).report_to) and target in others:
+                self.controller_index = cluster.controller_names.index(target)
+                gevent.sleep(0.5 * cluster.rng.random())
                 continue
             if status != 200:
-                self.controller_index = (self.controller_index + 1) % len(basis.controller_names)
-                gevent.sleep(1.0)
+                self.controller_index = (self.controller_index + 1) % len(cluster.controller_names)
+                gevent.sleep(RETRY_S)
                 continue
-            gevent.sleep(basis.heartbeat_interval_s * basis.rng.uniform(0.75, 1.25))
+            gevent.sleep(cluster.heartbeat_interval_s * cluster.rng.uniform(0.75, 1.25))
--- a/src/grebestand/simulation/store_access.py
+++ b/src/grebestand/simulation/store_access.py
@@ -1,4 +1,4 @@
-"""What becomes of controllers' requests to the state service: done late, answered late or never; open watches."""
+"""The state service as simulated controllers reach it: late and unanswered writes, delayed responses, watches."""
 
 from __future__ import annotations
 
@@ -9,47 +9,66 @@
 
 from ..emulators.kv_store import KeyValueStoreEmulator
 from .cluster_base import ClusterBase
-from .network_links import LATE_DELIVERY_S, STATE, LinkMode, run_detached
+from .network_links import LATE_DELIVERY_S, NEVER_S, STATE, LinkMode, run_detached
+
+#: how often an open watch looks for changes, in seconds
+WATCH_POLL_S = 0.1
 
 
 class StoreAccess:
-    """The store as controllers reach it: watches that wait, slow answers, lost answers and late writes."""
-
-    def __init__(self, basis: ClusterBase, state: KeyValueStoreEmulator, new_leader: Callable[[], None]) -> None:
-        self.basis = basis
-        self.store = state
-        #: called as soon as a controller has taken the leader key, while reports are kept for that moment
-        self.on_leader_elected = new_leader
-
-    def request(self, near: str, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-        """Answer a controller's request, under the faults in force."""
-        if method != "GET" and self.basis.fault_rng.random() < self.basis.late_write_rate:
-            # nobody is answered, and it is carried out after what the same controller sends next
-            run_detached(self.basis.fault_rng.uniform(*LATE_DELIVERY_S), self.store.request, method, path, body, 1.0)
-            gevent.sleep(1e6)
-        status, answer = self.store.request(method, path, body, 1.0)
-        if self.basis.retained_heartbeats and status == 200 and path == "/commit" and b'"set":"leader"' in body:
+    """Forwards controllers' requests to the emulated state service, under the faults in force.
+
+    Attributes:
+        on_leader_elected: Called when a controller has written the leader key while heartbeats are retained.
+    """
+
+    def __init__(
+        self, cluster: ClusterBase, store: KeyValueStoreEmulator, on_leader_elected: Callable[[], None]
+    ) -> None:
+        self.cluster = cluster
+        self.store = store
+        self.on_leader_elected = on_leader_elected
+
+    def request(self, controller: str, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+        """Answer a controller's request.
+
+        Args:
+            controller: The host name of the controller.
+            method: The HTTP method.
+            path: The path with the query.
+            body: The request's body.
+
+        Returns:
+            The status and the body of the response.
+        """
+        if method != "GET" and self.cluster.fault_rng.random() < self.cluster.late_write_rate:
+            # The write is executed after later requests of the same controller, and never answered.
+            delay_s = self.cluster.fault_rng.uniform(*LATE_DELIVERY_S)
+            run_detached(delay_s, self.store.request, method, path, body, 1.0)
+            gevent.sleep(NEVER_S)
+        status, response = self.store.request(method, path, body, 1.0)
+        if self.cluster.retained_heartbeats and status == 200 and path == "/commit" and b'"set":"leader"' in body:
             self.on_leader_elected()
-        if (
-            self.basis.lost_response_rate
-            and method != "GET"
-            and self.basis.fault_rng.random() < self.basis.lost_response_rate
-        ):
-            gevent.sleep(1e6)
+        lost_rate = self.cluster.lost_response_rate
+        if lost_rate and method != "GET" and self.cluster.fault_rng.random() < lost_rate:
+            gevent.sleep(NEVER_S)
         if path.startswith("/changes") and status == 200:
-            answer = self._watch(near, path, answer)
-        elif self.basis.max_response_delay_s:
-            gevent.sleep(self.basis.fault_rng.uniform(0.0, self.basis.max_response_delay_s))
-        return status, answer
-
-    def _watch(self, near: str, path: str, answer: bytes) -> bytes:
-        """An open watch. In an outage, and while its controller alone is refused, it waits and says nothing."""
-        end = self.basis.loop.time + float(path.partition("&waitMs=")[2] or 0) / 1000
-        while self.basis.loop.time < end and not json.loads(answer)["events"]:
-            gevent.sleep(0.1)
-            if self.basis.links.mode(near, STATE) is LinkMode.REFUSED:
+            response = self._watch(controller, path, response)
+        elif self.cluster.max_response_delay_s:
+            gevent.sleep(self.cluster.fault_rng.uniform(0.0, self.cluster.max_response_delay_s))
+        return status, response
+
+    def _watch(self, controller: str, path: str, response: bytes) -> bytes:
+        """Wait until a watch has changes or its time has passed, and return the response's body.
+
+        In an outage, and while the link of the controller refuses connections, the watch stays open without changes.
+        """
+        end = self.cluster.loop.time + float(path.partition("&waitMs=")[2] or 0) / 1000
+        while self.cluster.loop.time < end and not json.loads(response)["events"]:
+            gevent.sleep(WATCH_POLL_S)
+            if self.cluster.links.mode(controller, STATE) is LinkMode.REFUSED:
                 continue
-            status, news = self.store.request("GET", path, b"", 1.0)
+            status, latest = self.store.request("GET", path, b"", 1.0)
             if status == 200:
-                answer = news
-        return answer
+                response = latest
+        return response
--- a/src/grebestand/simulation/virtual_time.py
+++ b/src/grebestand/simulation/virtual_time.py
@@ -1,7 +1,7 @@
-"""Simulated time under gevent: a loop whose clock jumps to the next timer as soon as nothing else is to be run.
+"""Virtual time under gevent: an event loop whose clock advances to the next timer as soon as no callback is ready.
 
-gevent takes its loop as an object, so that greenlets, sleeps, timeouts, events and locks work on it unchanged; what the
-controllers run in such a world is their real code. There are no sockets. The same seeds give the same run.
+gevent accepts a loop object, so greenlets, sleeps, timeouts, events and locks work unchanged, and controllers run their
+real code. There are no sockets. Runs are deterministic.
 """
 
 from __future__ import annotations
@@ -16,22 +16,25 @@
 import gevent
 import gevent.hub
 
-#: under this name, who owns a tree of greenlets, among what all that one spawns share
+#: the key of the owner in the locals that gevent shares between a greenlet and all greenlets that it spawns
 OWNER_KEY = "owner"
 
 
 def set_owner(owner: object) -> None:
-    """From here on this greenlet, all that it spawns, and their timers belong to that owner."""
+    """Set the owner of the running greenlet; greenlets that it spawns, and their timers, get the same owner.
+
+    A pause in `VirtualLoop.paused_until` concerns all timers of an owner.
+    """
     gevent.getcurrent().spawn_tree_locals = {OWNER_KEY: owner}
 
 
 def current_owner() -> object:
-    """The owner of the running greenlet, or None."""
+    """Return the owner of the running greenlet, or None."""
     return getattr(gevent.getcurrent(), "spawn_tree_locals", {}).get(OWNER_KEY)
 
 
-class _Call:
-    """Something to be called soon; what gevent knows of a loop's callback."""
+class _Callback:
+    """A callback for the present turn of the loop, with the interface that gevent expects."""
 
     def __init__(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         self.callback: Callable[..., Any] | None = callback
@@ -51,7 +54,7 @@
 
 
 class _Timer:
-    """A timer by gevent's interface; it fires once, or again and again."""
+    """A timer with the interface that gevent expects; it fires once, or periodically."""
 
     def __init__(self, loop: VirtualLoop, after: float, repeat: float) -> None:
         self.loop = loop
@@ -107,7 +110,16 @@
 
 
 class VirtualLoop:
-    """What gevent's hub asks of a loop, as far as code without sockets, signals and threads needs it."""
+    """An event loop on virtual time, without sockets, signals and threads.
+
+    Attributes:
+        time: The simulated time, in seconds.
+        timer_numbers: Numbers that keep timers of the same time in the order in which they were started.
+        ready: The callbacks of the present turn.
+        timers: A heap of the time, the number and the timer; the timer is None once it was stopped.
+        error_handler: gevent's hub, which handles exceptions of callbacks.
+        paused_until: By owner, the simulated time until which its timers are delayed; clocks go on meanwhile.
+    """
 
     MAXPRI = 0
     default = False
@@ -116,78 +128,77 @@
     def __init__(self) -> None:
         self.time = 0.0
         self.timer_numbers = itertools.count()
-        self.ready: deque[_Call] = deque()
+        self.ready: deque[_Callback] = deque()
         self.timers: list[list[Any]] = []
         self.error_handler: Any = None
-        #: who stands still, and until when: their timers fire late, while all clocks go on
         self.paused_until: dict[object, float] = {}
 
-    def run_callback(self, func: Callable[..., Any], *args: Any) -> _Call:
-        """Have a function called in this turn of the loop."""
-        call = _Call(func, args)
-        self.ready.append(call)
-        return call
+    def run_callback(self, func: Callable[..., Any], *args: Any) -> _Callback:
+        """Schedule a function for this turn of the loop."""
+        entry = _Callback(func, args)
+        self.ready.append(entry)
+        return entry
 
     run_callback_threadsafe = run_callback
 
     def timer(self, after: float, repeat: float = 0.0, ref: bool = True, priority: Any = None) -> _Timer:
-        """A timer in simulated seconds."""
+        """Return a timer that fires after `after` simulated seconds and, if `repeat` is set, at this interval."""
         return _Timer(self, after, repeat)
 
     def now(self) -> float:
-        """The simulated time, in seconds."""
+        """Return the simulated time, in seconds."""
         return self.time
 
     def update_now(self) -> None:
-        """Nothing: simulated time moves only when the loop has nothing else to do."""
+        """Do nothing: simulated time advances only when no callback is ready."""
 
     update = update_now
 
     def destroy(self) -> None:
-        """Drop all calls and timers."""
+        """Drop all callbacks and timers."""
         self.ready.clear()
         self.timers.clear()
 
     def run(self, nowait: bool = False, once: bool = False) -> None:
-        """Run calls and timers in order, moving time to the next timer, until none is left."""
+        """Run callbacks and timers in order, advancing the time to the next timer, until none is left."""
         while True:
             while self.ready:
-                call = self.ready.popleft()
-                callback, args = call.callback, call.args
-                call.stop()
+                entry = self.ready.popleft()
+                callback, args = entry.callback, entry.args
+                entry.stop()
                 if callback is not None:
                     self._call(callback, args or ())
             while self.timers and self.timers[0][2] is None:
                 heapq.heappop(self.timers)
             if not self.timers:
                 return
-            due, _, timer = heapq.heappop(self.timers)
-            thaw = self.paused_until.get(timer.owner, due)
-            if thaw > due:
-                timer.entry = [thaw, next(self.timer_numbers), timer]
+            due_at, _, timer = heapq.heappop(self.timers)
+            resume_at = self.paused_until.get(timer.owner, due_at)
+            if resume_at > due_at:
+                timer.entry = [resume_at, next(self.timer_numbers), timer]
                 heapq.heappush(self.timers, timer.entry)
                 continue
-            self.time = max(self.time, due)
+            self.time = max(self.time, due_at)
             self._call(timer.fire, ())
 
     def _call(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         try:
             callback(*args)
-        except BaseException as e:
+        except BaseException as error:
             if self.error_handler is None:
                 raise
-            self.error_handler.handle_error(callback, type(e), e, e.__traceback__)
+            self.error_handler.handle_error(callback, type(error), error, error.__traceback__)
 
 
 @contextlib.contextmanager
 def simulated_time() -> Iterator[VirtualLoop]:
-    """Everything that gevent does in this thread until the end of the block happens on simulated time."""
-    before = gevent.hub.get_hub()
+    """Run all greenlets of this thread on virtual time until the end of the block."""
+    previous_hub = gevent.hub.get_hub()
     loop = VirtualLoop()
     hub = gevent.hub.Hub(loop=loop)
     gevent.hub.set_hub(hub)
     try:
         yield loop
     finally:
-        gevent.hub.set_hub(before)
+        gevent.hub.set_hub(previous_hub)
         loop.destroy()
--- a/tests/connectivity/test_partial_partitions.py
+++ b/tests/connectivity/test_partial_partitions.py
@@ -63,7 +63,7 @@
     gevent.sleep(20)
     follower = others_than(world, world.current_leaders()[0])[0]
     cut_links(world, [(follower, STATE)], LinkMode.HELD, 5)
-    job_id = world.submit(name=follower)
+    job_id = world.submit(controller=follower)
     gevent.sleep(20)
     job = world.jobs[job_id]
     assert job.accepted_at is not None and job.accepted_at - job.submitted_at < 1.0 and job.done_at is not None
--- a/tests/scenarios/test_absent_machines.py
+++ b/tests/scenarios/test_absent_machines.py
@@ -183,7 +183,7 @@
         world.crash(name)
     gevent.sleep(0.5 * leases * world.lease_s)
     world.cloud.request("POST", "/machines/delete", json.dumps({"vessels": ["n-000001"]}).encode(), 1.0)
-    world.machines["n-000002"].restart(anew=True)
+    world.machines["n-000002"].restart(reset_session=True)
     gevent.sleep(0.5 * leases * world.lease_s)
     start_if_stopped(world, "node-2")
     gevent.sleep(6)
--- a/tests/scenarios/test_fault_combinations.py
+++ b/tests/scenarios/test_fault_combinations.py
@@ -184,7 +184,7 @@
     world.duplicate_heartbeat_rate = 0.4
     world.submit_continuously(2.0, 60.0)
     for number in range(4):
-        world.machines[f"n-{number:06d}"].restart(anew=bool(number % 2))
+        world.machines[f"n-{number:06d}"].restart(reset_session=bool(number % 2))
         for name in world.current_leaders():
             world.crash(name)
             gevent.spawn_later(4.0 if number % 2 else 0.1, start_if_stopped, world, name)
--- a/tests/scenarios/test_random_fault_schedules.py
+++ b/tests/scenarios/test_random_fault_schedules.py
@@ -152,7 +152,7 @@
         case ("freeze", str(name), float(seconds)):
             world.pause(name, seconds)
         case ("mistake", int(tasks)):
-            world.submit("blue", tasks, 1.0, broken=True)
+            world.submit("blue", tasks, 1.0, always_fails=True)
         case ("storm", float(factor), float(seconds)):
             world.poll_rate_factor = factor
             gevent.spawn_later(seconds, setattr, world, "poll_rate_factor", 1.0)
--- a/tests/scenarios/test_stale_heartbeats.py
+++ b/tests/scenarios/test_stale_heartbeats.py
@@ -36,7 +36,7 @@
     for number in range(5):
         machine = f"n-{number:06d}"
         gevent.sleep(6)
-        world.machines[machine].restart(anew=bool(number % 2))
+        world.machines[machine].restart(reset_session=bool(number % 2))
         gevent.sleep(2)
         if number in (1, 3):
             world.cloud.request("POST", "/machines/delete", json.dumps({"vessels": [machine]}).encode(), 1.0)
--- a/tools/history_digest.py
+++ b/tools/history_digest.py
@@ -143,7 +143,7 @@
 
     def obeyed_and_kept(self: SimulatedWorker, orders: HeartbeatResponse) -> None:
         history.orders += len(orders.commands)
-        history.add(self.basis.loop.time, f"worker {self.name} {self.epoch}", msgspec.json.encode(orders))
+        history.add(self.cluster.loop.time, f"worker {self.name} {self.epoch}", msgspec.json.encode(orders))
         obey(self, orders)
 
     def requested_and_kept(
