--- a/src/grebestand/emulators/__init__.py
+++ b/src/grebestand/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Emulators of what surrounds a controller (key-value store, cloud, workers), each by its protocol."""
+"""Emulators of the systems around a controller, each with its protocol: key-value store, cloud and workers."""
--- a/src/grebestand/emulators/worker.py
+++ b/src/grebestand/emulators/worker.py
@@ -1,4 +1,4 @@
-"""A worker by its protocol, in memory: sessions, tokens, reports and commands."""
+"""An emulated worker in memory, with the workers' protocol: sessions, tokens, heartbeats and commands."""
 
 from __future__ import annotations
 
@@ -11,7 +11,22 @@
 
 @dataclass
 class WorkerEmulator:
-    """A worker that follows the protocol; what its tasks do is up to who plays them."""
+    """A worker that follows the protocol. Its tasks run until they are stopped or `finish_task` is called.
+
+    Attributes:
+        name: The machine's name.
+        zone: The machine's zone.
+        spot: Whether the machine is a spot machine.
+        epoch: The number of the worker's session, which changes when all tasks are lost.
+        sequence: The sequence number of the last heartbeat in this session.
+        token: The largest leader token that the worker has received.
+        notice_s: The seconds until the cloud reclaims the machine, or None.
+        reachable: Whether direct requests reach the worker.
+        addr: The worker's address; derived from the name if empty.
+        type: The machine type.
+        tasks: The tasks that the worker reports, by name.
+        started_attempts: The task and the attempt of each start, in order.
+    """
 
     name: str
     zone: str = "a"
@@ -27,9 +42,9 @@
     started_attempts: list[tuple[str, int]] = field(default_factory=list)
 
     def next_heartbeat(self) -> Heartbeat:
-        """The next heartbeat, with a sequence number above the last one's."""
+        """Return a heartbeat with the next sequence number."""
         self.sequence += 1
-        tasks = [msgspec.structs.replace(t) for t in self.tasks.values()]
+        tasks = [msgspec.structs.replace(status) for status in self.tasks.values()]
         return Heartbeat(
             self.name,
             self.addr or f"{self.name}:1",
@@ -43,46 +58,50 @@
             tasks,
         )
 
-    def apply_response(self, orders: HeartbeatResponse) -> None:
-        """Execute the commands of a response, unless its token is older than one that was seen."""
-        if orders.token < self.token:
+    def apply_response(self, response: HeartbeatResponse) -> None:
+        """Execute the commands of a response, unless its token is smaller than one received before."""
+        if response.token < self.token:
             return
-        self.token = orders.token
-        for c in orders.commands:
-            held = self.tasks.get(c.task)
-            if c.op == "start" and (held is None or held.attempt != c.attempt):
-                self.start_task(c.task, c.attempt)
-                self.started_attempts.append((c.task, c.attempt))
-            elif c.op == "stop" and held is not None and held.attempt == c.attempt:
-                self.stop_task(held, c.grace_s or 0.0)
-            elif c.op == "forget" and held is not None and held.state is TaskPhase.EXITED:
-                del self.tasks[c.task]
+        self.token = response.token
+        for command in response.commands:
+            status = self.tasks.get(command.task)
+            if command.op == "start" and (status is None or status.attempt != command.attempt):
+                self.start_task(command.task, command.attempt)
+                self.started_attempts.append((command.task, command.attempt))
+            elif command.op == "stop" and status is not None and status.attempt == command.attempt:
+                self.stop_task(status, command.grace_s or 0.0)
+            elif command.op == "forget" and status is not None and status.state is TaskPhase.EXITED:
+                del self.tasks[command.task]
 
     def start_task(self, task: str, attempt: int) -> None:
-        """A start that is not a repeat."""
+        """Start a new attempt of a task; repeated start commands don't reach this method."""
         self.tasks[task] = TaskStatus(task, attempt, TaskPhase.RUNNING)
 
-    def stop_task(self, held: TaskStatus, grace_s: float) -> None:
-        """A stop of what is there."""
-        held.state, held.why = TaskPhase.EXITED, ExitReason.STOPPED
+    def stop_task(self, status: TaskStatus, grace_s: float) -> None:
+        """Stop a task of the worker, which may use up to `grace_s` seconds to save its work."""
+        status.state, status.why = TaskPhase.EXITED, ExitReason.STOPPED
+
+    def finish_task(self, task: str, reason: ExitReason = ExitReason.DONE) -> None:
+        """Let a task exit by itself."""
+        self.tasks[task].state, self.tasks[task].why = TaskPhase.EXITED, reason
 
-    def finish_task(self, task: str, why: ExitReason = ExitReason.DONE) -> None:
-        """End a task by itself, for the given reason."""
-        self.tasks[task].state, self.tasks[task].why = TaskPhase.EXITED, why
+    def handle_direct_commands(self, commands: DirectCommands) -> tuple[int, Heartbeat]:
+        """Execute direct commands, unless their token or session is outdated.
 
-    def handle_direct_commands(self, orders: DirectCommands) -> tuple[int, Heartbeat]:
-        """The answer to a direct order: executed if neither token nor session is an old one."""
-        stale = orders.token < self.token or orders.epoch != self.epoch
-        if not stale:
-            self.apply_response(HeartbeatResponse(orders.token, orders.commands))
-        return (409 if stale else 200), self.next_heartbeat()
+        Returns:
+            Status 200, or 409 for outdated commands, and a heartbeat.
+        """
+        is_outdated = commands.token < self.token or commands.epoch != self.epoch
+        if not is_outdated:
+            self.apply_response(HeartbeatResponse(commands.token, commands.commands))
+        return (409 if is_outdated else 200), self.next_heartbeat()
 
     def expire_lease(self) -> None:
-        """Its lease ran out: all tasks are killed and forgotten."""
+        """Kill and forget all tasks, and begin a new session, as when the machine's lease has expired."""
         self.epoch += 1
         self.sequence = 0
         self.tasks.clear()
 
     def running_tasks(self) -> list[str]:
-        """Names of the tasks that have not exited, sorted."""
-        return sorted(t.task for t in self.tasks.values() if t.state is not TaskPhase.EXITED)
+        """Return the sorted names of the tasks that have not exited."""
+        return sorted(status.task for status in self.tasks.values() if status.state is not TaskPhase.EXITED)
