--- a/src/grebestand/emulators/tcp_relay.py
+++ b/src/grebestand/emulators/tcp_relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can hold, delay or reset what passes between two addresses, without reading it."""
+"""A TCP relay in front of an address that can hold, delay or reset connections, without parsing the data."""
 
 from __future__ import annotations
 
@@ -9,36 +9,48 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-#: how often held connections look whether the relay is open again, in seconds
+#: how often held connections check whether the relay is open again, in seconds
 HELD_POLL_S = 0.05
 CONNECT_TIMEOUT_S = 2.0
-#: the second direction of a connection ends within this after the first, in seconds
+#: how long the relay waits for the second direction of a connection after the first has ended, in seconds
 CLOSE_TIMEOUT_S = 5.0
 IDLE_TIMEOUT_S = 120.0
 READ_BYTES = 65536
 
 
 class RelayMode(Enum):
-    """What a relay does to what passes."""
+    """How a relay treats connections and data."""
 
     OPEN = auto()
-    #: new connections and bytes wait, and are delivered when the relay is open again
+    #: new connections and data wait, and are forwarded when the relay is open again
     HELD = auto()
-    #: connections are reset, and new ones refused
+    #: open connections are closed, and new ones are closed at once
     BROKEN = auto()
 
 
 class TcpRelay:
-    """A TCP proxy on a loopback port in front of a target address, whose behaviour is switched by `set`."""
+    """A TCP proxy on a port of loopback in front of a target address; `set_mode` switches its behaviour.
+
+    Attributes:
+        target: The address that connections are forwarded to.
+        rng: Draws delays.
+        max_delay_s: The longest delay of a chunk of data, in seconds.
+        connection_count: The number of connections that were forwarded.
+        byte_count: The number of bytes that were forwarded, in both directions.
+        address: The relay's address.
+    """
 
     def __init__(self, target: str, rng: random.Random) -> None:
-        """Listen in front of an address; delays are drawn from `rng`."""
+        """Start to listen.
+
+        Args:
+            target: The address that connections are forwarded to.
+            rng: Draws delays.
+        """
         self.target = target
         self.rng = rng
         self._mode = RelayMode.OPEN
-        #: the longest delay of a delivery, in seconds
         self.max_delay_s = 0.0
-        #: connections and bytes that have passed
         self.connection_count = self.byte_count = 0
         self._open: set[socket.socket] = set()
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
@@ -46,36 +58,36 @@
         self.address = f"127.0.0.1:{self._server.server_port}"
 
     def set_mode(self, mode: RelayMode) -> None:
-        """Switch the mode; `BROKEN` closes the connections that are open."""
+        """Switch the mode; `BROKEN` closes all open connections."""
         self._mode = mode
         if mode is RelayMode.BROKEN:
             for sock in list(self._open):
                 sock.close()
             self._open.clear()
 
-    def _serve(self, near: socket.socket, _: object) -> None:
+    def _serve(self, client: socket.socket, _: object) -> None:
         if self._mode is RelayMode.BROKEN:
-            near.close()
+            client.close()
             return
         host, _, port = self.target.rpartition(":")
         try:
             self._wait_while_held()
-            far = socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S)
+            server = socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S)
         except OSError:
-            near.close()
+            client.close()
             return
         self.connection_count += 1
-        self._open |= {near, far}
-        back = gevent.spawn(self._pump, far, near)
-        self._pump(near, far)
-        back.join(timeout=CLOSE_TIMEOUT_S)
-        self._open -= {near, far}
+        self._open |= {client, server}
+        responses = gevent.spawn(self._forward, server, client)
+        self._forward(client, server)
+        responses.join(timeout=CLOSE_TIMEOUT_S)
+        self._open -= {client, server}
 
     def _wait_while_held(self) -> None:
         while self._mode is RelayMode.HELD:
             gevent.sleep(HELD_POLL_S)
 
-    def _pump(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         try:
             source.settimeout(IDLE_TIMEOUT_S)
             while data := source.recv(READ_BYTES):
@@ -85,7 +97,7 @@
                 self.byte_count += len(data)
                 sink.sendall(data)
         except OSError:
-            pass  # one end is gone, or the relay was switched to `BROKEN`
+            pass  # One end has closed the connection, or the relay was switched to `BROKEN`.
         finally:
             for sock in (source, sink):
                 try:
--- a/src/grebestand/load_test/scale_run.py
+++ b/src/grebestand/load_test/scale_run.py
@@ -149,11 +149,11 @@
         self._store = HttpTransport(host, int(port), 1)
         controllers = self.controllers = ControllerProcesses(
             names={f"controller-{index}": ZONES[index % len(ZONES)] for index in range(plan.controllers)},
-            outside={"cloud": shared["cloud"], "state": store_address},
+            service_addresses={"cloud": shared["cloud"], "state": store_address},
             root=self.root,
             params=plan.params(),
             policy=POLICY,
-            descriptors=plan.sockets + OPEN_FILES_BESIDES_SOCKETS,
+            max_open_files=plan.sockets + OPEN_FILES_BESIDES_SOCKETS,
         )
         self._start_workers(controllers, shared["meeting"])
         self._start_users(controllers, shared["meeting"])
