--- a/src/grebestand/simulation/cluster.py
+++ b/src/grebestand/simulation/cluster.py
@@ -22,10 +22,10 @@
 from .simulated_worker import SimulatedWorker
 from .virtual_time import VirtualLoop
 
-__all__ = ["CLOUD", "RULES", "STATE", "LinkMode", "NetworkLinks", "SimulatedCluster"]
+__all__ = ["CLOUD", "FIXED_MACHINES_POLICY", "STATE", "LinkMode", "NetworkLinks", "SimulatedCluster"]
 
 #: a policy under which no machine is rented, and none returned for being idle
-RULES = "rent = false\nidle_return_s = 1e6\n"
+FIXED_MACHINES_POLICY = "rent = false\nidle_return_s = 1e6\n"
 
 
 class SimulatedCluster(ClusterBase):
@@ -40,7 +40,7 @@
         seed: int = 1,
         controllers: int = 3,
         machines: int = 24,
-        rules: str = RULES,
+        rules: str = FIXED_MACHINES_POLICY,
         rps: float = 10_000.0,
         write_rps: float = 10_000.0,
     ) -> None:
--- a/src/grebestand/simulation/cluster_base.py
+++ b/src/grebestand/simulation/cluster_base.py
@@ -31,15 +31,15 @@
         text = text.replace(f"\n{key} = 10000.0", f"\n{key} = {rate}")
     text = text.replace("127.0.0.1:2", f"127.0.1.{index}:2").replace("count = 1", f"count = {len(names)}")
     known = "".join(
-        f'[[known]]\nhost_name = "{n}"\narea = "a"\naddress = "127.0.1.{i}:2"\n'
-        for i, n in enumerate(names)
+        f'[[known]]\nhost_name = "{name}"\narea = "a"\naddress = "127.0.1.{i}:2"\n'
+        for i, name in enumerate(names)
         if i != index
     )
     return parse(text.replace("[outside]", known + "[outside]"))
 
 
 class ClusterBase(FaultInjection):
-    """The shared state; it extends the faults in force (`FaultInjection`).
+    """The state that all parts of a simulated cluster share, with the faults in force (`FaultInjection`).
 
     Attributes:
         loop: The event loop on virtual time.
@@ -62,6 +62,7 @@
         super().__init__()
         self.loop = loop
         self.seed = seed
+        # Other seed texts than these would change all recorded runs.
         self.rng = random.Random(f"world {seed}")
         self.fault_rng = random.Random(f"luck {seed}")
         self.links = NetworkLinks()
@@ -79,4 +80,4 @@
 
     def team_limits(self) -> dict[str, tuple[float, float]]:
         """Return the CPUs and GPUs that each team may use at most."""
-        return {t.name: (t.cpus_max, t.gpus_max) for t in self.settings["node-0"].params.teams}
+        return {team.name: (team.cpus_max, team.gpus_max) for team in self.settings["node-0"].params.teams}
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -17,7 +17,7 @@
 from grebestand.simulation.simulated_worker import SimulatedWorker
 from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 from grebestand.wire.peers import HeartbeatBatch, HeartbeatBatchResponse
-from support.cluster_actions import SPREAD_HEARTBEATS, crash_leader, end_faults, start_if_stopped
+from support.cluster_actions import SPREAD_HEARTBEATS_POLICY, crash_leader, end_faults, start_if_stopped
 
 
 @pytest.fixture
@@ -28,7 +28,9 @@
 
 def start_busy_cluster(loop: VirtualLoop, seed: int = 1, machines: int = 18, controllers: int = 3) -> SimulatedCluster:
     """Return a cluster at work whose controllers all answer heartbeats."""
-    cluster = SimulatedCluster(loop, seed=seed, machines=machines, controllers=controllers, rules=SPREAD_HEARTBEATS)
+    cluster = SimulatedCluster(
+        loop, seed=seed, machines=machines, controllers=controllers, rules=SPREAD_HEARTBEATS_POLICY
+    )
     cluster.task_duration_s = (3.0, 20.0)
     cluster.cancelled_job_rate = 0.2
     cluster.submit_continuously(2.0, 75.0)
--- a/tests/scenarios/test_fault_pairs.py
+++ b/tests/scenarios/test_fault_pairs.py
@@ -20,11 +20,11 @@
 from grebestand.heartbeats.reconciliation import HeartbeatReconciler
 from grebestand.leader.term import Term
 from grebestand.scheduling.placement import Placement
-from grebestand.simulation.cluster import RULES, STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.cluster import FIXED_MACHINES_POLICY, STATE, LinkMode, SimulatedCluster
 from grebestand.simulation.single_controller_cluster import InMemoryCluster, InMemoryController
 from grebestand.simulation.virtual_time import simulated_time
 from grebestand.wire.workers import TaskPhase, TaskStatus
-from support.cluster_actions import SPREAD_HEARTBEATS, end_faults, start_if_stopped
+from support.cluster_actions import SPREAD_HEARTBEATS_POLICY, end_faults, start_if_stopped
 
 MACHINES = 12
 #: runs with a higher seed also have jobs that are bound to one zone, or spread over both
@@ -50,7 +50,10 @@
 
 
 def set_temporarily(target: object, field: str, value: object, seconds: float, afterwards: object = 0.0) -> None:
-    """Set a field for a while. It ends as it is without faults, whatever else has begun, so nothing outlasts `heal`."""
+    """Set a field for some seconds, and then to its value without faults.
+
+    The value before isn't restored, since another fault may have set it, and would then outlast `end_faults`.
+    """
     setattr(target, field, value)
     gevent.spawn_later(seconds, setattr, target, field, afterwards)
 
@@ -316,7 +319,7 @@
     rng = random.Random(f"{first} {second} {seed}")
     with simulated_time() as loop:
         spread = max(first, second) >= FIRST_FORWARDER_FAULT or (seed > SPREAD_ABOVE and seed % 3 == 0)
-        rules = SPREAD_HEARTBEATS if spread else RULES
+        rules = SPREAD_HEARTBEATS_POLICY if spread else FIXED_MACHINES_POLICY
         world = SimulatedCluster(loop, seed=seed, controllers=3 if seed % 2 else 5, machines=MACHINES, rules=rules)
         world.cancelled_job_rate = 0.4
         # jobs of a few tasks, which end far apart, and more of them than can run at once
--- a/tests/scenarios/test_random_fault_schedules.py
+++ b/tests/scenarios/test_random_fault_schedules.py
@@ -19,9 +19,9 @@
 from grebestand.api.response import Response
 from grebestand.cluster_state.machine_inventory import MachineInventory
 from grebestand.leader.election import LeaderElection
-from grebestand.simulation.cluster import RULES, STATE, LinkMode, SimulatedCluster
+from grebestand.simulation.cluster import FIXED_MACHINES_POLICY, STATE, LinkMode, SimulatedCluster
 from grebestand.simulation.virtual_time import simulated_time
-from support.cluster_actions import SPREAD_HEARTBEATS, accept_every_heartbeat, end_faults, start_if_stopped
+from support.cluster_actions import SPREAD_HEARTBEATS_POLICY, accept_every_heartbeat, end_faults, start_if_stopped
 
 Schedule = list[tuple[float, tuple[object, ...]]]
 
@@ -209,7 +209,9 @@
                 world.links.set_mode(name, other_end, mode)
 
 
-def played(schedule: Schedule, seed: int, longest_s: float = 12.0, rules: str = RULES) -> tuple[list[str], list[str]]:
+def played(
+    schedule: Schedule, seed: int, longest_s: float = 12.0, rules: str = FIXED_MACHINES_POLICY
+) -> tuple[list[str], list[str]]:
     """Play a schedule; return what was broken meanwhile, and accepted jobs that were not done long after its end."""
     with simulated_time() as loop:
         world = SimulatedCluster(loop, seed=seed, machines=12, rules=rules)
@@ -239,7 +241,7 @@
 @SEARCH
 @given(schedules, st.integers(0, 10_000))
 def test_no_invariant_breaks_under_any_schedule_while_every_controller_answers(schedule: Schedule, seed: int) -> None:
-    assert played(schedule, seed, rules=SPREAD_HEARTBEATS) == ([], [])
+    assert played(schedule, seed, rules=SPREAD_HEARTBEATS_POLICY) == ([], [])
 
 
 def lengthen_authority(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/support/cluster_actions.py
+++ b/tests/support/cluster_actions.py
@@ -8,11 +8,11 @@
 
 from grebestand.cluster_state.machine import Machine
 from grebestand.heartbeats.reconciliation import HeartbeatReconciler
-from grebestand.simulation.cluster import RULES, SimulatedCluster
+from grebestand.simulation.cluster import FIXED_MACHINES_POLICY, SimulatedCluster
 from grebestand.wire.workers import Heartbeat
 
 #: a policy under which every controller handles heartbeats and forwards them to the leader; machines aren't changed
-SPREAD_HEARTBEATS = RULES + "spread_reports = true\n"
+SPREAD_HEARTBEATS_POLICY = FIXED_MACHINES_POLICY + "spread_reports = true\n"
 
 
 def start_if_stopped(cluster: SimulatedCluster, name: str) -> None:
--- a/tools/history_digest.py
+++ b/tools/history_digest.py
@@ -34,7 +34,7 @@
 from grebestand.simulation.virtual_time import simulated_time  # noqa: E402
 from grebestand.wire.workers import HeartbeatResponse  # noqa: E402
 from scenarios.test_random_fault_schedules import NODES, played  # noqa: E402
-from support.cluster_actions import SPREAD_HEARTBEATS  # noqa: E402
+from support.cluster_actions import SPREAD_HEARTBEATS_POLICY  # noqa: E402
 
 Schedule = list[tuple[float, tuple[object, ...]]]
 
@@ -110,9 +110,9 @@
     "crashes": lambda: played(CRASHES, 43),
     "cuts": lambda: played(CUTS, 44),
     "late messages": lambda: played(LATE, 45),
-    "crashes, reports over any controller": lambda: played(CRASHES, 46, rules=SPREAD_HEARTBEATS),
-    "cuts, reports over any controller": lambda: played(CUTS, 47, rules=SPREAD_HEARTBEATS),
-    "late messages, reports over any controller": lambda: played(LATE, 48, rules=SPREAD_HEARTBEATS),
+    "crashes, reports over any controller": lambda: played(CRASHES, 46, rules=SPREAD_HEARTBEATS_POLICY),
+    "cuts, reports over any controller": lambda: played(CUTS, 47, rules=SPREAD_HEARTBEATS_POLICY),
+    "late messages, reports over any controller": lambda: played(LATE, 48, rules=SPREAD_HEARTBEATS_POLICY),
 }
 
 
