--- a/tests/api/test_consistent_reads.py
+++ b/tests/api/test_consistent_reads.py
@@ -42,16 +42,16 @@
 def test_status_read_before_a_stall_is_not_returned() -> None:
     """A process that is stalled for 10 s after reading a status must not return that status as the current one."""
     cluster, controller, term = start_cluster(1)
-    job_id = cluster.accept(controller)
-    read = controller.users._live
+    job_id = cluster.submit_job(controller)
+    read = controller.job_api._live
 
     def slow(job_id: str, urgency: Urgency, until: float) -> tuple[int, bool]:
         found = read(job_id, urgency, until)
         cluster.clock.now += 10.0
         return found
 
-    controller.users._live = slow  # type: ignore[method-assign]
-    assert controller.users.poll(job_id).status == 503
+    controller.job_api._live = slow  # type: ignore[method-assign]
+    assert controller.job_api.poll(job_id).status == 503
     assert term.token
 
 
@@ -61,7 +61,7 @@
     With one request for each poll, eight of ten users would wait because of the store's rate limit.
     """
     cluster, controller, term = start_cluster(1)
-    job_ids = [cluster.accept(controller) for _ in range(30)]
+    job_ids = [cluster.submit_job(controller) for _ in range(30)]
     store_requests = 0
     request = cluster.store.request
 
@@ -72,7 +72,7 @@
         return request(method, path, body, timeout)
 
     cluster.store.request = counted  # type: ignore[method-assign]
-    polls = [gevent.spawn(controller.users.poll, job_ids[i % 30]) for i in range(600)]
+    polls = [gevent.spawn(controller.job_api.poll, job_ids[i % 30]) for i in range(600)]
     gevent.joinall(polls)
     assert all(poll.value.status == 200 for poll in polls) and store_requests <= 60
     assert term.token
@@ -82,10 +82,10 @@
     """A poll that arrives after the commit of a cancellation must not be answered by a batch sent before the commit."""
     cluster, controller, _term = start_cluster(1)
     other = InMemoryController(cluster, "node-1")
-    job_ids = [cluster.accept(controller) for _ in range(4)]
-    assert other.users.cancel(job_ids[0]).status == 200
-    states = [json.loads(controller.users.poll(job_id).body)["tide"] for job_id in job_ids]
+    job_ids = [cluster.submit_job(controller) for _ in range(4)]
+    assert other.job_api.cancel(job_ids[0]).status == 200
+    states = [json.loads(controller.job_api.poll(job_id).body)["tide"] for job_id in job_ids]
     assert states[0] == "cancelled" and "cancelled" not in states[1:]
-    cluster.store.down = True
-    assert controller.users.poll(job_ids[1]).status == 503
-    assert controller.users.poll(job_ids[0]).status == 200  # a final state is cached and needs no store
+    cluster.store.unavailable = True
+    assert controller.job_api.poll(job_ids[1]).status == 503
+    assert controller.job_api.poll(job_ids[0]).status == 200  # a final state is cached and needs no store
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -15,23 +15,25 @@
 from grebestand.leader.election import LeaderElection
 from grebestand.simulation.cluster import STATE, LinkMode, SimulatedCluster
 from grebestand.simulation.simulated_worker import SimulatedWorker
-from grebestand.simulation.virtual_time import VirtualLoop, simulated
+from grebestand.simulation.virtual_time import VirtualLoop, simulated_time
 from grebestand.wire.peers import HeartbeatBatch, HeartbeatBatchResponse
-from support.cluster_actions import SPREAD, back, crash_leader, heal
+from support.cluster_actions import SPREAD_HEARTBEATS_POLICY, crash_leader, end_faults, start_if_stopped
 
 
 @pytest.fixture
 def loop() -> Iterator[VirtualLoop]:
-    with simulated() as virtual:
+    with simulated_time() as virtual:
         yield virtual
 
 
 def start_busy_cluster(loop: VirtualLoop, seed: int = 1, machines: int = 18, controllers: int = 3) -> SimulatedCluster:
     """Return a cluster with running jobs in which every controller answers heartbeats."""
-    cluster = SimulatedCluster(loop, seed=seed, machines=machines, controllers=controllers, rules=SPREAD)
-    cluster.task_s = (3.0, 20.0)
-    cluster.cancelling = 0.2
-    cluster.crowd(2.0, 75.0)
+    cluster = SimulatedCluster(
+        loop, seed=seed, machines=machines, controllers=controllers, rules=SPREAD_HEARTBEATS_POLICY
+    )
+    cluster.task_duration_s = (3.0, 20.0)
+    cluster.cancelled_job_rate = 0.2
+    cluster.submit_continuously(2.0, 75.0)
     gevent.sleep(15)
     return cluster
 
@@ -40,15 +42,15 @@
     """Return the number of workers that each running controller keeps."""
     return {
         name: len(controller.worker_assignment.kept_workers)
-        for name, controller in cluster.nodes.items()
+        for name, controller in cluster.controllers.items()
         if controller is not None
     }
 
 
 def followers(cluster: SimulatedCluster) -> list[str]:
     """Return the names of all controllers except the leader."""
-    (leader,) = cluster.leading()
-    return [name for name in cluster.controllers if name != leader]
+    (leader,) = cluster.current_leaders()
+    return [name for name in cluster.controller_names if name != leader]
 
 
 def test_workers_are_spread_evenly_and_answered_by_the_leader(loop: VirtualLoop) -> None:
@@ -57,7 +59,7 @@
     counts = kept_workers(cluster)
     assert all(0.8 * even_share <= count <= 1.2 * even_share for count in counts.values()), counts
     statuses = Counter[str]()
-    report_to = SimulatedWorker.report_to
+    report_to = SimulatedWorker.send_heartbeat
 
     def count_status(self: SimulatedWorker, name: str) -> tuple[int, bytes]:
         status, body = report_to(self, name)
@@ -69,17 +71,21 @@
         gevent.sleep(30)
     # no worker is redirected once the shares are balanced
     assert statuses["200"] > 250 and set(statuses) == {"200"}
-    (leader,) = cluster.leading()
-    controller = cluster.nodes[leader]
-    assert controller is not None and controller.batch_receiver.heartbeats_received > 250 and len(cluster.leaders) == 1
-    assert cluster.settled(200.0) == []
+    (leader,) = cluster.current_leaders()
+    controller = cluster.controllers[leader]
+    assert (
+        controller is not None
+        and controller.batch_receiver.heartbeats_received > 250
+        and len(cluster.leader_history) == 1
+    )
+    assert cluster.wait_until_settled(200.0) == []
 
 
 def crash_for(cluster: SimulatedCluster, names: list[str], seconds: float) -> None:
     """Crash controllers, and restart them after a number of seconds."""
     for name in names:
         cluster.crash(name)
-        gevent.spawn_later(seconds, back, cluster, name)
+        gevent.spawn_later(seconds, start_if_stopped, cluster, name)
 
 
 def follower_crashes(cluster: SimulatedCluster) -> None:
@@ -95,14 +101,14 @@
 
 
 def follower_stalls(cluster: SimulatedCluster) -> None:
-    cluster.freeze(followers(cluster)[0], 12.0)
+    cluster.pause(followers(cluster)[0], 12.0)
 
 
 def follower_loses_leader(cluster: SimulatedCluster, mode: LinkMode = LinkMode.HELD, seconds: float = 25.0) -> None:
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     follower = followers(cluster)[0]
-    cluster.links.set(follower, leader, mode)
-    gevent.spawn_later(seconds, cluster.links.set, follower, leader, LinkMode.OPEN)
+    cluster.links.set_mode(follower, leader, mode)
+    gevent.spawn_later(seconds, cluster.links.set_mode, follower, leader, LinkMode.OPEN)
 
 
 def follower_is_refused_by_leader(cluster: SimulatedCluster) -> None:
@@ -110,17 +116,17 @@
 
 
 def batches_are_lost(cluster: SimulatedCluster) -> None:
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     for follower in followers(cluster):
-        cluster.links.ways[follower, leader] = LinkMode.ASKS_LOST
-    gevent.spawn_later(25.0, cluster.links.heal)
+        cluster.links.modes[follower, leader] = LinkMode.REQUESTS_LOST
+    gevent.spawn_later(25.0, cluster.links.open_all)
 
 
 def batch_responses_are_lost(cluster: SimulatedCluster) -> None:
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     for follower in followers(cluster):
-        cluster.links.ways[leader, follower] = LinkMode.ANSWERS_LOST
-    gevent.spawn_later(25.0, cluster.links.heal)
+        cluster.links.modes[leader, follower] = LinkMode.RESPONSES_LOST
+    gevent.spawn_later(25.0, cluster.links.open_all)
 
 
 def follower_is_slow(cluster: SimulatedCluster) -> None:
@@ -130,14 +136,14 @@
 def follower_loses_its_workers(cluster: SimulatedCluster) -> None:
     follower = followers(cluster)[0]
     for zone in "ab":
-        cluster.links.set(follower, zone, LinkMode.HELD)
-    gevent.spawn_later(25.0, cluster.links.heal)
+        cluster.links.set_mode(follower, zone, LinkMode.HELD)
+    gevent.spawn_later(25.0, cluster.links.open_all)
 
 
 def follower_loses_store(cluster: SimulatedCluster) -> None:
     follower = followers(cluster)[0]
-    cluster.links.set(follower, STATE, LinkMode.HELD)
-    gevent.spawn_later(25.0, cluster.links.heal)
+    cluster.links.set_mode(follower, STATE, LinkMode.HELD)
+    gevent.spawn_later(25.0, cluster.links.open_all)
 
 
 def leader_crashes(cluster: SimulatedCluster) -> None:
@@ -149,33 +155,33 @@
 
 
 def leader_stalls(cluster: SimulatedCluster) -> None:
-    cluster.freeze(cluster.leading()[0], 20.0)
+    cluster.pause(cluster.current_leaders()[0], 20.0)
 
 
 def leader_is_deposed(cluster: SimulatedCluster) -> None:
     """Cut the leader off from the store and its peers but not from workers; cancel jobs at its successor."""
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     for peer in (STATE, *followers(cluster)):
-        cluster.links.set(leader, peer, LinkMode.HELD)
-    gevent.spawn_later(20.0, cluster.cancel_now, 4)
-    gevent.spawn_later(40.0, cluster.links.heal)
+        cluster.links.set_mode(leader, peer, LinkMode.HELD)
+    gevent.spawn_later(20.0, cluster.cancel_running_jobs, 4)
+    gevent.spawn_later(40.0, cluster.links.open_all)
 
 
 def leader_transfers_leadership(cluster: SimulatedCluster) -> None:
-    controller = cluster.nodes[cluster.leading()[0]]
+    controller = cluster.controllers[cluster.current_leaders()[0]]
     assert controller is not None
     gevent.spawn(controller.leadership_transfer.resign, "test", "")
 
 
 def leader_and_follower_crash(cluster: SimulatedCluster) -> None:
-    crash_for(cluster, [cluster.leading()[0], followers(cluster)[0]], 5.0)
+    crash_for(cluster, [cluster.current_leaders()[0], followers(cluster)[0]], 5.0)
 
 
 def several_failures_at_once(cluster: SimulatedCluster) -> None:
     follower_loses_its_workers(cluster)
     leader_crashes(cluster)
-    cluster.copies = 0.3
-    cluster.late_orders = 0.5
+    cluster.duplicate_heartbeat_rate = 0.3
+    cluster.late_command_rate = 0.5
 
 
 def follower_loses_leader_for_long(cluster: SimulatedCluster) -> None:
@@ -196,11 +202,11 @@
     """Cause a failure, repair it after some time, and return all violated invariants and lost jobs."""
     failure(cluster)
     gevent.sleep(6)
-    if cluster.leading():
-        cluster.cancel_now(3)
+    if cluster.current_leaders():
+        cluster.cancel_running_jobs(3)
     gevent.sleep(seconds)
-    heal(cluster)
-    return cluster.settled(400.0)
+    end_faults(cluster)
+    return cluster.wait_until_settled(400.0)
 
 
 @pytest.mark.parametrize("failure", FAILURES)
@@ -210,7 +216,7 @@
 ) -> None:
     cluster = start_busy_cluster(loop, seed, controllers=3 if seed == 1 else 5)
     assert violations_after(cluster, failure) == []
-    assert not cluster.both
+    assert not cluster.multiple_leader_times
 
 
 @pytest.mark.parametrize("failure", [follower_crashes, follower_loses_leader, follower_stalls, follower_is_slow])
@@ -221,18 +227,20 @@
     cluster = start_busy_cluster(loop)
     failure(cluster)
     gevent.sleep(35)
-    assert cluster.killed == 0 and len(cluster.leaders) == 1
-    assert cluster.longest_pause(15.0, 45.0) < 9.0
+    assert cluster.lease_expiry_kills == 0 and len(cluster.leader_history) == 1
+    assert cluster.longest_gap_between_starts(15.0, 45.0) < 9.0
 
 
 def test_leader_unreachable_for_workers_receives_heartbeats_through_followers(loop: VirtualLoop) -> None:
     """Forwarded heartbeats avoid a failover: a leader that receives no heartbeats at all resigns."""
     cluster = start_busy_cluster(loop)
-    (leader,) = cluster.leading()
+    (leader,) = cluster.current_leaders()
     for zone in "ab":
-        cluster.links.set(leader, zone, LinkMode.HELD)
+        cluster.links.set_mode(leader, zone, LinkMode.HELD)
     gevent.sleep(40)
-    assert cluster.leading() == [leader] and len(cluster.leaders) == 1 and cluster.killed == 0
+    assert (
+        cluster.current_leaders() == [leader] and len(cluster.leader_history) == 1 and cluster.lease_expiry_kills == 0
+    )
 
 
 def test_followers_keep_their_workers_through_a_failover(loop: VirtualLoop) -> None:
@@ -240,7 +248,7 @@
     before = kept_workers(cluster)
     leader_transfers_leadership(cluster)
     gevent.sleep(12)
-    assert len(cluster.leaders) == 2 and cluster.killed == 0
+    assert len(cluster.leader_history) == 2 and cluster.lease_expiry_kills == 0
     after = kept_workers(cluster)
     assert all(abs(count - before[name]) <= 4 for name, count in after.items()), (before, after)
 
@@ -251,7 +259,7 @@
     name = followers(cluster)[0]
     cluster.crash(name)
     gevent.sleep(10)
-    back(cluster, name)
+    start_if_stopped(cluster, name)
     counts = []
     for _ in range(30):
         gevent.sleep(1)
@@ -297,8 +305,8 @@
     inject_fault(monkeypatch)
     violations: list[str] = []
     for seed, failure in itertools.product(range(3), (follower_loses_leader_for_long, leader_is_deposed)):
-        with simulated() as loop:
+        with simulated_time() as loop:
             cluster = start_busy_cluster(loop, seed)
-            cluster.task_s = (20.0, 90.0)
+            cluster.task_duration_s = (20.0, 90.0)
             violations += violations_after(cluster, failure, seconds=90.0)
     assert violations
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -141,7 +141,7 @@
 def test_heartbeat_names_its_machine_and_zone() -> None:
     """The assignment depends on the machine and zone in a heartbeat, so that both have to survive the encoding."""
     worker = WorkerEmulator("n-000007", zone="b")
-    heartbeat = msgspec.json.decode(msgspec.json.encode(worker.report()), type=Heartbeat)
+    heartbeat = msgspec.json.decode(msgspec.json.encode(worker.next_heartbeat()), type=Heartbeat)
     assert (heartbeat.machine, heartbeat.zone) == ("n-000007", "b")
 
 
