--- a/tests/leader/test_job_watch.py
+++ b/tests/leader/test_job_watch.py
@@ -16,7 +16,7 @@
     term = controller.lead()
     known_at = controller.election.cancellation_horizon.known_at
     term.job_watch.applied_revision = 500
-    monkeypatch.setattr(controller.store, "changes", lambda *_: answer)
+    monkeypatch.setattr(controller.store, "watch", lambda *_: answer)
     with pytest.raises(StoreError):
         term.job_watch.catch_up()
     assert controller.election.cancellation_horizon.known_at == known_at and term.job_watch.applied_revision == 500
@@ -32,13 +32,13 @@
     early = controller.store.watch("live/", before, 0)
     controller.job_api.cancel(job_id)
     term.job_watch.catch_up()
-    monkeypatch.setattr(controller.store, "changes", lambda *_: early)
+    monkeypatch.setattr(controller.store, "watch", lambda *_: early)
     with pytest.raises(StoreError):  # the response has an older revision than the applied one
         term.job_watch.watch()
     assert job_id not in term.registry.jobs
     controller.election.cancellation_horizon.reset()
     monkeypatch.setattr(
-        controller.store, "changes", lambda *_: ChangeEvents(term.job_watch.applied_revision, early.events)
+        controller.store, "watch", lambda *_: ChangeEvents(term.job_watch.applied_revision, early.events)
     )
     term.job_watch.watch()  # current, but repeats an old event: applying it would restore the job for ever
     assert job_id not in term.registry.jobs and controller.election.cancellation_horizon.known_at == cluster.clock.now
