--- a/src/grebestand/commands/federation.py
+++ b/src/grebestand/commands/federation.py
@@ -131,7 +131,7 @@
             print(f"{gang.ref}: {gang.tasks} tasks, reservation {gang.id}")
         sentence = f"{arguments.cluster} is lost and runs nothing"
         print(
-            f"These {len(gangs)} gangs will start here again. If {arguments.cluster} still runs one of them, that gang "
+            f"These {len(gangs)} gangs will start here again. If {arguments.cluster} still runs one of them, it "
             f"runs twice.\nTo continue, enter: {sentence}"
         )
         if (arguments.confirm if arguments.confirm is not None else sys.stdin.readline().strip()) != sentence:
--- a/tests/scenarios/test_paused_leader.py
+++ b/tests/scenarios/test_paused_leader.py
@@ -32,7 +32,7 @@
     (FencedWriter, "commit"), (KeyValueStoreClient, "commit"),
     (LeaderElection, "renew"), (JobWatch, "_follow"), (JobCompletion, "_complete"), (TaskProgress, "save"),
     (MachineRecords, "record"),
-    (Provisioning, "_rent_under"), (MachineReconciliation, "apply_direct_answer"), (LeadershipTransfer, "resign"),
+    (Provisioning, "_rent_as"), (MachineReconciliation, "apply_direct_answer"), (LeadershipTransfer, "resign"),
     (JobApi, "_lookup"),
     (JobApi, "_accept"), (JobApi, "cancel"),
 ]  # fmt: skip
