--- a/src/grebestand/commands/rehearse.py
+++ b/src/grebestand/commands/rehearse.py
@@ -95,7 +95,7 @@
     import msgspec
 
     from ..load_test.scale_plan import ScaleRunPlan
-    from ..load_test.scale_run import rehearse
+    from ..load_test.scale_run import run_scale_test
 
     if not (
         1 <= arguments.workers <= 10_000 and 2 <= arguments.controllers <= 20 and 1 <= arguments.teams <= 5_000
@@ -122,12 +122,12 @@
     for number in (signal.SIGINT, signal.SIGTERM):
         gevent.signal_handler(number, stop)
     with _log_errors_only():
-        outcome = _run_with_progress(lambda progress, keep: rehearse(plan, progress, keep), arguments.keep)
+        outcome = _run_with_progress(lambda progress, keep: run_scale_test(plan, progress, keep), arguments.keep)
     if isinstance(outcome, int):
         return outcome
     if arguments.json:
         Path(arguments.json).write_bytes(msgspec.json.format(msgspec.json.encode(outcome.figures)))
-    print(outcome.line)
+    print(outcome.summary_line)
     return 0 if outcome.verdict.good else 1
 
 
--- a/src/grebestand/load_test/balancer.py
+++ b/src/grebestand/load_test/balancer.py
@@ -16,10 +16,10 @@
 #: the latest results of probes that decide about health
 PROBE_WINDOW = 6
 #: a healthy controller becomes unhealthy by so many failures in the window, or in succession
-MOST_FAILURES = 3
-FAILURES_IN_SUCCESSION = 2
+MAX_FAILURES_IN_WINDOW = 3
+CONSECUTIVE_FAILURES = 2
 #: an unhealthy controller becomes healthy again by so many successes in succession; a new one by its first
-SUCCESSES_IN_SUCCESSION = 2
+CONSECUTIVE_SUCCESSES = 2
 
 
 class Balancer:
@@ -40,18 +40,18 @@
             gevent.spawn(self._probe_forever, name)
 
     def _probe_forever(self, name: str) -> None:
-        recovered = [True] * SUCCESSES_IN_SUCCESSION
+        recovered = [True] * CONSECUTIVE_SUCCESSES
         results: list[bool] = []
         was_healthy = False
         while True:
             succeeded = self._probe(name)
             results = [*results, succeeded][-PROBE_WINDOW:]
             if self.healthy[name]:
-                any_recent = any(results[-FAILURES_IN_SUCCESSION:])
-                self.healthy[name] = any_recent and results.count(False) < MOST_FAILURES
+                any_recent = any(results[-CONSECUTIVE_FAILURES:])
+                self.healthy[name] = any_recent and results.count(False) < MAX_FAILURES_IN_WINDOW
                 if not self.healthy[name]:
                     results = []
-            elif succeeded and (not was_healthy or results[-SUCCESSES_IN_SUCCESSION:] == recovered):
+            elif succeeded and (not was_healthy or results[-CONSECUTIVE_SUCCESSES:] == recovered):
                 self.healthy[name] = was_healthy = True
                 results = [True]
             gevent.sleep(PROBE_S)
@@ -59,7 +59,7 @@
     def _probe(self, name: str) -> bool:
         connection = Connection(self.controllers[name], Traffic())
         try:
-            return connection.ask("GET", "/healthz", b"", PROBE_S)[0] == 200
+            return connection.request("GET", "/healthz", b"", PROBE_S)[0] == 200
         except NoResponseError:
             return False
         finally:
--- a/src/grebestand/load_test/child_process.py
+++ b/src/grebestand/load_test/child_process.py
@@ -18,7 +18,7 @@
 from gevent.fileobject import FileObjectPosix
 
 #: the methods of parts that commands call
-METHODS = {"begin": "begin", "ask": "ask_all"}
+COMMAND_METHODS = {"begin": "start", "ask": "poll_accepted_jobs"}
 #: counters are sent to the parent this often, in seconds
 COUNTS_INTERVAL_S = 1.0
 
@@ -36,7 +36,7 @@
     def __init__(self, role: str) -> None:
         """Prepare to play a role: "state", "meeting", "users" or "hollow"."""
         self.role = role
-        self.faults = 0
+        self.unhandled_errors = 0
         self._input = FileObjectPosix(0, "rb")
         self._hub = gevent.get_hub()
         self._print_error = self._hub.handle_error
@@ -45,7 +45,7 @@
     def _count_fault(self, context: object, kind: Any, error: Any, trace: Any) -> None:
         """Print the error of a greenlet that failed, and count it."""
         if kind is not None and not issubclass(kind, self._hub.NOT_ERROR):
-            self.faults += 1
+            self.unhandled_errors += 1
         self._print_error(context, kind, error, trace)
 
     def _send(self, **message: object) -> None:
@@ -75,17 +75,17 @@
                 return
             if command == "keep":
                 with open(message["file"], "wb") as out:
-                    out.write(msgspec.msgpack.encode(part.kept_rows()))
-                self._send(kept=message["file"], faults=self.faults)
+                    out.write(msgspec.msgpack.encode(part.records()))
+                self._send(kept=message["file"], faults=self.unhandled_errors)
             elif command == "rest":
                 part.loading = False
             else:
-                getattr(part, METHODS[command])()
+                getattr(part, COMMAND_METHODS[command])()
                 self._send(did=command)
 
     def _send_counts(self, part: Part) -> None:
         while True:
-            self._send(counts={**part.counts(), "faults": self.faults, "at_s": time.monotonic()})
+            self._send(counts={**part.counts(), "faults": self.unhandled_errors, "at_s": time.monotonic()})
             gevent.sleep(COUNTS_INTERVAL_S)
 
     def _line_ended(self) -> None:
--- a/src/grebestand/load_test/connection.py
+++ b/src/grebestand/load_test/connection.py
@@ -16,14 +16,14 @@
 #: one read takes at most this, in bytes
 READ_BYTES = 65536
 #: the largest headers that are read, in bytes
-HEAD_BYTES = 16384
+MAX_HEAD_BYTES = 16384
 HEAD_END = b"\r\n\r\n"
 RETRY_AFTER = b"\r\nRetry-After:"
 #: a socket's timeout must not be 0, which means that it does not block
-LEAST_TIMEOUT_S = 0.01
+MIN_TIMEOUT_S = 0.01
 #: the other end of a connection may be idle for this long, in seconds
 IDLE_TIMEOUT_S = 30.0
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 409: "Conflict", 421: "Misdirected Request"}
+REASON_PHRASES = {200: "OK", 400: "Bad Request", 404: "Not Found", 409: "Conflict", 421: "Misdirected Request"}
 
 
 class NoResponseError(GrebestandError):
@@ -74,7 +74,7 @@
         self.address = address
         self.traffic = traffic
         #: whether no response has come yet over the connection that is open, or is to be opened
-        self.fresh = True
+        self.is_new = True
         self._socket: socket.socket | None = None
         self._rest = b""
 
@@ -82,9 +82,9 @@
         """Close the connection; the next request opens another."""
         if self._socket is not None:
             self._socket.close()
-        self._socket, self._rest, self.fresh = None, b"", True
+        self._socket, self._rest, self.is_new = None, b"", True
 
-    def ask(self, method: str, path: str, body: bytes, timeout_s: float) -> tuple[int, bytes, float]:
+    def request(self, method: str, path: str, body: bytes, timeout_s: float) -> tuple[int, bytes, float]:
         """Send a request and wait for the response.
 
         Returns:
@@ -115,15 +115,15 @@
         sock = self._socket if self._socket is not None else self._connect(deadline)
         head = f"{method} {path} HTTP/1.1\r\nHost: {self.address}\r\nContent-Type: application/json\r\n"
         request = f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
-        sock.settimeout(max(LEAST_TIMEOUT_S, deadline - time.monotonic()))
+        sock.settimeout(max(MIN_TIMEOUT_S, deadline - time.monotonic()))
         sock.sendall(request)
         self.traffic.sent += len(request)
         return self._read_response(sock, deadline)
 
     def _connect(self, deadline: float) -> socket.socket:
-        self.fresh = True
+        self.is_new = True
         host, _, port = self.address.rpartition(":")
-        timeout_s = max(LEAST_TIMEOUT_S, deadline - time.monotonic())
+        timeout_s = max(MIN_TIMEOUT_S, deadline - time.monotonic())
         self._socket = socket.create_connection((host, int(port)), timeout=timeout_s)
         return self._socket
 
@@ -131,7 +131,7 @@
         data = self._rest
         while (head_end := data.find(HEAD_END)) < 0:
             data += self._read(sock, deadline)
-            if len(data) > HEAD_BYTES + READ_BYTES:
+            if len(data) > MAX_HEAD_BYTES + READ_BYTES:
                 raise ValueError("headers too large")
         head = data[:head_end]
         status_line, length, close = _parse_head(head)
@@ -145,7 +145,7 @@
         self.traffic.messages += 1
         status = int(status_line.split(" ")[1])
         body = data[body_begin : body_begin + length]
-        self.fresh = False
+        self.is_new = False
         if close:
             self.close()
         return status, body, retry_s
@@ -165,7 +165,7 @@
 Answerer = Callable[[str, str, bytes], tuple[int, bytes]]
 
 
-def answer(sock: socket.socket, handle: Answerer, traffic: Traffic) -> None:
+def serve_connection(sock: socket.socket, handle: Answerer, traffic: Traffic) -> None:
     """Serve one connection until the other end closes it; a request that cannot be read ends it as well.
 
     Args:
@@ -179,7 +179,7 @@
         while True:
             while (head_end := data.find(HEAD_END)) < 0:
                 more = sock.recv(READ_BYTES)
-                if not more or len(data) > HEAD_BYTES:
+                if not more or len(data) > MAX_HEAD_BYTES:
                     return
                 data += more
             request_line, length, close = _parse_head(data[:head_end])
@@ -194,7 +194,7 @@
             method, path, _ = request_line.split(" ", 2)
             status, body = handle(method, path, data[body_begin : body_begin + length])
             data = data[body_begin + length :]
-            head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: application/json\r\n"
+            head = f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: application/json\r\n"
             response = f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
             sock.sendall(response)
             traffic.sent += len(response)
--- a/src/grebestand/load_test/figures.py
+++ b/src/grebestand/load_test/figures.py
@@ -17,9 +17,9 @@
 #: the objectives of a worker process: percent of a core, megabytes, bytes a second in both directions
 WORKER_LIMITS = {"cpu_percent": 1.9, "memory_mb": 64.0, "bytes_per_s": 3000.0}
 #: groups of urgent jobs: at least and at most so many tasks
-SIZES = ((1, 1), (2, 16), (17, 64), (65, 128))
+JOB_SIZE_GROUPS = ((1, 1), (2, 16), (17, 64), (65, 128))
 #: how reports are answered that were answered at all
-STATUSES = ("200", "421", "503")
+RESPONSE_STATUSES = ("200", "421", "503")
 
 
 @dataclass
@@ -33,8 +33,8 @@
     sockets: dict[str, int] = field(default_factory=dict)
     counts: dict[str, dict[str, Any]] = field(default_factory=dict)
     #: of each controller, reports by how they were answered, and bytes of reports and answers
-    answers: dict[str, dict[str, int]] = field(default_factory=dict)
-    bytes_at: dict[str, int] = field(default_factory=dict)
+    response_counts: dict[str, dict[str, int]] = field(default_factory=dict)
+    heartbeat_bytes: dict[str, int] = field(default_factory=dict)
 
 
 def quantile(values: Sequence[float], share: float) -> float | None:
@@ -43,7 +43,7 @@
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)] if ordered else None
 
 
-def spread(values: Sequence[float]) -> dict[str, float | None]:
+def distribution(values: Sequence[float]) -> dict[str, float | None]:
     """Return count, quantiles and maximum of values, in the unit of these."""
     return {
         "count": float(len(values)), "p50": quantile(values, 0.5), "p95": quantile(values, 0.95),
@@ -51,7 +51,7 @@
     }  # fmt: skip
 
 
-def answers(counts: Iterable[dict[str, Any]]) -> dict[str, dict[str, int]]:
+def sum_response_counts(counts: Iterable[dict[str, Any]]) -> dict[str, dict[str, int]]:
     """Return how heartbeats were answered by each controller, over all processes of hollow workers."""
     total: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
     for count in counts:
@@ -71,9 +71,9 @@
 def _reports(a: Sample, b: Sample, name: str) -> dict[str, float]:
     """Reports a second at a controller by their answer, from all that the hollow processes had counted."""
     seconds = max(1e-9, b.at - a.at)
-    before, after = a.answers.get(name, {}), b.answers.get(name, {})
-    found = {s: (after.get(s, 0) - before.get(s, 0)) / seconds for s in STATUSES}
-    found["none"] = sum((n - before.get(s, 0)) / seconds for s, n in after.items() if s not in STATUSES)
+    before, after = a.response_counts.get(name, {}), b.response_counts.get(name, {})
+    found = {s: (after.get(s, 0) - before.get(s, 0)) / seconds for s in RESPONSE_STATUSES}
+    found["none"] = sum((n - before.get(s, 0)) / seconds for s, n in after.items() if s not in RESPONSE_STATUSES)
     return found
 
 
@@ -110,7 +110,7 @@
         }
 
 
-def window(samples: list[Sample], controllers: list[str], hollow: list[str]) -> dict[str, Any]:
+def window_figures(samples: list[Sample], controllers: list[str], hollow: list[str]) -> dict[str, Any]:
     """Return what each role used between the first and the last sample.
 
     Args:
@@ -138,7 +138,9 @@
         "seconds": seconds,
         "roles": roles,
         "reports_per_s": sum(sum(use.reports.values()) for use in uses.values()) / seconds,
-        "answered_by": {name: sum(rates[status] for status in STATUSES) for name, rates in by_controller.items()},
+        "answered_by": {
+            name: sum(rates[status] for status in RESPONSE_STATUSES) for name, rates in by_controller.items()
+        },
         "report_bytes_per_s": sum(roles[name]["bytes_per_s"] for name in hollow if name in roles),
     }
 
@@ -159,7 +161,7 @@
         if name in controllers:
             for status, rate in _reports(before, after, name).items():
                 use.reports[status] += rate * seconds
-            use.report_bytes += after.bytes_at.get(name, 0) - before.bytes_at.get(name, 0)
+            use.report_bytes += after.heartbeat_bytes.get(name, 0) - before.heartbeat_bytes.get(name, 0)
 
 
 def _role(name: str, before: Sample, after: Sample, controllers: list[str]) -> str:
@@ -183,7 +185,9 @@
         roles["meeting"]["cloud_requests_per_s"] = _rate(first, last, "meeting", "cloud_requests")
 
 
-def slopes(workers: int, controllers: int, rates: dict[str, float], windows: dict[str, Any]) -> list[dict[str, Any]]:
+def slope_rows(
+    workers: int, controllers: int, rates: dict[str, float], windows: dict[str, Any]
+) -> list[dict[str, Any]]:
     """Return a row for each window and role, for lines through runs of several sizes."""
     keys = ("cpu_share", "memory_mb", "sockets", "messages_per_s", "bytes_per_s", "writes_per_s")
     return [
@@ -196,12 +200,12 @@
     ]  # fmt: skip
 
 
-def starts(rows: Iterable[TaskRow], begin: float, end: float) -> int:
+def count_starts(rows: Iterable[TaskRow], begin: float, end: float) -> int:
     """Return the number of tasks that began to run in this time."""
     return sum(row.what == "run" and begin <= row.at < end for row in rows)
 
 
-def urgent(rows: Iterable[TaskRow], jobs: list[JobRow], end: float) -> dict[str, Any]:
+def urgent_waits(rows: Iterable[TaskRow], jobs: list[JobRow], end: float) -> dict[str, Any]:
     """Return how long urgent jobs waited from their acceptance until all of their tasks had begun, in seconds.
 
     Args:
@@ -225,12 +229,12 @@
         wait_s = max(0.0, (max(begun.values()) if whole else end) - job.accepted_at)
         for key in _size_keys(job):
             waits.setdefault(key, []).append(wait_s)
-    return {"never": never, "by_size": {key: spread(values) for key, values in sorted(waits.items())}}
+    return {"never": never, "by_size": {key: distribution(values) for key, values in sorted(waits.items())}}
 
 
 def _size_keys(job: JobRow) -> list[str]:
     """Return the groups that a job's wait counts in."""
-    for least, most in SIZES:
+    for least, most in JOB_SIZE_GROUPS:
         if least <= job.tasks <= most:
             size = str(least) if least == most else f"{least}-{most}"
             return ["all", size, f"{'gang' if job.gang else 'array'} {size}"]
--- a/src/grebestand/load_test/gang_rendezvous.py
+++ b/src/grebestand/load_test/gang_rendezvous.py
@@ -31,7 +31,7 @@
 CONNECT_TIMEOUT_S = 10.0
 
 
-class MessageLine:
+class MessageChannel:
     """One end of a connection: messages leave in the order in which they were queued, several in a packet."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -42,7 +42,7 @@
         self._wake = Event()
         gevent.spawn(self._send)
 
-    def say(self, *message: object) -> None:
+    def send(self, *message: object) -> None:
         """Queue a message for the other end."""
         self._queue.append(msgspec.json.encode(message))
         self._wake.set()
@@ -57,7 +57,7 @@
             except OSError:
                 return  # `listen` ends as well
 
-    def listen(self, handle: Callable[[Message], None]) -> None:
+    def receive(self, handle: Callable[[Message], None]) -> None:
         """Handle messages until the other end closes the connection."""
         partial_line = b""
         while True:
@@ -72,7 +72,7 @@
                 handle(msgspec.json.decode(line))
 
 
-def dial(address: str, handle: Callable[[Message], None], ended: Callable[[], None]) -> MessageLine:
+def connect(address: str, handle: Callable[[Message], None], ended: Callable[[], None]) -> MessageChannel:
     """Connect to the rendezvous.
 
     Args:
@@ -81,11 +81,11 @@
         ended: called when it is gone.
     """
     host, _, port = address.rpartition(":")
-    line = MessageLine(socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S))
+    line = MessageChannel(socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S))
     line._socket.settimeout(None)
 
     def run() -> None:
-        line.listen(handle)
+        line.receive(handle)
         ended()
 
     gevent.spawn(run)
@@ -102,9 +102,9 @@
         over: whether it has ended, whole or not.
     """
 
-    waiting: dict[int, MessageLine] = field(default_factory=dict)
+    members: dict[int, MessageChannel] = field(default_factory=dict)
     started: bool = False
-    over: bool = False
+    ended: bool = False
 
 
 class GangRendezvous:
@@ -117,9 +117,9 @@
         self.cloud.removed = self._machines_deleted
         self.cloud_requests = self.messages = 0
         self.specs: dict[str, JobSpec] = {}
-        self.results: set[tuple[str, int]] = set()
+        self.done_tasks: set[tuple[str, int]] = set()
         self.gangs: dict[tuple[str, int], Gang] = {}
-        self.lines: list[MessageLine] = []
+        self.channels: list[MessageChannel] = []
         self._cloud_server = serve(self._answer_cloud_request)
         self.cloud_address = f"{HOST}:{self._cloud_server.server_port}"
         self._server = StreamServer((HOST, 0), self._serve_line)
@@ -132,16 +132,16 @@
 
     def _machines_deleted(self, names: list[str]) -> None:
         self.cloud.listed = [entry for entry in self.cloud.listed if entry["ref"] not in names]
-        for line in self.lines:
-            line.say("lose", names)
+        for line in self.channels:
+            line.send("lose", names)
 
     def _serve_line(self, sock: socket.socket, _: object) -> None:
-        line = MessageLine(sock)
-        self.lines.append(line)
-        line.listen(lambda message: self._handle(line, message))
-        self.lines.remove(line)
+        line = MessageChannel(sock)
+        self.channels.append(line)
+        line.receive(lambda message: self._handle(line, message))
+        self.channels.remove(line)
 
-    def _handle(self, line: MessageLine, message: Message) -> None:
+    def _handle(self, line: MessageChannel, message: Message) -> None:
         self.messages += 1
         what, *rest = message
         if what == "machine":
@@ -151,12 +151,12 @@
         elif what == "put":
             spec = msgspec.convert(rest[0], JobSpec)
             self.specs[spec.id] = spec
-            line.say("known", spec.id)
+            line.send("known", spec.id)
         elif what == "want":
             job, index, attempt = rest
-            line.say("job", job, index, attempt, self.specs.get(job), (job, index) in self.results)
+            line.send("job", job, index, attempt, self.specs.get(job), (job, index) in self.done_tasks)
         elif what == "done":
-            self.results.add((rest[0], rest[1]))
+            self.done_tasks.add((rest[0], rest[1]))
         elif what == "wait":
             self._join(line, *rest)
         elif what == "gone":
@@ -164,19 +164,19 @@
         else:
             raise ValueError(f"unknown message {what!r}")
 
-    def _join(self, line: MessageLine, job: str, attempt: int, index: int, tasks: int, run_s: float) -> None:
+    def _join(self, line: MessageChannel, job: str, attempt: int, index: int, tasks: int, run_s: float) -> None:
         gang = self.gangs.setdefault((job, attempt), Gang())
-        gang.waiting[index] = line
-        if len(gang.waiting) == tasks and not gang.started:
+        gang.members[index] = line
+        if len(gang.members) == tasks and not gang.started:
             gang.started = True
             self._send_to_members(gang, "run", job, attempt)
             gevent.spawn_later(run_s, self._complete, job, attempt, gang)
 
     def _complete(self, job: str, attempt: int, gang: Gang) -> None:
         """End a gang that has run for its time: all of its tasks are done, unless one was lost before."""
-        if not gang.over:
-            gang.over = True
-            self.results |= {(job, index) for index in gang.waiting}
+        if not gang.ended:
+            gang.ended = True
+            self.done_tasks |= {(job, index) for index in gang.members}
             self._send_to_members(gang, "over", job, attempt)
 
     def _leave(self, job: str, attempt: int, index: int) -> None:
@@ -185,19 +185,19 @@
         A gang that has not started goes on waiting until all members are there.
         """
         gang = self.gangs.get((job, attempt))
-        if gang is None or gang.over:
+        if gang is None or gang.ended:
             return
         if not gang.started:
-            gang.waiting.pop(index, None)
+            gang.members.pop(index, None)
         else:
-            gang.over = True
+            gang.ended = True
             self._send_to_members(gang, "gone", job, attempt)
 
     @staticmethod
     def _send_to_members(gang: Gang, what: str, job: str, attempt: int) -> None:
         # several members may be in one process, which gets the message once
-        for line in {id(line): line for line in gang.waiting.values()}.values():
-            line.say(what, job, attempt)
+        for line in {id(line): line for line in gang.members.values()}.values():
+            line.send(what, job, attempt)
 
     def counts(self) -> dict[str, float]:
         """Return the counters so far: requests to the cloud, messages, and deleted machines."""
--- a/src/grebestand/load_test/hollow_worker.py
+++ b/src/grebestand/load_test/hollow_worker.py
@@ -27,8 +27,8 @@
     TaskPhase,
     TaskStatus,
 )
-from .connection import Connection, NoResponseError, Traffic, answer
-from .gang_rendezvous import MessageLine
+from .connection import Connection, NoResponseError, Traffic, serve_connection
+from .gang_rendezvous import MessageChannel
 from .records import HollowPlan, TaskRow, UnservedRequest
 
 #: a heartbeat is answered within this, in seconds
@@ -36,7 +36,7 @@
 #: the pause before the next controller is tried, in seconds
 NEXT_CONTROLLER_PAUSE_S = 1.0
 #: the shortest interval between heartbeats, in seconds; a redirect is followed within as long
-LEAST_INTERVAL_S = 0.5
+MIN_INTERVAL_S = 0.5
 #: regular heartbeats are spread by this, as shares of their interval
 INTERVAL_JITTER = (0.75, 1.25)
 FETCH_GB_PER_S = 2.0
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class HeldTask:
+class HollowTask:
     """A task on a hollow worker.
 
     Attributes:
@@ -71,8 +71,8 @@
     job: str
     index: int
     spec: JobSpec | None = None
-    on: bool = False
-    on_at: float = 0.0
+    on_machine: bool = False
+    on_machine_since: float = 0.0
     has_result: bool = False
 
 
@@ -86,29 +86,29 @@
     plan: HollowPlan
     clock: Callable[[], float]
     rng: random.Random
-    line: MessageLine
+    channel: MessageChannel
     rows: list[TaskRow]
     unserved: list[UnservedRequest]
     sent_at: array[float]
     waits: array[float]
-    answers: dict[str, dict[str, int]]
+    response_counts: dict[str, dict[str, int]]
     heartbeat_traffic: dict[str, Traffic]
     direct_traffic: Traffic
-    dropped: int
-    late_answers: int
-    lapsed: int
-    direct: int
+    dropped_responses: int
+    late_responses: int
+    expired_leases: int
+    direct_requests: int
 
     def next_time(self) -> float:
         """Return the time, later than all times before."""
 
-    def describe(self, job: str, index: int, attempt: int, handler: DescriptionHandler) -> None:
+    def request_description(self, job: str, index: int, attempt: int, handler: DescriptionHandler) -> None:
         """Have a handler called with the description of a job."""
 
-    def join_gang(self, worker: HollowWorker, held: HeldTask) -> None:
+    def join_gang(self, worker: HollowWorker, held: HollowTask) -> None:
         """Have a member of a gang wait for the others."""
 
-    def leave_gang(self, held: HeldTask) -> None:
+    def leave_gang(self, held: HollowTask) -> None:
         """Tell the rendezvous that a member of a gang is gone."""
 
 
@@ -128,24 +128,24 @@
         self.plan = process.plan
         self.name = name
         self.zone = zone
-        self.held: dict[tuple[str, int], HeldTask] = {}
+        self.tasks: dict[tuple[str, int], HollowTask] = {}
         self.images: set[str] = set()
         #: tasks that wait for an image which is being fetched
-        self.fetching: dict[str, list[HeldTask]] = {}
+        self.fetching: dict[str, list[HollowTask]] = {}
         self.used_cpus = 0.0
         self.epoch, self.sequence, self.token = 1, 0, 0
         #: when the last answered heartbeat was sent, or the epoch began
-        self.answered_at = process.clock()
+        self.lease_started_at = process.clock()
         self.token_sent_at = -1e9
-        self.gone = False
+        self.deleted = False
         #: whether this epoch's tasks have changed since the last heartbeat
-        self.changed = Event()
+        self.state_changed = Event()
         self.controller = process.rng.choice(list(self.plan.controllers))
         address = self.plan.controllers[self.controller]
         self.connection = Connection(address, process.heartbeat_traffic[self.controller])
         self.server = StreamServer(
             (host, 0),
-            lambda sock, _: answer(sock, self._answer_direct, process.direct_traffic),
+            lambda sock, _: serve_connection(sock, self._answer_direct, process.direct_traffic),
             backlog=DIRECT_BACKLOG,
         )
         self.server.start()
@@ -153,29 +153,29 @@
 
     # tasks ------------------------------------------------------------------------------------------------
 
-    def _record(self, what: str, held: HeldTask, why: str = "", at: float | None = None) -> None:
-        when = self.process.next_time() if at is None else max(at, held.on_at)
+    def _record(self, what: str, held: HollowTask, why: str = "", at: float | None = None) -> None:
+        when = self.process.next_time() if at is None else max(at, held.on_machine_since)
         self.process.rows.append(TaskRow(when, what, held.job, held.index, held.status.attempt, self.name, why))
 
     def _start_task(self, task: str, attempt: int) -> None:
-        if (task, attempt) in self.held:
+        if (task, attempt) in self.tasks:
             return
         job, index = split_task(task)
         busy = any(
-            held.status.task == task and held.status.state is not TaskPhase.EXITED for held in self.held.values()
+            held.status.task == task and held.status.state is not TaskPhase.EXITED for held in self.tasks.values()
         )
-        held = self.held[task, attempt] = HeldTask(TaskStatus(task, attempt, TaskPhase.FETCHING), job, index)
-        self.changed.set()
+        held = self.tasks[task, attempt] = HollowTask(TaskStatus(task, attempt, TaskPhase.FETCHING), job, index)
+        self.state_changed.set()
         if busy:
             held.status.state, held.status.why = TaskPhase.EXITED, ExitReason.BUSY
         else:
-            self.process.describe(
+            self.process.request_description(
                 job, index, attempt, lambda spec, has_result: self._fetch_image(held, spec, has_result)
             )
 
-    def _fetch_image(self, held: HeldTask, spec: JobSpec | None, has_result: bool) -> None:
+    def _fetch_image(self, held: HollowTask, spec: JobSpec | None, has_result: bool) -> None:
         """Go on with a task whose job is described."""
-        self.check_lease()
+        self.expire_lease()
         if held.status.state is not TaskPhase.FETCHING or not self._is_current(held):
             return
         if spec is None:
@@ -195,25 +195,25 @@
             self.fetching[spec.image] = [held]
             gevent.spawn_later(spec.image_gb / FETCH_GB_PER_S, self._image_fetched, spec.image)
 
-    def _is_current(self, held: HeldTask) -> bool:
+    def _is_current(self, held: HollowTask) -> bool:
         """Return whether a task is still there: leases expire, and commands come, while something is awaited."""
-        return self.held.get((held.status.task, held.status.attempt)) is held
+        return self.tasks.get((held.status.task, held.status.attempt)) is held
 
     def _image_fetched(self, image: str) -> None:
         self.images.add(image)
-        self.check_lease()
+        self.expire_lease()
         for held in self.fetching.pop(image, ()):
             if held.status.state is TaskPhase.FETCHING and self._is_current(held):
                 self._begin(held)
 
-    def _begin(self, held: HeldTask) -> None:
+    def _begin(self, held: HollowTask) -> None:
         """Begin a task that has its image: a member of a gang waits for the others, any other task runs."""
         spec = held.spec
         assert spec is not None
-        held.on = True
+        held.on_machine = True
         self._record("on", held)
-        held.on_at = self.process.next_time()
-        self.changed.set()
+        held.on_machine_since = self.process.next_time()
+        self.state_changed.set()
         if held.has_result:
             self._exit(held, ExitReason.DONE)
         elif spec.kind is Kind.GANG:
@@ -227,71 +227,71 @@
                 run_s = spec.estimate_s * self.process.rng.uniform(*RUN_TIME_JITTER)
                 gevent.spawn_later(run_s, self.finish, held, ExitReason.DONE)
 
-    def _end_if_alone(self, held: HeldTask) -> None:
-        self.check_lease()
+    def _end_if_alone(self, held: HollowTask) -> None:
+        self.expire_lease()
         if held.status.state is TaskPhase.WAITING and self._is_current(held):
             self._exit(held, ExitReason.ALONE)
 
-    def gang_started(self, held: HeldTask) -> None:
+    def gang_started(self, held: HollowTask) -> None:
         """Run a member of a gang whose members are all there."""
-        self.check_lease()
+        self.expire_lease()
         if held.status.state is TaskPhase.WAITING and self._is_current(held):
             held.status.state = TaskPhase.RUNNING
             self._record("run", held)
-            self.changed.set()
+            self.state_changed.set()
 
-    def finish(self, held: HeldTask, why: ExitReason) -> None:
+    def finish(self, held: HollowTask, why: ExitReason) -> None:
         """End a running task by itself, if it is still there."""
-        self.check_lease()
+        self.expire_lease()
         if held.status.state is TaskPhase.RUNNING and self._is_current(held):
             self._exit(held, why)
 
-    def _exit(self, held: HeldTask, why: ExitReason) -> None:
+    def _exit(self, held: HollowTask, why: ExitReason) -> None:
         held.status.state, held.status.why = TaskPhase.EXITED, why
-        self.changed.set()
+        self.state_changed.set()
         self._release(held, why.value)
         if why is ExitReason.DONE and held.spec is not None and held.spec.kind is not Kind.GANG:
-            self.process.line.say("done", held.job, held.index)
+            self.process.channel.send("done", held.job, held.index)
 
-    def _release(self, held: HeldTask, why: str, at: float | None = None) -> None:
+    def _release(self, held: HollowTask, why: str, at: float | None = None) -> None:
         """Free what a task takes up."""
         if held.spec is not None:
             self.used_cpus -= held.spec.cpus
             if held.spec.kind is Kind.GANG and why != ExitReason.DONE:
                 self.process.leave_gang(held)
-        if held.on:
-            held.on = False
+        if held.on_machine:
+            held.on_machine = False
             self._record("off", held, why, at)
 
     def machine_deleted(self) -> None:
         """End everything, as the cloud has deleted the machine."""
-        self.gone = True
-        self.changed.set()
+        self.deleted = True
+        self.state_changed.set()
         self.server.stop(timeout=0.1)
-        for held in self.held.values():
+        for held in self.tasks.values():
             self._release(held, "machine gone")
 
     # leases, tokens and commands --------------------------------------------------------------------------
 
-    def check_lease(self) -> None:
+    def expire_lease(self) -> None:
         """End all tasks and begin the next epoch if the lease has expired.
 
         Whatever happens on a worker calls this first, so that nothing later than the lease changes its tasks.
         """
-        lease_end = self.answered_at + self.plan.lease_s
+        lease_end = self.lease_started_at + self.plan.lease_s
         if self.process.clock() <= lease_end:
             return
-        for held in self.held.values():
+        for held in self.tasks.values():
             if held.status.state is not TaskPhase.EXITED:
                 held.status.state = TaskPhase.EXITED
                 self._release(held, "lease", at=lease_end)
-        self.process.lapsed += 1
-        self.held.clear()
+        self.process.expired_leases += 1
+        self.tasks.clear()
         self.fetching.clear()
         self.used_cpus = 0.0
         self.epoch, self.sequence = self.epoch + 1, 0
-        self.answered_at = self.process.clock()
-        self.changed.set()
+        self.lease_started_at = self.process.clock()
+        self.state_changed.set()
 
     def _execute(self, token: int, commands: list[Command]) -> None:
         """Note the token of a leader and execute its commands."""
@@ -300,18 +300,18 @@
             now = self.process.clock()
             if now - self.token_sent_at >= self.plan.lease_s / 2:
                 self.token_sent_at = now
-                self.changed.set()
+                self.state_changed.set()
         for command in commands:
             if command.op == "start":
                 self._start_task(command.task, command.attempt)
                 continue
-            held = self.held.get((command.task, command.attempt))
+            held = self.tasks.get((command.task, command.attempt))
             if held is None:
                 continue
             if command.op == "stop" and held.status.state is not TaskPhase.EXITED:
                 self._exit(held, ExitReason.STOPPED)
             elif command.op == "forget" and held.status.state is TaskPhase.EXITED:
-                del self.held[command.task, command.attempt]
+                del self.tasks[command.task, command.attempt]
 
     def heartbeat(self) -> Heartbeat:
         """Return the next heartbeat."""
@@ -326,13 +326,13 @@
             sequence=self.sequence,
             token=self.token,
             notice_s=None,
-            tasks=[held.status for held in self.held.values()],
+            tasks=[held.status for held in self.tasks.values()],
         )
 
     def _answer_direct(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         """Answer a request to this worker's own address."""
-        self.check_lease()
-        self.process.direct += 1
+        self.expire_lease()
+        self.process.direct_requests += 1
         if method == "GET" and path == "/show":
             return 200, _encoder.encode(self.heartbeat())
         if method != "POST" or path != "/do":
@@ -348,23 +348,23 @@
 
     # heartbeats -------------------------------------------------------------------------------------------
 
-    def run(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send heartbeats for as long as the machine is there."""
         process, rng = self.process, self.process.rng
         gevent.sleep(rng.uniform(0.0, self.plan.report_s))
-        while not self.gone:
+        while not self.deleted:
             sent_at = process.clock()
-            self.check_lease()
-            self.changed.clear()
+            self.expire_lease()
+            self.state_changed.clear()
             retry_s = self._send_heartbeat()
             if retry_s is None:
-                gevent.sleep(max(0.0, sent_at + LEAST_INTERVAL_S - process.clock()))
+                gevent.sleep(max(0.0, sent_at + MIN_INTERVAL_S - process.clock()))
                 regular_at = sent_at + self.plan.report_s * rng.uniform(*INTERVAL_JITTER)
-                self.changed.wait(max(0.0, regular_at - process.clock()))
+                self.state_changed.wait(max(0.0, regular_at - process.clock()))
             else:
                 gevent.sleep(retry_s)
                 # what the failed heartbeat had is still to be sent
-                self.changed.set()
+                self.state_changed.set()
         self.connection.close()
 
     def _send_heartbeat(self) -> float | None:
@@ -376,26 +376,26 @@
         process = self.process
         body = _encoder.encode(self.heartbeat())
         epoch, sent_at = self.epoch, process.clock()
-        counts = process.answers[self.controller]
+        counts = process.response_counts[self.controller]
         try:
-            status, content, _ = self.connection.ask("POST", "/checkin", body, RESPONSE_TIMEOUT_S)
+            status, content, _ = self.connection.request("POST", "/checkin", body, RESPONSE_TIMEOUT_S)
         except NoResponseError as error:
             counts[error.kind] += 1
-            if self.connection.fresh:
+            if self.connection.is_new:
                 process.unserved.append(UnservedRequest(process.clock(), self.controller, error.kind))
             return self._try_next_controller()
         waited_s = process.clock() - sent_at
         if waited_s > RESPONSE_TIMEOUT_S:
             # the response came in time, but this process was late: a real worker would have given it up
             counts["timeout"] += 1
-            process.late_answers += 1
+            process.late_responses += 1
             return self._try_next_controller()
         counts[str(status)] += 1
         if status == 421:
             leader = _redirect_decoder.decode(content).report_to
             if leader in self.plan.controllers and leader != self.controller:
                 self._switch_controller(leader)
-                return process.rng.uniform(0.0, LEAST_INTERVAL_S)
+                return process.rng.uniform(0.0, MIN_INTERVAL_S)
         if status != 200:
             return self._try_next_controller()
         self._process_response(_response_decoder.decode(content), epoch, sent_at, waited_s)
@@ -403,11 +403,11 @@
 
     def _process_response(self, response: HeartbeatResponse, epoch: int, sent_at: float, waited_s: float) -> None:
         """Renew the lease and execute the commands, unless the response is of an old leader or for an old epoch."""
-        self.check_lease()
+        self.expire_lease()
         if response.token < self.token or epoch != self.epoch:
-            self.process.dropped += 1
+            self.process.dropped_responses += 1
             return
-        self.answered_at = max(self.answered_at, sent_at)
+        self.lease_started_at = max(self.lease_started_at, sent_at)
         self.process.sent_at.append(sent_at)
         self.process.waits.append(waited_s)
         self._execute(response.token, response.commands)
--- a/src/grebestand/load_test/job_generator.py
+++ b/src/grebestand/load_test/job_generator.py
@@ -17,7 +17,7 @@
 GANG_SHARE = 0.3
 URGENT_GANG_SHARE = 0.5
 #: the share of ordinary jobs whose users do not look whether their team has capacity left
-CARELESS_SHARE = 0.15
+LIMIT_IGNORING_SHARE = 0.15
 #: tasks of a job, at least and at most: their logarithms are spread evenly
 ARRAY_TASKS = (64, 512)
 GANG_TASKS = (2, 128)
@@ -35,14 +35,14 @@
         self.rng = random.Random(plan.seed)
         self.count = 0
         #: of each team, tasks that are asked for and not done
-        self.open: dict[str, int] = defaultdict(int)
+        self.open_tasks: dict[str, int] = defaultdict(int)
 
     def next_job(self, *, urgent: bool) -> tuple[JobSpec, JobRow]:
         """Draw a job and the row that records what becomes of it."""
         rng = self.rng
         gang = rng.random() < (URGENT_GANG_SHARE if urgent else GANG_SHARE)
         tasks = self._draw_size(gang, urgent)
-        team = self._draw_team(tasks, careless=not urgent and rng.random() < CARELESS_SHARE, gang=gang)
+        team = self._draw_team(tasks, careless=not urgent and rng.random() < LIMIT_IGNORING_SHARE, gang=gang)
         while team is None:
             tasks = max(1, tasks // 2)
             team = self._draw_team(tasks, careless=False, gang=gang)
@@ -93,7 +93,7 @@
         for _ in range(TEAM_DRAWS):
             team = self.rng.choice(names)
             limit = self.plan.teams[team]
-            if (careless and (not gang or tasks <= limit)) or self.open[team] + tasks <= limit:
+            if (careless and (not gang or tasks <= limit)) or self.open_tasks[team] + tasks <= limit:
                 return team
         allowed = [name for name in names if not gang or tasks <= self.plan.teams[name]]
-        return max(allowed, key=lambda name: self.plan.teams[name] - self.open[name]) if allowed else None
+        return max(allowed, key=lambda name: self.plan.teams[name] - self.open_tasks[name]) if allowed else None
--- a/src/grebestand/load_test/part_process.py
+++ b/src/grebestand/load_test/part_process.py
@@ -15,11 +15,11 @@
 from .errors import ProcessEndedError, ProcessTimeoutError
 
 #: a process is up within this, in seconds
-UP_S = 20.0
+STARTUP_TIMEOUT_S = 20.0
 #: a process has executed a command within this, in seconds: users poll all accepted jobs at the end
-DO_S = 90.0
+COMMAND_TIMEOUT_S = 90.0
 #: a process ends by itself within this, in seconds, before it is killed
-END_S = 3.0
+SHUTDOWN_TIMEOUT_S = 3.0
 
 
 class PartProcess:
@@ -57,7 +57,7 @@
             self._process.stdin.write(msgspec.json.encode(message) + b"\n")
             self._process.stdin.flush()
         except (OSError, ValueError) as error:
-            raise ProcessEndedError(self.name, self.last_words()) from error
+            raise ProcessEndedError(self.name, self.last_log_line()) from error
 
     def _read(self) -> None:
         for line in self._process.stdout:
@@ -68,11 +68,11 @@
                 self._ready.set(message["ready"])
             else:
                 self._response.set(message)
-        error = ProcessEndedError(self.name, self.last_words())
+        error = ProcessEndedError(self.name, self.last_log_line())
         self._ready.set_exception(error)
         self._response.set_exception(error)
 
-    def ready(self) -> dict[str, str]:
+    def wait_until_ready(self) -> dict[str, str]:
         """Wait until the process is up, and return the addresses that it serves.
 
         Raises:
@@ -80,12 +80,12 @@
             ProcessTimeoutError: it was not up in time.
         """
         try:
-            addresses: dict[str, str] = self._ready.get(timeout=UP_S)
+            addresses: dict[str, str] = self._ready.get(timeout=STARTUP_TIMEOUT_S)
         except gevent.Timeout:
-            raise ProcessTimeoutError(self.name, "come up", self.last_words()) from None
+            raise ProcessTimeoutError(self.name, "come up", self.last_log_line()) from None
         return addresses
 
-    def tell(self, **message: object) -> None:
+    def send(self, **message: object) -> None:
         """Send a message without waiting for a response.
 
         Raises:
@@ -93,7 +93,7 @@
         """
         self._write(message)
 
-    def do(self, **message: object) -> dict[str, Any]:
+    def execute(self, **message: object) -> dict[str, Any]:
         """Send a command, and wait for its response.
 
         Raises:
@@ -103,9 +103,9 @@
         self._response = AsyncResult()
         self._write(message)
         try:
-            response: dict[str, Any] = self._response.get(timeout=DO_S)
+            response: dict[str, Any] = self._response.get(timeout=COMMAND_TIMEOUT_S)
         except gevent.Timeout:
-            raise ProcessTimeoutError(self.name, str(message["do"]), self.last_words()) from None
+            raise ProcessTimeoutError(self.name, str(message["do"]), self.last_log_line()) from None
         return response
 
     @property
@@ -113,7 +113,7 @@
         """Whether the process is running."""
         return self._process.poll() is None
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """Return the last line of its log."""
         text = self.log.read_text("utf-8", "replace").strip() if self.log.exists() else ""
         return text.splitlines()[-1] if text else "nothing in its log"
@@ -123,7 +123,7 @@
         if self.alive:
             self._process.terminate()
             try:
-                self._process.wait(timeout=END_S)
+                self._process.wait(timeout=SHUTDOWN_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 self._process.kill()
                 self._process.wait()
--- a/src/grebestand/load_test/procfs.py
+++ b/src/grebestand/load_test/procfs.py
@@ -20,7 +20,7 @@
     memory_mb: float
 
 
-def usage(pid: int) -> Usage | None:
+def read_usage(pid: int) -> Usage | None:
     """Return what a process uses, or None if it is gone."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text()
@@ -31,7 +31,7 @@
     return Usage(cpu_s=ticks / _TICKS_PER_S, memory_mb=int(fields[_RESIDENT_PAGES]) * _PAGE_MB)
 
 
-def sockets(pid: int) -> int:
+def count_sockets(pid: int) -> int:
     """Return the number of open sockets, 0 if the process is gone."""
     count = 0
     try:
--- a/src/grebestand/load_test/records.py
+++ b/src/grebestand/load_test/records.py
@@ -80,7 +80,7 @@
     kind: str
 
 
-class KeptRecords(msgspec.Struct):
+class HollowRecords(msgspec.Struct):
     """All that a process of hollow workers has recorded.
 
     Attributes:
@@ -126,7 +126,7 @@
     wrong: str = ""
 
 
-class PollRecord(msgspec.Struct):
+class UserRecords(msgspec.Struct):
     """All that users have recorded."""
 
     jobs: list[JobRow]
--- a/src/grebestand/load_test/scale_check.py
+++ b/src/grebestand/load_test/scale_check.py
@@ -104,7 +104,7 @@
         self._add_fault(text)
 
 
-def check(rows: Iterable[TaskRow], jobs: list[JobRow], limits: dict[str, float]) -> ScaleVerdict:
+def check_run(rows: Iterable[TaskRow], jobs: list[JobRow], limits: dict[str, float]) -> ScaleVerdict:
     """Check a run.
 
     Args:
--- a/src/grebestand/load_test/scale_plan.py
+++ b/src/grebestand/load_test/scale_plan.py
@@ -13,10 +13,10 @@
 #: the share of all CPUs that is guaranteed to teams
 GUARANTEED_SHARE = 0.5
 #: nothing is rented, returned or given up during a run: the machines are those of the plan
-POLICY = "rent = false\nidle_return_s = 1000000\ndead_after_s = 100000\n"
+POLICY_TOML = "rent = false\nidle_return_s = 1000000\ndead_after_s = 100000\n"
 #: one urgent job for so many starts of tasks a second, but no fewer than `LEAST_URGENT_RATE` a second
 STARTS_PER_URGENT_JOB = 400.0
-LEAST_URGENT_RATE = 0.5
+MIN_URGENT_RATE = 0.5
 
 
 @dataclass(frozen=True)
@@ -71,9 +71,9 @@
     @property
     def urgent_rate(self) -> float:
         """Urgent jobs a second."""
-        return max(LEAST_URGENT_RATE, self.rate / STARTS_PER_URGENT_JOB)
+        return max(MIN_URGENT_RATE, self.rate / STARTS_PER_URGENT_JOB)
 
-    def limits(self) -> dict[str, float]:
+    def team_limits(self) -> dict[str, float]:
         """Return the limit of each team, in CPUs."""
         rng = random.Random(f"{self.seed} teams")
         names = [f"team-{index:03d}" for index in range(self.teams)]
@@ -82,12 +82,12 @@
             for index, name in enumerate(names)
         }
 
-    def params(self) -> str:
+    def settings_toml(self) -> str:
         """Return the controllers' settings as TOML, without names and addresses."""
         guarantee = GUARANTEED_SHARE * self.cpus / self.teams
         teams = "".join(
             f'[[params.teams]]\nname = "{name}"\ncpus = {min(guarantee, limit):.1f}\ncpus_max = {limit}\n'
-            for name, limit in self.limits().items()
+            for name, limit in self.team_limits().items()
         )
         zones = ", ".join(f'"{zone}"' for zone in ZONES)
         return (
--- a/src/grebestand/load_test/scale_report.py
+++ b/src/grebestand/load_test/scale_report.py
@@ -13,7 +13,7 @@
 from . import figures
 from .figures import Sample
 from .records import JobRow, TaskRow, UnservedRequest
-from .scale_check import ScaleVerdict, check
+from .scale_check import ScaleVerdict, check_run
 from .scale_plan import ScaleRunPlan
 
 #: the name of the process of the one worker that does not share its process with others
@@ -23,7 +23,7 @@
 #: a killed controller is started again after this, in seconds
 RESTART_DELAY_S = 4.0
 #: a controller that was started again serves within this, in seconds
-RESTART_UP_S = 6.0
+RESTART_STARTUP_S = 6.0
 #: tolerance of the comparison of a kill with failed connections, in seconds: their times are of different processes
 KILL_CLOCK_MARGIN_S = 0.5
 #: urgent jobs accepted less than this before the first kill, in seconds, do not count as before it
@@ -42,7 +42,7 @@
     """The verdict of a run, one line that sums it up, and all figures."""
 
     verdict: ScaleVerdict
-    line: str
+    summary_line: str
     figures: dict[str, Any]
 
 
@@ -90,9 +90,9 @@
     """
 
     plan: ScaleRunPlan
-    root: Path
+    log_directory: Path
     controllers: list[str]
-    hollow: list[str]
+    hollow_processes: list[str]
     samples: list[Sample]
     kills: list[ControllerKill]
     history: ScaleRunHistory
@@ -103,7 +103,7 @@
     @property
     def worker_processes(self) -> list[str]:
         """Names of all processes that play workers."""
-        return [*self.hollow, SINGLE_WORKER_PROCESS]
+        return [*self.hollow_processes, SINGLE_WORKER_PROCESS]
 
     @property
     def calm_begin(self) -> float:
@@ -125,7 +125,7 @@
     def result(self) -> ScaleRunResult:
         """Judge the run and compute its figures."""
         history = self.record.history
-        verdict = check(history.rows, history.jobs, history.limits)
+        verdict = check_run(history.rows, history.jobs, history.limits)
         found = self._figures(verdict)
         return ScaleRunResult(verdict, self._summary_line(found, verdict), found)
 
@@ -141,19 +141,19 @@
             "plan": asdict(record.plan),
             "machine": {"cores": os.cpu_count(), "load_average": os.getloadavg()},
             "note": "controllers are not limited to a share of a core here: what they use is measured",
-            "starts": figures.starts(history.rows, record.load_begin, record.load_end),
+            "starts": figures.count_starts(history.rows, record.load_begin, record.load_end),
             "starts_per_s": rates,
             "asked_per_s": sum(job.tasks for job in history.jobs) / seconds,
             "windows": windows,
-            "slopes": figures.slopes(record.plan.workers, record.plan.controllers, rates, windows),
+            "slopes": figures.slope_rows(record.plan.workers, record.plan.controllers, rates, windows),
             "worker_starts": sum(row.what == "run" and row.machine == SINGLE_WORKER_MACHINE for row in history.rows),
             "orders_wait": {
-                "calm": figures.spread(history.waits_between(record.calm_begin, record.calm_end)),
-                "whole": figures.spread(history.waits_between(record.load_begin, record.load_end)),
+                "calm": figures.distribution(history.waits_between(record.calm_begin, record.calm_end)),
+                "whole": figures.distribution(history.waits_between(record.load_begin, record.load_end)),
             },
-            "urgent": figures.urgent(history.rows, history.jobs, last.at),
-            "urgent_before_the_first_kill": figures.urgent(history.rows, self._jobs_before_first_kill(), last.at),
-            "answers": last.answers,
+            "urgent": figures.urgent_waits(history.rows, history.jobs, last.at),
+            "urgent_before_the_first_kill": figures.urgent_waits(history.rows, self._jobs_before_first_kill(), last.at),
+            "answers": last.response_counts,
             "workers_at": self._workers_at_controllers(),
             "users": record.counts["users"],
             "hollow": {name: record.counts[name] for name in record.worker_processes},
@@ -174,21 +174,24 @@
         record = self.record
         spans = {"calm": (record.calm_begin, record.calm_end), "whole": (record.load_begin, record.load_end)}
         return {
-            name: figures.window(
-                [sample for sample in record.samples if begin <= sample.at <= end], record.controllers, record.hollow
+            name: figures.window_figures(
+                [sample for sample in record.samples if begin <= sample.at <= end],
+                record.controllers,
+                record.hollow_processes,
             )
             for name, (begin, end) in spans.items()
         }
 
     def _start_rates(self) -> dict[str, float]:
-        """Return the starts of tasks a second in each window."""
+        """Return the starts of tasks a second in each window_figures."""
         record = self.record
         rows = record.history.rows
-        # the first kill may come before the calm window begins
+        # the first kill may come before the calm window_figures begins
         calm_s = max(1e-9, record.calm_end - record.calm_begin)
         return {
-            "calm": figures.starts(rows, record.calm_begin, record.calm_end) / calm_s,
-            "whole": figures.starts(rows, record.load_begin, record.load_end) / (record.load_end - record.load_begin),
+            "calm": figures.count_starts(rows, record.calm_begin, record.calm_end) / calm_s,
+            "whole": figures.count_starts(rows, record.load_begin, record.load_end)
+            / (record.load_end - record.load_begin),
         }
 
     def _jobs_before_first_kill(self) -> list[JobRow]:
@@ -212,7 +215,7 @@
         if request.kind == "timeout":
             return False
         return any(
-            kill.at - KILL_CLOCK_MARGIN_S <= request.at <= kill.at + RESTART_DELAY_S + RESTART_UP_S
+            kill.at - KILL_CLOCK_MARGIN_S <= request.at <= kill.at + RESTART_DELAY_S + RESTART_STARTUP_S
             for kill in self.record.kills
             if kill.name == request.controller
         )
@@ -227,7 +230,10 @@
 
     def _log_text_counts(self) -> dict[str, int]:
         """Return how often the controllers' logs have each of the texts that an operator looks for."""
-        logs = [(self.record.root / f"{name}.log").read_text("utf-8", "replace") for name in self.record.controllers]
+        logs = [
+            (self.record.log_directory / f"{name}.log").read_text("utf-8", "replace")
+            for name in self.record.controllers
+        ]
         return {text: sum(log.count(text) for log in logs) for text in COUNTED_LOG_TEXTS}
 
     def _timeline_row(self, before: Sample, after: Sample) -> dict[str, Any]:
@@ -247,7 +253,7 @@
             "memory_mb": {name: round(after.memory_mb[name], 1) for name in controllers if name in after.memory_mb},
             "writes": store_after.get("writes", 0) - store_before.get("writes", 0),
             "requests": store_after.get("requests", 0) - store_before.get("requests", 0),
-            "running": sum(after.counts[name].get("running", 0) for name in self.record.hollow),
+            "running": sum(after.counts[name].get("running", 0) for name in self.record.hollow_processes),
         }
 
     def _summary_line(self, found: dict[str, Any], verdict: ScaleVerdict) -> str:
--- a/src/grebestand/load_test/scale_run.py
+++ b/src/grebestand/load_test/scale_run.py
@@ -26,10 +26,10 @@
 from .connection import Connection, NoResponseError, Traffic
 from .errors import ControllersUnavailableError, MemoryLimitExceededError, ProcessEndedError
 from .figures import Sample
-from .part_process import UP_S, PartProcess
-from .procfs import sockets, usage
-from .records import HollowPlan, KeptRecords, LoadPlan, PollRecord
-from .scale_plan import MACHINE_CPUS, MACHINE_TYPE, POLICY, ZONES, ScaleRunPlan
+from .part_process import STARTUP_TIMEOUT_S, PartProcess
+from .procfs import count_sockets, read_usage
+from .records import HollowPlan, HollowRecords, LoadPlan, UserRecords
+from .scale_plan import MACHINE_CPUS, MACHINE_TYPE, POLICY_TOML, ZONES, ScaleRunPlan
 from .scale_report import (
     RESTART_DELAY_S,
     SINGLE_WORKER_MACHINE,
@@ -42,25 +42,25 @@
 )
 from .scale_summary import ScaleSummary, find_machine_limits
 
-Records = TypeVar("Records", KeptRecords, PollRecord)
+Records = TypeVar("Records", HollowRecords, UserRecords)
 #: a machine of a hollow worker: name, loopback host, zone
 HollowMachine = tuple[str, str, str]
 
 #: files that a controller may open besides its sockets
 OPEN_FILES_BESIDES_SOCKETS = 32
 #: the load begins after this at the latest, in seconds, whether all workers were answered or not
-SETTLE_S = 45.0
+SETTLE_TIMEOUT_S = 45.0
 #: the load begins when no further worker was answered for this long, in seconds
-SETTLED_AFTER_S = 8.0
+SETTLE_IDLE_S = 8.0
 #: accepted jobs have this long after the load to be done, in seconds
-DRAIN_S = 30.0
+DRAIN_TIMEOUT_S = 30.0
 #: the run gives up before its processes take the memory of the computer, in megabytes
 MEMORY_LIMIT_MB = 12_000.0
 #: reading the sockets of a process takes long, so that only each so many-th sample has them
 SAMPLES_PER_SOCKET_COUNT = 3
 #: samples are taken this often, in seconds, with at least `LEAST_PAUSE_S` between two of them
 SAMPLE_INTERVAL_S = 1.0
-LEAST_PAUSE_S = 0.1
+MIN_SAMPLE_PAUSE_S = 0.1
 #: progress is printed this often, with rates over at least `PROGRESS_WINDOW_S`, in seconds
 PROGRESS_INTERVAL_S = 5.0
 PROGRESS_WINDOW_S = 4.5
@@ -68,12 +68,12 @@
 PROGRESS_ROLES = ("leader", "answering", "state", "hollow-0", "users", "worker")
 #: when, as a share of the load's duration, the leader and another controller are killed
 LEADER_KILL_SHARE = 0.5
-ANSWERING_KILL_SHARE = 0.75
+FOLLOWER_KILL_SHARE = 0.75
 #: the controller that answered most is that of the last so many samples
-ANSWERING_SAMPLES = 6
+FOLLOWER_RATE_SAMPLES = 6
 #: gangs take at most this share of all CPUs, and never more tasks than `MOST_GANG_TASKS`
 GANG_CPU_SHARE = 0.25
-MOST_GANG_TASKS = 512.0
+MAX_GANG_TASKS = 512.0
 #: a request to the store for the leader, in seconds
 LEADER_READ_TIMEOUT_S = 2.0
 #: a probe of a controller that starts, and the pause until the next one, in seconds
@@ -95,15 +95,15 @@
             say: prints a line of progress.
         """
         self.plan = plan
-        self.root = root
-        self.say = say
+        self.directory = root
+        self.print_line = say
         self.clock = time.monotonic
         self.parts: dict[str, PartProcess] = {}
         self.controllers: ControllerProcesses | None = None
         self.samples: list[Sample] = []
         self.kills: list[ControllerKill] = []
-        self.hollow = [f"hollow-{index}" for index in range(min(plan.hollow, plan.workers))]
-        self.worker_processes = [*self.hollow, SINGLE_WORKER_PROCESS]
+        self.hollow_processes = [f"hollow-{index}" for index in range(min(plan.hollow, plan.workers))]
+        self.worker_processes = [*self.hollow_processes, SINGLE_WORKER_PROCESS]
         self._store: HttpTransport | None = None
 
     def run(self) -> ScaleRunResult:
@@ -114,16 +114,16 @@
         """
         try:
             controllers = self._start()
-            self.say(f"{len(self.parts)} processes and {self.plan.controllers} controllers; waiting for workers")
+            self.print_line(f"{len(self.parts)} processes and {self.plan.controllers} controllers; waiting for workers")
             self._settle(controllers)
-            self.parts["users"].do(do="begin")
+            self.parts["users"].execute(do="begin")
             begin = self.clock()
             self._load(controllers, begin)
             end = self.clock()
-            self.parts["users"].tell(do="rest")
+            self.parts["users"].send(do="rest")
             self._drain(controllers)
-            self.say("asking about all accepted jobs")
-            self.parts["users"].do(do="ask")
+            self.print_line("asking about all accepted jobs")
+            self.parts["users"].execute(do="ask")
             self._sample(controllers)
             return self._report(controllers, self._collect(), begin, end)
         finally:
@@ -143,30 +143,32 @@
         plan = self.plan
         machine_type = MachineType(MACHINE_TYPE, MACHINE_CPUS, 0.0, 64.0, list(ZONES), 100.0, 1.0, 1.0, 0.4, 60.0)
         limits = {"rps": plan.state_rps, "write_rps": plan.write_rps}
-        store_address = self._start_part("state", "state", limits).ready()["state"]
-        shared = self._start_part("meeting", "meeting", {"types": msgspec.to_builtins([machine_type])}).ready()
+        store_address = self._start_part("state", "state", limits).wait_until_ready()["state"]
+        shared = self._start_part(
+            "meeting", "meeting", {"types": msgspec.to_builtins([machine_type])}
+        ).wait_until_ready()
         host, _, port = store_address.rpartition(":")
         self._store = HttpTransport(host, int(port), 1)
         controllers = self.controllers = ControllerProcesses(
             names={f"controller-{index}": ZONES[index % len(ZONES)] for index in range(plan.controllers)},
             outside={"cloud": shared["cloud"], "state": store_address},
-            root=self.root,
-            params=plan.params(),
-            policy=POLICY,
+            root=self.directory,
+            params=plan.settings_toml(),
+            policy=POLICY_TOML,
             descriptors=plan.sockets + OPEN_FILES_BESIDES_SOCKETS,
         )
         self._start_workers(controllers, shared["meeting"])
         self._start_users(controllers, shared["meeting"])
         for part in self.parts.values():
-            part.ready()
+            part.wait_until_ready()
         controllers.start_all()
         self._wait_until_listening(controllers)
         for name in self.worker_processes:
-            self.parts[name].do(do="begin")
+            self.parts[name].execute(do="begin")
         return controllers
 
     def _start_part(self, name: str, role: str, config: object) -> PartProcess:
-        part = self.parts[name] = PartProcess(name, role, config, self.root)
+        part = self.parts[name] = PartProcess(name, role, config, self.directory)
         return part
 
     def _start_workers(self, controllers: ControllerProcesses, meeting: str) -> None:
@@ -191,7 +193,7 @@
 
         Each machine has a loopback host of its own: 127.(16 + process).x.y.
         """
-        processes = len(self.hollow)
+        processes = len(self.hollow_processes)
         machines = [
             (
                 f"n-{index + 1:06d}",
@@ -200,7 +202,7 @@
             )
             for index in range(self.plan.workers)
         ]
-        groups = {name: machines[index::processes] for index, name in enumerate(self.hollow)}
+        groups = {name: machines[index::processes] for index, name in enumerate(self.hollow_processes)}
         groups[SINGLE_WORKER_PROCESS] = [(SINGLE_WORKER_MACHINE, "127.15.0.1", ZONES[0])]
         return groups
 
@@ -209,18 +211,18 @@
         config = LoadPlan(
             controllers=controllers.addresses,
             meeting=meeting,
-            teams=plan.limits(),
+            teams=plan.team_limits(),
             rate=plan.rate,
             urgent_rate=plan.urgent_rate,
             task_s=plan.task_s,
-            most_tasks=int(min(MOST_GANG_TASKS, plan.cpus * GANG_CPU_SHARE)),
+            most_tasks=int(min(MAX_GANG_TASKS, plan.cpus * GANG_CPU_SHARE)),
             seed=plan.seed,
         )
         self._start_part("users", "users", config)
 
     def _wait_until_listening(self, controllers: ControllerProcesses) -> None:
         """Wait until all controllers take connections, so that none is refused before the load begins."""
-        deadline = self.clock() + UP_S
+        deadline = self.clock() + STARTUP_TIMEOUT_S
         for address in controllers.addresses.values():
             while not self._probe(address, controllers, deadline):
                 gevent.sleep(STARTUP_PROBE_INTERVAL_S)
@@ -232,7 +234,7 @@
             ControllersUnavailableError: it does not, and the deadline is over.
         """
         try:
-            Connection(address, Traffic()).ask("GET", "/healthz", b"", STARTUP_PROBE_TIMEOUT_S)
+            Connection(address, Traffic()).request("GET", "/healthz", b"", STARTUP_PROBE_TIMEOUT_S)
         except NoResponseError as error:
             if self.clock() > deadline:
                 raise ControllersUnavailableError("not all controllers came up", controllers.last_words()) from error
@@ -243,7 +245,7 @@
         """Wait until a controller is healthy and each worker was answered, or until no more of them are."""
         begin = last_increase = self.clock()
         most, wanted = 0, self.plan.workers + 1
-        while self.clock() - begin < SETTLE_S:
+        while self.clock() - begin < SETTLE_TIMEOUT_S:
             gevent.sleep(SETTLE_POLL_S)
             if not any(controllers.alive(name) for name in controllers.names):
                 raise ControllersUnavailableError("no controller is left", controllers.last_words())
@@ -252,20 +254,22 @@
                 most, last_increase = answered, self.clock()
             if answered == wanted and self.parts["users"].counts.get("healthy", 0):
                 break
-            if most and self.clock() - last_increase > SETTLED_AFTER_S:
+            if most and self.clock() - last_increase > SETTLE_IDLE_S:
                 break
         if most == 0:
-            raise ControllersUnavailableError(f"no worker was answered in {SETTLE_S:.0f} s", controllers.last_words())
-        self.say(f"{most} of {wanted} workers have had orders, {self.clock() - begin:.1f} s after the start")
+            raise ControllersUnavailableError(
+                f"no worker was answered in {SETTLE_TIMEOUT_S:.0f} s", controllers.last_words()
+            )
+        self.print_line(f"{most} of {wanted} workers have had orders, {self.clock() - begin:.1f} s after the start")
         if most < wanted:
-            self.say(f"{wanted - most} workers were never answered with orders; the load begins all the same")
+            self.print_line(f"{wanted - most} workers were never answered with orders; the load begins all the same")
 
     def _answered_workers(self) -> int:
         return sum(int(self.parts[name].counts.get("answered", 0)) for name in self.worker_processes)
 
     # sampling ---------------------------------------------------------------------------------------------
 
-    def leader(self) -> str | None:
+    def read_leader(self) -> str | None:
         """Return who leads by the key-value store, at the cost of one of its requests, or None."""
         assert self._store is not None
         try:
@@ -280,7 +284,7 @@
         Raises:
             ScaleRunError: a process has ended, or all of them take too much memory.
         """
-        sample = Sample(self.clock(), self.leader())
+        sample = Sample(self.clock(), self.read_leader())
         self._measure_processes(sample, controllers)
         self._copy_counts(sample)
         self.samples.append(sample)
@@ -289,26 +293,26 @@
             raise MemoryLimitExceededError(memory_mb, MEMORY_LIMIT_MB)
         for name, part in self.parts.items():
             if not part.alive:
-                raise ProcessEndedError(name, part.last_words())
+                raise ProcessEndedError(name, part.last_log_line())
         return sample
 
     def _measure_processes(self, sample: Sample, controllers: ControllerProcesses) -> None:
         pids = {name: part.pid for name, part in self.parts.items()}
         pids |= {name: pid for name in controllers.names if (pid := controllers.pid(name)) is not None}
         for name, pid in pids.items():
-            used = usage(pid)
+            used = read_usage(pid)
             if used is not None:
                 sample.cpu_s[name], sample.memory_mb[name] = used.cpu_s, used.memory_mb
         if len(self.samples) % SAMPLES_PER_SOCKET_COUNT == 0:
-            sample.sockets = {name: sockets(pid) for name, pid in pids.items()}
+            sample.sockets = {name: count_sockets(pid) for name, pid in pids.items()}
 
     def _copy_counts(self, sample: Sample) -> None:
         sample.counts = {name: part.counts for name, part in self.parts.items()}
         worker_counts = [sample.counts[name] for name in self.worker_processes]
-        sample.answers = figures.answers(worker_counts)
+        sample.response_counts = figures.sum_response_counts(worker_counts)
         for counts in worker_counts:
             for controller, count in counts.get("bytes_at", {}).items():
-                sample.bytes_at[controller] = sample.bytes_at.get(controller, 0) + count
+                sample.heartbeat_bytes[controller] = sample.heartbeat_bytes.get(controller, 0) + count
 
     # the load ---------------------------------------------------------------------------------------------
 
@@ -317,7 +321,7 @@
         seconds = self.plan.seconds
         due_kills = [
             (begin + seconds * LEADER_KILL_SHARE, self._kill_leader),
-            (begin + seconds * ANSWERING_KILL_SHARE, self._kill_answering),
+            (begin + seconds * FOLLOWER_KILL_SHARE, self._kill_answering),
         ]
         progress_at = begin
         while (now := self.clock()) < begin + seconds:
@@ -329,20 +333,22 @@
             if now - progress_at >= PROGRESS_INTERVAL_S:
                 progress_at = now
                 self._print_progress(controllers, sample)
-            gevent.sleep(max(LEAST_PAUSE_S, SAMPLE_INTERVAL_S - (self.clock() - now)))
+            gevent.sleep(max(MIN_SAMPLE_PAUSE_S, SAMPLE_INTERVAL_S - (self.clock() - now)))
         if due_kills:
-            self.say(f"{len(due_kills)} of 2 kills found nobody to kill in time")
+            self.print_line(f"{len(due_kills)} of 2 kills found nobody to kill in time")
 
     def _print_progress(self, controllers: ControllerProcesses, sample: Sample) -> None:
         users = self.parts["users"].counts
-        running = sum(int(self.parts[name].counts.get("running", 0)) for name in self.hollow)
+        running = sum(int(self.parts[name].counts.get("running", 0)) for name in self.hollow_processes)
         earlier = (s for s in reversed(self.samples) if sample.at - s.at >= PROGRESS_WINDOW_S)
-        window = figures.window([next(earlier, self.samples[0]), sample], controllers.names, self.hollow)
-        roles = window.get("roles", {})
+        window_figures = figures.window_figures(
+            [next(earlier, self.samples[0]), sample], controllers.names, self.hollow_processes
+        )
+        roles = window_figures.get("roles", {})
         cores = ", ".join(f"{role} {roles[role]['cpu_share']:.2f}" for role in PROGRESS_ROLES if role in roles)
-        self.say(
+        self.print_line(
             f"jobs {users.get('done', 0)} done of {users.get('jobs', 0)}, tasks running {running}, "
-            f"reports {window.get('reports_per_s', 0.0):.0f}/s; leader {sample.leader}; cores: {cores}"
+            f"reports {window_figures.get('reports_per_s', 0.0):.0f}/s; leader {sample.leader}; cores: {cores}"
         )
 
     def _kill_leader(self, controllers: ControllerProcesses, sample: Sample) -> bool:
@@ -357,19 +363,19 @@
         """Kill the follower that has answered most heartbeats lately; return False while nobody leads."""
         if sample.leader is None:
             return False
-        earlier = self.samples[max(0, len(self.samples) - ANSWERING_SAMPLES)]
+        earlier = self.samples[max(0, len(self.samples) - FOLLOWER_RATE_SAMPLES)]
         followers = [name for name in controllers.names if name != sample.leader and controllers.alive(name)]
 
         def recent_answers(name: str) -> int:
-            now, before = sample.answers.get(name, {}), earlier.answers.get(name, {})
-            return sum(now.get(status, 0) - before.get(status, 0) for status in figures.STATUSES)
+            now, before = sample.response_counts.get(name, {}), earlier.response_counts.get(name, {})
+            return sum(now.get(status, 0) - before.get(status, 0) for status in figures.RESPONSE_STATUSES)
 
         if followers:
             self._kill(controllers, max(followers, key=recent_answers), "answering")
         return True
 
     def _kill(self, controllers: ControllerProcesses, name: str, role: str) -> None:
-        self.say(f"{name} ({role}) is killed, and starts again after {RESTART_DELAY_S:.0f} s")
+        self.print_line(f"{name} ({role}) is killed, and starts again after {RESTART_DELAY_S:.0f} s")
         self.kills.append(ControllerKill(name, role, self.clock()))
         controllers.kill(name)
         gevent.spawn_later(RESTART_DELAY_S, controllers.start, name)
@@ -377,38 +383,38 @@
     def _drain(self, controllers: ControllerProcesses) -> None:
         """Wait until all accepted jobs are done, and a killed controller is started again, but not forever."""
         begin = self.clock()
-        while self.clock() - begin < DRAIN_S:
+        while self.clock() - begin < DRAIN_TIMEOUT_S:
             self._sample(controllers)
             users = self.parts["users"].counts
             if users.get("done") == users.get("accepted") and self.clock() - begin > RESTART_DELAY_S:
                 break
             gevent.sleep(SAMPLE_INTERVAL_S)
         users = self.parts["users"].counts
-        self.say(f"{users.get('accepted', 0) - users.get('done', 0)} accepted jobs are not done at the end")
+        self.print_line(f"{users.get('accepted', 0) - users.get('done', 0)} accepted jobs are not done at the end")
 
     # the result -------------------------------------------------------------------------------------------
 
     def _collect(self) -> ScaleRunHistory:
         """Gather what hollow workers and users have recorded."""
-        history = ScaleRunHistory(limits=self.plan.limits())
+        history = ScaleRunHistory(limits=self.plan.team_limits())
         for name in self.worker_processes:
-            records = self._read_records(name, KeptRecords)
+            records = self._read_records(name, HollowRecords)
             history.rows += records.rows
             history.unserved += records.unserved
             history.sent_at += records.sent_at
             history.waits += records.waits
-        polls = self._read_records("users", PollRecord)
+        polls = self._read_records("users", UserRecords)
         history.jobs = polls.jobs
         history.unserved += polls.unserved
         return history
 
     def _read_records(self, name: str, kind: type[Records]) -> Records:
         """Have a process write its records to a file, and read them."""
-        file = self.root / f"{name}.kept"
-        response = self.parts[name].do(do="keep", file=str(file))
+        file = self.directory / f"{name}.kept"
+        response = self.parts[name].execute(do="keep", file=str(file))
         if response["faults"]:
-            last_line = self.parts[name].last_words()
-            self.say(f"{name} had {response['faults']} faults of its own, the last one: {last_line}")
+            last_line = self.parts[name].last_log_line()
+            self.print_line(f"{name} had {response['faults']} faults of its own, the last one: {last_line}")
         return msgspec.msgpack.decode(file.read_bytes(), type=kind)
 
     def _report(
@@ -417,9 +423,9 @@
         """Judge the run, compute its figures and print them."""
         record = ScaleRunRecord(
             plan=self.plan,
-            root=self.root,
+            log_directory=self.directory,
             controllers=controllers.names,
-            hollow=self.hollow,
+            hollow_processes=self.hollow_processes,
             samples=self.samples,
             kills=self.kills,
             history=history,
@@ -428,12 +434,12 @@
             load_end=end,
         )
         result = ScaleReport(record).result()
-        result.figures["not_borne"] = find_machine_limits(result.figures, self.hollow)
-        ScaleSummary(result.figures, self.say).print(result.verdict)
+        result.figures["not_borne"] = find_machine_limits(result.figures, self.hollow_processes)
+        ScaleSummary(result.figures, self.print_line).print(result.verdict)
         return result
 
 
-def rehearse(plan: ScaleRunPlan, say: Callable[[str], None], keep: Path | None = None) -> ScaleRunResult:
+def run_scale_test(plan: ScaleRunPlan, say: Callable[[str], None], keep: Path | None = None) -> ScaleRunResult:
     """Play a run in a temporary directory, or in a directory that is kept.
 
     Args:
--- a/src/grebestand/load_test/scale_summary.py
+++ b/src/grebestand/load_test/scale_summary.py
@@ -11,11 +11,11 @@
 from .scale_report import SINGLE_WORKER_PROCESS
 
 #: below this share of the rate that was asked for, the figures are those of the computer and not of the service
-LEAST_RATE_SHARE = 0.9
+MIN_RATE_SHARE = 0.9
 #: a helper process that used more than this share of a core may have slowed the run down
 BUSY_CORE_SHARE = 0.85
 #: faults that are printed one by one
-MOST_PRINTED_FAULTS = 50
+MAX_PRINTED_FAULTS = 50
 
 
 def find_machine_limits(found: dict[str, Any], hollow: list[str]) -> list[str]:
@@ -27,7 +27,7 @@
     """
     limits = []
     rate, wanted = found["starts_per_s"]["calm"], found["plan"]["rate"]
-    if found["windows"]["calm"] and rate < LEAST_RATE_SHARE * wanted:
+    if found["windows"]["calm"] and rate < MIN_RATE_SHARE * wanted:
         limits.append(f"{rate:.0f} starts a second of {wanted:.0f} asked for")
     roles = found["windows"]["whole"].get("roles", {})
     limits += [
@@ -55,7 +55,7 @@
             say: prints one line.
         """
         self.found = found
-        self.say = say
+        self.print_line = say
 
     def print(self, verdict: ScaleVerdict) -> None:
         """Print everything, the faults last."""
@@ -65,15 +65,15 @@
         self._print_urgent()
         self._print_processes()
         for text in self.found["not_borne"]:
-            self.say(f"not borne: {text}")
-        for text in verdict.faults[:MOST_PRINTED_FAULTS]:
-            self.say(f"wrong: {text}")
-        if len(verdict.faults) > MOST_PRINTED_FAULTS:
-            self.say(f"and {len(verdict.faults) - MOST_PRINTED_FAULTS} more")
+            self.print_line(f"not borne: {text}")
+        for text in verdict.faults[:MAX_PRINTED_FAULTS]:
+            self.print_line(f"wrong: {text}")
+        if len(verdict.faults) > MAX_PRINTED_FAULTS:
+            self.print_line(f"and {len(verdict.faults) - MAX_PRINTED_FAULTS} more")
 
     def _print_window(self, name: str, window: dict[str, Any]) -> None:
         answered_by = " ".join(f"{controller}: {rate:.0f}/s" for controller, rate in window["answered_by"].items())
-        self.say(
+        self.print_line(
             f"{name}, {window['seconds']:.0f} s: starts {self.found['starts_per_s'][name]:.0f}/s, "
             f"reports {window['reports_per_s']:.0f}/s, answered by {answered_by}"
         )
@@ -83,7 +83,9 @@
             self._print_single_worker(window["roles"][SINGLE_WORKER_PROCESS])
         wait = self.found["orders_wait"][name]
         if wait["count"]:
-            self.say(f"  wait for the orders: p50 {wait['p50']:.3f} p95 {wait['p95']:.3f} p99 {wait['p99']:.3f} s")
+            self.print_line(
+                f"  wait for the orders: p50 {wait['p50']:.3f} p95 {wait['p95']:.3f} p99 {wait['p99']:.3f} s"
+            )
 
     def _print_role(self, role: str, usage: dict[str, Any]) -> None:
         more = f", bytes {usage['bytes_per_s']:.0f}/s" if "bytes_per_s" in usage else ""
@@ -91,7 +93,7 @@
         if "reports_per_s" in usage:
             rates = " ".join(f"{status}: {rate:.0f}/s" for status, rate in usage["reports_per_s"].items())
             more += f", reports by answer {rates}"
-        self.say(
+        self.print_line(
             f"  {role}: {usage['cpu_share']:.3f} of a core (most {usage['cpu_share_max']:.2f}), "
             f"{usage['memory_mb']:.0f} MB, sockets {usage['sockets']}, "
             f"messages {usage.get('messages_per_s', 0.0):.0f}/s{more}"
@@ -99,7 +101,7 @@
 
     def _print_single_worker(self, usage: dict[str, Any]) -> None:
         limit = figures.WORKER_LIMITS
-        self.say(
+        self.print_line(
             f"  one worker process: {100 * usage['cpu_share']:.2f}% of a core (may {limit['cpu_percent']}%), "
             f"{usage['memory_mb']:.1f} MB (may {limit['memory_mb']:.0f}), "
             f"{usage['bytes_per_s']:.0f} bytes/s (may {limit['bytes_per_s']:.0f}), "
@@ -109,22 +111,22 @@
     def _print_urgent(self) -> None:
         for title, key in (("urgent before the first kill", "urgent_before_the_first_kill"), ("urgent", "urgent")):
             for size, wait in self.found[key]["by_size"].items():
-                self.say(
+                self.print_line(
                     f"{title}, tasks {size}: {wait['count']:.0f} jobs, p50 {wait['p50']:.2f} "
                     f"p95 {wait['p95']:.2f} p99 {wait['p99']:.2f} max {wait['max']:.2f} s"
                 )
         never = self.found["urgent"]["never"]
         if never:
-            self.say(f"{never} urgent jobs never ran whole; counted as waiting until the end")
+            self.print_line(f"{never} urgent jobs never ran whole; counted as waiting until the end")
 
     def _print_processes(self) -> None:
         found = self.found
-        self.say(
+        self.print_line(
             f"connections that got no answer: {found['refused'] or 'none'}; "
             f"at controllers that were killed: {found['refused_while_killed'] or 'none'}"
         )
-        self.say(f"workers at each controller at the end: {found['workers_at']}")
-        self.say(
+        self.print_line(f"workers at each controller at the end: {found['workers_at']}")
+        self.print_line(
             f"{found['processes']} processes took {found['memory_mb']:.0f} MB; parent {found['parent_cpu_s']:.1f} s"
         )
-        self.say(f"leaders: {found['leaders']}; in the logs: {found['logs']}; {found['note']}")
+        self.print_line(f"leaders: {found['leaders']}; in the logs: {found['logs']}; {found['note']}")
--- a/src/grebestand/load_test/scale_users.py
+++ b/src/grebestand/load_test/scale_users.py
@@ -15,9 +15,9 @@
 from ..wire.jobs import JobSpec, JobStatus, JobStatusResponse
 from .balancer import Balancer
 from .connection import Connection, NoResponseError, Traffic
-from .gang_rendezvous import Message, MessageLine, dial
+from .gang_rendezvous import Message, MessageChannel, connect
 from .job_generator import JobGenerator
-from .records import JobRow, LoadPlan, PollRecord, UnservedRequest
+from .records import JobRow, LoadPlan, UnservedRequest, UserRecords
 
 #: a submission, and a poll, is answered within this, in seconds
 SUBMIT_TIMEOUT_S = 5.0
@@ -28,10 +28,10 @@
 #: a submission is retried for this long, in seconds
 SUBMIT_RETRY_S = 60.0
 #: between two tries of a submission, whatever `Retry-After` asks for, in seconds
-LEAST_RETRY_PAUSE_S = 1.0
-MOST_RETRY_PAUSE_S = 30.0
+MIN_RETRY_PAUSE_S = 1.0
+MAX_RETRY_PAUSE_S = 30.0
 #: connections that are tried for one request
-MOST_CONNECTIONS = 3
+MAX_CONNECTIONS_PER_REQUEST = 3
 #: times between two submissions, as shares of the mean: the rate is kept in the long run
 ARRIVAL_JITTER = (0.5, 1.5)
 #: at the end, all jobs are asked about over so many connections, each job so many times
@@ -59,19 +59,19 @@
         self.jobs: list[JobRow] = []
         self.unserved: list[UnservedRequest] = []
         #: how submissions and polls were answered: by status, or by the kind of failure
-        self.answers: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
+        self.response_counts: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
         #: by job, set when the rendezvous has its description
         self._described: dict[str, Event] = {}
-        self.line: MessageLine = dial(plan.meeting, self._handle, ended)
+        self.channel: MessageChannel = connect(plan.meeting, self._handle, ended)
         self.loading = False
         self.closing = False
-        self.asked_tasks = 0
+        self.submitted_tasks = 0
 
     def _handle(self, message: Message) -> None:
         if message[0] == "known":
             self._described.pop(message[1]).set()
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start submitting."""
         self.loading = True
         gevent.spawn(self._submit_jobs, False, self.plan.rate)
@@ -82,7 +82,7 @@
         at = self.clock()
         while self.loading:
             spec, row = self.generator.next_job(urgent=urgent)
-            self.generator.open[row.team] += row.tasks
+            self.generator.open_tasks[row.team] += row.tasks
             at += (1.0 if urgent else spec.tasks) / rate * self.generator.rng.uniform(*ARRIVAL_JITTER)
             gevent.sleep(max(0.0, at - self.clock()))
             if self.loading:
@@ -95,20 +95,20 @@
         self._describe(spec)
         row.asked_at = self.clock()
         self.jobs.append(row)
-        self.asked_tasks += row.tasks
+        self.submitted_tasks += row.tasks
         connection = Connection("", self.traffic)
         if self._submit(connection, msgspec.json.encode(spec), row):
             while row.done_at is None and not self.closing:
                 gevent.sleep(POLL_INTERVAL_S * self.rng.uniform(*POLL_JITTER))
                 if not self.closing:
                     self.poll(connection, row)
-        self.generator.open[row.team] -= row.tasks
+        self.generator.open_tasks[row.team] -= row.tasks
         connection.close()
 
     def _describe(self, spec: JobSpec) -> None:
         """Have the rendezvous know a job before any worker can ask for it."""
         self._described[spec.id] = described = Event()
-        self.line.say("put", spec)
+        self.channel.send("put", spec)
         described.wait()
 
     def _submit(self, connection: Connection, body: bytes, row: JobRow) -> bool:
@@ -121,7 +121,7 @@
                 return True
             if status in (400, 422):
                 return False
-            gevent.sleep(max(LEAST_RETRY_PAUSE_S, min(MOST_RETRY_PAUSE_S, retry_s)))
+            gevent.sleep(max(MIN_RETRY_PAUSE_S, min(MAX_RETRY_PAUSE_S, retry_s)))
         return False
 
     def poll(self, connection: Connection, row: JobRow) -> None:
@@ -146,18 +146,18 @@
             Status, body and the seconds of `Retry-After`; status 0 if there was no answer.
         """
         tried: set[str] = set()
-        for _ in range(MOST_CONNECTIONS):
-            if connection.fresh:
+        for _ in range(MAX_CONNECTIONS_PER_REQUEST):
+            if connection.is_new:
                 name = self.balancer.choose(tried)
                 tried.add(name)
                 connection.address = self.plan.controllers[name]
             try:
-                status, content, retry_s = connection.ask(method, path, body, timeout_s)
-                self.answers[counter][str(status)] += 1
+                status, content, retry_s = connection.request(method, path, body, timeout_s)
+                self.response_counts[counter][str(status)] += 1
                 return status, content, retry_s
             except NoResponseError as error:
-                self.answers[counter][error.kind] += 1
-                fresh = connection.fresh
+                self.response_counts[counter][error.kind] += 1
+                fresh = connection.is_new
                 connection.close()
                 if fresh:
                     self.unserved.append(UnservedRequest(self.clock(), name, error.kind))
@@ -166,7 +166,7 @@
                 self.balancer.record_refusal(name)
         return 0, b"", 0.0
 
-    def ask_all(self) -> None:
+    def poll_accepted_jobs(self) -> None:
         """Ask about all accepted jobs at the end: whether they are known, and still done."""
         self.closing = True
         accepted = [row for row in self.jobs if row.accepted_at is not None]
@@ -189,10 +189,10 @@
         """Return the counters so far; their names are part of the JSON figures."""
         return {
             "jobs": len(self.jobs),
-            "tasks": self.asked_tasks,
+            "tasks": self.submitted_tasks,
             "accepted": sum(row.accepted_at is not None for row in self.jobs),
             "done": sum(row.done_at is not None for row in self.jobs),
-            "answers": self.answers,
+            "answers": self.response_counts,
             "sent": self.traffic.sent,
             "received": self.traffic.received,
             "messages": self.traffic.messages,
@@ -200,6 +200,6 @@
             "healthy": sum(self.balancer.healthy.values()),
         }
 
-    def kept_rows(self) -> PollRecord:
+    def records(self) -> UserRecords:
         """Return all jobs, and requests that were not served, for the checker."""
-        return PollRecord(self.jobs, self.unserved)
+        return UserRecords(self.jobs, self.unserved)
--- a/tests/load_test/test_scale_run.py
+++ b/tests/load_test/test_scale_run.py
@@ -14,13 +14,13 @@
 
 from grebestand.cli import main
 from grebestand.load_test import scale_run
-from grebestand.load_test.connection import Connection, NoResponseError, Traffic, answer
-from grebestand.load_test.figures import quantile, urgent
-from grebestand.load_test.gang_rendezvous import GangRendezvous, dial
+from grebestand.load_test.connection import Connection, NoResponseError, Traffic, serve_connection
+from grebestand.load_test.figures import quantile, urgent_waits
+from grebestand.load_test.gang_rendezvous import GangRendezvous, connect
 from grebestand.load_test.hollow_process import HollowProcess
 from grebestand.load_test.job_generator import JobGenerator
 from grebestand.load_test.records import HollowPlan, JobRow, LoadPlan, TaskRow
-from grebestand.load_test.scale_check import ScaleVerdict, check
+from grebestand.load_test.scale_check import ScaleVerdict, check_run
 from grebestand.load_test.scale_plan import ScaleRunPlan
 from grebestand.load_test.scale_report import ScaleRunResult
 from grebestand.load_test.scale_run import ScaleRun
@@ -48,7 +48,7 @@
 
 
 def test_a_history_without_fault_is_good_in_whatever_order_its_rows_come() -> None:
-    verdict = check(reversed(GOOD), [job()], LIMITS)
+    verdict = check_run(reversed(GOOD), [job()], LIMITS)
     assert verdict.good and not verdict.faults and verdict.unfinished == 0
 
 
@@ -72,7 +72,7 @@
 def test_each_break_is_found(
     found: list[TaskRow], jobs: list[JobRow], counts: tuple[int, int, int], fault: str
 ) -> None:
-    verdict = check(found, jobs, LIMITS)
+    verdict = check_run(found, jobs, LIMITS)
     assert (verdict.twice, verdict.lost, verdict.over_quota) == counts and not verdict.good
     assert any(fault in f for f in verdict.faults)
 
@@ -80,11 +80,13 @@
 def test_what_ends_at_a_moment_makes_room_for_what_begins_then() -> None:
     moved = rows((1, "on", 0, "m0"), (1, "on", 1, "m1"), (2, "off", 0, "m0"), (2, "off", 1, "m1"))
     again = rows((2, "on", 0, "m2"), (2, "on", 1, "m3"), (3, "off", 0, "m2"), (3, "off", 1, "m3"))
-    assert check([*again, *moved], [job()], LIMITS).good
+    assert check_run([*again, *moved], [job()], LIMITS).good
 
 
 def test_a_job_that_is_known_and_not_done_is_unfinished_and_one_that_was_never_accepted_is_nothing() -> None:
-    verdict = check(GOOD, [job(), job("j-2", done=False), job("j-3", done=False, accepted_at=None, last="0")], LIMITS)
+    verdict = check_run(
+        GOOD, [job(), job("j-2", done=False), job("j-3", done=False, accepted_at=None, last="0")], LIMITS
+    )
     assert verdict.good and verdict.unfinished == 1
 
 
@@ -97,7 +99,7 @@
         TaskRow(2.1, "run", "j-1", 1, 1, "m1"),
         TaskRow(5.0, "run", "j-1", 1, 2, "m2"),
     ]
-    told = urgent(found, [job(urgent=True), job("j-2", urgent=True, tasks=1)], 10.1)
+    told = urgent_waits(found, [job(urgent=True), job("j-2", urgent=True, tasks=1)], 10.1)
     assert told["never"] == 1
     assert told["by_size"]["2-16"]["max"] == pytest.approx(2.0)
     assert told["by_size"]["all"]["max"] == pytest.approx(10.0)
@@ -140,7 +142,7 @@
             self.reports.append(json.loads(body))
             return 200, json.dumps({"helm": self.token, "signals": self.signals}).encode()
 
-        return lambda sock, _: answer(sock, handle, Traffic())
+        return lambda sock, _: serve_connection(sock, handle, Traffic())
 
 
 def until(condition: Any, seconds: float = 10.0) -> None:
@@ -154,14 +156,14 @@
         [("n-1", "127.0.0.2", "a")], "m16", 16.0, controllers.addresses, meeting.address, 0.6, lease_s, 5.0, 1.0, 7
     )
     process = HollowProcess(plan, lambda: None)
-    process.begin()
+    process.start()
     return process
 
 
 def put(meeting: GangRendezvous, **more: Any) -> str:
     spec = decode_spec(InMemoryCluster().job(pullGb=0.0, **more))
-    line = dial(meeting.address, lambda message: None, lambda: None)
-    line.say("put", spec)
+    line = connect(meeting.address, lambda message: None, lambda: None)
+    line.send("put", spec)
     until(lambda: spec.id in meeting.specs)
     return spec.id
 
@@ -176,20 +178,20 @@
     said = {(s["shard"], s["launch"]): s.get("wake") for s in controllers.reports[-1]["shards"]}
     assert said == {(f"{ident}/0", 1): "done", ("j-77/0", 1): "no_such", (f"{ident}/0", 2): "busy"}
     assert [(r.what, r.why) for r in process.rows] == [("on", ""), ("run", ""), ("off", "done")]
-    assert len(meeting.cloud.listed) == 1 and (ident, 0) in meeting.results
+    assert len(meeting.cloud.listed) == 1 and (ident, 0) in meeting.done_tasks
     # directly: a lower token or another session changes nothing, and no lease is renewed
-    ask = Connection(process.machines["n-1"].addr, Traffic())
+    ask = Connection(process.workers["n-1"].addr, Traffic())
     forget = {"signal": "forget", "shard": f"{ident}/0", "launch": 1}
     for wrong in ({"helm": 4, "watch": 1}, {"helm": 5, "watch": 2}):
-        assert ask.ask("POST", "/do", json.dumps({**wrong, "signals": [forget]}).encode(), 2.0)[0] == 409
-    assert ask.ask("POST", "/do", b'{"signals":[]}', 2.0)[0] == 400
+        assert ask.request("POST", "/do", json.dumps({**wrong, "signals": [forget]}).encode(), 2.0)[0] == 409
+    assert ask.request("POST", "/do", b'{"signals":[]}', 2.0)[0] == 400
     controllers.signals = []
-    status, body, _ = ask.ask("POST", "/do", json.dumps({"helm": 6, "watch": 1, "signals": [forget]}).encode(), 2.0)
+    status, body, _ = ask.request("POST", "/do", json.dumps({"helm": 6, "watch": 1, "signals": [forget]}).encode(), 2.0)
     assert status == 200 and len(json.loads(body)["shards"]) == 2 and json.loads(body)["helm"] == 6
     # the controllers' token is an old one now: their answers are dropped
-    before = process.dropped
-    until(lambda: process.dropped > before)
-    assert ask.ask("GET", "/show", b"", 2.0)[0] == 200
+    before = process.dropped_responses
+    until(lambda: process.dropped_responses > before)
+    assert ask.request("GET", "/show", b"", 2.0)[0] == 200
     ask.close()
 
 
@@ -199,10 +201,10 @@
     process = hollow(controllers, meeting, lease_s=1.5)
     controllers.signals = [{"signal": "start", "shard": f"{ident}/0", "launch": 1}]
     until(lambda: len(process.rows) == 2)
-    machine = process.machines["n-1"]
+    machine = process.workers["n-1"]
     controllers.token = 0  # answers that have to be dropped renew nothing
     until(lambda: machine.epoch > 1)
-    assert process.rows[2].why == "lease" and process.rows[2].at <= machine.answered_at
+    assert process.rows[2].why == "lease" and process.rows[2].at <= machine.lease_started_at
     until(lambda: controllers.reports[-1]["watch"] == machine.epoch)
     assert controllers.reports[-1]["shards"] == []
 
@@ -231,12 +233,12 @@
         taken.bind(("127.0.0.1", 0))
         connection = Connection(f"127.0.0.1:{taken.getsockname()[1]}", Traffic())
         with pytest.raises(NoResponseError, match="refused"):
-            connection.ask("GET", "/", b"", 1.0)
-        assert connection.fresh
+            connection.request("GET", "/", b"", 1.0)
+        assert connection.is_new
         taken.listen(1)  # taken by nobody
         with pytest.raises(NoResponseError, match="timeout"):
-            connection.ask("GET", "/", b"", 0.2)
-        assert connection.fresh
+            connection.request("GET", "/", b"", 0.2)
+        assert connection.is_new
 
 
 # the run ------------------------------------------------------------------------------------------------------
@@ -251,7 +253,9 @@
     outcome = run.run()
     found = outcome.figures
     assert outcome.verdict.good, outcome.verdict.faults
-    assert "twice 0, lost 0, over quota 0" in outcome.line and outcome.line.startswith("workers 40, controllers 3, ")
+    assert "twice 0, lost 0, over quota 0" in outcome.summary_line and outcome.summary_line.startswith(
+        "workers 40, controllers 3, "
+    )
     assert [k["role"] for k in found["kills"]] == ["leader", "answering"]
     assert found["starts"] > 0 and found["users"]["done"] > 0
     assert sum(n.get("200", 0) for n in found["answers"].values()) > 0
@@ -282,7 +286,7 @@
         plans.append(plan)
         return ScaleRunResult(verdict, "workers 3", {"starts": 4})
 
-    monkeypatch.setattr(scale_run, "rehearse", played)
+    monkeypatch.setattr(scale_run, "run_scale_test", played)
     file = tmp_path / "figures.json"
     assert main(["rehearse", "scale", "--workers", "3", "--rate", "8", "--json", str(file)]) == status
     assert capsys.readouterr().out == "workers 3\n" and json.loads(file.read_text()) == {"starts": 4}
