--- a/src/grebestand/load_test/__init__.py
+++ b/src/grebestand/load_test/__init__.py
@@ -1,1 +1,1 @@
-"""Load tests: thousands of hollow workers and generated users against real controllers."""
+"""Load test of one cluster: thousands of hollow workers and generated users against real controller processes."""
--- a/src/grebestand/load_test/child_process.py
+++ b/src/grebestand/load_test/child_process.py
@@ -1,8 +1,10 @@
-"""One part of a scale run as a process of its own: `python -m grebestand.load_test.child_process ROLE`.
+"""A child process of a scale run: `python -m grebestand.load_test.child_process ROLE`.
 
-The parent writes lines of JSON to its standard input: first its configuration, then commands. It responds on its
-standard output: once "ready", each second its "counts", "kept" when its records are in the file that it was given, and
-"did" after any other command. It ends when its standard input ends.
+The parent writes lines of JSON to the standard input of the child: first the configuration of the role, then commands.
+The child writes lines of JSON to its standard output: "ready" once, with the addresses that the child serves, "counts"
+every second, "kept" when the records have been written to the requested file, and "did" after the commands "begin" and
+"ask". The command "rest", which stops the load, and the command "end", which stops the child, have no response. The
+child also exits when its standard input is closed.
 """
 
 from __future__ import annotations
@@ -17,46 +19,50 @@
 import msgspec
 from gevent.fileobject import FileObjectPosix
 
-#: the methods of parts that commands call
+#: the method of a part that each command calls
 COMMAND_METHODS = {"begin": "start", "ask": "poll_accepted_jobs"}
-#: counters are sent to the parent this often, in seconds
+#: the interval between messages with the counters of the part
 COUNTS_INTERVAL_S = 1.0
 
 
 class Part(Protocol):
-    """A part of the run that a child process plays."""
+    """A part of the load test, such as the users, that runs in a child process."""
 
     def counts(self) -> dict[str, Any]:
-        """Return the counters so far, which are sent to the parent."""
+        """Return the counters so far, by their names in the report."""
 
 
 class Child:
-    """The child's side of a part process: reads messages from standard input, writes counts to standard output."""
+    """The child's side of the protocol with the parent: executes commands, and sends responses and counters."""
 
     def __init__(self, role: str) -> None:
-        """Prepare to play a role: "state", "meeting", "users" or "hollow"."""
+        """Prepare to run a part.
+
+        Args:
+            role: "state" (the key-value store), "meeting" (the gang rendezvous), "users" or "hollow" (workers).
+        """
         self.role = role
         self.unhandled_errors = 0
         self._input = FileObjectPosix(0, "rb")
         self._hub = gevent.get_hub()
         self._print_error = self._hub.handle_error
-        self._hub.handle_error = self._count_fault
+        self._hub.handle_error = self._count_error
 
-    def _count_fault(self, context: object, kind: Any, error: Any, trace: Any) -> None:
-        """Print the error of a greenlet that failed, and count it."""
+    def _count_error(self, context: object, kind: Any, error: Any, trace: Any) -> None:
+        """Print and count an error that a greenlet did not handle."""
         if kind is not None and not issubclass(kind, self._hub.NOT_ERROR):
             self.unhandled_errors += 1
         self._print_error(context, kind, error, trace)
 
     def _send(self, **message: object) -> None:
         """Send a message to the parent."""
-        # the parent reads all the time; a line is far below what a pipe holds
+        # the write does not block for long: the parent reads continuously, and a message is small for a pipe's buffer
         data = msgspec.json.encode(message) + b"\n"
         while data:
             data = data[os.write(1, data) :]
 
     def _receive(self) -> dict[str, Any]:
-        """Return the next message of the parent; end the process if the parent is gone."""
+        """Return the next message of the parent; exit the process if the parent has closed the pipe."""
         line = self._input.readline()
         if not line:
             os._exit(1)
@@ -64,7 +70,7 @@
         return message
 
     def run(self) -> None:
-        """Play the part until the parent ends it."""
+        """Run the part until the parent sends the command "end"."""
         part, addresses = self._build(self._receive())
         self._send(ready=addresses)
         gevent.spawn(self._send_counts, part)
@@ -88,13 +94,22 @@
             self._send(counts={**part.counts(), "faults": self.unhandled_errors, "at_s": time.monotonic()})
             gevent.sleep(COUNTS_INTERVAL_S)
 
-    def _line_ended(self) -> None:
-        """Print that the gang rendezvous is gone."""
+    def _rendezvous_disconnected(self) -> None:
+        """Print that the connection to the gang rendezvous is closed."""
         if not self._hub.dead:
-            print(f"{self.role}: the line to what machines share has ended", file=sys.stderr)
+            print(f"{self.role}: the connection to the gang rendezvous was closed", file=sys.stderr)
 
     def _build(self, config: dict[str, Any]) -> tuple[Any, dict[str, str]]:
-        """Build the part and return it with the addresses that it serves; each role imports only what it needs."""
+        """Create the part of this process's role.
+
+        Each role imports only the modules that it needs.
+
+        Args:
+            config: The configuration of the role.
+
+        Returns:
+            The part, and the addresses that the part serves, by the name of the service.
+        """
         if self.role == "state":
             from ..emulators.site import HttpStoreEmulator
 
@@ -110,15 +125,15 @@
             from .records import LoadPlan
             from .scale_users import LoadUsers
 
-            return LoadUsers(msgspec.convert(config, LoadPlan), self._line_ended), {}
+            return LoadUsers(msgspec.convert(config, LoadPlan), self._rendezvous_disconnected), {}
         from .hollow_process import HollowProcess
         from .records import HollowPlan
 
-        return HollowProcess(msgspec.convert(config, HollowPlan), self._line_ended), {}
+        return HollowProcess(msgspec.convert(config, HollowPlan), self._rendezvous_disconnected), {}
 
 
 class _StorePart:
-    """The key-value store as a part."""
+    """The key-value store emulator as a part of the load test."""
 
     def __init__(self, store: Any) -> None:
         self.store = store
@@ -136,12 +151,12 @@
 
 
 def main() -> None:
-    """Raise the limit of open files and play the role that the command line names."""
+    """Raise the limit of open files, and run the part whose role the command line names."""
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     Child(sys.argv[1]).run()
     sys.stderr.flush()
-    os._exit(0)  # greenlets that wait for others are not waited for
+    os._exit(0)  # a regular exit could wait for greenlets that still run
 
 
 if __name__ == "__main__":
--- a/src/grebestand/load_test/connection.py
+++ b/src/grebestand/load_test/connection.py
@@ -1,6 +1,7 @@
-"""HTTP/1.1 over one persistent connection, as cheap as it can be: thousands of hollow workers share a process.
+"""Minimal HTTP/1.1 client and server for persistent connections.
 
-Bodies have a length; other forms are refused in words. Bytes are counted with their headers.
+Thousands of hollow workers share a process, so requests must use little CPU time. Bodies need a Content-Length;
+messages with a transfer encoding are rejected as unreadable. Traffic counters include headers.
 """
 
 from __future__ import annotations
@@ -13,25 +14,25 @@
 
 from ..errors import GrebestandError
 
-#: one read takes at most this, in bytes
+#: the most bytes that one read from a socket returns
 READ_BYTES = 65536
-#: the largest headers that are read, in bytes
+#: the size of the headers above which reading a message stops
 MAX_HEAD_BYTES = 16384
 HEAD_END = b"\r\n\r\n"
 RETRY_AFTER = b"\r\nRetry-After:"
-#: a socket's timeout must not be 0, which means that it does not block
+#: the shortest timeout of a socket; a timeout of 0 would make the socket non-blocking
 MIN_TIMEOUT_S = 0.01
-#: the other end of a connection may be idle for this long, in seconds
+#: a server closes a connection that has been idle for this time
 IDLE_TIMEOUT_S = 30.0
 REASON_PHRASES = {200: "OK", 400: "Bad Request", 404: "Not Found", 409: "Conflict", 421: "Misdirected Request"}
 
 
 class NoResponseError(GrebestandError):
-    """No response came that can be read.
+    """A request got no readable response.
 
     Attributes:
-        kind: refused, reset, timeout or unreadable.
-        reason: what the operating system or the parser says.
+        kind: "refused", "reset", "timeout" or "unreadable".
+        reason: The message of the operating system or the parser.
     """
 
     def __init__(self, kind: str, reason: str = "") -> None:
@@ -42,17 +43,30 @@
 
 @dataclass
 class Traffic:
-    """Bytes that were sent and received, headers included, and messages in both directions."""
+    """Counters of the traffic of connections.
+
+    Attributes:
+        sent: Bytes sent, including headers.
+        received: Bytes received, including headers.
+        messages: Pairs of request and response at clients, requests at servers.
+        unreadable: Requests that a server could not parse, so that it closed their connections.
+    """
 
     sent: int = 0
     received: int = 0
     messages: int = 0
-    #: requests that could not be read: their connections were closed
     unreadable: int = 0
 
 
 def _parse_head(data: bytes) -> tuple[str, int, bool]:
-    """Return the first line, the length of the body, and whether the connection is closed after it."""
+    """Parse the headers of a request or response.
+
+    Returns:
+        The first line, the length of the body in bytes, and whether the connection is to be closed after the message.
+
+    Raises:
+        ValueError: A header is malformed, or the body has a transfer encoding.
+    """
     lines = data.decode("latin-1").split("\r\n")
     length, close = 0, False
     for line in lines[1:]:
@@ -63,23 +77,30 @@
         elif name == "connection":
             close = value.lower() == "close"
         elif name == "transfer-encoding":
-            raise ValueError(f"transfer encoding {value}")
+            raise ValueError(f"expected a body with Content-Length, found Transfer-Encoding: {value}")
     return lines[0], length, close
 
 
 class Connection:
-    """The client's end of a persistent connection."""
+    """The client's end of a persistent connection, which the first request opens."""
 
     def __init__(self, address: str, traffic: Traffic) -> None:
+        """Prepare a connection without opening it.
+
+        Args:
+            address: The address of the server, as host:port.
+            traffic: Counts requests and responses.
+        """
         self.address = address
         self.traffic = traffic
-        #: whether no response has come yet over the connection that is open, or is to be opened
+        #: whether no response has been received over the current connection; keeps its value when a request fails,
+        #: until `close` or the next request
         self.is_new = True
         self._socket: socket.socket | None = None
         self._rest = b""
 
     def close(self) -> None:
-        """Close the connection; the next request opens another."""
+        """Close the connection; the next request opens a new one."""
         if self._socket is not None:
             self._socket.close()
         self._socket, self._rest, self.is_new = None, b"", True
@@ -87,15 +108,21 @@
     def request(self, method: str, path: str, body: bytes, timeout_s: float) -> tuple[int, bytes, float]:
         """Send a request and wait for the response.
 
+        Args:
+            method: The HTTP method.
+            path: The path, with its query.
+            body: The body, as JSON.
+            timeout_s: The time for connecting, sending and receiving together, in seconds.
+
         Returns:
-            Status, body, and the seconds of `Retry-After`, 0 without that header.
+            The status, the body, and the value of `Retry-After` in seconds, 0 without that header.
 
         Raises:
-            NoResponseError: no response came that can be read; the connection is closed.
+            NoResponseError: No readable response was received in time; the connection is closed.
         """
         deadline = time.monotonic() + timeout_s
         try:
-            return self._ask(method, path, body, deadline)
+            return self._request(method, path, body, deadline)
         except ConnectionRefusedError as error:
             raise self._failed("refused", error) from error
         except TimeoutError as error:
@@ -106,12 +133,13 @@
             raise self._failed("unreadable", error) from error
 
     def _failed(self, kind: str, error: Exception) -> NoResponseError:
+        """Close the connection and return the error to raise; `is_new` keeps its value for the caller."""
         if self._socket is not None:
             self._socket.close()
         self._socket, self._rest = None, b""
         return NoResponseError(kind, str(error))
 
-    def _ask(self, method: str, path: str, body: bytes, deadline: float) -> tuple[int, bytes, float]:
+    def _request(self, method: str, path: str, body: bytes, deadline: float) -> tuple[int, bytes, float]:
         sock = self._socket if self._socket is not None else self._connect(deadline)
         head = f"{method} {path} HTTP/1.1\r\nHost: {self.address}\r\nContent-Type: application/json\r\n"
         request = f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
@@ -132,7 +160,9 @@
         while (head_end := data.find(HEAD_END)) < 0:
             data += self._read(sock, deadline)
             if len(data) > MAX_HEAD_BYTES + READ_BYTES:
-                raise ValueError("headers too large")
+                raise ValueError(
+                    f"expected at most {MAX_HEAD_BYTES} bytes of headers, found no end of headers in {len(data)} bytes"
+                )
         head = data[:head_end]
         status_line, length, close = _parse_head(head)
         retry_s = 0.0
@@ -153,25 +183,26 @@
     def _read(self, sock: socket.socket, deadline: float) -> bytes:
         remaining_s = deadline - time.monotonic()
         if remaining_s <= 0:
-            raise TimeoutError("no answer in time")
+            raise TimeoutError(f"no complete response from {self.address} within the timeout")
         sock.settimeout(remaining_s)
         data = bytes(sock.recv(READ_BYTES))
         if not data:
-            raise ConnectionResetError("closed by the other end")
+            raise ConnectionResetError(f"connection closed by {self.address} before the response was complete")
         self.traffic.received += len(data)
         return data
 
 
-Answerer = Callable[[str, str, bytes], tuple[int, bytes]]
+#: returns the status and the body of the response to a method, path and body
+RequestHandler = Callable[[str, str, bytes], tuple[int, bytes]]
 
 
-def serve_connection(sock: socket.socket, handle: Answerer, traffic: Traffic) -> None:
-    """Serve one connection until the other end closes it; a request that cannot be read ends it as well.
+def serve_connection(sock: socket.socket, handle: RequestHandler, traffic: Traffic) -> None:
+    """Serve one connection until the client closes it, the connection fails, or a request cannot be parsed.
 
     Args:
-        sock: the connection, which is closed at the end.
-        handle: returns status and body for method, path and body.
-        traffic: counts requests and responses.
+        sock: The connection, which is closed on return.
+        handle: Returns the status and the body of the response to a method, path and body.
+        traffic: Counts requests and responses.
     """
     data = b""
     try:
@@ -201,7 +232,7 @@
             if close:
                 return
     except OSError:
-        return  # the other end is gone
+        return  # the client has closed the connection or was idle for too long
     except ValueError:
         traffic.unreadable += 1
     finally:
--- a/src/grebestand/load_test/errors.py
+++ b/src/grebestand/load_test/errors.py
@@ -1,6 +1,7 @@
 """Errors that end a scale run before it has a verdict.
 
-The command line reports any `RuntimeError` of a rehearsal as one line, hence the second base class.
+The command line prints any `RuntimeError` of a test run as one line without a traceback; therefore these errors also
+derive from `RuntimeError`.
 """
 
 from __future__ import annotations
@@ -9,62 +10,68 @@
 
 
 class ScaleRunError(GrebestandError, RuntimeError):
-    """Base of the errors that end a scale run."""
+    """Base class of the errors that abort a scale run."""
 
 
 class ProcessEndedError(ScaleRunError):
-    """A child process of the run has ended by itself.
+    """A child process of the run has exited before the run stopped it.
 
     Attributes:
-        name: the name of the process.
-        last_log_line: the last line of its log.
+        name: The name of the process.
+        last_log_line: The last line of the process's log.
     """
 
     def __init__(self, name: str, last_log_line: str) -> None:
         self.name = name
         self.last_log_line = last_log_line
-        super().__init__(f"{name} has ended: {last_log_line}")
+        super().__init__(f"process {name} exited during the run; last log line: {last_log_line}")
 
 
 class ProcessTimeoutError(ScaleRunError):
-    """A child process did not do in time what it was asked to do.
+    """A child process did not execute a command, or did not start, within its timeout.
 
     Attributes:
-        name: the name of the process.
-        action: what it was asked to do.
-        last_log_line: the last line of its log.
+        name: The name of the process.
+        action: The command, or "start".
+        timeout_s: The timeout, in seconds.
+        last_log_line: The last line of the process's log.
     """
 
-    def __init__(self, name: str, action: str, last_log_line: str) -> None:
+    def __init__(self, name: str, action: str, timeout_s: float, last_log_line: str) -> None:
         self.name = name
         self.action = action
+        self.timeout_s = timeout_s
         self.last_log_line = last_log_line
-        super().__init__(f"{name} did not {action}: {last_log_line}")
+        super().__init__(
+            f"process {name} did not complete {action!r} within {timeout_s:.0f} s; last log line: {last_log_line}"
+        )
 
 
 class ControllersUnavailableError(ScaleRunError):
-    """The controllers do not serve the load.
+    """The controllers are not ready to serve the load.
 
     Attributes:
-        reason: what was expected of them.
-        last_log_lines: the last line of each controller's log.
+        reason: What was expected of the controllers, and what was found.
+        last_log_lines: The last line of each controller's log.
     """
 
     def __init__(self, reason: str, last_log_lines: str) -> None:
         self.reason = reason
         self.last_log_lines = last_log_lines
-        super().__init__(f"{reason}: {last_log_lines}")
+        super().__init__(f"{reason}; last log lines: {last_log_lines}")
 
 
 class MemoryLimitExceededError(ScaleRunError):
-    """The processes of the run take more memory than they may.
+    """The processes of the run use more memory than the limit of the run.
 
     Attributes:
-        memory_mb: resident megabytes of all processes.
-        limit_mb: how many they may take.
+        memory_mb: The resident memory of all processes together, in megabytes.
+        limit_mb: The limit, in megabytes.
     """
 
     def __init__(self, memory_mb: float, limit_mb: float) -> None:
         self.memory_mb = memory_mb
         self.limit_mb = limit_mb
-        super().__init__(f"its processes take {memory_mb:.0f} MB, more than {limit_mb:.0f}")
+        super().__init__(
+            f"processes of the run use {memory_mb:.0f} MB of memory, more than the limit {limit_mb:.0f} MB"
+        )
--- a/src/grebestand/load_test/figures.py
+++ b/src/grebestand/load_test/figures.py
@@ -1,6 +1,7 @@
-"""Figures of a scale run: what each role used between two samples, and distributions of waits.
+"""Figures of a scale run: the resources that each role used between two samples, and distributions of waiting times.
 
-Samples are taken about once a second. What a controller uses in an interval counts for the role that it had in it.
+A role is a child process or a part of a controller: "leader" or "answering". Samples are taken about once per second.
+The resources that a controller uses between two samples count for the role that the controller had in that interval.
 """
 
 from __future__ import annotations
@@ -14,17 +15,28 @@
 
 from .records import JobRow, TaskRow
 
-#: the objectives of a worker process: percent of a core, megabytes, bytes a second in both directions
+#: the most that a worker process should use: percent of a core, megabytes, bytes per second in both directions
 WORKER_LIMITS = {"cpu_percent": 1.9, "memory_mb": 64.0, "bytes_per_s": 3000.0}
-#: groups of urgent jobs: at least and at most so many tasks
+#: the smallest and the largest number of tasks of the jobs in each size group
 JOB_SIZE_GROUPS = ((1, 1), (2, 16), (17, 64), (65, 128))
-#: how reports are answered that were answered at all
+#: the statuses of responses to heartbeats; other outcomes count as heartbeats without a usable response
 RESPONSE_STATUSES = ("200", "421", "503")
 
 
 @dataclass
 class Sample:
-    """All processes at one moment: seconds of the clock, processor seconds, resident MB, open sockets, own counts."""
+    """Measurements of all processes at one time.
+
+    Attributes:
+        at: When the sample was taken, in seconds of the run's clock.
+        leader: The name of the leader, None if there was none.
+        cpu_s: The CPU time that each process has used, in seconds.
+        memory_mb: The resident memory of each process, in megabytes.
+        sockets: The number of open sockets of each process; empty in most samples.
+        counts: The counters that each child process sent last.
+        response_counts: For each controller, heartbeats by the status of their response or the kind of failure.
+        heartbeat_bytes: For each controller, bytes of heartbeats and their responses.
+    """
 
     at: float
     leader: str | None
@@ -32,19 +44,18 @@
     memory_mb: dict[str, float] = field(default_factory=dict)
     sockets: dict[str, int] = field(default_factory=dict)
     counts: dict[str, dict[str, Any]] = field(default_factory=dict)
-    #: of each controller, reports by how they were answered, and bytes of reports and answers
     response_counts: dict[str, dict[str, int]] = field(default_factory=dict)
     heartbeat_bytes: dict[str, int] = field(default_factory=dict)
 
 
 def quantile(values: Sequence[float], share: float) -> float | None:
-    """Return the least value that so large a share does not exceed, None without values."""
+    """Return the smallest value that at least this share of all values does not exceed, or None without values."""
     ordered = sorted(values)
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)] if ordered else None
 
 
 def distribution(values: Sequence[float]) -> dict[str, float | None]:
-    """Return count, quantiles and maximum of values, in the unit of these."""
+    """Return count, quantiles and maximum of values, in the unit of the values."""
     return {
         "count": float(len(values)), "p50": quantile(values, 0.5), "p95": quantile(values, 0.95),
         "p99": quantile(values, 0.99), "max": max(values, default=None),
@@ -52,7 +63,14 @@
 
 
 def sum_response_counts(counts: Iterable[dict[str, Any]]) -> dict[str, dict[str, int]]:
-    """Return how heartbeats were answered by each controller, over all processes of hollow workers."""
+    """Add up the heartbeats of all processes of hollow workers.
+
+    Args:
+        counts: The counters of each process of hollow workers.
+
+    Returns:
+        For each controller, the number of heartbeats by the status of their response or the kind of failure.
+    """
     total: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
     for count in counts:
         for name, by_status in count.get("answers", {}).items():
@@ -62,37 +80,61 @@
 
 
 def _rate(first: Sample, last: Sample, part: str, key: str) -> float:
-    """Return how fast a process's counter grows, by the process's own times of counting."""
+    """Return the growth per second of a counter between two samples.
+
+    The duration is that between the times at which the process sent the counters, as a sample may contain counters
+    that are up to a second old.
+
+    Args:
+        first: The earlier sample.
+        last: The later sample.
+        part: The name of the process.
+        key: The name of the counter.
+    """
     before, after = first.counts.get(part, {}), last.counts.get(part, {})
     seconds = after.get("at_s", 0.0) - before.get("at_s", 0.0)
     return float(after.get(key, 0) - before.get(key, 0)) / seconds if seconds > 0 else 0.0
 
 
-def _reports(a: Sample, b: Sample, name: str) -> dict[str, float]:
-    """Reports a second at a controller by their answer, from all that the hollow processes had counted."""
-    seconds = max(1e-9, b.at - a.at)
-    before, after = a.response_counts.get(name, {}), b.response_counts.get(name, {})
-    found = {s: (after.get(s, 0) - before.get(s, 0)) / seconds for s in RESPONSE_STATUSES}
-    found["none"] = sum((n - before.get(s, 0)) / seconds for s, n in after.items() if s not in RESPONSE_STATUSES)
-    return found
+def _heartbeat_rates(first: Sample, last: Sample, name: str) -> dict[str, float]:
+    """Return the heartbeats per second to a controller between two samples, as the hollow workers counted them.
+
+    Returns:
+        Rates by the status of the response; "none" stands for all heartbeats without one of `RESPONSE_STATUSES`.
+    """
+    seconds = max(1e-9, last.at - first.at)
+    before, after = first.response_counts.get(name, {}), last.response_counts.get(name, {})
+    rates = {status: (after.get(status, 0) - before.get(status, 0)) / seconds for status in RESPONSE_STATUSES}
+    rates["none"] = sum(
+        (count - before.get(status, 0)) / seconds for status, count in after.items() if status not in RESPONSE_STATUSES
+    )
+    return rates
 
 
 @dataclass
 class _RoleUse:
-    """What one role used over the intervals in which a process had it."""
+    """The resources used by the processes of one role, over all intervals in which they had the role.
+
+    Attributes:
+        cpu_s: CPU time, in seconds.
+        seconds: The duration of all intervals, added up over the processes of the role.
+        cpu_share_max: The largest share of a core that a process used in an interval.
+        memory_mb: The largest resident memory of a process, in megabytes.
+        sockets: The largest number of open sockets of a process.
+        heartbeats: Heartbeats by the status of their response, for roles of controllers only.
+        heartbeat_bytes: Bytes of heartbeats and their responses, for roles of controllers only.
+    """
 
     cpu_s: float = 0.0
-    #: the seconds of all intervals, added up over the processes of the role
     seconds: float = 0.0
     cpu_share_max: float = 0.0
     memory_mb: float = 0.0
     sockets: int = 0
-    #: heartbeats by how they were answered, and bytes of heartbeats and responses; of controllers only
-    reports: dict[str, float] = field(default_factory=lambda: defaultdict(float))
-    report_bytes: float = 0.0
+    heartbeats: dict[str, float] = field(default_factory=lambda: defaultdict(float))
+    heartbeat_bytes: float = 0.0
 
     def figures(self) -> dict[str, Any]:
-        """Return means and maxima."""
+        """Return the mean and the maximum share of a core, and the maxima of memory and sockets."""
         return {
             "cpu_share": self.cpu_s / self.seconds,
             "cpu_share_max": self.cpu_share_max,
@@ -101,25 +143,26 @@
         }
 
     def controller_figures(self) -> dict[str, Any]:
-        """Return the rates of heartbeats of a controller's role."""
-        answered = sum(count for status, count in self.reports.items() if status != "none")
+        """Return the rates of heartbeats and their bytes, per second and controller."""
+        answered = sum(count for status, count in self.heartbeats.items() if status != "none")
         return {
-            "reports_per_s": {status: count / self.seconds for status, count in self.reports.items()},
+            "reports_per_s": {status: count / self.seconds for status, count in self.heartbeats.items()},
             "messages_per_s": answered / self.seconds,
-            "bytes_per_s": self.report_bytes / self.seconds,
+            "bytes_per_s": self.heartbeat_bytes / self.seconds,
         }
 
 
 def window_figures(samples: list[Sample], controllers: list[str], hollow: list[str]) -> dict[str, Any]:
-    """Return what each role used between the first and the last sample.
+    """Return the resources that each role used between the first and the last sample.
 
     Args:
-        samples: at least two, or there is nothing to return.
-        controllers: the names of the controllers.
-        hollow: the names of the processes of hollow workers.
+        samples: The samples, in order of time.
+        controllers: The names of the controllers.
+        hollow: The names of the processes of hollow workers.
 
     Returns:
-        Shares of a core, megabytes, most sockets, and messages and bytes a second, by role.
+        The duration in seconds, rates of heartbeats per second, and by role: shares of a core, megabytes, the largest
+        number of sockets, and messages and bytes per second. Empty with fewer than two samples.
     """
     if len(samples) < 2:
         return {}
@@ -133,11 +176,11 @@
             roles[role] |= uses[role].controller_figures()
     _add_own_counts(roles, first, last, hollow)
     seconds = last.at - first.at
-    by_controller = {name: _reports(first, last, name) for name in controllers}
+    by_controller = {name: _heartbeat_rates(first, last, name) for name in controllers}
     return {
         "seconds": seconds,
         "roles": roles,
-        "reports_per_s": sum(sum(use.reports.values()) for use in uses.values()) / seconds,
+        "reports_per_s": sum(sum(use.heartbeats.values()) for use in uses.values()) / seconds,
         "answered_by": {
             name: sum(rates[status] for status in RESPONSE_STATUSES) for name, rates in by_controller.items()
         },
@@ -146,12 +189,12 @@
 
 
 def _add_interval(uses: dict[str, _RoleUse], before: Sample, after: Sample, controllers: list[str]) -> None:
-    """Add what each process used between two samples to its role."""
+    """Add the resources that each process used between two samples to the process's role."""
     seconds = after.at - before.at
     for name in after.cpu_s:
         used_s = after.cpu_s[name] - before.cpu_s.get(name, 0.0)
         if name not in before.cpu_s or used_s < 0:
-            continue  # it began in this interval
+            continue  # the process was started or restarted in this interval
         use = uses[_role(name, before, after, controllers)]
         use.cpu_s += used_s
         use.seconds += seconds
@@ -159,19 +202,23 @@
         use.memory_mb = max(use.memory_mb, after.memory_mb[name])
         use.sockets = max(use.sockets, after.sockets.get(name, 0))
         if name in controllers:
-            for status, rate in _reports(before, after, name).items():
-                use.reports[status] += rate * seconds
-            use.report_bytes += after.heartbeat_bytes.get(name, 0) - before.heartbeat_bytes.get(name, 0)
+            for status, rate in _heartbeat_rates(before, after, name).items():
+                use.heartbeats[status] += rate * seconds
+            use.heartbeat_bytes += after.heartbeat_bytes.get(name, 0) - before.heartbeat_bytes.get(name, 0)
 
 
 def _role(name: str, before: Sample, after: Sample, controllers: list[str]) -> str:
+    """Return the role of a process between two samples: its own name, or the role of a controller.
+
+    A controller that led at only one of the two samples counts as "answering".
+    """
     if name not in controllers:
         return name
     return "leader" if name == before.leader == after.leader else "answering"
 
 
 def _add_own_counts(roles: dict[str, dict[str, Any]], first: Sample, last: Sample, hollow: list[str]) -> None:
-    """Add rates of what processes have counted themselves."""
+    """Add the rates of the counters that child processes send to the figures of their roles."""
     for name in (*hollow, "worker", "users"):
         if name in roles:
             roles[name]["messages_per_s"] = _rate(first, last, name, "messages")
@@ -188,7 +235,16 @@
 def slope_rows(
     workers: int, controllers: int, rates: dict[str, float], windows: dict[str, Any]
 ) -> list[dict[str, Any]]:
-    """Return a row for each window and role, for lines through runs of several sizes."""
+    """Return a row for each window and role.
+
+    The rows of runs of several sizes give the slopes by which the use of resources grows with the size.
+
+    Args:
+        workers: The number of hollow workers.
+        controllers: The number of controllers.
+        rates: The starts of tasks per second in each window.
+        windows: The figures of each window; a window without figures is left out.
+    """
     keys = ("cpu_share", "memory_mb", "sockets", "messages_per_s", "bytes_per_s", "writes_per_s")
     return [
         {
@@ -201,17 +257,20 @@
 
 
 def count_starts(rows: Iterable[TaskRow], begin: float, end: float) -> int:
-    """Return the number of tasks that began to run in this time."""
+    """Return the number of tasks that began to run from `begin` until before `end`, in seconds of the run's clock."""
     return sum(row.what == "run" and begin <= row.at < end for row in rows)
 
 
 def urgent_waits(rows: Iterable[TaskRow], jobs: list[JobRow], end: float) -> dict[str, Any]:
-    """Return how long urgent jobs waited from their acceptance until all of their tasks had begun, in seconds.
+    """Return the distributions of the time from the acceptance of urgent jobs until all of their tasks had begun.
 
     Args:
-        rows: what happened to tasks.
-        jobs: all jobs.
-        end: jobs of which a task never began count as waiting until then.
+        rows: The events of tasks.
+        jobs: All jobs.
+        end: The time until which a job with a task that never began counts as waiting, in seconds of the run's clock.
+
+    Returns:
+        The number of jobs with a task that never began, and the waiting times in seconds by group of sizes.
     """
     wanted = {job.id: job for job in jobs if job.urgent and job.accepted_at is not None}
     first_runs: dict[str, dict[int, float]] = defaultdict(dict)
@@ -233,7 +292,7 @@
 
 
 def _size_keys(job: JobRow) -> list[str]:
-    """Return the groups that a job's wait counts in."""
+    """Return the groups that the waiting time of a job counts in: all jobs, its size, and its kind with its size."""
     for least, most in JOB_SIZE_GROUPS:
         if least <= job.tasks <= most:
             size = str(least) if least == most else f"{least}-{most}"
--- a/src/grebestand/load_test/gang_rendezvous.py
+++ b/src/grebestand/load_test/gang_rendezvous.py
@@ -1,9 +1,23 @@
-"""What the workers of a scale run share: their cloud, descriptions of jobs, results, and gangs that wait to be whole.
-
-Processes of hollow workers and users connect over loopback and exchange lines of JSON arrays. They send "machine"
-(name, address, type, zone), "put" (a job's description), "want" (job, index, attempt), "done" (job, index), "wait"
-(job, attempt, index, tasks, run time in seconds) and "gone" (job, attempt, index). They get "job", "known", "run",
-"over", "gone" and "lose".
+"""The rendezvous of a scale run: state that the processes of hollow workers share, and the cloud emulator.
+
+The shared state is the descriptions of jobs, the tasks that are done, and the gangs whose members wait for each other.
+Processes of hollow workers and users connect over loopback. Each message is a line with a JSON array.
+
+Messages to the rendezvous:
+    machine: a worker has started (name, address, machine type, zone).
+    put: a user submits a job (description).
+    want: a worker requests the description of a task's job (job, index, attempt).
+    done: a task that is no member of a gang is done (job, index).
+    wait: a member of a gang waits for the others (job, attempt, index, number of tasks, run time in seconds).
+    gone: a member of a gang has ended early (job, attempt, index).
+
+Messages from the rendezvous:
+    known: the description of a submitted job is stored (job).
+    job: the response to "want" (job, index, attempt, description or null, whether the task is done).
+    run: all members of a gang are waiting, so that they begin to run (job, attempt).
+    over: a gang has run for its run time (job, attempt).
+    gone: a member of a running gang has ended early (job, attempt).
+    lose: machines were deleted (names).
 """
 
 from __future__ import annotations
@@ -24,18 +38,19 @@
 from ..wire.cloud import ListedMachine, MachineType
 from ..wire.jobs import JobSpec
 
-#: a name followed by its arguments
+#: the name of a message, followed by its arguments
 Message = list[Any]
-#: one read takes at most this, in bytes
+#: the most bytes that one read from a socket returns
 READ_BYTES = 65536
+#: timeout of the connection to the rendezvous
 CONNECT_TIMEOUT_S = 10.0
 
 
 class MessageChannel:
-    """One end of a connection: messages leave in the order in which they were queued, several in a packet."""
+    """One end of a connection that transfers messages in order, and sends several queued messages at once."""
 
     def __init__(self, sock: socket.socket) -> None:
-        """Begin to send over a connected socket."""
+        """Start to send queued messages over a connected socket."""
         self._socket = sock
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._queue: list[bytes] = []
@@ -43,7 +58,7 @@
         gevent.spawn(self._send)
 
     def send(self, *message: object) -> None:
-        """Queue a message for the other end."""
+        """Queue a message, given as its name and arguments; return without waiting until the message is sent."""
         self._queue.append(msgspec.json.encode(message))
         self._wake.set()
 
@@ -55,10 +70,10 @@
             try:
                 self._socket.sendall(b"\n".join(queued) + b"\n")
             except OSError:
-                return  # `listen` ends as well
+                return  # `receive` detects the closed connection and ends as well
 
     def receive(self, handle: Callable[[Message], None]) -> None:
-        """Handle messages until the other end closes the connection."""
+        """Receive messages and pass them to a handler until the other end closes the connection."""
         partial_line = b""
         while True:
             try:
@@ -72,24 +87,27 @@
                 handle(msgspec.json.decode(line))
 
 
-def connect(address: str, handle: Callable[[Message], None], ended: Callable[[], None]) -> MessageChannel:
+def connect(address: str, handle: Callable[[Message], None], on_disconnect: Callable[[], None]) -> MessageChannel:
     """Connect to the rendezvous.
 
     Args:
-        address: its address.
-        handle: gets its messages.
-        ended: called when it is gone.
+        address: The address of the rendezvous, as host:port.
+        handle: Handles each message that the rendezvous sends.
+        on_disconnect: Called when the rendezvous has closed the connection.
+
+    Raises:
+        OSError: The rendezvous does not accept the connection.
     """
     host, _, port = address.rpartition(":")
-    line = MessageChannel(socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S))
-    line._socket.settimeout(None)
+    channel = MessageChannel(socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S))
+    channel._socket.settimeout(None)
 
     def run() -> None:
-        line.receive(handle)
-        ended()
+        channel.receive(handle)
+        on_disconnect()
 
     gevent.spawn(run)
-    return line
+    return channel
 
 
 @dataclass
@@ -97,9 +115,9 @@
     """One attempt of a gang.
 
     Attributes:
-        waiting: the members that wait or run, by their index, with the line of their process.
-        started: whether all members were there.
-        over: whether it has ended, whole or not.
+        members: The channel to the process of each member that waits or runs, by the index of the member.
+        started: Whether all members were waiting, so that the gang has begun to run.
+        ended: Whether the gang has completed, or has lost a member while it was running.
     """
 
     members: dict[int, MessageChannel] = field(default_factory=dict)
@@ -108,10 +126,10 @@
 
 
 class GangRendezvous:
-    """Where members of gangs wait for each other across processes, and the cloud that lists their machines."""
+    """Lets members of gangs in different processes wait for each other, and serves the cloud emulator."""
 
     def __init__(self, types: list[MachineType]) -> None:
-        """Serve the cloud and the lines of processes; the cloud has these machine types."""
+        """Start to serve the cloud emulator, which offers these machine types, and connections of processes."""
         self.cloud = CloudEmulator()
         self.cloud.types, self.cloud.capacity = types, 0
         self.cloud.removed = self._machines_deleted
@@ -122,7 +140,7 @@
         self.channels: list[MessageChannel] = []
         self._cloud_server = serve(self._answer_cloud_request)
         self.cloud_address = f"{HOST}:{self._cloud_server.server_port}"
-        self._server = StreamServer((HOST, 0), self._serve_line)
+        self._server = StreamServer((HOST, 0), self._serve_channel)
         self._server.start()
         self.address = f"{HOST}:{self._server.server_port}"
 
@@ -132,57 +150,58 @@
 
     def _machines_deleted(self, names: list[str]) -> None:
         self.cloud.listed = [entry for entry in self.cloud.listed if entry["ref"] not in names]
-        for line in self.channels:
-            line.send("lose", names)
+        for channel in self.channels:
+            channel.send("lose", names)
 
-    def _serve_line(self, sock: socket.socket, _: object) -> None:
-        line = MessageChannel(sock)
-        self.channels.append(line)
-        line.receive(lambda message: self._handle(line, message))
-        self.channels.remove(line)
+    def _serve_channel(self, sock: socket.socket, _: object) -> None:
+        channel = MessageChannel(sock)
+        self.channels.append(channel)
+        channel.receive(lambda message: self._handle(channel, message))
+        self.channels.remove(channel)
 
-    def _handle(self, line: MessageChannel, message: Message) -> None:
+    def _handle(self, channel: MessageChannel, message: Message) -> None:
         self.messages += 1
-        what, *rest = message
-        if what == "machine":
-            name, addr, kind, zone = rest
-            entry = msgspec.to_builtins(ListedMachine(name, kind, zone, False, "running", 60.0, addr))
-            insort(self.cloud.listed, entry, key=lambda e: str(e["ref"]))
-        elif what == "put":
+        name, *rest = message
+        if name == "machine":
+            machine, addr, machine_type, zone = rest
+            entry = msgspec.to_builtins(ListedMachine(machine, machine_type, zone, False, "running", 60.0, addr))
+            insort(self.cloud.listed, entry, key=lambda listed: str(listed["ref"]))
+        elif name == "put":
             spec = msgspec.convert(rest[0], JobSpec)
             self.specs[spec.id] = spec
-            line.send("known", spec.id)
-        elif what == "want":
+            channel.send("known", spec.id)
+        elif name == "want":
             job, index, attempt = rest
-            line.send("job", job, index, attempt, self.specs.get(job), (job, index) in self.done_tasks)
-        elif what == "done":
+            channel.send("job", job, index, attempt, self.specs.get(job), (job, index) in self.done_tasks)
+        elif name == "done":
             self.done_tasks.add((rest[0], rest[1]))
-        elif what == "wait":
-            self._join(line, *rest)
-        elif what == "gone":
+        elif name == "wait":
+            self._join(channel, *rest)
+        elif name == "gone":
             self._leave(*rest)
         else:
-            raise ValueError(f"unknown message {what!r}")
+            raise ValueError(f"unknown message to the gang rendezvous: {name!r}")
 
-    def _join(self, line: MessageChannel, job: str, attempt: int, index: int, tasks: int, run_s: float) -> None:
+    def _join(self, channel: MessageChannel, job: str, attempt: int, index: int, tasks: int, run_s: float) -> None:
         gang = self.gangs.setdefault((job, attempt), Gang())
-        gang.members[index] = line
+        gang.members[index] = channel
         if len(gang.members) == tasks and not gang.started:
             gang.started = True
             self._send_to_members(gang, "run", job, attempt)
             gevent.spawn_later(run_s, self._complete, job, attempt, gang)
 
     def _complete(self, job: str, attempt: int, gang: Gang) -> None:
-        """End a gang that has run for its time: all of its tasks are done, unless one was lost before."""
+        """Complete a gang that has run for its run time: all of its tasks are done, unless the gang lost a member."""
         if not gang.ended:
             gang.ended = True
             self.done_tasks |= {(job, index) for index in gang.members}
             self._send_to_members(gang, "over", job, attempt)
 
     def _leave(self, job: str, attempt: int, index: int) -> None:
-        """Note that a member is gone: the others of a gang that has started get a message.
+        """Remove a member that has ended early.
 
-        A gang that has not started goes on waiting until all members are there.
+        The other members are notified if the gang is running. A gang that has not started continues to wait until all
+        of its members are waiting.
         """
         gang = self.gangs.get((job, attempt))
         if gang is None or gang.ended:
@@ -194,11 +213,11 @@
             self._send_to_members(gang, "gone", job, attempt)
 
     @staticmethod
-    def _send_to_members(gang: Gang, what: str, job: str, attempt: int) -> None:
-        # several members may be in one process, which gets the message once
-        for line in {id(line): line for line in gang.members.values()}.values():
-            line.send(what, job, attempt)
+    def _send_to_members(gang: Gang, name: str, job: str, attempt: int) -> None:
+        # a process with several members of the gang receives the message once
+        for channel in {id(channel): channel for channel in gang.members.values()}.values():
+            channel.send(name, job, attempt)
 
     def counts(self) -> dict[str, float]:
-        """Return the counters so far: requests to the cloud, messages, and deleted machines."""
+        """Return the counters so far: requests to the cloud emulator, messages received, and deleted machines."""
         return {"cloud_requests": self.cloud_requests, "messages": self.messages, "deleted": len(self.cloud.deleted)}
--- a/src/grebestand/load_test/hollow_process.py
+++ b/src/grebestand/load_test/hollow_process.py
@@ -1,4 +1,4 @@
-"""A process of hollow workers: its workers, their line to the gang rendezvous, and what is recorded of their tasks."""
+"""A process of hollow workers: the workers, their channel to the gang rendezvous, and the records of their tasks."""
 
 from __future__ import annotations
 
@@ -19,56 +19,62 @@
 from .hollow_worker import DescriptionHandler, HollowTask, HollowWorker
 from .records import HollowPlan, HollowRecords, TaskRow, UnservedRequest
 
-#: leases are checked this often, in seconds; what is later than its lease counts as ended with it
+#: the interval between checks of leases; the ends of tasks found late are recorded as at the end of the lease
 LEASE_CHECK_INTERVAL_S = 0.1
-#: recorded times differ by this at least, in seconds, so that they have an order
+#: the least difference of recorded times, so that the order of the times is that of the events
 MIN_TIME_STEP_S = 1e-6
 
 
 class HollowProcess:
-    """The workers of one process."""
+    """All hollow workers of one process, and the records and counters that they share."""
 
-    def __init__(self, plan: HollowPlan, ended: Callable[[], None]) -> None:
-        """Connect to the gang rendezvous and have the cloud list the machines.
+    def __init__(self, plan: HollowPlan, on_disconnect: Callable[[], None]) -> None:
+        """Connect to the gang rendezvous, and register the machines with the cloud emulator.
 
         Args:
-            plan: the machines, and what surrounds them.
-            ended: called when the rendezvous is gone.
+            plan: The machines, the addresses of other processes, and the workers' settings.
+            on_disconnect: Called when the rendezvous has closed the connection.
         """
         self.plan = plan
         self.clock: Callable[[], float] = time.monotonic
         self._last_time = 0.0
         self.rng = random.Random(plan.seed)
-        #: of each controller, heartbeats and their responses
+        #: by controller, the traffic of heartbeats and their responses
         self.heartbeat_traffic = {name: Traffic() for name in plan.controllers}
-        #: direct commands and their responses
+        #: the traffic of direct commands and their responses
         self.direct_traffic = Traffic()
+        #: the events of tasks
         self.rows: list[TaskRow] = []
+        #: new connections whose first request got no response
         self.unserved: list[UnservedRequest] = []
-        #: arrays, as there is a pair of numbers for each answered heartbeat
+        #: when each answered heartbeat was sent, and the time until its response, in seconds; arrays rather than
+        #: lists because they grow with each answered heartbeat
         self.sent_at, self.waits = array("d"), array("d")
-        #: of each controller, how heartbeats were answered: by status, or by the kind of failure
+        #: by controller, the number of heartbeats by the status of their response or the kind of failure
         self.response_counts: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
-        #: responses that were dropped, as they came from an old leader or for an old epoch
+        #: responses that were dropped because they came from an earlier leader or belonged to an earlier epoch
         self.dropped_responses = 0
-        #: responses that came in time while this process was too late to read them
+        #: responses that count as timed out because this process was too busy to read them in time
         self.late_responses = 0
-        #: leases that have expired
+        #: the number of leases that have expired
         self.expired_leases = 0
-        #: requests to the workers' own addresses
+        #: the number of requests to the workers' own addresses
         self.direct_requests = 0
         self._specs: dict[str, JobSpec] = {}
-        #: by job, index and attempt, who waits for the description of the job
+        #: by job, index and attempt, the handlers that wait for the description of the job
         self._awaited: dict[tuple[str, int, int], list[DescriptionHandler]] = {}
-        #: by job and attempt, the members of a gang in this process
+        #: by job and attempt, the members of a gang that are in this process
         self._gangs: dict[tuple[str, int], list[tuple[HollowWorker, HollowTask]]] = defaultdict(list)
-        self.channel: MessageChannel = connect(plan.meeting, self._handle, ended)
+        self.channel: MessageChannel = connect(plan.meeting, self._handle, on_disconnect)
         self.workers = {name: HollowWorker(self, name, host, zone) for name, host, zone in plan.machines}
         for worker in self.workers.values():
             self.channel.send("machine", worker.name, worker.addr, plan.type, worker.zone)
 
     def next_time(self) -> float:
-        """Return the time, later than all times before, so that what follows from a row is recorded after it."""
+        """Return the current time in seconds, later than any time returned before.
+
+        Distinct times keep the events of tasks in the order of cause and effect when the records are sorted.
+        """
         self._last_time = max(self.clock(), self._last_time + MIN_TIME_STEP_S)
         return self._last_time
 
@@ -85,12 +91,19 @@
             for worker in self.workers.values():
                 worker.expire_lease()
 
-    # the rendezvous ---------------------------------------------------------------------------------------
+    # messages of the rendezvous ---------------------------------------------------------------------------
 
     def request_description(self, job: str, index: int, attempt: int, handler: DescriptionHandler) -> None:
-        """Have a handler called with the description of a job.
+        """Call a handler with the description of a job, as soon as the description is known.
 
-        The first attempt of a known job is described at once; an earlier attempt of any other may have a result.
+        A first attempt of a job with a known description needs no request to the rendezvous. For any later attempt,
+        the rendezvous has to tell whether an earlier attempt has completed the task.
+
+        Args:
+            job: The id of the job.
+            index: The index of the task in the job.
+            attempt: The number of the attempt, from 1.
+            handler: Receives the description, and whether an earlier attempt has completed the task.
         """
         spec = self._specs.get(job)
         if spec is not None and attempt == 1:
@@ -101,52 +114,52 @@
             self.channel.send("want", job, index, attempt)
         handlers.append(handler)
 
-    def join_gang(self, worker: HollowWorker, held: HollowTask) -> None:
-        """Have a member of a gang wait for the others."""
-        spec = held.spec
+    def join_gang(self, worker: HollowWorker, task: HollowTask) -> None:
+        """Register a member of a gang with the rendezvous as waiting for the other members."""
+        spec = task.spec
         assert spec is not None
-        self._gangs[held.job, held.status.attempt].append((worker, held))
-        self.channel.send("wait", held.job, held.status.attempt, held.index, spec.tasks, spec.estimate_s)
+        self._gangs[task.job, task.status.attempt].append((worker, task))
+        self.channel.send("wait", task.job, task.status.attempt, task.index, spec.tasks, spec.estimate_s)
 
-    def leave_gang(self, held: HollowTask) -> None:
-        """Tell the rendezvous that a member of a gang is gone."""
-        self.channel.send("gone", held.job, held.status.attempt, held.index)
+    def leave_gang(self, task: HollowTask) -> None:
+        """Notify the rendezvous that a member of a gang has ended."""
+        self.channel.send("gone", task.job, task.status.attempt, task.index)
 
     def _handle(self, message: Message) -> None:
         what, *rest = message
         if what == "job":
             self._job_described(*rest)
         elif what == "run":
-            for worker, held in self._gangs[rest[0], rest[1]]:
-                worker.gang_started(held)
+            for worker, task in self._gangs[rest[0], rest[1]]:
+                worker.gang_started(task)
         elif what == "over":
-            for worker, held in self._gangs.pop((rest[0], rest[1]), ()):
-                worker.finish(held, ExitReason.DONE)
+            for worker, task in self._gangs.pop((rest[0], rest[1]), ()):
+                worker.finish(task, ExitReason.DONE)
         elif what == "gone":
-            for worker, held in self._gangs.pop((rest[0], rest[1]), ()):
-                gevent.spawn_later(self.plan.gang_peer_s, worker.finish, held, ExitReason.PEERS)
+            for worker, task in self._gangs.pop((rest[0], rest[1]), ()):
+                gevent.spawn_later(self.plan.gang_peer_s, worker.finish, task, ExitReason.PEERS)
         elif what == "lose":
             for name in rest[0]:
                 if (deleted := self.workers.pop(name, None)) is not None:
                     deleted.machine_deleted()
         else:
-            raise ValueError(f"unknown message {what!r}")
+            raise ValueError(f"unknown message from the gang rendezvous: {what!r}")
 
     def _job_described(self, job: str, index: int, attempt: int, raw: object, has_result: bool) -> None:
         spec = None if raw is None else self._specs.setdefault(job, msgspec.convert(raw, JobSpec))
         for handler in self._awaited.pop((job, index, attempt), ()):
             handler(spec, has_result)
 
-    # what was recorded ------------------------------------------------------------------------------------
+    # records ----------------------------------------------------------------------------------------------
 
     def counts(self) -> dict[str, Any]:
-        """Return the counters of all workers of this process so far; their names are part of the JSON figures."""
+        """Return the counters of all workers of this process; the JSON report contains them under their names."""
         workers = self.workers.values()
         traffic = [*self.heartbeat_traffic.values(), self.direct_traffic]
         return {
             "workers": len(workers),
             "answered": sum(worker.token > 0 for worker in workers),
-            "running": sum(h.status.state is TaskPhase.RUNNING for worker in workers for h in worker.tasks.values()),
+            "running": sum(t.status.state is TaskPhase.RUNNING for worker in workers for t in worker.tasks.values()),
             "answers": self.response_counts,
             "dropped": self.dropped_responses,
             "late_answers": self.late_responses,
@@ -162,5 +175,5 @@
         }
 
     def records(self) -> HollowRecords:
-        """Return what ran where and when, for the checker."""
+        """Return the records of all workers of this process, for `scale_check` and the report."""
         return HollowRecords(self.rows, self.unserved, list(self.sent_at), list(self.waits))
--- a/src/grebestand/load_test/hollow_worker.py
+++ b/src/grebestand/load_test/hollow_worker.py
@@ -1,6 +1,7 @@
-"""A hollow worker: it speaks the workers' protocol as a real worker would, and its tasks take time and do nothing.
+"""A hollow worker: speaks the workers' protocol like a real worker, but its tasks only wait for their run time.
 
-Heartbeats leave over a persistent connection; direct commands come to an address of the worker's own.
+The worker sends heartbeats over a persistent connection to a controller, and receives direct commands as requests to
+its own address.
 """
 
 from __future__ import annotations
@@ -31,20 +32,21 @@
 from .gang_rendezvous import MessageChannel
 from .records import HollowPlan, TaskRow, UnservedRequest
 
-#: a heartbeat is answered within this, in seconds
+#: timeout of a heartbeat
 RESPONSE_TIMEOUT_S = 4.0
-#: the pause before the next controller is tried, in seconds
+#: the pause after a failed heartbeat, before the next controller is tried
 NEXT_CONTROLLER_PAUSE_S = 1.0
-#: the shortest interval between heartbeats, in seconds; a redirect is followed within as long
+#: the shortest interval between heartbeats, and the longest delay before a redirect is followed
 MIN_INTERVAL_S = 0.5
-#: regular heartbeats are spread by this, as shares of their interval
+#: bounds of the random factor of the interval between heartbeats; the factor keeps workers out of step
 INTERVAL_JITTER = (0.75, 1.25)
+#: gigabytes of an image that a machine fetches per second
 FETCH_GB_PER_S = 2.0
-#: tasks of an array take between these shares of their owner's estimate
+#: bounds of the run time of a task of an array, as shares of the job's estimate
 RUN_TIME_JITTER = (0.7, 1.3)
-#: amounts of CPUs that differ by less are equal
+#: numbers of CPUs that differ by less count as equal
 CPU_TOLERANCE = 1e-6
-#: connections of direct commands that wait to be taken
+#: connections for direct commands that may wait to be accepted
 DIRECT_BACKLOG = 8
 
 _encoder = msgspec.json.Encoder()
@@ -58,13 +60,14 @@
     """A task on a hollow worker.
 
     Attributes:
-        status: its status, as heartbeats have it.
-        job: the id of its job.
-        index: its index in the job.
-        spec: the description of the job, once it is known.
-        on: whether it is recorded as on the machine.
-        on_at: since when; it ends after that, also if its lease had expired by then.
-        has_result: whether an earlier attempt has done the task, so that its result is kept.
+        status: The status of the task in heartbeats.
+        job: The id of the task's job.
+        index: The index of the task in its job.
+        spec: The description of the job; None until the rendezvous has sent the description.
+        on_machine: Whether the task is recorded as on the machine.
+        on_machine_since: When the task was recorded as on the machine, in seconds. The end of the task is never
+            recorded earlier, even if the worker's lease had expired by then.
+        has_result: Whether an earlier attempt has completed the task, so that this attempt ends at once.
     """
 
     status: TaskStatus
@@ -76,12 +79,12 @@
     has_result: bool = False
 
 
-#: gets the description of a job, None if there is none, and whether the result of the task is kept
+#: receives the description of a job, None if the job is unknown, and whether the task has been completed before
 DescriptionHandler = Callable[[JobSpec | None, bool], None]
 
 
 class WorkerHost(Protocol):
-    """What a worker needs of the process that plays it; its attributes are described at `HollowProcess`."""
+    """The interface of the process of hollow workers that its workers use; `HollowProcess` describes the attributes."""
 
     plan: HollowPlan
     clock: Callable[[], float]
@@ -100,29 +103,29 @@
     direct_requests: int
 
     def next_time(self) -> float:
-        """Return the time, later than all times before."""
+        """Return the current time in seconds, later than any time returned before."""
 
     def request_description(self, job: str, index: int, attempt: int, handler: DescriptionHandler) -> None:
-        """Have a handler called with the description of a job."""
+        """Call a handler with the description of a job, as soon as the description is known."""
 
-    def join_gang(self, worker: HollowWorker, held: HollowTask) -> None:
-        """Have a member of a gang wait for the others."""
+    def join_gang(self, worker: HollowWorker, task: HollowTask) -> None:
+        """Register a member of a gang as waiting for the other members."""
 
-    def leave_gang(self, held: HollowTask) -> None:
-        """Tell the rendezvous that a member of a gang is gone."""
+    def leave_gang(self, task: HollowTask) -> None:
+        """Notify the rendezvous that a member of a gang has ended."""
 
 
 class HollowWorker:
-    """One worker of a process of hollow workers."""
+    """A hollow worker, one of many in a process of hollow workers."""
 
     def __init__(self, process: WorkerHost, name: str, host: str, zone: str) -> None:
-        """Serve direct commands; heartbeats begin with `run`.
+        """Start to serve direct commands; `send_heartbeats` starts the heartbeats.
 
         Args:
-            process: the process that plays this worker.
-            name: the name of its machine.
-            host: the loopback host of its machine.
-            zone: the zone of its machine.
+            process: The process that this worker runs in.
+            name: The name of the worker's machine.
+            host: The loopback host that the worker listens on for direct commands.
+            zone: The zone of the worker's machine.
         """
         self.process = process
         self.plan = process.plan
@@ -130,15 +133,17 @@
         self.zone = zone
         self.tasks: dict[tuple[str, int], HollowTask] = {}
         self.images: set[str] = set()
-        #: tasks that wait for an image which is being fetched
+        #: by image that is being fetched, the tasks that wait for the image
         self.fetching: dict[str, list[HollowTask]] = {}
         self.used_cpus = 0.0
         self.epoch, self.sequence, self.token = 1, 0, 0
-        #: when the last answered heartbeat was sent, or the epoch began
+        #: when the last answered heartbeat was sent or the epoch began, whichever is later, in seconds
         self.lease_started_at = process.clock()
+        #: when a heartbeat was last requested early because the token had changed, in seconds
+        #: when a heartbeat was last requested early because the token had changed, in seconds
         self.token_sent_at = -1e9
         self.deleted = False
-        #: whether this epoch's tasks have changed since the last heartbeat
+        #: set when tasks, token or epoch have changed, so that the next heartbeat is sent without waiting
         self.state_changed = Event()
         self.controller = process.rng.choice(list(self.plan.controllers))
         address = self.plan.controllers[self.controller]
@@ -153,138 +158,153 @@
 
     # tasks ------------------------------------------------------------------------------------------------
 
-    def _record(self, what: str, held: HollowTask, why: str = "", at: float | None = None) -> None:
-        when = self.process.next_time() if at is None else max(at, held.on_machine_since)
-        self.process.rows.append(TaskRow(when, what, held.job, held.index, held.status.attempt, self.name, why))
+    def _record(self, what: str, task: HollowTask, why: str = "", at: float | None = None) -> None:
+        when = self.process.next_time() if at is None else max(at, task.on_machine_since)
+        self.process.rows.append(TaskRow(when, what, task.job, task.index, task.status.attempt, self.name, why))
 
-    def _start_task(self, task: str, attempt: int) -> None:
-        if (task, attempt) in self.tasks:
+    def _start_task(self, task_name: str, attempt: int) -> None:
+        if (task_name, attempt) in self.tasks:
             return
-        job, index = split_task(task)
+        job, index = split_task(task_name)
         busy = any(
-            held.status.task == task and held.status.state is not TaskPhase.EXITED for held in self.tasks.values()
+            task.status.task == task_name and task.status.state is not TaskPhase.EXITED for task in self.tasks.values()
+        )
+        task = self.tasks[task_name, attempt] = HollowTask(
+            TaskStatus(task_name, attempt, TaskPhase.FETCHING), job, index
         )
-        held = self.tasks[task, attempt] = HollowTask(TaskStatus(task, attempt, TaskPhase.FETCHING), job, index)
         self.state_changed.set()
         if busy:
-            held.status.state, held.status.why = TaskPhase.EXITED, ExitReason.BUSY
+            task.status.state, task.status.why = TaskPhase.EXITED, ExitReason.BUSY
         else:
             self.process.request_description(
-                job, index, attempt, lambda spec, has_result: self._fetch_image(held, spec, has_result)
+                job, index, attempt, lambda spec, has_result: self._fetch_image(task, spec, has_result)
             )
 
-    def _fetch_image(self, held: HollowTask, spec: JobSpec | None, has_result: bool) -> None:
-        """Go on with a task whose job is described."""
+    def _fetch_image(self, task: HollowTask, spec: JobSpec | None, has_result: bool) -> None:
+        """Fetch the image of a task, once the description of its job is known, and then begin the task.
+
+        The task ends instead if its job is unknown or the machine has too few free CPUs.
+        """
         self.expire_lease()
-        if held.status.state is not TaskPhase.FETCHING or not self._is_current(held):
+        if task.status.state is not TaskPhase.FETCHING or not self._is_current(task):
             return
         if spec is None:
-            self._exit(held, ExitReason.UNKNOWN)
+            self._exit(task, ExitReason.UNKNOWN)
             return
         if self.used_cpus + spec.cpus > self.plan.cpus + CPU_TOLERANCE:
-            self._exit(held, ExitReason.NO_ROOM)
+            self._exit(task, ExitReason.NO_ROOM)
             return
-        held.spec = spec
+        task.spec = spec
         self.used_cpus += spec.cpus
-        held.has_result = has_result
+        task.has_result = has_result
         if spec.image in self.images:
-            self._begin(held)
+            self._begin(task)
         elif spec.image in self.fetching:
-            self.fetching[spec.image].append(held)
+            self.fetching[spec.image].append(task)
         else:
-            self.fetching[spec.image] = [held]
+            self.fetching[spec.image] = [task]
             gevent.spawn_later(spec.image_gb / FETCH_GB_PER_S, self._image_fetched, spec.image)
 
-    def _is_current(self, held: HollowTask) -> bool:
-        """Return whether a task is still there: leases expire, and commands come, while something is awaited."""
-        return self.tasks.get((held.status.task, held.status.attempt)) is held
+    def _is_current(self, task: HollowTask) -> bool:
+        """Return whether the worker still has this task.
+
+        A lease that expires or a command may remove a task while its job's description, its image or the other
+        members of its gang are awaited.
+        """
+        return self.tasks.get((task.status.task, task.status.attempt)) is task
 
     def _image_fetched(self, image: str) -> None:
         self.images.add(image)
         self.expire_lease()
-        for held in self.fetching.pop(image, ()):
-            if held.status.state is TaskPhase.FETCHING and self._is_current(held):
-                self._begin(held)
+        for task in self.fetching.pop(image, ()):
+            if task.status.state is TaskPhase.FETCHING and self._is_current(task):
+                self._begin(task)
 
-    def _begin(self, held: HollowTask) -> None:
-        """Begin a task that has its image: a member of a gang waits for the others, any other task runs."""
-        spec = held.spec
+    def _begin(self, task: HollowTask) -> None:
+        """Begin a task whose image is available: a member of a gang waits for the others, any other task runs."""
+        spec = task.spec
         assert spec is not None
-        held.on_machine = True
-        self._record("on", held)
-        held.on_machine_since = self.process.next_time()
+        task.on_machine = True
+        self._record("on", task)
+        task.on_machine_since = self.process.next_time()
         self.state_changed.set()
-        if held.has_result:
-            self._exit(held, ExitReason.DONE)
+        if task.has_result:
+            self._exit(task, ExitReason.DONE)
         elif spec.kind is Kind.GANG:
-            held.status.state = TaskPhase.WAITING
-            self.process.join_gang(self, held)
-            gevent.spawn_later(self.plan.gang_wait_s, self._end_if_alone, held)
+            task.status.state = TaskPhase.WAITING
+            self.process.join_gang(self, task)
+            gevent.spawn_later(self.plan.gang_wait_s, self._end_if_alone, task)
         else:
-            held.status.state = TaskPhase.RUNNING
-            self._record("run", held)
+            task.status.state = TaskPhase.RUNNING
+            self._record("run", task)
             if spec.kind is Kind.ARRAY:
                 run_s = spec.estimate_s * self.process.rng.uniform(*RUN_TIME_JITTER)
-                gevent.spawn_later(run_s, self.finish, held, ExitReason.DONE)
+                gevent.spawn_later(run_s, self.finish, task, ExitReason.DONE)
 
-    def _end_if_alone(self, held: HollowTask) -> None:
+    def _end_if_alone(self, task: HollowTask) -> None:
         self.expire_lease()
-        if held.status.state is TaskPhase.WAITING and self._is_current(held):
-            self._exit(held, ExitReason.ALONE)
+        if task.status.state is TaskPhase.WAITING and self._is_current(task):
+            self._exit(task, ExitReason.ALONE)
 
-    def gang_started(self, held: HollowTask) -> None:
-        """Run a member of a gang whose members are all there."""
+    def gang_started(self, task: HollowTask) -> None:
+        """Change a waiting member of a gang to running, as all members of the gang are now waiting."""
         self.expire_lease()
-        if held.status.state is TaskPhase.WAITING and self._is_current(held):
-            held.status.state = TaskPhase.RUNNING
-            self._record("run", held)
+        if task.status.state is TaskPhase.WAITING and self._is_current(task):
+            task.status.state = TaskPhase.RUNNING
+            self._record("run", task)
             self.state_changed.set()
 
-    def finish(self, held: HollowTask, why: ExitReason) -> None:
-        """End a running task by itself, if it is still there."""
+    def finish(self, task: HollowTask, why: ExitReason) -> None:
+        """End a running task for a reason other than a command; do nothing if the worker no longer runs the task."""
         self.expire_lease()
-        if held.status.state is TaskPhase.RUNNING and self._is_current(held):
-            self._exit(held, why)
+        if task.status.state is TaskPhase.RUNNING and self._is_current(task):
+            self._exit(task, why)
 
-    def _exit(self, held: HollowTask, why: ExitReason) -> None:
-        held.status.state, held.status.why = TaskPhase.EXITED, why
+    def _exit(self, task: HollowTask, why: ExitReason) -> None:
+        task.status.state, task.status.why = TaskPhase.EXITED, why
         self.state_changed.set()
-        self._release(held, why.value)
-        if why is ExitReason.DONE and held.spec is not None and held.spec.kind is not Kind.GANG:
-            self.process.channel.send("done", held.job, held.index)
-
-    def _release(self, held: HollowTask, why: str, at: float | None = None) -> None:
-        """Free what a task takes up."""
-        if held.spec is not None:
-            self.used_cpus -= held.spec.cpus
-            if held.spec.kind is Kind.GANG and why != ExitReason.DONE:
-                self.process.leave_gang(held)
-        if held.on_machine:
-            held.on_machine = False
-            self._record("off", held, why, at)
+        self._release(task, why.value)
+        if why is ExitReason.DONE and task.spec is not None and task.spec.kind is not Kind.GANG:
+            self.process.channel.send("done", task.job, task.index)
+
+    def _release(self, task: HollowTask, why: str, at: float | None = None) -> None:
+        """Free the CPUs of a task, leave its gang, and record that the task has left the machine.
+
+        Args:
+            task: The task.
+            why: The reason to record.
+            at: When the task ended, in seconds; None for now.
+        """
+        if task.spec is not None:
+            self.used_cpus -= task.spec.cpus
+            if task.spec.kind is Kind.GANG and why != ExitReason.DONE:
+                self.process.leave_gang(task)
+        if task.on_machine:
+            task.on_machine = False
+            self._record("off", task, why, at)
 
     def machine_deleted(self) -> None:
-        """End everything, as the cloud has deleted the machine."""
+        """End all tasks, heartbeats and the server for direct commands, as the cloud has deleted the machine."""
         self.deleted = True
         self.state_changed.set()
         self.server.stop(timeout=0.1)
-        for held in self.tasks.values():
-            self._release(held, "machine gone")
+        for task in self.tasks.values():
+            self._release(task, "machine gone")
 
-    # leases, tokens and commands --------------------------------------------------------------------------
+    # lease, token and commands ----------------------------------------------------------------------------
 
     def expire_lease(self) -> None:
         """End all tasks and begin the next epoch if the lease has expired.
 
-        Whatever happens on a worker calls this first, so that nothing later than the lease changes its tasks.
+        Each method that changes tasks calls this method first, so that no task continues after the end of the lease.
         """
         lease_end = self.lease_started_at + self.plan.lease_s
         if self.process.clock() <= lease_end:
             return
-        for held in self.tasks.values():
-            if held.status.state is not TaskPhase.EXITED:
-                held.status.state = TaskPhase.EXITED
-                self._release(held, "lease", at=lease_end)
+        for task in self.tasks.values():
+            if task.status.state is not TaskPhase.EXITED:
+                task.status.state = TaskPhase.EXITED
+                self._release(task, "lease", at=lease_end)
         self.process.expired_leases += 1
         self.tasks.clear()
         self.fetching.clear()
@@ -294,7 +314,10 @@
         self.state_changed.set()
 
     def _execute(self, token: int, commands: list[Command]) -> None:
-        """Note the token of a leader and execute its commands."""
+        """Record the token of a leader and execute the leader's commands.
+
+        A higher token is reported early, but at most once in half a lease.
+        """
         if token > self.token:
             self.token = token
             now = self.process.clock()
@@ -305,12 +328,12 @@
             if command.op == "start":
                 self._start_task(command.task, command.attempt)
                 continue
-            held = self.tasks.get((command.task, command.attempt))
-            if held is None:
+            task = self.tasks.get((command.task, command.attempt))
+            if task is None:
                 continue
-            if command.op == "stop" and held.status.state is not TaskPhase.EXITED:
-                self._exit(held, ExitReason.STOPPED)
-            elif command.op == "forget" and held.status.state is TaskPhase.EXITED:
+            if command.op == "stop" and task.status.state is not TaskPhase.EXITED:
+                self._exit(task, ExitReason.STOPPED)
+            elif command.op == "forget" and task.status.state is TaskPhase.EXITED:
                 del self.tasks[command.task, command.attempt]
 
     def heartbeat(self) -> Heartbeat:
@@ -326,11 +349,16 @@
             sequence=self.sequence,
             token=self.token,
             notice_s=None,
-            tasks=[held.status for held in self.tasks.values()],
+            tasks=[task.status for task in self.tasks.values()],
         )
 
     def _answer_direct(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-        """Answer a request to this worker's own address."""
+        """Handle a request to the worker's own address.
+
+        Returns:
+            The status and the body of the response. Commands with an old token or for another epoch are rejected
+            with status 409.
+        """
         self.expire_lease()
         self.process.direct_requests += 1
         if method == "GET" and path == "/show":
@@ -349,7 +377,7 @@
     # heartbeats -------------------------------------------------------------------------------------------
 
     def send_heartbeats(self) -> None:
-        """Send heartbeats for as long as the machine is there."""
+        """Send heartbeats until the machine is deleted."""
         process, rng = self.process, self.process.rng
         gevent.sleep(rng.uniform(0.0, self.plan.report_s))
         while not self.deleted:
@@ -363,7 +391,7 @@
                 self.state_changed.wait(max(0.0, regular_at - process.clock()))
             else:
                 gevent.sleep(retry_s)
-                # what the failed heartbeat had is still to be sent
+                # the changes that the failed heartbeat reported are still unreported
                 self.state_changed.set()
         self.connection.close()
 
@@ -371,7 +399,7 @@
         """Send one heartbeat and process the response.
 
         Returns:
-            The pause before another try, in seconds, or None if a leader's response came.
+            The pause before a retry, in seconds, or None if a leader answered.
         """
         process = self.process
         body = _encoder.encode(self.heartbeat())
@@ -386,7 +414,7 @@
             return self._try_next_controller()
         waited_s = process.clock() - sent_at
         if waited_s > RESPONSE_TIMEOUT_S:
-            # the response came in time, but this process was late: a real worker would have given it up
+            # this process was too busy to read the response in time; a real worker would have timed out
             counts["timeout"] += 1
             process.late_responses += 1
             return self._try_next_controller()
@@ -402,7 +430,16 @@
         return None
 
     def _process_response(self, response: HeartbeatResponse, epoch: int, sent_at: float, waited_s: float) -> None:
-        """Renew the lease and execute the commands, unless the response is of an old leader or for an old epoch."""
+        """Renew the lease and execute the commands of a response.
+
+        A response from an earlier leader or for an earlier epoch is dropped.
+
+        Args:
+            response: The response of a leader.
+            epoch: The epoch in which the heartbeat was sent.
+            sent_at: When the heartbeat was sent, in seconds.
+            waited_s: The time from the heartbeat to its response, in seconds.
+        """
         self.expire_lease()
         if response.token < self.token or epoch != self.epoch:
             self.process.dropped_responses += 1
--- a/src/grebestand/load_test/job_generator.py
+++ b/src/grebestand/load_test/job_generator.py
@@ -1,4 +1,4 @@
-"""The jobs of a scale run, drawn from a seed alone."""
+"""Generates the jobs of a scale run, which depend only on the plan and its seed."""
 
 from __future__ import annotations
 
@@ -9,45 +9,56 @@
 from ..wire.jobs import JobSpec, Kind, Priority
 from .records import JobRow, LoadPlan
 
+#: the number of different container images of all jobs
 IMAGES = 8
 IMAGE_GB = 0.2
 CPUS_PER_TASK = 1.0
 MEMORY_GB_PER_TASK = 1.0
-#: the shares of gangs among ordinary and among urgent jobs
+#: the share of gangs among ordinary jobs
 GANG_SHARE = 0.3
+#: the share of gangs among urgent jobs
 URGENT_GANG_SHARE = 0.5
-#: the share of ordinary jobs whose users do not look whether their team has capacity left
+#: the share of ordinary jobs that are submitted even if other jobs have used up the limit of their team
 LIMIT_IGNORING_SHARE = 0.15
-#: tasks of a job, at least and at most: their logarithms are spread evenly
+#: the smallest and the largest number of tasks of an ordinary array; all numbers of tasks are log-uniform
 ARRAY_TASKS = (64, 512)
+#: the smallest and the largest number of tasks of an ordinary gang
 GANG_TASKS = (2, 128)
+#: the smallest and the largest number of tasks of an urgent job
 URGENT_TASKS = (1, 128)
-#: teams that are drawn at random before the one with the largest free limit is taken
+#: the number of teams drawn at random before the team with the most free capacity is taken
 TEAM_DRAWS = 40
 
 
 class JobGenerator:
-    """Draws jobs whose sizes, teams and kinds follow from the seed of a plan."""
+    """Draws jobs with random sizes, teams and kinds from the seed of a plan."""
 
     def __init__(self, plan: LoadPlan) -> None:
-        """Start with the first job of the plan's seed."""
+        """Start the sequence of jobs of the plan's seed."""
         self.plan = plan
         self.rng = random.Random(plan.seed)
         self.count = 0
-        #: of each team, tasks that are asked for and not done
+        #: by team, the number of tasks that were submitted and are not done
         self.open_tasks: dict[str, int] = defaultdict(int)
 
     def next_job(self, *, urgent: bool) -> tuple[JobSpec, JobRow]:
-        """Draw a job and the row that records what becomes of it."""
+        """Draw a job.
+
+        Args:
+            urgent: Whether to draw an urgent job or an ordinary one.
+
+        Returns:
+            The description of the job, and the row for the responses that the job's user will receive.
+        """
         rng = self.rng
         gang = rng.random() < (URGENT_GANG_SHARE if urgent else GANG_SHARE)
         tasks = self._draw_size(gang, urgent)
-        team = self._draw_team(tasks, careless=not urgent and rng.random() < LIMIT_IGNORING_SHARE, gang=gang)
+        team = self._draw_team(tasks, ignore_used=not urgent and rng.random() < LIMIT_IGNORING_SHARE, gang=gang)
         while team is None:
             tasks = max(1, tasks // 2)
-            team = self._draw_team(tasks, careless=False, gang=gang)
+            team = self._draw_team(tasks, ignore_used=False, gang=gang)
         self.count += 1
-        # arguments are evaluated in this order, and thereby drawn in it
+        # the order of the arguments is the order of the random draws: another order would generate other jobs
         spec = JobSpec(
             id=f"j-{self.count:06d}",
             klass="urgent" if urgent else "batch",
@@ -78,22 +89,22 @@
         least = min(least, most)
         return round(math.exp(self.rng.uniform(math.log(least), math.log(most))))
 
-    def _draw_team(self, tasks: int, *, careless: bool, gang: bool) -> str | None:
+    def _draw_team(self, tasks: int, *, ignore_used: bool, gang: bool) -> str | None:
         """Draw a team whose limit has capacity left for all tasks.
 
         Args:
-            tasks: the number of tasks.
-            careless: the limit may be used up by other jobs.
-            gang: the limit has to allow all tasks at a time.
+            tasks: The number of tasks.
+            ignore_used: Whether to accept a team whose limit other jobs have used up.
+            gang: Whether the limit of the team has to allow all tasks at the same time.
 
         Returns:
-            The team, or None if no team's limit allows that many tasks.
+            The name of the team, or None if the tasks are a gang larger than the limit of every team.
         """
         names = list(self.plan.teams)
         for _ in range(TEAM_DRAWS):
             team = self.rng.choice(names)
             limit = self.plan.teams[team]
-            if (careless and (not gang or tasks <= limit)) or self.open_tasks[team] + tasks <= limit:
+            if (ignore_used and (not gang or tasks <= limit)) or self.open_tasks[team] + tasks <= limit:
                 return team
         allowed = [name for name in names if not gang or tasks <= self.plan.teams[name]]
         return max(allowed, key=lambda name: self.plan.teams[name] - self.open_tasks[name]) if allowed else None
--- a/src/grebestand/load_test/records.py
+++ b/src/grebestand/load_test/records.py
@@ -1,6 +1,6 @@
-"""What the processes of a scale run give each other as files: their plans, and what they have recorded.
+"""Structures that the processes of a scale run exchange: configurations of child processes, and their records.
 
-All times are seconds of the steady clock that the processes of a computer share.
+All times are seconds of the monotonic clock, which all processes of a host share.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 
 
 class HollowPlan(msgspec.Struct):
-    """The workers that a process plays, and what surrounds them.
+    """The configuration of a process of hollow workers.
 
     Attributes:
-        machines: name, loopback host and zone of each machine.
-        type: the name of their machine type.
-        cpus: CPUs of each machine.
-        controllers: names and addresses of the controllers.
-        meeting: the address of the gang rendezvous.
-        report_s: the interval between heartbeats, in seconds.
-        lease_s: the time to live of a worker's lease, in seconds.
-        gang_wait_s: how long a task waits for the rest of its gang, in seconds.
-        gang_peer_s: how long a gang runs on without one of its tasks, in seconds.
-        seed: what delays and run times are drawn from.
+        machines: Name, loopback host and zone of each machine.
+        type: The name of the machine type of all machines.
+        cpus: The number of CPUs of each machine.
+        controllers: The address of each controller, by its name.
+        meeting: The address of the gang rendezvous.
+        report_s: The interval between heartbeats, in seconds.
+        lease_s: The time to live of a worker's lease, in seconds.
+        gang_wait_s: How long a task waits for the other members of its gang, in seconds.
+        gang_peer_s: How long the other members of a gang continue to run after one has ended early, in seconds.
+        seed: The seed of delays and run times.
     """
 
     machines: list[tuple[str, str, str]]
@@ -37,17 +37,17 @@
 
 
 class LoadPlan(msgspec.Struct):
-    """What users ask for.
+    """The configuration of the process of users: the load that they offer.
 
     Attributes:
-        controllers: names and addresses of the controllers.
-        meeting: the address of the gang rendezvous, which keeps the descriptions of jobs.
-        teams: each team's limit, in CPUs.
-        rate: starts of tasks a second in the mean, by ordinary jobs.
-        urgent_rate: urgent jobs a second in the mean.
-        task_s: the shortest and the longest run time of a task, in seconds.
-        most_tasks: no job has more tasks.
-        seed: what jobs and times are drawn from.
+        controllers: The address of each controller, by its name.
+        meeting: The address of the gang rendezvous, which stores the descriptions of jobs.
+        teams: The limit of each team, in CPUs.
+        rate: The mean number of tasks per second that ordinary jobs start.
+        urgent_rate: The mean number of urgent jobs per second.
+        task_s: The shortest and the longest run time of a task, in seconds.
+        most_tasks: The largest number of tasks of a job.
+        seed: The seed of jobs and times.
     """
 
     controllers: dict[str, str]
@@ -61,7 +61,17 @@
 
 
 class TaskRow(msgspec.Struct, array_like=True):
-    """What happened to a task on a machine: "on" (it has its image), "run" or "off", the latter with a reason."""
+    """An event of a task on a machine.
+
+    Attributes:
+        at: When the event happened, in seconds.
+        what: "on" (the task has its image and occupies the machine), "run" (the task runs) or "off" (the task ended).
+        job: The id of the job.
+        index: The index of the task in the job.
+        attempt: The number of the attempt, from 1.
+        machine: The name of the machine.
+        why: The reason of an "off" event, empty for others.
+    """
 
     at: float
     what: str
@@ -73,7 +83,13 @@
 
 
 class UnservedRequest(msgspec.Struct, array_like=True):
-    """A new connection over which no answer came to the first request."""
+    """A new connection whose first request got no response.
+
+    Attributes:
+        at: When the request failed, in seconds.
+        controller: The name of the controller.
+        kind: The kind of failure, as in `NoResponseError`.
+    """
 
     at: float
     controller: str
@@ -81,13 +97,13 @@
 
 
 class HollowRecords(msgspec.Struct):
-    """All that a process of hollow workers has recorded.
+    """The records of a process of hollow workers.
 
     Attributes:
-        rows: what happened to tasks.
-        unserved: new connections without an answer.
-        sent_at: when each answered heartbeat was sent.
-        waits: for how long its worker waited for the answer, in seconds.
+        rows: The events of tasks.
+        unserved: New connections whose first request got no response.
+        sent_at: When each answered heartbeat was sent, in seconds.
+        waits: The time from each answered heartbeat to its response, in seconds, in the order of `sent_at`.
     """
 
     rows: list[TaskRow]
@@ -97,20 +113,20 @@
 
 
 class JobRow(msgspec.Struct):
-    """A job as its user saw it.
+    """A job, and the responses that its user received.
 
     Attributes:
-        id: the job's id.
-        team: the team that submits it.
-        tasks: the number of its tasks.
-        cpus: CPUs of each task.
-        gang: whether its tasks run together or not at all.
-        urgent: whether it counts for the objective of urgent jobs.
-        asked_at: when it was submitted first.
-        accepted_at: when a submission was accepted.
-        done_at: when a poll showed it as done.
-        last: the status of the answer to the last request, "0" for none.
-        wrong: in words, an answer that contradicts an earlier one.
+        id: The id of the job.
+        team: The team that submits the job.
+        tasks: The number of tasks of the job.
+        cpus: The number of CPUs of each task.
+        gang: Whether all tasks have to run at the same time.
+        urgent: Whether the waiting time of the job counts in the figures of urgent jobs.
+        asked_at: When the job was first submitted, in seconds.
+        accepted_at: When a submission was accepted, in seconds; None if none was.
+        done_at: When a poll first showed the job as done, in seconds; None if none did.
+        last: The status of the response to the last request, "0" without a response.
+        wrong: A description of a response that contradicts an earlier one; empty if there was none.
     """
 
     id: str
@@ -127,7 +143,12 @@
 
 
 class UserRecords(msgspec.Struct):
-    """All that users have recorded."""
+    """The records of the process of users.
+
+    Attributes:
+        jobs: All jobs that were submitted.
+        unserved: New connections whose first request got no response.
+    """
 
     jobs: list[JobRow]
     unserved: list[UnservedRequest]
--- a/src/grebestand/load_test/scale_check.py
+++ b/src/grebestand/load_test/scale_check.py
@@ -1,6 +1,7 @@
-"""Checks a scale run against the rules by what hollow workers and users saw, and nothing of the scheduler.
+"""Checks a scale run against the rules, using the records of hollow workers and users but no state of the scheduler.
 
-A task is on a machine from "on" to "off". Rows of different processes are of one clock.
+A task is on a machine from its event "on" to its event "off". The events of all processes have times of one clock, so
+they can be sorted together.
 """
 
 from __future__ import annotations
@@ -11,20 +12,21 @@
 
 from .records import JobRow, TaskRow
 
-#: amounts of CPUs that differ by less are equal
+#: numbers of CPUs that differ by less count as equal
 CPU_TOLERANCE = 1e-6
 
 
 @dataclass
 class ScaleVerdict:
-    """What is wrong with a run.
+    """The violations of the rules in a run.
 
     Attributes:
-        twice: starts of tasks that were on another machine at the time.
-        lost: jobs that were lost.
-        over_quota: times at which a team went over its limit.
-        unfinished: accepted jobs that were known at the end, and not done by then.
-        faults: each thing that is wrong, in words.
+        twice: The number of times a task was put on a machine while it was on another machine.
+        lost: The number of jobs that were lost or contradicted, plus events of tasks whose job no user submitted.
+        over_quota: The number of times a team's use of CPUs rose above the team's limit.
+        unfinished: The number of accepted jobs that the controllers still knew at the end of the run, but that were
+            not done; this is no violation.
+        faults: A description of each violation.
     """
 
     twice: int = 0
@@ -35,24 +37,24 @@
 
     @property
     def good(self) -> bool:
-        """Whether nothing ran twice, was lost or exceeded a quota."""
+        """Whether no task ran twice at a time, no job was lost, and no team exceeded its limit."""
         return not (self.twice or self.lost or self.over_quota)
 
 
 class _Checker:
-    """Follows all tasks in the order of time: where they are, and what their teams use."""
+    """Replays the events of all tasks in order of time, and tracks the tasks' machines and the teams' use of CPUs."""
 
     def __init__(self, jobs: list[JobRow], limits: dict[str, float]) -> None:
         self.verdict = ScaleVerdict()
         self.jobs = {job.id: job for job in jobs}
         self.limits = limits
-        #: the machines that a task is on, by job and index
+        #: by job and index of a task, the machines that the task is on
         self.machines: dict[tuple[str, int], list[str]] = defaultdict(list)
         self.used_cpus: dict[str, float] = defaultdict(float)
         self.done_tasks: dict[str, set[int]] = defaultdict(set)
 
     def apply(self, row: TaskRow) -> None:
-        """Check and apply one row."""
+        """Check and apply one event."""
         job = self.jobs.get(row.job)
         if job is None:
             if row.what == "on":
@@ -86,8 +88,8 @@
         if row.why == "done":
             self.done_tasks[row.job].add(row.index)
 
-    def judge(self, job: JobRow) -> None:
-        """Check what became of an accepted job."""
+    def check_job(self, job: JobRow) -> None:
+        """Check the final state of an accepted job against the responses that its user received."""
         done = len(self.done_tasks[job.id])
         if job.wrong:
             self._add_lost(f"{job.id}: {job.wrong}")
@@ -105,18 +107,21 @@
 
 
 def check_run(rows: Iterable[TaskRow], jobs: list[JobRow], limits: dict[str, float]) -> ScaleVerdict:
-    """Check a run.
+    """Check a run against the rules.
 
     Args:
-        rows: what happened to tasks, in any order.
-        jobs: what users saw of their jobs.
-        limits: CPUs that each team may use at a time.
+        rows: The events of tasks, in any order.
+        jobs: The jobs with the responses that users received.
+        limits: The number of CPUs that each team may use at the same time.
+
+    Returns:
+        The violations that were found.
     """
     checker = _Checker(jobs, limits)
-    # what ends at a moment has ended before what begins then
+    # at equal times, an event "off" frees the CPUs before an event "on" uses them
     for row in sorted(rows, key=lambda row: (row.at, row.what != "off")):
         checker.apply(row)
     for job in jobs:
         if job.accepted_at is not None:
-            checker.judge(job)
+            checker.check_job(job)
     return checker.verdict
--- a/src/grebestand/load_test/scale_plan.py
+++ b/src/grebestand/load_test/scale_plan.py
@@ -1,4 +1,4 @@
-"""The plan of a scale run, and the controllers' settings that follow from it."""
+"""The plan of a scale run: the size of the cluster, its load, and the controllers' settings derived from them."""
 
 from __future__ import annotations
 
@@ -8,40 +8,41 @@
 ZONES = ("a", "b", "c", "d")
 MACHINE_TYPE = "m16"
 MACHINE_CPUS = 16.0
-#: limits of teams, in CPUs; the first has the largest, so that every gang is allowed somewhere
+#: the limits that teams may have, in CPUs; the first team has the largest, so that some team allows every gang
 TEAM_LIMITS_CPUS = (512.0, 256.0, 128.0, 64.0)
 #: the share of all CPUs that is guaranteed to teams
 GUARANTEED_SHARE = 0.5
-#: nothing is rented, returned or given up during a run: the machines are those of the plan
+#: keeps the set of machines constant during a run: no machine is rented, returned for idleness or declared dead
 POLICY_TOML = "rent = false\nidle_return_s = 1000000\ndead_after_s = 100000\n"
-#: one urgent job for so many starts of tasks a second, but no fewer than `LEAST_URGENT_RATE` a second
+#: the number of starts of tasks for which one urgent job is submitted
 STARTS_PER_URGENT_JOB = 400.0
+#: the lowest rate of urgent jobs, per second
 MIN_URGENT_RATE = 0.5
 
 
 @dataclass(frozen=True)
 class ScaleRunPlan:
-    """What is run.
+    """The size of the cluster, its load and its limits.
 
     Attributes:
-        workers: the number of hollow workers.
-        controllers: the number of controller processes.
-        teams: the number of teams.
-        rate: starts of tasks a second that are asked for.
-        seconds: for how long load is offered.
-        seed: what teams, jobs and hollow workers are drawn from.
-        hollow: the number of processes that the hollow workers share.
-        task_s: the shortest and the longest run time of a task, in seconds.
-        report_s: the interval between heartbeats of a worker, in seconds.
-        lease_s: the time to live of a worker's lease, in seconds.
-        gang_wait_s: how long a task waits for the rest of its gang, in seconds.
-        gang_peer_s: how long a gang runs on without one of its tasks, in seconds.
-        cancel_s: the controllers' setting of that name, in seconds.
-        sockets: the sockets that a controller may open.
-        state_rps: requests a second that the key-value store serves.
-        write_rps: puts and deletes a second that it serves.
-        value_kb: the largest value that it takes, in kilobytes.
-        txn_ops: the most operations of a transaction.
+        workers: The number of hollow workers.
+        controllers: The number of controller processes.
+        teams: The number of teams.
+        rate: The number of tasks per second that ordinary jobs request to start.
+        seconds: The duration of the load, in seconds.
+        seed: The seed of teams, jobs and hollow workers.
+        hollow: The number of processes that the hollow workers share.
+        task_s: The shortest and the longest run time of a task, in seconds.
+        report_s: The interval between heartbeats of a worker, in seconds.
+        lease_s: The time to live of a worker's lease, in seconds.
+        gang_wait_s: How long a task waits for the other members of its gang, in seconds.
+        gang_peer_s: How long the other members of a gang continue to run after one has ended early, in seconds.
+        cancel_s: The controllers' setting `cancel_s`, in seconds.
+        sockets: The largest number of sockets that a controller may open.
+        state_rps: The number of requests per second that the key-value store serves.
+        write_rps: The number of puts and deletes per second that the key-value store serves.
+        value_kb: The size of the largest value that the key-value store accepts, in kilobytes.
+        txn_ops: The largest number of operations in a transaction of the key-value store.
     """
 
     workers: int = 2600
@@ -65,12 +66,12 @@
 
     @property
     def cpus(self) -> float:
-        """CPUs of all workers."""
+        """The number of CPUs of all workers together."""
         return self.workers * MACHINE_CPUS
 
     @property
     def urgent_rate(self) -> float:
-        """Urgent jobs a second."""
+        """The mean number of urgent jobs that users submit per second."""
         return max(MIN_URGENT_RATE, self.rate / STARTS_PER_URGENT_JOB)
 
     def team_limits(self) -> dict[str, float]:
@@ -83,7 +84,7 @@
         }
 
     def settings_toml(self) -> str:
-        """Return the controllers' settings as TOML, without names and addresses."""
+        """Return the controllers' settings as TOML, without the names and addresses of controllers and services."""
         guarantee = GUARANTEED_SHARE * self.cpus / self.teams
         teams = "".join(
             f'[[params.teams]]\nname = "{name}"\ncpus = {min(guarantee, limit):.1f}\ncpus_max = {limit}\n'
--- a/src/grebestand/load_test/scale_report.py
+++ b/src/grebestand/load_test/scale_report.py
@@ -1,4 +1,4 @@
-"""The result of a scale run: its verdict, its figures as they are written to JSON, and the line that sums it up."""
+"""The result of a scale run: the verdict, the figures of the JSON report, and a one-line summary."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 from .scale_check import ScaleVerdict, check_run
 from .scale_plan import ScaleRunPlan
 
-#: the name of the process of the one worker that does not share its process with others
+#: the process of the one hollow worker that has a process of its own, so that its use of resources can be measured
 SINGLE_WORKER_PROCESS = "worker"
-#: the machine of that worker
+#: the machine of the hollow worker that has a process of its own
 SINGLE_WORKER_MACHINE = "n-000000"
-#: a killed controller is started again after this, in seconds
+#: a killed controller is restarted after this time
 RESTART_DELAY_S = 4.0
-#: a controller that was started again serves within this, in seconds
+#: a restarted controller accepts connections within this time
 RESTART_STARTUP_S = 6.0
-#: tolerance of the comparison of a kill with failed connections, in seconds: their times are of different processes
+#: failed connections up to this long before a kill count as caused by the kill: different processes take the times
 KILL_CLOCK_MARGIN_S = 0.5
-#: urgent jobs accepted less than this before the first kill, in seconds, do not count as before it
+#: urgent jobs accepted less than this before the first kill are left out of the figures of the time before the kill
 CALM_END_MARGIN_S = 6.0
-#: the calm window begins this long after the load, in seconds, but within `CALM_BEGIN_SHARE` of the load's duration
+#: the calm window begins this long after the load, to leave out the time until the load has settled
 CALM_BEGIN_S = 12.0
+#: the calm window begins at the latest after this share of the load's duration
 CALM_BEGIN_SHARE = 0.25
-#: the texts that are counted in the controllers' logs
+#: log messages of controllers that the report counts
 COUNTED_LOG_TEXTS = (
     "Too many open files", "could not be renewed in time", "Traceback", "rate budget exhausted",
 )  # fmt: skip
@@ -39,7 +40,7 @@
 
 @dataclass
 class ScaleRunResult:
-    """The verdict of a run, one line that sums it up, and all figures."""
+    """The verdict of a run, a one-line summary, and the figures of the JSON report."""
 
     verdict: ScaleVerdict
     summary_line: str
@@ -48,7 +49,13 @@
 
 @dataclass
 class ControllerKill:
-    """A controller that the run killed, the role that it had, and when, in seconds of the run's clock."""
+    """A controller that the run killed.
+
+    Attributes:
+        name: The name of the controller.
+        role: The role of the controller at the time: "leader", or "answering" for a follower.
+        at: When the controller was killed, in seconds of the run's clock.
+    """
 
     name: str
     role: str
@@ -57,36 +64,44 @@
 
 @dataclass
 class ScaleRunHistory:
-    """What hollow workers and users have recorded, of all processes together."""
+    """The merged records of all processes of hollow workers and of the users.
+
+    Attributes:
+        rows: The events of tasks.
+        unserved: New connections whose first request got no response.
+        sent_at: When each answered heartbeat was sent, in seconds of the run's clock.
+        waits: The time from each answered heartbeat to its response, in seconds, in the order of `sent_at`.
+        jobs: The jobs that users submitted.
+        limits: The limit of each team, in CPUs.
+    """
 
     rows: list[TaskRow] = field(default_factory=list)
     unserved: list[UnservedRequest] = field(default_factory=list)
-    #: when each answered heartbeat was sent, and for how long its worker waited for the answer, in seconds
     sent_at: list[float] = field(default_factory=list)
     waits: list[float] = field(default_factory=list)
     jobs: list[JobRow] = field(default_factory=list)
     limits: dict[str, float] = field(default_factory=dict)
 
     def waits_between(self, begin: float, end: float) -> list[float]:
-        """Return the waits for answers to heartbeats that were sent in this time."""
+        """Return the response times, in seconds, of the heartbeats sent from `begin` until before `end`."""
         return [wait for sent, wait in zip(self.sent_at, self.waits, strict=True) if begin <= sent < end]
 
 
 @dataclass(frozen=True)
 class ScaleRunRecord:
-    """All that is known at the end of a run; times are seconds of the run's clock.
+    """The measurements and records of a finished run; times are in seconds of the run's clock.
 
     Attributes:
-        plan: what was run.
-        root: the directory of the controllers' logs.
-        controllers: the names of the controllers.
-        hollow: the names of the processes of hollow workers.
-        samples: the samples that were taken, in order.
-        kills: the controllers that were killed, in order.
-        history: what hollow workers and users have recorded.
-        counts: the last counters of each process.
-        load_begin: when the load began.
-        load_end: when it ended.
+        plan: The size of the cluster and its load.
+        log_directory: The directory of the controllers' logs.
+        controllers: The names of the controllers.
+        hollow_processes: The names of the processes of hollow workers.
+        samples: The samples, in order of time.
+        kills: The controllers that were killed, in order of time.
+        history: The records of hollow workers and users.
+        counts: The final counters of each child process.
+        load_begin: When the load began.
+        load_end: When the load ended.
     """
 
     plan: ScaleRunPlan
@@ -102,17 +117,17 @@
 
     @property
     def worker_processes(self) -> list[str]:
-        """Names of all processes that play workers."""
+        """Names of all processes of hollow workers, including that of the single worker."""
         return [*self.hollow_processes, SINGLE_WORKER_PROCESS]
 
     @property
     def calm_begin(self) -> float:
-        """When the calm window begins: the load has settled."""
+        """When the calm window begins, in seconds of the run's clock: the load has settled."""
         return self.load_begin + min(CALM_BEGIN_S, self.plan.seconds * CALM_BEGIN_SHARE)
 
     @property
     def calm_end(self) -> float:
-        """When the calm window ends: the first controller is killed."""
+        """When the calm window ends, in seconds of the run's clock: the first controller is killed."""
         return self.kills[0].at if self.kills else self.load_end
 
 
@@ -123,14 +138,14 @@
         self.record = record
 
     def result(self) -> ScaleRunResult:
-        """Judge the run and compute its figures."""
+        """Check the run against the rules and compute its figures."""
         history = self.record.history
         verdict = check_run(history.rows, history.jobs, history.limits)
         found = self._figures(verdict)
         return ScaleRunResult(verdict, self._summary_line(found, verdict), found)
 
     def _figures(self, verdict: ScaleVerdict) -> dict[str, Any]:
-        # the order of the keys is that of the JSON file
+        # the JSON report has its keys in this order
         record = self.record
         history = record.history
         last = record.samples[-1]
@@ -170,7 +185,7 @@
         }
 
     def _windows(self) -> dict[str, Any]:
-        """Return the use of resources in the calm window and during the whole load."""
+        """Return the use of resources in the calm window and during the whole load, by the window's name."""
         record = self.record
         spans = {"calm": (record.calm_begin, record.calm_end), "whole": (record.load_begin, record.load_end)}
         return {
@@ -183,10 +198,10 @@
         }
 
     def _start_rates(self) -> dict[str, float]:
-        """Return the starts of tasks a second in each window_figures."""
+        """Return the starts of tasks per second in each window, by the window's name."""
         record = self.record
         rows = record.history.rows
-        # the first kill may come before the calm window_figures begins
+        # the first kill may come before the calm window begins
         calm_s = max(1e-9, record.calm_end - record.calm_begin)
         return {
             "calm": figures.count_starts(rows, record.calm_begin, record.calm_end) / calm_s,
@@ -195,22 +210,29 @@
         }
 
     def _jobs_before_first_kill(self) -> list[JobRow]:
+        """Return the jobs that were accepted `CALM_END_MARGIN_S` or more before the first kill."""
+        """Return the jobs that were accepted more than `CALM_END_MARGIN_S` before the first kill."""
         latest = self.record.calm_end - CALM_END_MARGIN_S
         return [job for job in self.record.history.jobs if (job.accepted_at or self.record.load_end) < latest]
 
     def _workers_at_controllers(self) -> dict[str, int]:
-        """Return how many workers each controller serves at the end."""
+        """Return how many workers send their heartbeats to each controller at the end of the run."""
         counts = [self.record.counts[name] for name in self.record.counts if name in self.record.worker_processes]
         return {name: sum(count["at"][name] for count in counts) for name in self.record.controllers}
 
     def _unserved(self, *, while_killed: bool) -> list[UnservedRequest]:
-        """Return the connections without an answer, those at killed controllers or all others."""
+        """Return the new connections whose first request got no response.
+
+        Args:
+            while_killed: Whether to return those to a controller that the run had killed, or all others.
+        """
         return [request for request in self.record.history.unserved if self._was_down(request) is while_killed]
 
     def _was_down(self, request: UnservedRequest) -> bool:
-        """Return whether the run itself kept that controller down.
+        """Return whether a request failed because the run had killed the controller.
 
-        A connection that was taken and then not answered is the controller's own failure.
+        A timeout never counts as caused by a kill: the controller accepted the connection and did not respond, which
+        is a failure of the controller.
         """
         if request.kind == "timeout":
             return False
@@ -221,7 +243,10 @@
         )
 
     def _leader_changes(self) -> list[tuple[float, str | None]]:
-        """Return who was seen to lead, from when on, in seconds from the beginning of the load."""
+        """Return each change of the leader between samples: seconds since the begin of the load, and the new leader.
+
+        The leader is None while there is none.
+        """
         changes: list[tuple[float, str | None]] = []
         for sample in self.record.samples:
             if not changes or changes[-1][1] != sample.leader:
@@ -229,7 +254,7 @@
         return changes
 
     def _log_text_counts(self) -> dict[str, int]:
-        """Return how often the controllers' logs have each of the texts that an operator looks for."""
+        """Return how often each of `COUNTED_LOG_TEXTS` occurs in the logs of all controllers."""
         logs = [
             (self.record.log_directory / f"{name}.log").read_text("utf-8", "replace")
             for name in self.record.controllers
@@ -237,7 +262,7 @@
         return {text: sum(log.count(text) for log in logs) for text in COUNTED_LOG_TEXTS}
 
     def _timeline_row(self, before: Sample, after: Sample) -> dict[str, Any]:
-        """Return what happened between two samples."""
+        """Return the row of the timeline for the interval between two samples."""
         seconds = after.at - before.at
         controllers = self.record.controllers
         store_before, store_after = before.counts["state"], after.counts["state"]
@@ -257,6 +282,8 @@
         }
 
     def _summary_line(self, found: dict[str, Any], verdict: ScaleVerdict) -> str:
+        """Return one line with the size, the results and the verdict of the run."""
+        """Return one line with the size, the results and the verdict of the run."""
         plan = self.record.plan
         p99 = found["urgent"]["by_size"].get("all", {}).get("p99")
         slowest = "none" if p99 is None else f"{p99:.2f}"
@@ -269,7 +296,7 @@
 
 
 def _count_kinds(requests: Iterable[UnservedRequest]) -> dict[str, int]:
-    """Return how many connections stayed without an answer, by controller and kind."""
+    """Return the numbers of requests without a response, by controller and kind of failure."""
     counts: dict[str, int] = {}
     for request in requests:
         key = f"{request.controller} {request.kind}"
--- a/src/grebestand/load_test/scale_run.py
+++ b/src/grebestand/load_test/scale_run.py
@@ -1,9 +1,10 @@
-"""`grebestand rehearse scale`: real controllers as processes under the load of a large cluster of hollow workers.
+"""`grebestand rehearse scale`: real controller processes under the load of a large cluster of hollow workers.
 
-The key-value store, the cloud, hollow workers, users and one worker beside them are processes of their own
-(`child_process`), on loopback. Half way the leader is killed, at three quarters a controller that answers and does not
-lead. What is asked is drawn from the seed; when exactly things happen is up to real processes. The verdict is that of
-`scale_check`.
+A hollow worker speaks the workers' protocol and executes nothing. The key-value store, the cloud emulator, the hollow
+workers, the users and one hollow worker in a process of its own run as child processes (`child_process`) on loopback.
+The leader is killed half way through the load, and the follower that answers most heartbeats after three quarters.
+Jobs are drawn from the seed, so runs of one seed offer the same load, but their timing depends on the real processes.
+`scale_check` decides whether a run passed.
 """
 
 from __future__ import annotations
@@ -43,60 +44,63 @@
 from .scale_summary import ScaleSummary, find_machine_limits
 
 Records = TypeVar("Records", HollowRecords, UserRecords)
-#: a machine of a hollow worker: name, loopback host, zone
+#: the machine of a hollow worker: name, loopback host, zone
 HollowMachine = tuple[str, str, str]
 
-#: files that a controller may open besides its sockets
+#: open files that a controller is allowed in addition to its sockets
 OPEN_FILES_BESIDES_SOCKETS = 32
-#: the load begins after this at the latest, in seconds, whether all workers were answered or not
+#: the load begins after this time even if some workers have not yet received commands from a leader
 SETTLE_TIMEOUT_S = 45.0
-#: the load begins when no further worker was answered for this long, in seconds
+#: the load begins early if the number of workers that have reached a leader has not grown for this time
 SETTLE_IDLE_S = 8.0
-#: accepted jobs have this long after the load to be done, in seconds
+#: accepted jobs that are not done this long after the load count as unfinished
 DRAIN_TIMEOUT_S = 30.0
-#: the run gives up before its processes take the memory of the computer, in megabytes
+#: the run is aborted above this resident memory of all its processes, before they exhaust the host's memory
 MEMORY_LIMIT_MB = 12_000.0
-#: reading the sockets of a process takes long, so that only each so many-th sample has them
+#: sockets are counted in one of this many samples only, as listing the open files of a process is slow
 SAMPLES_PER_SOCKET_COUNT = 3
-#: samples are taken this often, in seconds, with at least `LEAST_PAUSE_S` between two of them
 SAMPLE_INTERVAL_S = 1.0
+#: the shortest pause between two samples, when taking a sample used up the interval
 MIN_SAMPLE_PAUSE_S = 0.1
-#: progress is printed this often, with rates over at least `PROGRESS_WINDOW_S`, in seconds
 PROGRESS_INTERVAL_S = 5.0
+#: rates in progress messages are means over at least this time
 PROGRESS_WINDOW_S = 4.5
-#: the roles whose use of processors is part of the progress
+#: the roles whose CPU use progress messages show
 PROGRESS_ROLES = ("leader", "answering", "state", "hollow-0", "users", "worker")
-#: when, as a share of the load's duration, the leader and another controller are killed
+#: when the leader is killed, as a share of the load's duration
 LEADER_KILL_SHARE = 0.5
+#: when a follower is killed, as a share of the load's duration
 FOLLOWER_KILL_SHARE = 0.75
-#: the controller that answered most is that of the last so many samples
+#: the follower to kill is the one that answered most heartbeats during this many samples
 FOLLOWER_RATE_SAMPLES = 6
-#: gangs take at most this share of all CPUs, and never more tasks than `MOST_GANG_TASKS`
-GANG_CPU_SHARE = 0.25
-MAX_GANG_TASKS = 512.0
-#: a request to the store for the leader, in seconds
+#: a job has at most as many tasks as fit this share of all CPUs
+JOB_CPU_SHARE = 0.25
+#: a job has at most this many tasks, however large the cluster is
+MAX_JOB_TASKS = 512.0
+#: timeout of the request to the key-value store that reads the leader's key
 LEADER_READ_TIMEOUT_S = 2.0
-#: a probe of a controller that starts, and the pause until the next one, in seconds
+#: timeout of a health probe of a controller that is starting
 STARTUP_PROBE_TIMEOUT_S = 1.0
+#: the pause after a failed health probe of a controller that is starting
 STARTUP_PROBE_INTERVAL_S = 0.1
-#: how often it is looked whether workers have settled, in seconds
+#: the interval between checks whether all workers have reached a leader
 SETTLE_POLL_S = 0.5
 
 
 class ScaleRun:
-    """One run: controllers, hollow workers and users in processes, two kills, and what was measured."""
+    """One run of the load test: starts all processes, offers load, kills two controllers and takes measurements."""
 
-    def __init__(self, plan: ScaleRunPlan, root: Path, say: Callable[[str], None]) -> None:
-        """Prepare a run.
+    def __init__(self, plan: ScaleRunPlan, directory: Path, print_line: Callable[[str], None]) -> None:
+        """Prepare a run without starting processes.
 
         Args:
-            plan: what is run.
-            root: a directory for settings, logs and records.
-            say: prints a line of progress.
+            plan: The size of the cluster and its load.
+            directory: The directory for settings, logs and records.
+            print_line: Prints a progress message.
         """
         self.plan = plan
-        self.directory = root
-        self.print_line = say
+        self.directory = directory
+        self.print_line = print_line
         self.clock = time.monotonic
         self.parts: dict[str, PartProcess] = {}
         self.controllers: ControllerProcesses | None = None
@@ -107,10 +111,13 @@
         self._store: HttpTransport | None = None
 
     def run(self) -> ScaleRunResult:
-        """Play the whole run and judge it.
+        """Execute the whole run, check it against the rules, and stop all processes.
+
+        Returns:
+            The verdict and the figures of the run.
 
         Raises:
-            ScaleRunError: a process did not come up, ended, or took too much memory.
+            ScaleRunError: A process did not start, timed out or exited, or the run exceeded its memory limit.
         """
         try:
             controllers = self._start()
@@ -122,7 +129,7 @@
             end = self.clock()
             self.parts["users"].send(do="rest")
             self._drain(controllers)
-            self.print_line("asking about all accepted jobs")
+            self.print_line("polling the final state of all accepted jobs")
             self.parts["users"].execute(do="ask")
             self._sample(controllers)
             return self._report(controllers, self._collect(), begin, end)
@@ -130,16 +137,19 @@
             self.stop()
 
     def stop(self) -> None:
-        """End all processes that this run has started, and no others."""
+        """Stop all processes that this run has started."""
         if self.controllers is not None:
             self.controllers.stop()
         for part in reversed(self.parts.values()):
             part.stop()
 
-    # starting ---------------------------------------------------------------------------------------------
+    # startup ----------------------------------------------------------------------------------------------
 
     def _start(self) -> ControllerProcesses:
-        """Start all processes and wait until they are up."""
+        """Start all processes and wait until they are ready.
+
+        The workers send heartbeats only after all controllers accept connections.
+        """
         plan = self.plan
         machine_type = MachineType(MACHINE_TYPE, MACHINE_CPUS, 0.0, 64.0, list(ZONES), 100.0, 1.0, 1.0, 0.4, 60.0)
         limits = {"rps": plan.state_rps, "write_rps": plan.write_rps}
@@ -189,9 +199,10 @@
             self._start_part(name, "hollow", config)
 
     def _machines_of_processes(self) -> dict[str, list[HollowMachine]]:
-        """Spread the machines over the processes of hollow workers.
+        """Distribute the machines over the processes of hollow workers.
 
-        Each machine has a loopback host of its own: 127.(16 + process).x.y.
+        Each machine has its own loopback host, 127.(16 + process).x.y, as a worker needs an address for direct
+        commands.
         """
         processes = len(self.hollow_processes)
         machines = [
@@ -215,40 +226,62 @@
             rate=plan.rate,
             urgent_rate=plan.urgent_rate,
             task_s=plan.task_s,
-            most_tasks=int(min(MAX_GANG_TASKS, plan.cpus * GANG_CPU_SHARE)),
+            most_tasks=int(min(MAX_JOB_TASKS, plan.cpus * JOB_CPU_SHARE)),
             seed=plan.seed,
         )
         self._start_part("users", "users", config)
 
     def _wait_until_listening(self, controllers: ControllerProcesses) -> None:
-        """Wait until all controllers take connections, so that none is refused before the load begins."""
+        """Wait until all controllers accept connections.
+
+        Without this wait, the report would count connections refused during the startup.
+
+        Raises:
+            ControllersUnavailableError: A controller does not accept connections within the startup timeout.
+        """
         deadline = self.clock() + STARTUP_TIMEOUT_S
         for address in controllers.addresses.values():
             while not self._probe(address, controllers, deadline):
                 gevent.sleep(STARTUP_PROBE_INTERVAL_S)
 
     def _probe(self, address: str, controllers: ControllerProcesses, deadline: float) -> bool:
-        """Return whether a controller answers.
+        """Return whether a controller answers a health probe.
+
+        Args:
+            address: The address of the controller.
+            controllers: The controllers whose last log lines an error shows.
+            deadline: The time after which a failed probe is an error, in seconds of the run's clock.
 
         Raises:
-            ControllersUnavailableError: it does not, and the deadline is over.
+            ControllersUnavailableError: The controller did not answer, and the deadline has passed.
         """
         try:
             Connection(address, Traffic()).request("GET", "/healthz", b"", STARTUP_PROBE_TIMEOUT_S)
         except NoResponseError as error:
             if self.clock() > deadline:
-                raise ControllersUnavailableError("not all controllers came up", controllers.last_words()) from error
+                raise ControllersUnavailableError(
+                    f"controller at {address} did not answer /healthz within {STARTUP_TIMEOUT_S:.0f} s of its start",
+                    controllers.last_words(),
+                ) from error
             return False
         return True
 
     def _settle(self, controllers: ControllerProcesses) -> None:
-        """Wait until a controller is healthy and each worker was answered, or until no more of them are."""
+        """Wait until a controller is healthy and all workers have received a leader's response.
+
+        The wait also ends after `SETTLE_IDLE_S` without another such worker, and after `SETTLE_TIMEOUT_S`.
+
+        Raises:
+            ControllersUnavailableError: All controllers have exited, or no worker received a leader's response.
+        """
         begin = last_increase = self.clock()
         most, wanted = 0, self.plan.workers + 1
         while self.clock() - begin < SETTLE_TIMEOUT_S:
             gevent.sleep(SETTLE_POLL_S)
             if not any(controllers.alive(name) for name in controllers.names):
-                raise ControllersUnavailableError("no controller is left", controllers.last_words())
+                raise ControllersUnavailableError(
+                    f"all {len(controllers.names)} controllers exited before the load began", controllers.last_words()
+                )
             answered = self._answered_workers()
             if answered > most:
                 most, last_increase = answered, self.clock()
@@ -258,19 +291,24 @@
                 break
         if most == 0:
             raise ControllersUnavailableError(
-                f"no worker was answered in {SETTLE_TIMEOUT_S:.0f} s", controllers.last_words()
+                f"none of {wanted} workers received a leader's response within {SETTLE_TIMEOUT_S:.0f} s",
+                controllers.last_words(),
             )
-        self.print_line(f"{most} of {wanted} workers have had orders, {self.clock() - begin:.1f} s after the start")
+        self.print_line(f"{most} of {wanted} workers reached a leader within {self.clock() - begin:.1f} s")
         if most < wanted:
-            self.print_line(f"{wanted - most} workers were never answered with orders; the load begins all the same")
+            self.print_line(f"starting the load although {wanted - most} workers have not reached a leader")
 
     def _answered_workers(self) -> int:
+        """Return how many workers have received a leader's response."""
         return sum(int(self.parts[name].counts.get("answered", 0)) for name in self.worker_processes)
 
     # sampling ---------------------------------------------------------------------------------------------
 
     def read_leader(self) -> str | None:
-        """Return who leads by the key-value store, at the cost of one of its requests, or None."""
+        """Return the name of the leader, or None if there is none or the key-value store does not answer.
+
+        Each call adds one request to those that the key-value store counts.
+        """
         assert self._store is not None
         try:
             status, body = self._store.request("GET", f"/store/{LEADER_KEY}", b"", LEADER_READ_TIMEOUT_S)
@@ -279,10 +317,11 @@
         return str(msgspec.json.decode(body, type=KeyValue).value["name"]) if status == 200 else None
 
     def _sample(self, controllers: ControllerProcesses) -> Sample:
-        """Measure all processes, and check that the run can go on.
+        """Take a sample of all processes, and check that the run can continue.
 
         Raises:
-            ScaleRunError: a process has ended, or all of them take too much memory.
+            ProcessEndedError: A child process has exited.
+            MemoryLimitExceededError: The processes together use more memory than `MEMORY_LIMIT_MB`.
         """
         sample = Sample(self.clock(), self.read_leader())
         self._measure_processes(sample, controllers)
@@ -314,10 +353,15 @@
             for controller, count in counts.get("bytes_at", {}).items():
                 sample.heartbeat_bytes[controller] = sample.heartbeat_bytes.get(controller, 0) + count
 
-    # the load ---------------------------------------------------------------------------------------------
+    # load -------------------------------------------------------------------------------------------------
 
     def _load(self, controllers: ControllerProcesses, begin: float) -> None:
-        """Take samples and kill two controllers while users offer load."""
+        """Take samples and kill two controllers while users submit jobs.
+
+        Args:
+            controllers: The controller processes.
+            begin: When the users began to submit jobs, in seconds of the run's clock.
+        """
         seconds = self.plan.seconds
         due_kills = [
             (begin + seconds * LEADER_KILL_SHARE, self._kill_leader),
@@ -335,24 +379,24 @@
                 self._print_progress(controllers, sample)
             gevent.sleep(max(MIN_SAMPLE_PAUSE_S, SAMPLE_INTERVAL_S - (self.clock() - now)))
         if due_kills:
-            self.print_line(f"{len(due_kills)} of 2 kills found nobody to kill in time")
+            self.print_line(f"{len(due_kills)} of 2 planned kills did not happen: no running leader was found in time")
 
     def _print_progress(self, controllers: ControllerProcesses, sample: Sample) -> None:
         users = self.parts["users"].counts
         running = sum(int(self.parts[name].counts.get("running", 0)) for name in self.hollow_processes)
         earlier = (s for s in reversed(self.samples) if sample.at - s.at >= PROGRESS_WINDOW_S)
-        window_figures = figures.window_figures(
+        window = figures.window_figures(
             [next(earlier, self.samples[0]), sample], controllers.names, self.hollow_processes
         )
-        roles = window_figures.get("roles", {})
+        roles = window.get("roles", {})
         cores = ", ".join(f"{role} {roles[role]['cpu_share']:.2f}" for role in PROGRESS_ROLES if role in roles)
         self.print_line(
             f"jobs {users.get('done', 0)} done of {users.get('jobs', 0)}, tasks running {running}, "
-            f"reports {window_figures.get('reports_per_s', 0.0):.0f}/s; leader {sample.leader}; cores: {cores}"
+            f"heartbeats {window.get('reports_per_s', 0.0):.0f}/s; leader {sample.leader}; CPU cores: {cores}"
         )
 
     def _kill_leader(self, controllers: ControllerProcesses, sample: Sample) -> bool:
-        """Kill the leader; return whether there was one."""
+        """Kill the leader; return False if no running controller leads."""
         name = sample.leader
         if name is None or not controllers.alive(name):
             return False
@@ -360,7 +404,11 @@
         return True
 
     def _kill_answering(self, controllers: ControllerProcesses, sample: Sample) -> bool:
-        """Kill the follower that has answered most heartbeats lately; return False while nobody leads."""
+        """Kill the follower that answered most heartbeats in the last samples.
+
+        Returns:
+            False if there is no leader, so that the kill has to be tried again.
+        """
         if sample.leader is None:
             return False
         earlier = self.samples[max(0, len(self.samples) - FOLLOWER_RATE_SAMPLES)]
@@ -375,13 +423,16 @@
         return True
 
     def _kill(self, controllers: ControllerProcesses, name: str, role: str) -> None:
-        self.print_line(f"{name} ({role}) is killed, and starts again after {RESTART_DELAY_S:.0f} s")
+        self.print_line(f"killing controller {name} ({role}); restarting it in {RESTART_DELAY_S:.0f} s")
         self.kills.append(ControllerKill(name, role, self.clock()))
         controllers.kill(name)
         gevent.spawn_later(RESTART_DELAY_S, controllers.start, name)
 
     def _drain(self, controllers: ControllerProcesses) -> None:
-        """Wait until all accepted jobs are done, and a killed controller is started again, but not forever."""
+        """Wait until all accepted jobs are done and a killed controller has been restarted.
+
+        The wait ends after `DRAIN_TIMEOUT_S` at the latest.
+        """
         begin = self.clock()
         while self.clock() - begin < DRAIN_TIMEOUT_S:
             self._sample(controllers)
@@ -392,10 +443,10 @@
         users = self.parts["users"].counts
         self.print_line(f"{users.get('accepted', 0) - users.get('done', 0)} accepted jobs are not done at the end")
 
-    # the result -------------------------------------------------------------------------------------------
+    # result -----------------------------------------------------------------------------------------------
 
     def _collect(self) -> ScaleRunHistory:
-        """Gather what hollow workers and users have recorded."""
+        """Merge the records of all processes of hollow workers and of the users."""
         history = ScaleRunHistory(limits=self.plan.team_limits())
         for name in self.worker_processes:
             records = self._read_records(name, HollowRecords)
@@ -409,18 +460,34 @@
         return history
 
     def _read_records(self, name: str, kind: type[Records]) -> Records:
-        """Have a process write its records to a file, and read them."""
+        """Have a child process write its records to a file, and return the records.
+
+        Args:
+            name: The name of the child process.
+            kind: The structure of its records.
+
+        Raises:
+            ProcessEndedError: The child process has exited.
+            ProcessTimeoutError: The child process did not write its records in time.
+        """
         file = self.directory / f"{name}.kept"
         response = self.parts[name].execute(do="keep", file=str(file))
         if response["faults"]:
             last_line = self.parts[name].last_log_line()
-            self.print_line(f"{name} had {response['faults']} faults of its own, the last one: {last_line}")
+            self.print_line(f"process {name} had {response['faults']} unhandled errors; last log line: {last_line}")
         return msgspec.msgpack.decode(file.read_bytes(), type=kind)
 
     def _report(
         self, controllers: ControllerProcesses, history: ScaleRunHistory, begin: float, end: float
     ) -> ScaleRunResult:
-        """Judge the run, compute its figures and print them."""
+        """Check the run against the rules, compute its figures and print a summary.
+
+        Args:
+            controllers: The controller processes.
+            history: The records of hollow workers and users.
+            begin: When the load began, in seconds of the run's clock.
+            end: When the load ended, in seconds of the run's clock.
+        """
         record = ScaleRunRecord(
             plan=self.plan,
             log_directory=self.directory,
@@ -439,19 +506,22 @@
         return result
 
 
-def run_scale_test(plan: ScaleRunPlan, say: Callable[[str], None], keep: Path | None = None) -> ScaleRunResult:
-    """Play a run in a temporary directory, or in a directory that is kept.
+def run_scale_test(plan: ScaleRunPlan, print_line: Callable[[str], None], keep: Path | None = None) -> ScaleRunResult:
+    """Execute a run of the load test.
 
     Args:
-        plan: what is run.
-        say: prints a line of progress.
-        keep: the directory that is kept.
+        plan: The size of the cluster and its load.
+        print_line: Prints a progress message.
+        keep: The directory for settings, logs and records; without it, a temporary directory is used and removed.
+
+    Returns:
+        The verdict and the figures of the run.
 
     Raises:
-        ScaleRunError: the run could not be played to its end.
+        ScaleRunError: The run was aborted.
     """
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
-        return ScaleRun(plan, keep, say).run()
+        return ScaleRun(plan, keep, print_line).run()
     with tempfile.TemporaryDirectory(prefix="grebestand-") as directory:
-        return ScaleRun(plan, Path(directory), say).run()
+        return ScaleRun(plan, Path(directory), print_line).run()
--- a/src/grebestand/load_test/scale_summary.py
+++ b/src/grebestand/load_test/scale_summary.py
@@ -1,4 +1,4 @@
-"""The figures of a scale run in words, and the limits of the computer that they ran into."""
+"""Prints the figures of a scale run, and detects limits of the host that distorted the figures."""
 
 from __future__ import annotations
 
@@ -10,25 +10,28 @@
 from .scale_check import ScaleVerdict
 from .scale_report import SINGLE_WORKER_PROCESS
 
-#: below this share of the rate that was asked for, the figures are those of the computer and not of the service
+#: below this share of the requested rate of starts, the figures show the capacity of the host, not of the controllers
 MIN_RATE_SHARE = 0.9
-#: a helper process that used more than this share of a core may have slowed the run down
+#: a child process that used more than this share of a core may have slowed down the run
 BUSY_CORE_SHARE = 0.85
-#: faults that are printed one by one
+#: the number of violations of the rules that are printed one by one
 MAX_PRINTED_FAULTS = 50
 
 
 def find_machine_limits(found: dict[str, Any], hollow: list[str]) -> list[str]:
-    """Return, in words, by what the computer and not the service has limited the run.
+    """Find signs that the host, and not the controllers, limited the run.
 
     Args:
-        found: the figures of the run.
-        hollow: the names of the processes of hollow workers.
+        found: The figures of the run.
+        hollow: The names of the processes of hollow workers.
+
+    Returns:
+        A description of each limit.
     """
     limits = []
     rate, wanted = found["starts_per_s"]["calm"], found["plan"]["rate"]
     if found["windows"]["calm"] and rate < MIN_RATE_SHARE * wanted:
-        limits.append(f"{rate:.0f} starts a second of {wanted:.0f} asked for")
+        limits.append(f"started {rate:.0f} of {wanted:.0f} requested tasks per second")
     roles = found["windows"]["whole"].get("roles", {})
     limits += [
         f"{name} used up to {roles[name]['cpu_share_max']:.2f} of a core"
@@ -37,45 +40,45 @@
     ]
     late = sum(found["hollow"][name].get("late_answers", 0) for name in hollow)
     if late:
-        limits.append(f"{late} answers came while their hollow process was late")
+        limits.append(f"{late} responses to heartbeats were read too late by a busy process of hollow workers")
     load_average = found["machine"]["load_average"][0]
     if load_average > (os.cpu_count() or 1):
-        limits.append(f"the load average is {load_average:.1f}")
+        limits.append(f"the load average {load_average:.1f} exceeds the number of cores")
     return limits
 
 
 class ScaleSummary:
-    """Prints the figures that matter, the limits of the computer, and the faults."""
+    """Prints the main figures, the limits of the host, and the violations of the rules."""
 
-    def __init__(self, found: dict[str, Any], say: Callable[[str], None]) -> None:
+    def __init__(self, found: dict[str, Any], print_line: Callable[[str], None]) -> None:
         """Prepare a summary.
 
         Args:
-            found: the figures of the run, with `not_borne`.
-            say: prints one line.
+            found: The figures of the run, including the limits of the host under the key "not_borne".
+            print_line: Prints one line.
         """
         self.found = found
-        self.print_line = say
+        self.print_line = print_line
 
     def print(self, verdict: ScaleVerdict) -> None:
-        """Print everything, the faults last."""
+        """Print the summary, with the violations of the rules at the end."""
         for name, window in self.found["windows"].items():
             if window:
                 self._print_window(name, window)
         self._print_urgent()
         self._print_processes()
         for text in self.found["not_borne"]:
-            self.print_line(f"not borne: {text}")
+            self.print_line(f"limited by the host: {text}")
         for text in verdict.faults[:MAX_PRINTED_FAULTS]:
-            self.print_line(f"wrong: {text}")
+            self.print_line(f"violation: {text}")
         if len(verdict.faults) > MAX_PRINTED_FAULTS:
-            self.print_line(f"and {len(verdict.faults) - MAX_PRINTED_FAULTS} more")
+            self.print_line(f"and {len(verdict.faults) - MAX_PRINTED_FAULTS} more violations")
 
     def _print_window(self, name: str, window: dict[str, Any]) -> None:
         answered_by = " ".join(f"{controller}: {rate:.0f}/s" for controller, rate in window["answered_by"].items())
         self.print_line(
             f"{name}, {window['seconds']:.0f} s: starts {self.found['starts_per_s'][name]:.0f}/s, "
-            f"reports {window['reports_per_s']:.0f}/s, answered by {answered_by}"
+            f"heartbeats {window['reports_per_s']:.0f}/s, answered by {answered_by}"
         )
         for role, usage in sorted(window["roles"].items()):
             self._print_role(role, usage)
@@ -84,7 +87,7 @@
         wait = self.found["orders_wait"][name]
         if wait["count"]:
             self.print_line(
-                f"  wait for the orders: p50 {wait['p50']:.3f} p95 {wait['p95']:.3f} p99 {wait['p99']:.3f} s"
+                f"  responses to heartbeats: p50 {wait['p50']:.3f} p95 {wait['p95']:.3f} p99 {wait['p99']:.3f} s"
             )
 
     def _print_role(self, role: str, usage: dict[str, Any]) -> None:
@@ -92,9 +95,9 @@
         more += f", writes {usage['writes_per_s']:.0f}/s" if "writes_per_s" in usage else ""
         if "reports_per_s" in usage:
             rates = " ".join(f"{status}: {rate:.0f}/s" for status, rate in usage["reports_per_s"].items())
-            more += f", reports by answer {rates}"
+            more += f", heartbeats by status {rates}"
         self.print_line(
-            f"  {role}: {usage['cpu_share']:.3f} of a core (most {usage['cpu_share_max']:.2f}), "
+            f"  {role}: {usage['cpu_share']:.3f} of a core (peak {usage['cpu_share_max']:.2f}), "
             f"{usage['memory_mb']:.0f} MB, sockets {usage['sockets']}, "
             f"messages {usage.get('messages_per_s', 0.0):.0f}/s{more}"
         )
@@ -102,10 +105,10 @@
     def _print_single_worker(self, usage: dict[str, Any]) -> None:
         limit = figures.WORKER_LIMITS
         self.print_line(
-            f"  one worker process: {100 * usage['cpu_share']:.2f}% of a core (may {limit['cpu_percent']}%), "
-            f"{usage['memory_mb']:.1f} MB (may {limit['memory_mb']:.0f}), "
-            f"{usage['bytes_per_s']:.0f} bytes/s (may {limit['bytes_per_s']:.0f}), "
-            f"{usage['messages_per_s']:.2f} messages/s; {self.found['worker_starts']} tasks ran there in all"
+            f"  one worker process: {100 * usage['cpu_share']:.2f}% of a core (limit {limit['cpu_percent']}%), "
+            f"{usage['memory_mb']:.1f} MB (limit {limit['memory_mb']:.0f}), "
+            f"{usage['bytes_per_s']:.0f} bytes/s (limit {limit['bytes_per_s']:.0f}), "
+            f"{usage['messages_per_s']:.2f} messages/s; {self.found['worker_starts']} tasks ran on its machine"
         )
 
     def _print_urgent(self) -> None:
@@ -117,16 +120,17 @@
                 )
         never = self.found["urgent"]["never"]
         if never:
-            self.print_line(f"{never} urgent jobs never ran whole; counted as waiting until the end")
+            self.print_line(f"{never} urgent jobs never had all tasks running; counted as waiting until the end")
 
     def _print_processes(self) -> None:
         found = self.found
         self.print_line(
-            f"connections that got no answer: {found['refused'] or 'none'}; "
-            f"at controllers that were killed: {found['refused_while_killed'] or 'none'}"
+            f"new connections without a response: {found['refused'] or 'none'}; "
+            f"to killed controllers: {found['refused_while_killed'] or 'none'}"
         )
         self.print_line(f"workers at each controller at the end: {found['workers_at']}")
         self.print_line(
-            f"{found['processes']} processes took {found['memory_mb']:.0f} MB; parent {found['parent_cpu_s']:.1f} s"
+            f"{found['processes']} processes used {found['memory_mb']:.0f} MB; "
+            f"CPU time of the parent {found['parent_cpu_s']:.1f} s"
         )
-        self.print_line(f"leaders: {found['leaders']}; in the logs: {found['logs']}; {found['note']}")
+        self.print_line(f"leaders: {found['leaders']}; messages in the logs: {found['logs']}; {found['note']}")
--- a/src/grebestand/load_test/scale_users.py
+++ b/src/grebestand/load_test/scale_users.py
@@ -1,4 +1,4 @@
-"""Users of a scale run: they submit jobs at a rate and poll them by the protocol, through a load balancer."""
+"""The users of a scale run: they submit jobs at a given rate and poll them, through an emulated load balancer."""
 
 from __future__ import annotations
 
@@ -19,36 +19,41 @@
 from .job_generator import JobGenerator
 from .records import JobRow, LoadPlan, UnservedRequest, UserRecords
 
-#: a submission, and a poll, is answered within this, in seconds
+#: timeout of a submission
 SUBMIT_TIMEOUT_S = 5.0
+#: timeout of a poll
 POLL_TIMEOUT_S = 2.0
-#: a job is polled this often, in seconds, up to `POLL_JITTER` of it more or less
+#: the mean interval between polls of a job
 POLL_INTERVAL_S = 5.0
+#: bounds of the random factor of the interval between polls
 POLL_JITTER = (0.9, 1.1)
-#: a submission is retried for this long, in seconds
+#: a submission that is not accepted is retried for this time
 SUBMIT_RETRY_S = 60.0
-#: between two tries of a submission, whatever `Retry-After` asks for, in seconds
+#: the shortest pause before a submission is retried, even if `Retry-After` is shorter
 MIN_RETRY_PAUSE_S = 1.0
+#: the longest pause before a submission is retried, even if `Retry-After` is longer
 MAX_RETRY_PAUSE_S = 30.0
-#: connections that are tried for one request
+#: the number of connections that are tried for one request
 MAX_CONNECTIONS_PER_REQUEST = 3
-#: times between two submissions, as shares of the mean: the rate is kept in the long run
+#: bounds of the random factor of the time between submissions; the mean of 1 keeps the rate in the long run
 ARRIVAL_JITTER = (0.5, 1.5)
-#: at the end, all jobs are asked about over so many connections, each job so many times
+#: the number of connections over which all accepted jobs are polled at the end of the run
 FINAL_POLL_CONNECTIONS = 16
+#: how often each job is polled at the end of the run until a response with a state or 404 is received
 FINAL_POLL_TRIES = 8
+#: the pause after a poll without such a response at the end of the run
 FINAL_POLL_PAUSE_S = 1.0
 
 
 class LoadUsers:
-    """Users who submit jobs at a rate, poll them until they are done, and record each answer."""
+    """Users who submit jobs at a given rate, poll them until they are done, and record the responses."""
 
-    def __init__(self, plan: LoadPlan, ended: Callable[[], None]) -> None:
-        """Connect to the gang rendezvous and begin to probe controllers.
+    def __init__(self, plan: LoadPlan, on_disconnect: Callable[[], None]) -> None:
+        """Connect to the gang rendezvous and start to probe the controllers.
 
         Args:
-            plan: what users ask for.
-            ended: called when the rendezvous is gone.
+            plan: The load to offer.
+            on_disconnect: Called when the rendezvous has closed the connection.
         """
         self.plan = plan
         self.clock = time.monotonic
@@ -58,11 +63,11 @@
         self.traffic = Traffic()
         self.jobs: list[JobRow] = []
         self.unserved: list[UnservedRequest] = []
-        #: how submissions and polls were answered: by status, or by the kind of failure
+        #: of submissions and of polls, the number of requests by the status of their response or the kind of failure
         self.response_counts: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
-        #: by job, set when the rendezvous has its description
+        #: by job, the event that is set when the rendezvous has stored the description of the job
         self._described: dict[str, Event] = {}
-        self.channel: MessageChannel = connect(plan.meeting, self._handle, ended)
+        self.channel: MessageChannel = connect(plan.meeting, self._handle, on_disconnect)
         self.loading = False
         self.closing = False
         self.submitted_tasks = 0
@@ -72,13 +77,18 @@
             self._described.pop(message[1]).set()
 
     def start(self) -> None:
-        """Start submitting."""
+        """Start to submit ordinary and urgent jobs."""
         self.loading = True
         gevent.spawn(self._submit_jobs, False, self.plan.rate)
         gevent.spawn(self._submit_jobs, True, self.plan.urgent_rate)
 
     def _submit_jobs(self, urgent: bool, rate: float) -> None:
-        """Submit jobs at a rate, which counts the tasks of ordinary jobs, and urgent jobs themselves."""
+        """Submit jobs at a given rate until the load ends.
+
+        Args:
+            urgent: Whether to submit urgent jobs or ordinary ones.
+            rate: Urgent jobs per second, or tasks of ordinary jobs per second.
+        """
         at = self.clock()
         while self.loading:
             spec, row = self.generator.next_job(urgent=urgent)
@@ -88,11 +98,11 @@
             if self.loading:
                 gevent.spawn(self._follow_job, spec, row)
 
-    # one user -----------------------------------------------------------------------------------------------
+    # requests of one user -----------------------------------------------------------------------------------
 
     def _follow_job(self, spec: JobSpec, row: JobRow) -> None:
-        """Submit one job, and poll it until it is done."""
-        self._describe(spec)
+        """Submit one job, and poll the job until it is done or the run ends."""
+        self._store_description(spec)
         row.asked_at = self.clock()
         self.jobs.append(row)
         self.submitted_tasks += row.tasks
@@ -105,16 +115,24 @@
         self.generator.open_tasks[row.team] -= row.tasks
         connection.close()
 
-    def _describe(self, spec: JobSpec) -> None:
-        """Have the rendezvous know a job before any worker can ask for it."""
+    def _store_description(self, spec: JobSpec) -> None:
+        """Store the description of a job at the rendezvous.
+
+        The description must be stored before the job is submitted, as a worker requests the description as soon as
+        the worker is told to start a task.
+        """
         self._described[spec.id] = described = Event()
         self.channel.send("put", spec)
         described.wait()
 
     def _submit(self, connection: Connection, body: bytes, row: JobRow) -> bool:
-        """Submit a job until it is accepted; return False if it was rejected or the time for it is over."""
+        """Submit a job, and retry until the job is accepted.
+
+        Returns:
+            Whether the job was accepted; False if the job was rejected, the retries timed out or the run is ending.
+        """
         while not self.closing and self.clock() - row.asked_at < SUBMIT_RETRY_S:
-            status, _, retry_s = self._ask(connection, "POST", "/v2/runs", body, SUBMIT_TIMEOUT_S, "submissions")
+            status, _, retry_s = self._request(connection, "POST", "/v2/runs", body, SUBMIT_TIMEOUT_S, "submissions")
             row.last = str(status)
             if status in (200, 201):
                 row.accepted_at = self.clock()
@@ -125,8 +143,13 @@
         return False
 
     def poll(self, connection: Connection, row: JobRow) -> None:
-        """Ask about one accepted job and record the answer, and whether it contradicts an earlier one."""
-        status, content, _ = self._ask(connection, "GET", f"/v2/runs/{row.id}", b"", POLL_TIMEOUT_S, "polls")
+        """Poll one accepted job, and record the response and whether it contradicts an earlier response.
+
+        Args:
+            connection: The connection to use.
+            row: The job; its row is updated.
+        """
+        status, content, _ = self._request(connection, "GET", f"/v2/runs/{row.id}", b"", POLL_TIMEOUT_S, "polls")
         row.last = str(status)
         if status == 200:
             state = msgspec.json.decode(content, type=JobStatusResponse).state
@@ -137,13 +160,21 @@
         elif status == 404:
             row.wrong = "accepted and answered 404"
 
-    def _ask(
+    def _request(
         self, connection: Connection, method: str, path: str, body: bytes, timeout_s: float, counter: str
     ) -> tuple[int, bytes, float]:
-        """Send a request, over another connection if one is refused.
+        """Send a request, and retry it at another controller if the connection is refused.
+
+        Args:
+            connection: The connection to use; a new one is opened to a controller that the load balancer chooses.
+            method: The HTTP method.
+            path: The path.
+            body: The body, as JSON.
+            timeout_s: The timeout of each try, in seconds.
+            counter: "submissions" or "polls", the counter of responses.
 
         Returns:
-            Status, body and the seconds of `Retry-After`; status 0 if there was no answer.
+            The status, the body, and the value of `Retry-After` in seconds; status 0 if there was no response.
         """
         tried: set[str] = set()
         for _ in range(MAX_CONNECTIONS_PER_REQUEST):
@@ -167,13 +198,14 @@
         return 0, b"", 0.0
 
     def poll_accepted_jobs(self) -> None:
-        """Ask about all accepted jobs at the end: whether they are known, and still done."""
+        """Poll all accepted jobs at the end of the run, to check that they are known and that done jobs remain done."""
         self.closing = True
         accepted = [row for row in self.jobs if row.accepted_at is not None]
         shares = [accepted[index::FINAL_POLL_CONNECTIONS] for index in range(FINAL_POLL_CONNECTIONS)]
         gevent.joinall([gevent.spawn(self._poll_until_answered, share) for share in shares], raise_error=True)
 
     def _poll_until_answered(self, rows: list[JobRow]) -> None:
+        """Poll jobs one after the other, each until its state or 404 is received, at most `FINAL_POLL_TRIES` times."""
         connection = Connection("", self.traffic)
         for row in rows:
             for _ in range(FINAL_POLL_TRIES):
@@ -183,10 +215,10 @@
                 gevent.sleep(FINAL_POLL_PAUSE_S)
         connection.close()
 
-    # what was recorded --------------------------------------------------------------------------------------
+    # records ------------------------------------------------------------------------------------------------
 
     def counts(self) -> dict[str, Any]:
-        """Return the counters so far; their names are part of the JSON figures."""
+        """Return the counters so far; the JSON report contains them under their names."""
         return {
             "jobs": len(self.jobs),
             "tasks": self.submitted_tasks,
@@ -201,5 +233,5 @@
         }
 
     def records(self) -> UserRecords:
-        """Return all jobs, and requests that were not served, for the checker."""
+        """Return all jobs, and new connections without a response, for `scale_check` and the report."""
         return UserRecords(self.jobs, self.unserved)
