--- a/src/grebestand/load_test/balancer.py
+++ b/src/grebestand/load_test/balancer.py
@@ -70,7 +70,7 @@
             connection.close()
 
     def record_refusal(self, name: str) -> None:
-        """Choose a controller that has refused a connection no more until `REFUSED_PAUSE_S` has passed."""
+        """Avoid a controller that has refused a connection, for `REFUSED_PAUSE_S`, if another is healthy."""
         self._avoided_until[name] = time.monotonic() + REFUSED_PAUSE_S
 
     def choose(self, excluded: set[str]) -> str:
--- a/src/grebestand/load_test/figures.py
+++ b/src/grebestand/load_test/figures.py
@@ -249,10 +249,11 @@
     return [
         {
             "window": name, "workers": workers, "controllers": controllers, "role": role,
-            "reports_per_s": w["reports_per_s"], "starts_per_s": rates[name], **{k: r[k] for k in keys if k in r},
+            "reports_per_s": window["reports_per_s"], "starts_per_s": rates[name],
+            **{key: usage[key] for key in keys if key in usage},
         }
-        for name, w in windows.items() if w
-        for role, r in sorted(w["roles"].items())
+        for name, window in windows.items() if window
+        for role, usage in sorted(window["roles"].items())
     ]  # fmt: skip
 
 
--- a/src/grebestand/load_test/gang_rendezvous.py
+++ b/src/grebestand/load_test/gang_rendezvous.py
@@ -149,6 +149,7 @@
         return self.cloud.request(method, path, body, 0.0)
 
     def _machines_deleted(self, names: list[str]) -> None:
+        """Remove deleted machines from the cloud's list, and notify all processes."""
         self.cloud.listed = [entry for entry in self.cloud.listed if entry["ref"] not in names]
         for channel in self.channels:
             channel.send("lose", names)
@@ -183,6 +184,7 @@
             raise ValueError(f"unknown message to the gang rendezvous: {name!r}")
 
     def _join(self, channel: MessageChannel, job: str, attempt: int, index: int, tasks: int, run_s: float) -> None:
+        """Add a waiting member to a gang, and start the gang if all of its members are waiting."""
         gang = self.gangs.setdefault((job, attempt), Gang())
         gang.members[index] = channel
         if len(gang.members) == tasks and not gang.started:
@@ -214,6 +216,7 @@
 
     @staticmethod
     def _send_to_members(gang: Gang, name: str, job: str, attempt: int) -> None:
+        """Send a message about a gang to the processes of its members."""
         # a process with several members of the gang receives the message once
         for channel in {id(channel): channel for channel in gang.members.values()}.values():
             channel.send(name, job, attempt)
--- a/src/grebestand/load_test/hollow_process.py
+++ b/src/grebestand/load_test/hollow_process.py
@@ -86,6 +86,7 @@
         gevent.spawn(self._check_leases)
 
     def _check_leases(self) -> None:
+        """Expire the leases of all workers periodically."""
         while True:
             gevent.sleep(LEASE_CHECK_INTERVAL_S)
             for worker in self.workers.values():
@@ -146,6 +147,7 @@
             raise ValueError(f"unknown message from the gang rendezvous: {what!r}")
 
     def _job_described(self, job: str, index: int, attempt: int, raw: object, has_result: bool) -> None:
+        """Pass the description of a job, or None for an unknown job, to the handlers that wait for it."""
         spec = None if raw is None else self._specs.setdefault(job, msgspec.convert(raw, JobSpec))
         for handler in self._awaited.pop((job, index, attempt), ()):
             handler(spec, has_result)
--- a/src/grebestand/load_test/hollow_worker.py
+++ b/src/grebestand/load_test/hollow_worker.py
@@ -140,7 +140,6 @@
         #: when the last answered heartbeat was sent or the epoch began, whichever is later, in seconds
         self.lease_started_at = process.clock()
         #: when a heartbeat was last requested early because the token had changed, in seconds
-        #: when a heartbeat was last requested early because the token had changed, in seconds
         self.token_sent_at = -1e9
         self.deleted = False
         #: set when tasks, token or epoch have changed, so that the next heartbeat is sent without waiting
@@ -159,10 +158,15 @@
     # tasks ------------------------------------------------------------------------------------------------
 
     def _record(self, what: str, task: HollowTask, why: str = "", at: float | None = None) -> None:
+        """Record an event of a task, at a given time in seconds or, with None, at the current time."""
         when = self.process.next_time() if at is None else max(at, task.on_machine_since)
         self.process.rows.append(TaskRow(when, what, task.job, task.index, task.status.attempt, self.name, why))
 
     def _start_task(self, task_name: str, attempt: int) -> None:
+        """Execute a command to start an attempt of a task.
+
+        The attempt ends at once as busy if another attempt of the task has not ended on this worker.
+        """
         if (task_name, attempt) in self.tasks:
             return
         job, index = split_task(task_name)
@@ -214,6 +218,7 @@
         return self.tasks.get((task.status.task, task.status.attempt)) is task
 
     def _image_fetched(self, image: str) -> None:
+        """Begin the tasks that wait for an image which has been fetched."""
         self.images.add(image)
         self.expire_lease()
         for task in self.fetching.pop(image, ()):
@@ -242,6 +247,7 @@
                 gevent.spawn_later(run_s, self.finish, task, ExitReason.DONE)
 
     def _end_if_alone(self, task: HollowTask) -> None:
+        """End a member of a gang that still waits for the others when `gang_wait_s` has passed."""
         self.expire_lease()
         if task.status.state is TaskPhase.WAITING and self._is_current(task):
             self._exit(task, ExitReason.ALONE)
@@ -261,6 +267,7 @@
             self._exit(task, why)
 
     def _exit(self, task: HollowTask, why: ExitReason) -> None:
+        """End a task, and notify the rendezvous if the task is done and no member of a gang."""
         task.status.state, task.status.why = TaskPhase.EXITED, why
         self.state_changed.set()
         self._release(task, why.value)
@@ -450,12 +457,14 @@
         self._execute(response.token, response.commands)
 
     def _switch_controller(self, name: str) -> None:
+        """Send further heartbeats to another controller, over a new connection."""
         self.connection.close()
         self.controller = name
         self.connection.address = self.plan.controllers[name]
         self.connection.traffic = self.process.heartbeat_traffic[name]
 
     def _try_next_controller(self) -> float:
+        """Switch to the next controller, and return the pause before the next heartbeat in seconds."""
         names = list(self.plan.controllers)
         self._switch_controller(names[(names.index(self.controller) + 1) % len(names)])
         return NEXT_CONTROLLER_PAUSE_S
--- a/src/grebestand/load_test/job_generator.py
+++ b/src/grebestand/load_test/job_generator.py
@@ -84,6 +84,7 @@
         return spec, row
 
     def _draw_size(self, gang: bool, urgent: bool) -> int:
+        """Draw the number of tasks of a job, within the limit of the plan."""
         least, most = URGENT_TASKS if urgent else GANG_TASKS if gang else ARRAY_TASKS
         most = min(most, self.plan.most_tasks)
         least = min(least, most)
--- a/src/grebestand/load_test/scale_check.py
+++ b/src/grebestand/load_test/scale_check.py
@@ -48,9 +48,11 @@
         self.verdict = ScaleVerdict()
         self.jobs = {job.id: job for job in jobs}
         self.limits = limits
-        #: by job and index of a task, the machines that the task is on
+        #: by job and index of a task, the machines that the task is on; more than one is a violation
         self.machines: dict[tuple[str, int], list[str]] = defaultdict(list)
+        #: by team, the CPUs of the tasks that are on a machine
         self.used_cpus: dict[str, float] = defaultdict(float)
+        #: by job, the indices of the tasks that are done
         self.done_tasks: dict[str, set[int]] = defaultdict(set)
 
     def apply(self, row: TaskRow) -> None:
@@ -59,7 +61,7 @@
         if job is None:
             if row.what == "on":
                 self.verdict.lost += 1
-                self._add_fault(f"{row.job}/{row.index}: on {row.machine}, and nobody has submitted it")
+                self._add_fault(f"{row.job}/{row.index}: on {row.machine}, but no user submitted its job")
         elif row.what == "on":
             self._begin(row, job)
         elif row.what == "off":
@@ -69,6 +71,7 @@
         self.verdict.faults.append(text)
 
     def _begin(self, row: TaskRow, job: JobRow) -> None:
+        """Put a task on a machine, and check that it is on no other and that its team stays within its limit."""
         machines = self.machines[row.job, row.index]
         elsewhere = [machine for machine in machines if machine != row.machine]
         if elsewhere:
@@ -80,9 +83,10 @@
         limit = self.limits[job.team]
         if before <= limit + CPU_TOLERANCE < after:
             self.verdict.over_quota += 1
-            self._add_fault(f"{job.team}: {after:g} CPUs at {row.at:.2f} s, may have {limit:g}")
+            self._add_fault(f"{job.team}: {after:g} CPUs at {row.at:.2f} s, above its limit of {limit:g}")
 
     def _end(self, row: TaskRow, job: JobRow) -> None:
+        """Remove a task from its machine."""
         self.machines[row.job, row.index].remove(row.machine)
         self.used_cpus[job.team] -= job.cpus
         if row.why == "done":
@@ -95,9 +99,11 @@
             self._add_lost(f"{job.id}: {job.wrong}")
         elif job.done_at is not None:
             if done < job.tasks:
-                self._add_lost(f"{job.id}: called done, and {done} of {job.tasks} tasks are")
+                self._add_lost(f"{job.id}: reported as done, but only {done} of {job.tasks} tasks are done")
         elif job.last != "200":
-            self._add_lost(f"{job.id}: accepted, and neither done nor known at the end ({job.last or 'no answer'})")
+            self._add_lost(
+                f"{job.id}: accepted, but neither done nor known at the end (last status {job.last or 'none'})"
+            )
         else:
             self.verdict.unfinished += 1
 
--- a/src/grebestand/load_test/scale_report.py
+++ b/src/grebestand/load_test/scale_report.py
@@ -28,11 +28,11 @@
 KILL_CLOCK_MARGIN_S = 0.5
 #: urgent jobs accepted less than this before the first kill are left out of the figures of the time before the kill
 CALM_END_MARGIN_S = 6.0
-#: the calm window begins this long after the load, to leave out the time until the load has settled
+#: the calm window begins this long after the begin of the load, to leave out the time until the load has settled
 CALM_BEGIN_S = 12.0
 #: the calm window begins at the latest after this share of the load's duration
 CALM_BEGIN_SHARE = 0.25
-#: log messages of controllers that the report counts
+#: texts in the controllers' logs that point to overload or faults; the report counts their occurrences
 COUNTED_LOG_TEXTS = (
     "Too many open files", "could not be renewed in time", "Traceback", "rate budget exhausted",
 )  # fmt: skip
@@ -135,6 +135,7 @@
     """Computes the figures of a run from its record."""
 
     def __init__(self, record: ScaleRunRecord) -> None:
+        """Prepare the report of a finished run."""
         self.record = record
 
     def result(self) -> ScaleRunResult:
@@ -145,6 +146,7 @@
         return ScaleRunResult(verdict, self._summary_line(found, verdict), found)
 
     def _figures(self, verdict: ScaleVerdict) -> dict[str, Any]:
+        """Return the figures of the JSON report."""
         # the JSON report has its keys in this order
         record = self.record
         history = record.history
@@ -210,7 +212,6 @@
         }
 
     def _jobs_before_first_kill(self) -> list[JobRow]:
-        """Return the jobs that were accepted `CALM_END_MARGIN_S` or more before the first kill."""
         """Return the jobs that were accepted more than `CALM_END_MARGIN_S` before the first kill."""
         latest = self.record.calm_end - CALM_END_MARGIN_S
         return [job for job in self.record.history.jobs if (job.accepted_at or self.record.load_end) < latest]
@@ -282,7 +283,6 @@
         }
 
     def _summary_line(self, found: dict[str, Any], verdict: ScaleVerdict) -> str:
-        """Return one line with the size, the results and the verdict of the run."""
         """Return one line with the size, the results and the verdict of the run."""
         plan = self.record.plan
         p99 = found["urgent"]["by_size"].get("all", {}).get("p99")
--- a/src/grebestand/load_test/scale_run.py
+++ b/src/grebestand/load_test/scale_run.py
@@ -269,7 +269,7 @@
     def _settle(self, controllers: ControllerProcesses) -> None:
         """Wait until a controller is healthy and all workers have received a leader's response.
 
-        The wait also ends after `SETTLE_IDLE_S` without another such worker, and after `SETTLE_TIMEOUT_S`.
+        The wait also ends when no further worker has received one for `SETTLE_IDLE_S`, or after `SETTLE_TIMEOUT_S`.
 
         Raises:
             ControllersUnavailableError: All controllers have exited, or no worker received a leader's response.
@@ -336,6 +336,7 @@
         return sample
 
     def _measure_processes(self, sample: Sample, controllers: ControllerProcesses) -> None:
+        """Measure CPU time, memory and, in some samples, sockets of all child processes and controllers."""
         pids = {name: part.pid for name, part in self.parts.items()}
         pids |= {name: pid for name in controllers.names if (pid := controllers.pid(name)) is not None}
         for name, pid in pids.items():
@@ -346,6 +347,7 @@
             sample.sockets = {name: count_sockets(pid) for name, pid in pids.items()}
 
     def _copy_counts(self, sample: Sample) -> None:
+        """Copy the last counters of all child processes into a sample."""
         sample.counts = {name: part.counts for name, part in self.parts.items()}
         worker_counts = [sample.counts[name] for name in self.worker_processes]
         sample.response_counts = figures.sum_response_counts(worker_counts)
@@ -382,6 +384,7 @@
             self.print_line(f"{len(due_kills)} of 2 planned kills did not happen: no running leader was found in time")
 
     def _print_progress(self, controllers: ControllerProcesses, sample: Sample) -> None:
+        """Print the progress of jobs, and the rates and CPU use over at least `PROGRESS_WINDOW_S`."""
         users = self.parts["users"].counts
         running = sum(int(self.parts[name].counts.get("running", 0)) for name in self.hollow_processes)
         earlier = (s for s in reversed(self.samples) if sample.at - s.at >= PROGRESS_WINDOW_S)
@@ -423,6 +426,7 @@
         return True
 
     def _kill(self, controllers: ControllerProcesses, name: str, role: str) -> None:
+        """Kill a controller, record the kill, and schedule the restart of the controller."""
         self.print_line(f"killing controller {name} ({role}); restarting it in {RESTART_DELAY_S:.0f} s")
         self.kills.append(ControllerKill(name, role, self.clock()))
         controllers.kill(name)
--- a/src/grebestand/load_test/scale_users.py
+++ b/src/grebestand/load_test/scale_users.py
@@ -41,7 +41,7 @@
 FINAL_POLL_CONNECTIONS = 16
 #: how often each job is polled at the end of the run until a response with a state or 404 is received
 FINAL_POLL_TRIES = 8
-#: the pause after a poll without such a response at the end of the run
+#: the pause between polls of the same job at the end of the run
 FINAL_POLL_PAUSE_S = 1.0
 
 
