--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -67,7 +67,7 @@
         return status, body
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(SimulatedWorker, "report_to", count_status)
+        patch.setattr(SimulatedWorker, "send_heartbeat", count_status)
         gevent.sleep(30)
     # no worker is redirected once the shares are balanced
     assert statuses["200"] > 250 and set(statuses) == {"200"}
