--- a/src/grebestand/commands/federation.py
+++ b/src/grebestand/commands/federation.py
@@ -101,7 +101,7 @@
         revoked = keys.revoke(root, arguments.fingerprint)
         print(f"{revoked.fingerprint[:16]} of {revoked.cluster} is no longer trusted")
     else:
-        for s in keys.show(root, now):
+        for s in keys.list_certificates(root, now):
             print(f"{s.state:8} {s.cluster:12} until {s.until:%Y-%m-%d %H:%M} UTC  {s.fingerprint[:32]}  {s.file}")
     return 0
 
@@ -128,7 +128,7 @@
             print(f"no gang of this cluster is in {arguments.cluster}")
             return 0
         for gang in gangs:
-            print(f"{gang.ref}: {gang.tasks} tasks, reservation {gang.id}")
+            print(f"{gang.job_id}: {gang.tasks} tasks, reservation {gang.reservation_id}")
         sentence = f"{arguments.cluster} is lost and runs nothing"
         print(
             f"These {len(gangs)} gangs will start here again. If {arguments.cluster} still runs one of them, that gang "
@@ -140,10 +140,10 @@
         user, settled_count = getpass.getuser(), 0
         for gang in gangs:
             if settle(state, gang, user):
-                print(f"{gang.ref}: home again")
+                print(f"{gang.job_id}: home again")
                 settled_count += 1
             else:
-                print(f"{gang.ref}: not settled, as its record has changed meanwhile")
+                print(f"{gang.job_id}: not settled, as its record has changed meanwhile")
         return 0 if settled_count == len(gangs) else 1
     except StoreError as e:
         print(f"grebestand: federation: the state service does not answer: {e}", file=sys.stderr)
--- a/src/grebestand/fault_test/federation_faults.py
+++ b/src/grebestand/fault_test/federation_faults.py
@@ -18,7 +18,7 @@
 from ..federation import keys
 from ..federation.keyring import Keyring
 from ..federation.messages import Probe
-from ..federation.tls_link import PATH
+from ..federation.tls_link import LINK_PATH
 from .federation_plan import MACHINE_TYPE, ZONE, FaultTestPlan, Gang
 
 #: faults go on for this long after the last gang was submitted, in seconds
@@ -134,7 +134,7 @@
             return
         name = self.rng.choice(self.names)
         now = dt.datetime.now(dt.UTC)
-        old = next(key for key in keys.show(self.root / name / "keys", now) if key.state == "active")
+        old = next(key for key in keys.list_certificates(self.root / name / "keys", now) if key.state == "active")
         certificate = keys.rotate(self.root / name / "keys", KEY_DAYS, now)
         others = [other for other in self.names if other != name]
         for other in others:
@@ -169,14 +169,14 @@
     def _send_malformed(self, root: Path, owner: str, near: str, relay: TcpRelay) -> int:
         """Send messages that no cluster may accept over a link, and return how many were refused."""
         far = next(name for name in self.names if name != near)
-        context = Keyring(root, owner, self.clock).client(far)
+        context = Keyring(root, owner, self.clock).client_context(far)
         if context is None:
             return 0
         refused = 0
         transport = HttpTransport(HOST, int(relay.address.rpartition(":")[2]), 1, tls=context)
         for body in (b"\xc1 nonsense", bytes(OVERSIZED_BYTES), msgspec.msgpack.encode(Probe("somebody", 1))):
             try:
-                refused += transport.request("POST", PATH, body, MESSAGE_TIMEOUT_S)[0] != 200
+                refused += transport.request("POST", LINK_PATH, body, MESSAGE_TIMEOUT_S)[0] != 200
             except UnreachableError:
                 refused += 1
         transport.close()
--- a/src/grebestand/fault_test/many_clusters.py
+++ b/src/grebestand/fault_test/many_clusters.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..features.hooks import Host
-from ..federation.feature import DEFAULTS, KEYS, NAMES, Federation, LocalLoad, RemoteClusterSettings
+from ..federation.feature import DEFAULTS, KEYS, NAMES, Federation, LocalSettings, RemoteClusterSettings
 from ..federation.messages import Message, Probe, Reply, ReservationRequest, Reserved, decode, decode_reply
 from ..leader.term import Term
 from ..settings.expressions import Vocabulary, parse
@@ -86,7 +86,7 @@
         self.open: dict[str, float] = {}
         self.waits: list[float] = []
         others = [RemoteClusterSettings(n, {}) for n in names if n != name]
-        settings = LocalLoad(name, guests_team="blue", others=others)
+        settings = LocalSettings(name, guests_team="blue", others=others)
         vocabulary = Vocabulary(KEYS, NAMES)
         base = parse(DEFAULTS, "defaults", vocabulary)
         values = parse({"overflow_after_s": 3, "look_s": 5}, "simulation", vocabulary, base)
@@ -136,11 +136,11 @@
         self.to = to
         self.count = count
 
-    def tell(self, message: Message) -> Reply | None:
+    def send(self, message: Message) -> Reply | None:
         """Deliver a message to another cluster and return its reply."""
         guest = self.to.federation.guest
         assert guest is not None
-        answer = guest.answer(decode(msgspec.msgpack.encode(message)))
+        answer = guest.handle_message(decode(msgspec.msgpack.encode(message)))
         self.count(message, answer)
         return decode_reply(msgspec.msgpack.encode(answer))
 
@@ -166,8 +166,8 @@
     for member in members.values():
         others = {name: other for name, other in members.items() if other is not member}
         member.federation.links = {name: InProcessLink(other, count) for name, other in others.items()}
-        member.federation.take_host(member)
-        member.federation.begin(member.term)
+        member.federation.attach_host(member)
+        member.federation.begin_term(member.term)
     reserved_machine_s = 0
     for second in range(seconds):
         clock.now += 1.0
--- a/src/grebestand/federation/circuit_breaker.py
+++ b/src/grebestand/federation/circuit_breaker.py
@@ -13,11 +13,11 @@
 log = logging.getLogger(__name__)
 
 #: failures in a row that open the breaker
-FAILURES = 3
+FAILURES_TO_OPEN = 3
 #: the first pause; each further one is twice as long
-SHORTEST_S = 2.0
+SHORTEST_PAUSE_S = 2.0
 #: bounds the pauses
-LONGEST_S = 30.0
+LONGEST_PAUSE_S = 30.0
 #: a trial request that has had no result for so long was never sent: another one is allowed
 TRIAL_TIMEOUT_S = 5.0
 
@@ -30,8 +30,8 @@
         name: str,
         clock: Callable[[], float],
         rng: random.Random,
-        failures: int = FAILURES,
-        longest_s: float = LONGEST_S,
+        failures: int = FAILURES_TO_OPEN,
+        longest_s: float = LONGEST_PAUSE_S,
     ) -> None:
         """Start closed, so that requests are allowed.
 
@@ -43,17 +43,17 @@
             longest_s: the longest pause, in seconds.
         """
         self.name = name
-        self.max_failures = failures
-        self.longest_s = longest_s
+        self.failures_to_open = failures
+        self.longest_pause_s = longest_s
         self.clock = clock
         self.rng = rng
         self.state = BreakerState.CLOSED
         self._failures = 0
-        self._pause_s = SHORTEST_S
+        self._pause_s = SHORTEST_PAUSE_S
         self._paused_until = 0.0
         self._trial_at = 0.0
 
-    def move(self, new: BreakerState, why: str) -> None:
+    def change_state(self, new: BreakerState, why: str) -> None:
         """Change the state: the one function that does so.
 
         Raises:
@@ -68,7 +68,7 @@
         now = self.clock()
         if self.state is BreakerState.OPEN and now >= self._paused_until:
             self._trial_at = now
-            self.move(BreakerState.TRYING, "the pause is over")
+            self.change_state(BreakerState.TRYING, "the pause is over")
             return True
         if self.state is BreakerState.TRYING and now - self._trial_at >= TRIAL_TIMEOUT_S:
             self._trial_at = now
@@ -79,17 +79,17 @@
         """Note that a request was answered; a trial request closes the breaker."""
         self._failures = 0
         if self.state is BreakerState.TRYING:
-            self._pause_s = SHORTEST_S
-            self.move(BreakerState.CLOSED, "it answers")
+            self._pause_s = SHORTEST_PAUSE_S
+            self.change_state(BreakerState.CLOSED, "it answers")
 
     def record_failure(self, why: str) -> None:
         """Note that a request failed; opens the breaker after several in a row, or after a failed trial."""
         self._failures += 1
         if self.state is BreakerState.OPEN:
             return
-        if self.state is BreakerState.CLOSED and self._failures < self.max_failures:
+        if self.state is BreakerState.CLOSED and self._failures < self.failures_to_open:
             return
         # random, so that clusters which lost the same link do not return together
         self._paused_until = self.clock() + self._pause_s * (0.5 + self.rng.random())
-        self._pause_s = min(self.longest_s, 2 * self._pause_s)
-        self.move(BreakerState.OPEN, why)
+        self._pause_s = min(self.longest_pause_s, 2 * self._pause_s)
+        self.change_state(BreakerState.OPEN, why)
--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -26,7 +26,7 @@
     NAMES,
     NAMES_WITHOUT_MEANING,
     PLAIN,
-    LocalLoad,
+    LocalSettings,
     RemoteClusterSettings,
     read_plain_settings,
 )
@@ -34,8 +34,8 @@
 from .home import HomeCluster
 from .messages import FreeCapacity
 from .overflow_limits import OverflowLimits
-from .remote_cluster import Cluster, Link
-from .tls_link import TlsLink, over_tls
+from .remote_cluster import Link, RemoteCluster
+from .tls_link import TlsLink, tls_connector
 
 __all__ = [
     "DEFAULTS",
@@ -43,17 +43,17 @@
     "KEYS",
     "NAMES",
     "PLAIN",
-    "RECALL",
+    "RECALL_PATH",
     "Federation",
-    "LocalLoad",
+    "LocalSettings",
     "RemoteClusterSettings",
 ]
 
-RECALL = "/federation/recall"
+RECALL_PATH = "/federation/recall"
 #: greenlets that wait for other clusters at a time
-WORKERS = 32
+MAX_LINK_GREENLETS = 32
 #: how long to wait before a greenlet is started while all of them are busy, in seconds
-BUSY_PAUSE_S = 0.05
+POOL_FULL_PAUSE_S = 0.05
 #: how old the zones' loads may be, in seconds: adding them up visits all machines
 LOADS_VALID_S = 1.0
 #: the pause between two steps of the leader, in seconds
@@ -72,7 +72,7 @@
         self,
         values: Expressions,
         settings: Settings,
-        local: LocalLoad,
+        local: LocalSettings,
         clock: Callable[[], float] = time.monotonic,
         rng: random.Random | None = None,
         spawn: Callable[[Callable[[], None]], None] | None = None,
@@ -97,7 +97,7 @@
         self.home: HomeCluster | None = None
         self.guest: GuestCluster | None = None
         self.term: Term | None = None
-        self.pool = Pool(WORKERS)
+        self.pool = Pool(MAX_LINK_GREENLETS)
         #: the share of each zone's CPUs in use, and when it was added up
         self._zone_loads: dict[int, float] = {}
         self._zone_loads_at = -math.inf
@@ -109,7 +109,7 @@
             if objective.kind == "guarantee" and objective.within_s is not None
         ]
         #: the values of names that are the same for every gang, or have no meaning
-        self.rest = {
+        self.fixed_names = {
             **NAMES_WITHOUT_MEANING,
             "clusters": float(max(1, len(local.others))),
             "report_s": settings.params.workers.report_s,
@@ -118,19 +118,19 @@
 
     # hooks ------------------------------------------------------------------------------------------------
 
-    def take_host(self, host: Host) -> None:
+    def attach_host(self, host: Host) -> None:
         """Keep the controller that this feature is part of."""
         self.host = host
 
-    def begin(self, term: Any) -> None:
+    def begin_term(self, term: Any) -> None:
         """Begin a term of this controller: gangs abroad and guests are read from the records.
 
         Raises:
             StoreError: the store could not be reached.
         """
         assert isinstance(term, Term) and self.host is not None
-        values = {key: self.values.value(key, self.rest) for key in KEYS}
-        clusters = [Cluster(name, link, self.breakers[name]) for name, link in self.links.items()]
+        values = {key: self.values.value(key, self.fixed_names) for key in KEYS}
+        clusters = [RemoteCluster(name, link, self.breakers[name]) for name, link in self.links.items()]
         home = HomeCluster(self.local.cluster, term, clusters, self._overflow_limits(values), self.rng, self.spawn)
         guest = GuestCluster(self.local.cluster, term, self._guest_limits(values), self.host.cancel)
         self.home, self.guest, self.term = home, guest, term
@@ -155,7 +155,7 @@
             team=self.local.guests_team,
             priority=PRIORITIES[int(values["guest_rank"])],
             reserve_s=values["reserve_s"],
-            give_back_s=values["give_back_s"],
+            return_after_s=values["give_back_s"],
             max_reservations=int(values["most_reserved"]),
             max_guests=int(values["most_guests"]),
         )
@@ -163,7 +163,7 @@
     def _spawn_in_pool(self, work: Callable[[], None]) -> None:
         if self.pool.full():
             # every greenlet waits for another cluster: give them time, so that the leader's loop does not spin
-            gevent.sleep(BUSY_PAUSE_S)
+            gevent.sleep(POOL_FULL_PAUSE_S)
         self.pool.spawn(work)
 
     def _leads(self) -> bool:
@@ -175,18 +175,18 @@
             self.guest.step()
             self.home.step()
 
-    def answer(self) -> Any:
+    def message_handler(self) -> Any:
         """Return what replies to messages in the present term, or None if this controller does not lead."""
-        return self.guest.answer if self._leads() and self.guest is not None else None
+        return self.guest.handle_message if self._leads() and self.guest is not None else None
 
     def recall(self, ref: str) -> None:
         """Recall a cancelled gang from another cluster, here or through the leader."""
         if self._leads() and self.home is not None:
             self.home.recall(ref)
         elif self.host is not None:
-            self.host.ask_leader(RECALL, ref.encode())
+            self.host.ask_leader(RECALL_PATH, ref.encode())
 
-    def take_recall(self, body: bytes) -> bytes:
+    def handle_recall(self, body: bytes) -> bytes:
         """Recall a gang whose cancellation another controller of this cluster was asked for."""
         if self._leads() and self.home is not None:
             self.home.recall(body[:MAX_RECALL_BYTES].decode("ascii", "replace"))
@@ -201,7 +201,7 @@
     def _names(self, job: Job, **more: float) -> dict[str, float]:
         """Return the values of all names that an expression about a gang may use."""
         gang = {"gang_size": float(job.spec.tasks), "gang_cpus": job.spec.cpus * job.spec.tasks}
-        return {**self.rest, **gang, **more}
+        return {**self.fixed_names, **gang, **more}
 
     def overflow_after_s(self, job: Job, now: float) -> float:
         """Return for how many seconds a gang waits before it is offered, by the operators' expression."""
@@ -231,11 +231,11 @@
         """Return how much a cluster is preferred for a gang, by the operators' expression."""
         names = self._names(
             job,
-            free_machines=float(capacity.free),
+            free_machines=float(capacity.free_machines),
             told_age_s=age_s,
             has_image=float(job.spec.image in capacity.images),
             image_gb=job.spec.image_gb,
-            price=capacity.price,
+            price=capacity.price_per_cpu_hour,
         )
         return self.values.value("prefer", names)
 
@@ -251,16 +251,16 @@
     listeners = [_make_link(federation, local, settings, plain)] if local.others else []
     return Features(
         ["federation"],
-        messages={RECALL: federation.take_recall},
+        messages={RECALL_PATH: federation.handle_recall},
         listeners=listeners,
         steps=[(federation.step, STEP_PAUSE_S)],
-        hosts=[federation.take_host],
-        terms=[federation.begin],
+        hosts=[federation.attach_host],
+        terms=[federation.begin_term],
         recalls=[federation.recall],
     )
 
 
-def _make_link(federation: Federation, local: LocalLoad, settings: Settings, plain: PlainValues) -> Listener:
+def _make_link(federation: Federation, local: LocalSettings, settings: Settings, plain: PlainValues) -> Listener:
     """Make the links to all other clusters, and return the listener for their messages."""
     # imported here, as a controller without other clusters needs neither netaddr nor the link's server
     from .allowed_networks import AllowedNetworks, NetworkListError
@@ -278,12 +278,12 @@
     for other in local.others:
         federation.links[other.name] = TlsLink(
             controllers={name: parse_address(address, "others") for name, address in other.controllers.items()},
-            connect=over_tls(other.name, ring),
+            connect=tls_connector(other.name, ring),
             edition=lambda: ring.edition,
             clock=federation.clock,
             rng=federation.rng,
         )
-    server = LinkServer(ring, federation.answer, federation.leader, federation.clock)
+    server = LinkServer(ring, federation.message_handler, federation.leader, federation.clock)
     gate = LinkAdmission(networks, ring, federation.clock)
     return Listener(local.listen[settings.name], "listen", server.app, MAX_LINK_CONNECTIONS, gate)
 
--- a/src/grebestand/federation/feature_settings.py
+++ b/src/grebestand/federation/feature_settings.py
@@ -78,7 +78,7 @@
     controllers: dict[str, str]
 
 
-class LocalLoad(msgspec.Struct, forbid_unknown_fields=True):
+class LocalSettings(msgspec.Struct, forbid_unknown_fields=True):
     """The plain settings.
 
     Attributes:
@@ -98,7 +98,7 @@
     others: list[RemoteClusterSettings] = []
 
 
-def read_plain_settings(plain: PlainValues, settings: Settings) -> LocalLoad:
+def read_plain_settings(plain: PlainValues, settings: Settings) -> LocalSettings:
     """Read and check the plain settings.
 
     Args:
@@ -109,7 +109,7 @@
         ExpressionError: one of them is wrong; names the field at fault.
     """
     try:
-        local = msgspec.convert(plain.values, LocalLoad)
+        local = msgspec.convert(plain.values, LocalSettings)
     except msgspec.ValidationError as error:
         field = str(error).rpartition("$.")[2].rstrip("`") if "$." in str(error) else "cluster"
         raise plain.fault(field, str(error)) from error
@@ -127,7 +127,7 @@
     return local
 
 
-def _check_other_clusters(plain: PlainValues, local: LocalLoad) -> None:
+def _check_other_clusters(plain: PlainValues, local: LocalSettings) -> None:
     names = {local.cluster}
     for other in local.others:
         if other.name in names:
--- a/src/grebestand/federation/free_capacity.py
+++ b/src/grebestand/federation/free_capacity.py
@@ -18,9 +18,9 @@
     free = [machine for machine in is_schedulable if not machine.allocations and machine.reserved_for is None]
     return FreeCapacity(
         version=VERSION,
-        free=len(free),
-        cpus=max((machine.capacity[0] / MICRO_UNITS for machine in free), default=0.0),
-        price=_price_per_cpu_hour(term, is_schedulable),
+        free_machines=len(free),
+        max_cpus=max((machine.capacity[0] / MICRO_UNITS for machine in free), default=0.0),
+        price_per_cpu_hour=_price_per_cpu_hour(term, is_schedulable),
         images=_commonest_images(term, is_schedulable),
     )
 
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -47,18 +47,18 @@
 
 log = logging.getLogger(__name__)
 
-PREFIX = "federation/guest/"
-NO_SUCH = "no such reservation"
+GUEST_KEY_PREFIX = "federation/guest/"
+NO_SUCH_RESERVATION = "no such reservation"
 HOME_NOT_ALLOWED = "not a cluster whose gangs are taken"
 #: home asks every few seconds; a guest that it has not asked about for so long starts nothing new here, as home's
 #: operators may have settled it meanwhile
-QUIET_S = 30.0
+HOME_SILENCE_TIMEOUT_S = 30.0
 #: bytes of randomness in a reservation's id, so that ids are neither repeated nor guessed
 RESERVATION_ID_BYTES = 16
 #: guests' job ids are drawn from this many numbers
-JOB_NUMBERS = 10**19
+GUEST_JOB_NUMBER_COUNT = 10**19
 #: the first of these numbers, above all that this cluster gives its own jobs
-FIRST_JOB_NUMBER = 9 * 10**19
+FIRST_GUEST_JOB_NUMBER = 9 * 10**19
 
 
 class GuestRecord(msgspec.Struct):
@@ -72,14 +72,14 @@
     """
 
     home: str
-    ref: str
-    id: str
-    job: str
+    home_job_id: str = msgspec.field(name="ref")
+    reservation_id: str = msgspec.field(name="id")
+    job_id: str = msgspec.field(name="job")
 
 
 def guest_key(ident: str) -> str:
     """Return the key of a guest gang's record, by its reservation id."""
-    return PREFIX + ident
+    return GUEST_KEY_PREFIX + ident
 
 
 @dataclass
@@ -100,7 +100,7 @@
     team: str
     priority: Priority = Priority.LOW
     reserve_s: float = 15.0
-    give_back_s: float = 60.0
+    return_after_s: float = 60.0
     max_reservations: int = 8
     max_guests: int = 64
 
@@ -129,17 +129,17 @@
         self.records: dict[str, GuestRecord] = {}
         #: when home last asked about a guest or committed it, by reservation id
         self._last_asked_at: dict[str, float] = {}
-        for pair in term.writer.store.pairs(PREFIX):
+        for pair in term.writer.store.pairs(GUEST_KEY_PREFIX):
             record = msgspec.convert(pair.value, GuestRecord)
-            self.records[record.id] = record
-            job = term.registry.jobs.get(record.job)
+            self.records[record.reservation_id] = record
+            job = term.registry.jobs.get(record.job_id)
             if job is not None:
                 # home's operators may have declared this cluster lost meanwhile: it starts when home asks about it
                 job.is_guest = job.origin_silent = True
 
     # messages ---------------------------------------------------------------------------------------------
 
-    def answer(self, message: Message) -> Reply:
+    def handle_message(self, message: Message) -> Reply:
         """Return the reply to a message; without a leader that may act, it is uncertain."""
         if not self.term.loaded or not self.term.writer.is_leader():
             return UncertainReply(NOT_LEADING)
@@ -181,14 +181,14 @@
             return Rejection("no room")
         reservation = Reservation(
             home=request.home,
-            ref=request.spec.id,
+            home_job_id=request.spec.id,
             spec=job.spec,
-            id=secrets.token_hex(RESERVATION_ID_BYTES),
-            until=now + self.limits.reserve_s,
+            reservation_id=secrets.token_hex(RESERVATION_ID_BYTES),
+            expires_at=now + self.limits.reserve_s,
             machines=machines,
         )
         self.reservations.add(reservation)
-        return Reserved(reservation.id, self.limits.reserve_s)
+        return Reserved(reservation.reservation_id, self.limits.reserve_s)
 
     def _why_not_acceptable(self, request: ReservationRequest) -> str | None:
         """Return why the gang is not accepted whatever the free capacity, or None."""
@@ -215,7 +215,7 @@
         """
         guest_spec = msgspec.structs.replace(
             spec,
-            id=f"j-{secrets.randbelow(JOB_NUMBERS) + FIRST_JOB_NUMBER}",
+            id=f"j-{secrets.randbelow(GUEST_JOB_NUMBER_COUNT) + FIRST_GUEST_JOB_NUMBER}",
             team=self.limits.team,
             priority=max(spec.priority, self.limits.priority, key=PRIORITIES.index),
         )
@@ -227,17 +227,17 @@
 
     def _commit(self, commit: Commit) -> Reply:
         """Take the gang in, as home has decided; idempotent."""
-        record = self.records.get(commit.id)
+        record = self.records.get(commit.reservation_id)
         if record is not None:
             return self._record_query(record)
-        reservation = self.reservations.by_id.get(commit.id)
+        reservation = self.reservations.by_id.get(commit.reservation_id)
         if reservation is None or reservation.home != commit.home:
-            return Rejection(NO_SUCH)
+            return Rejection(NO_SUCH_RESERVATION)
         if reservation.state is GuestState.RESERVED:
-            if self.term.clock() >= reservation.until:
-                self.reservations.move(reservation, GuestState.RELEASED, "its time was over")
-                return Rejection(NO_SUCH)
-            self.reservations.move(reservation, GuestState.STARTING, "decided at home")
+            if self.term.clock() >= reservation.expires_at:
+                self.reservations.change_state(reservation, GuestState.RELEASED, "its time was over")
+                return Rejection(NO_SUCH_RESERVATION)
+            self.reservations.change_state(reservation, GuestState.STARTING, "decided at home")
         return self._take_in(reservation)
 
     def _take_in(self, reservation: Reservation) -> Reply:
@@ -246,19 +246,19 @@
         A write without an answer may still be carried out. It is repeated with the same keys until its result is
         known, so that it takes effect once.
         """
-        record = GuestRecord(reservation.home, reservation.ref, reservation.id, reservation.job)
-        record_key, job_key = guest_key(reservation.id), live_key(reservation.job)
+        record = GuestRecord(reservation.home, reservation.home_job_id, reservation.reservation_id, reservation.job_id)
+        record_key, job_key = guest_key(reservation.reservation_id), live_key(reservation.job_id)
         live: Any = msgspec.to_builtins(LiveJobRecord(reservation.spec, self.term.wall(), guest=True))
-        conditions = [key_absent(record_key), key_absent(job_key), key_absent(completed_key(reservation.job))]
+        conditions = [key_absent(record_key), key_absent(job_key), key_absent(completed_key(reservation.job_id))]
         changes = [put(record_key, msgspec.to_builtins(record)), put(job_key, live)]
         version, failed = self.term.writer.commit(conditions, changes, Urgency.ACCEPT)
         if failed and record_key not in failed:
             if reservation.state is GuestState.STARTING:
-                self.reservations.move(reservation, GuestState.RELEASED, "its reference is taken here")
-            return Rejection(NO_SUCH)
-        self.records[reservation.id] = record
+                self.reservations.change_state(reservation, GuestState.RELEASED, "its reference is taken here")
+            return Rejection(NO_SUCH_RESERVATION)
+        self.records[reservation.reservation_id] = record
         if reservation.state is GuestState.STARTING:  # else a concurrent commit has already done so
-            self.reservations.move(reservation, GuestState.STARTED, "taken in")
+            self.reservations.change_state(reservation, GuestState.STARTED, "taken in")
         if failed:  # an earlier attempt was carried out after all
             found = self.term.writer.store.get(job_key, Urgency.ACCEPT)
             live, version = (found.value, found.version) if found is not None else (None, 0)
@@ -267,15 +267,15 @@
         return self._record_query(record)
 
     def _query(self, query: StatusQuery) -> Reply:
-        record = self.records.get(query.id)
+        record = self.records.get(query.reservation_id)
         if record is not None:
             return self._record_query(record)
-        return Running(0) if query.id in self.reservations.by_id else Rejection(NO_SUCH)
+        return Running(0) if query.reservation_id in self.reservations.by_id else Rejection(NO_SUCH_RESERVATION)
 
     def _record_query(self, record: GuestRecord) -> Reply:
         """Note that home still relies on this cluster, so that the guest's tasks may start; return its status."""
-        self._last_asked_at[record.id] = self.term.clock()
-        job = self.term.registry.jobs.get(record.job)
+        self._last_asked_at[record.reservation_id] = self.term.clock()
+        job = self.term.registry.jobs.get(record.job_id)
         if job is not None and job.origin_silent:
             job.origin_silent = False
             self.term.registry.changed_since_scheduling = True
@@ -283,7 +283,7 @@
 
     def _status(self, record: GuestRecord) -> Reply:
         """Return a guest's status by the registry, and by the stored record once the job has ended."""
-        job = self.term.registry.jobs.get(record.job)
+        job = self.term.registry.jobs.get(record.job_id)
         if job is not None and job.is_live:
             return Running(job.running_count())
         done = self._ended_as_done(record)
@@ -295,47 +295,47 @@
 
     def _ended_as_done(self, record: GuestRecord) -> bool | None:
         """Return whether an ended guest was done and not cancelled, or None while that is not on record."""
-        completed = self.term.completed_jobs.get(record.job)
+        completed = self.term.completed_jobs.get(record.job_id)
         if completed is not None:
             return completed.state is JobStatus.DONE
-        found = self.term.writer.store.get(completed_key(record.job), Urgency.POLL)
+        found = self.term.writer.store.get(completed_key(record.job_id), Urgency.POLL)
         return None if found is None else bool(found.value["state"] == JobStatus.DONE.value)
 
     def _recall(self, recall: Recall) -> Reply:
         """End a reservation or a guest, whatever it is."""
-        record = self.records.get(recall.id)
+        record = self.records.get(recall.reservation_id)
         if record is None:
             return self._recall_reservation(recall)
         status = self._status(record)
         if isinstance(status, Running):
-            if not self.cancel(record.job):
+            if not self.cancel(record.job_id):
                 return UncertainReply("it cannot be ended now")
             self.term.job_watch.watch()
             status = self._status(record)
         return status
 
     def _recall_reservation(self, recall: Recall) -> Reply:
-        reservation = self.reservations.by_id.get(recall.id)
+        reservation = self.reservations.by_id.get(recall.reservation_id)
         if reservation is not None and reservation.state is GuestState.STARTING:
             return UncertainReply("it is being taken in")
         if reservation is not None:
-            self.reservations.move(reservation, GuestState.RELEASED, "not needed")
-        return Rejection(NO_SUCH)
+            self.reservations.change_state(reservation, GuestState.RELEASED, "not needed")
+        return Rejection(NO_SUCH_RESERVATION)
 
     def _forget(self, forget: Forget) -> Reply:
         """Remove the record of a guest that is over."""
-        record = self.records.get(forget.id)
+        record = self.records.get(forget.reservation_id)
         if record is None:
-            return Rejection(NO_SUCH)
+            return Rejection(NO_SUCH_RESERVATION)
         if not isinstance(self._status(record), Ended):
             return UncertainReply("it is not over")
-        key = guest_key(record.id)
+        key = guest_key(record.reservation_id)
         found = self.term.writer.store.get(key, Urgency.PROGRESS)
         if found is not None:
             self.term.writer.commit([version_is(key, found.version)], [delete(key)], Urgency.PROGRESS)
-        self.records.pop(record.id, None)
-        self._last_asked_at.pop(record.id, None)
-        return Rejection(NO_SUCH)
+        self.records.pop(record.reservation_id, None)
+        self._last_asked_at.pop(record.reservation_id, None)
+        return Rejection(NO_SUCH_RESERVATION)
 
     # steps ------------------------------------------------------------------------------------------------
 
@@ -346,21 +346,26 @@
         now = self.term.clock()
         self.reservations.release_expired(now)
         for record in list(self.records.values()):
-            job = self.term.registry.jobs.get(record.job)
+            job = self.term.registry.jobs.get(record.job_id)
             if job is not None and job.is_live:
                 self._pause_if_home_is_silent(record, job, now)
                 self._give_back_if_without_capacity(record, job, now)
 
     def _pause_if_home_is_silent(self, record: GuestRecord, job: Job, now: float) -> None:
-        if not job.origin_silent and now - self._last_asked_at.get(record.id, -math.inf) > QUIET_S:
+        if (
+            not job.origin_silent
+            and now - self._last_asked_at.get(record.reservation_id, -math.inf) > HOME_SILENCE_TIMEOUT_S
+        ):
             job.origin_silent = True
-            log.info(LogEvent("guest_home_silent", job_id=record.ref, home=record.home))
+            log.info(LogEvent("guest_home_silent", job_id=record.home_job_id, home=record.home))
 
     def _give_back_if_without_capacity(self, record: GuestRecord, job: Job, now: float) -> None:
         if job.allocations or job.origin_silent or job.startable_count() != job.spec.tasks:
             return
         wait_s = now - job.waiting_since
-        if wait_s <= self.limits.give_back_s:
+        if wait_s <= self.limits.return_after_s:
             return
-        log.info(LogEvent("guest_returned", job_id=record.ref, home=record.home, reason="no capacity", wait_s=wait_s))
-        self.cancel(record.job)
+        log.info(
+            LogEvent("guest_returned", job_id=record.home_job_id, home=record.home, reason="no capacity", wait_s=wait_s)
+        )
+        self.cancel(record.job_id)
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -37,8 +37,8 @@
 )
 from .offering import OfferPlanner
 from .overflow_limits import OverflowLimits
-from .rate_limits import RetryBackoff
-from .remote_cluster import Cluster, RemoteClusters
+from .rate_limits import RetryBudget
+from .remote_cluster import RemoteCluster, RemoteClusters
 from .remote_gang import EndedReservation, RemoteGang
 from .settled_gangs import SettledGangs
 from .state_machines import HOME_TRANSITIONS, HomeState
@@ -54,7 +54,7 @@
 #: bounds the growth of that interval
 MAX_QUERY_INTERVAL_FACTOR = 8
 #: retries allowed a second, however few messages are sent for the first time
-LEAST_RETRIES_PER_S = 1.0
+MIN_RETRIES_PER_S = 1.0
 #: between two summaries in the log
 SUMMARY_INTERVAL_S = 60.0
 #: after a step that the store did not answer
@@ -64,7 +64,7 @@
 #: after a step that met an unexpected exception
 CRASH_RETRY_S = 5.0
 #: states in which another cluster may run the gang, or may come to run it
-AWAY_STATES = frozenset({HomeState.DECIDING, HomeState.COMMITTED, HomeState.ABROAD, HomeState.RETURNING})
+REMOTE_STATES = frozenset({HomeState.DECIDING, HomeState.COMMITTED, HomeState.ABROAD, HomeState.RETURNING})
 
 
 class HomeCluster:
@@ -74,7 +74,7 @@
         self,
         name: str,
         term: Term,
-        clusters: list[Cluster],
+        clusters: list[RemoteCluster],
         limits: OverflowLimits,
         rng: random.Random,
         spawn: Callable[[Callable[[], None]], None] = lambda work: work(),
@@ -107,7 +107,7 @@
         self.gangs: dict[str, RemoteGang] = {}
         #: offers sent, and how they ended
         self.counts = {"offers": 0, "reserved": 0, "decided": 0, "in_vain": 0}
-        self._retries = RetryBackoff(limits.retry_share, LEAST_RETRIES_PER_S, term.clock)
+        self._retries = RetryBudget(limits.retry_share, MIN_RETRIES_PER_S, term.clock)
         self._summary_at = term.clock()
         self._ended_reservations: list[EndedReservation] = []
         self.settled = SettledGangs(term, self.remotes, spawn, self._ended_reservations.append)
@@ -118,9 +118,9 @@
             if job.remote_assignment is not None:
                 gang = self.gangs[job.spec.id] = RemoteGang(job, assignment=job.remote_assignment)
                 # whether the commit was ever sent is not on record: it is sent again, which is idempotent
-                self.move(gang, HomeState.COMMITTED, "on record")
+                self.change_state(gang, HomeState.COMMITTED, "on record")
 
-    def move(self, gang: RemoteGang, new: HomeState, why: str) -> None:
+    def change_state(self, gang: RemoteGang, new: HomeState, why: str) -> None:
         """Change the state of a gang: the one function that does so.
 
         Raises:
@@ -133,7 +133,7 @@
         check_transition(HOME_TRANSITIONS, gang.state, new, job_id)
         log.info(LogEvent("remote_gang_state_changed", job_id=job_id, from_=gang.state, to=new, reason=why))
         gang.state = new
-        job.runs_remotely = new in AWAY_STATES
+        job.runs_remotely = new in REMOTE_STATES
         if new is HomeState.WAITING:
             gang.assignment = job.remote_assignment = None
             job.remote_running_count = 0
@@ -196,12 +196,12 @@
     def _advance_by_state(self, gang: RemoteGang) -> None:
         job = gang.job
         if gang.state in (HomeState.COMMITTED, HomeState.ABROAD) and job.remote_assignment is None and job.is_live:
-            self.move(gang, HomeState.RETURNING, "settled by its operators")
-            self.move(gang, HomeState.WAITING, "settled by its operators")
-            self.settled.read()
+            self.change_state(gang, HomeState.RETURNING, "settled by its operators")
+            self.change_state(gang, HomeState.WAITING, "settled by its operators")
+            self.settled.load_records()
         elif not job.is_live and gang.state in (HomeState.WAITING, HomeState.OFFERED):
             self._release(gang)
-            self.move(gang, HomeState.OVER, "it is over at home")
+            self.change_state(gang, HomeState.OVER, "it is over at home")
         elif gang.state is HomeState.DECIDING:
             self._resolve_unknown_decision(gang)
         elif gang.state in (HomeState.COMMITTED, HomeState.ABROAD):
@@ -219,32 +219,32 @@
     # offering ---------------------------------------------------------------------------------------------
 
     def _offer_due(self, now: float) -> None:
-        for offer in self.offer_planner.due(self.gangs, now):
+        for offer in self.offer_planner.due_offers(self.gangs, now):
             self.gangs[offer.gang.job.spec.id] = offer.gang
             clusters = offer.clusters
             self._spawn_step(offer.gang, lambda gang, clusters=clusters: self._offer(gang, clusters))  # type: ignore[misc]
 
-    def _offer(self, gang: RemoteGang, clusters: list[Cluster]) -> None:
+    def _offer(self, gang: RemoteGang, clusters: list[RemoteCluster]) -> None:
         """Ask these clusters for reservations, then decide."""
         gang.reservations = {}
         gang.offers += len(clusters)
         gang.offered_at = self.term.clock()
         self.counts["offers"] += len(clusters)
-        self.move(gang, HomeState.OFFERED, f"offered to {', '.join(cluster.name for cluster in clusters)}")
+        self.change_state(gang, HomeState.OFFERED, f"offered to {', '.join(cluster.name for cluster in clusters)}")
         request = ReservationRequest(self.name, gang.job.spec, [self.name])
         for cluster in clusters:
-            self._record_offer_reply(gang, cluster, self.remotes.ask(cluster, request))
+            self._record_offer_reply(gang, cluster, self.remotes.send(cluster, request))
         self._decide(gang)
 
-    def _record_offer_reply(self, gang: RemoteGang, cluster: Cluster, reply: Reply | None) -> None:
+    def _record_offer_reply(self, gang: RemoteGang, cluster: RemoteCluster, reply: Reply | None) -> None:
         if isinstance(reply, Reserved):
-            gang.reservations[cluster.name] = reply.id
+            gang.reservations[cluster.name] = reply.reservation_id
             self.counts["reserved"] += 1
             cluster.offer_breaker.record_success()
         elif isinstance(reply, Rejection):
-            cluster.offer_breaker.record_failure(reply.why)
+            cluster.offer_breaker.record_failure(reply.reason)
             job_id = gang.job.spec.id
-            log.info(LogEvent("reservation_rejected", job_id=job_id, cluster=cluster.name, reason=reply.why))
+            log.info(LogEvent("reservation_rejected", job_id=job_id, cluster=cluster.name, reason=reply.reason))
 
     def _release(self, gang: RemoteGang, but: str | None = None) -> None:
         """End the reservations that are not used, except one; if the message is lost, they expire by themselves."""
@@ -252,7 +252,7 @@
             if cluster_name != but:
                 self.counts["in_vain"] += 1
                 recall = Recall(self.name, gang.job.spec.id, reservation_id)
-                self.remotes.ask(self.remotes.by_name[cluster_name], recall)
+                self.remotes.send(self.remotes.by_name[cluster_name], recall)
         gang.reservations = {}
 
     # the decision -----------------------------------------------------------------------------------------
@@ -263,10 +263,12 @@
         chosen = next(iter(gang.reservations), None)
         if chosen is None or job.allocations or not job.is_live or job.startable_count() != job.spec.tasks:
             self._release(gang)
-            self.move(gang, HomeState.WAITING, "no capacity elsewhere" if chosen is None else "it starts at home")
+            self.change_state(
+                gang, HomeState.WAITING, "no capacity elsewhere" if chosen is None else "it starts at home"
+            )
             return
         gang.assignment = RemoteAssignment(chosen, gang.reservations[chosen])
-        self.move(gang, HomeState.DECIDING, f"reserved by {chosen}")
+        self.change_state(gang, HomeState.DECIDING, f"reserved by {chosen}")
         try:
             self._write(gang, gang.assignment)
         except (StoreError, FencedError) as error:
@@ -284,20 +286,20 @@
     def _write(self, gang: RemoteGang, assignment: RemoteAssignment | None) -> None:
         """Set or clear the assignment in the live record, if that is still as this leader knows it."""
         if self.records.write(gang.job, assignment):
-            self.move(gang, HomeState.COMMITTED if assignment else HomeState.WAITING, "on record")
+            self.change_state(gang, HomeState.COMMITTED if assignment else HomeState.WAITING, "on record")
         else:
             self._reread(gang)
 
     def _reread(self, gang: RemoteGang) -> None:
         """Adopt a live record that differs: a user's cancellation came first, or an earlier write was made."""
         if not self.records.reread(gang.job):
-            self.move(gang, HomeState.OVER, "it was cancelled first")
+            self.change_state(gang, HomeState.OVER, "it was cancelled first")
         elif gang.job.remote_assignment is None:
-            self.move(gang, HomeState.WAITING, "on record")
+            self.change_state(gang, HomeState.WAITING, "on record")
         else:
             gang.assignment = gang.job.remote_assignment
             if gang.state is HomeState.DECIDING:
-                self.move(gang, HomeState.COMMITTED, "on record")
+                self.change_state(gang, HomeState.COMMITTED, "on record")
 
     def _resolve_unknown_decision(self, gang: RemoteGang) -> None:
         """Find out whether a decision whose write had no answer was made.
@@ -318,7 +320,7 @@
         kind = Recall if gang.recalled else Commit if gang.state is HomeState.COMMITTED else StatusQuery
         self._query(gang, cluster, kind(self.name, gang.job.spec.id, gang.assignment.id))
 
-    def _query(self, gang: RemoteGang, cluster: Cluster | None, message: Message) -> None:
+    def _query(self, gang: RemoteGang, cluster: RemoteCluster | None, message: Message) -> None:
         """Send a message about a gang abroad, and act on the reply."""
         gang.next_step_at = self.term.clock() + QUERY_INTERVAL_S * (0.75 + 0.5 * self.rng.random())
         if cluster is None or not cluster.breaker.allows_request():
@@ -327,16 +329,16 @@
             return
         if not gang.unanswered_queries:
             self._retries.record_first_try()
-        reply = self.remotes.ask(cluster, message)
+        reply = self.remotes.send(cluster, message)
         self._record_certainty(gang, reply)
         if isinstance(reply, Running):
             gang.job.remote_running_count = reply.running
             if gang.state is HomeState.COMMITTED:
-                self.move(gang, HomeState.ABROAD, f"{cluster.name} runs it")
+                self.change_state(gang, HomeState.ABROAD, f"{cluster.name} runs it")
         elif isinstance(reply, Ended | Rejection):
             gang.done = isinstance(reply, Ended) and reply.done
-            why = "done there" if gang.done else "given back" if isinstance(reply, Ended) else reply.why
-            self.move(gang, HomeState.RETURNING, why)
+            why = "done there" if gang.done else "given back" if isinstance(reply, Ended) else reply.reason
+            self.change_state(gang, HomeState.RETURNING, why)
             self._advance(gang)
 
     def _record_certainty(self, gang: RemoteGang, reply: Reply | None) -> None:
@@ -370,7 +372,7 @@
             self.term.registry.mark_done(job, index, now)
         if job.is_live:
             self.term.registry.change_job_state(job, JobState.CLOSING, now)
-        self.move(gang, HomeState.OVER, "done")
+        self.change_state(gang, HomeState.OVER, "done")
 
     def _cancel(self, gang: RemoteGang) -> None:
         """Record the cancellation; only from here on its user gets it confirmed."""
@@ -378,7 +380,7 @@
             self._reread(gang)
             return
         self.term.dispatch.cancel(gang.job, self.term.clock())
-        self.move(gang, HomeState.OVER, "cancelled for its user")
+        self.change_state(gang, HomeState.OVER, "cancelled for its user")
 
     def _forget_ended_reservations(self) -> None:
         """Let the others remove their records of reservations that home's live records no longer name."""
@@ -389,4 +391,4 @@
             self._ended_reservations.remove(ended)
             cluster = self.remotes.by_name.get(ended.cluster)
             if cluster is not None:  # if the message is lost, the record there stays until its operators settle it
-                self.remotes.ask(cluster, Forget(self.name, ended.job_id, ended.reservation_id))
+                self.remotes.send(cluster, Forget(self.name, ended.job_id, ended.reservation_id))
--- a/src/grebestand/federation/keyring.py
+++ b/src/grebestand/federation/keyring.py
@@ -23,7 +23,7 @@
 log = logging.getLogger(__name__)
 
 #: how often the files are checked for changes, in seconds
-LOOK_S = 2.0
+CHECK_INTERVAL_S = 2.0
 #: how long a handshake may take
 HANDSHAKE_TIMEOUT_S = 3.0
 #: digits of a certificate's fingerprint that are logged
@@ -69,7 +69,7 @@
     by_cluster: dict[str, dict[str, str]] = field(default_factory=dict)
 
 
-def revoked(root: Path) -> set[str]:
+def read_revoked(root: Path) -> set[str]:
     """Return the fingerprints of the certificates that are not trusted any more."""
     try:
         return set((root / "revoked").read_text().split())
@@ -116,7 +116,7 @@
     def refresh(self) -> None:
         """Read the files again if they have changed, at most every `LOOK_S`; unusable ones change nothing."""
         now = self.clock()
-        if now - self._checked_at < LOOK_S:
+        if now - self._checked_at < CHECK_INTERVAL_S:
             return
         self._checked_at = now
         try:
@@ -132,7 +132,7 @@
         try:
             name = (self.root / "cluster").read_text().strip()
             generation = (self.root / "active").read_text().strip()
-            revoked_now = revoked(self.root)
+            revoked_now = read_revoked(self.root)
         except OSError as error:
             raise KeyringError(self.root, f"{error.strerror}: {Path(error.filename or '').name}") from error
         if name != self.cluster:
@@ -177,7 +177,7 @@
             raise KeyringError(certificate, str(error)) from error
         return context
 
-    def client(self, peer: str) -> ssl.SSLContext | None:
+    def client_context(self, peer: str) -> ssl.SSLContext | None:
         """Return the context for connections to a cluster, which only its own certificates pass.
 
         Returns:
--- a/src/grebestand/federation/keys.py
+++ b/src/grebestand/federation/keys.py
@@ -28,7 +28,7 @@
 from cryptography.x509.oid import NameOID
 
 from ..errors import GrebestandError
-from .keyring import revoked
+from .keyring import read_revoked
 
 #: a certificate is valid from this long before it was made: clocks of other clusters may be behind
 VALID_BEFORE = dt.timedelta(hours=1)
@@ -248,17 +248,17 @@
     Raises:
         KeyFileError: the prefix is too short, or does not name exactly one certificate.
     """
-    certificates = show(root, dt.datetime.now(dt.UTC))
+    certificates = list_certificates(root, dt.datetime.now(dt.UTC))
     found = [summary for summary in certificates if summary.fingerprint.startswith(prefix.lower())]
     if len(prefix) < MIN_FINGERPRINT_DIGITS or len(found) != 1:
         advice = f"give at least {MIN_FINGERPRINT_DIGITS} digits of a fingerprint"
         raise KeyFileError(f"{prefix!r} names {len(found)} certificates; {advice}")
-    lines = sorted(revoked(root) | {found[0].fingerprint})
+    lines = sorted(read_revoked(root) | {found[0].fingerprint})
     _write(root / "revoked", "".join(f"{line}\n" for line in lines).encode())
     return found[0]
 
 
-def show(root: Path, now: dt.datetime) -> list[KeySummary]:
+def list_certificates(root: Path, now: dt.datetime) -> list[KeySummary]:
     """Return all certificates, this cluster's own ones first.
 
     Raises:
@@ -266,7 +266,7 @@
     """
     own_name = _own_name(root)
     active = (root / "active").read_text().strip()
-    revoked_now = revoked(root)
+    revoked_now = read_revoked(root)
     summaries = []
     for path in sorted((root / "own").glob("*.pem")) + sorted((root / "trusted").glob("*/*.pem")):
         certificate = _read_certificate(path)
--- a/src/grebestand/federation/link_server.py
+++ b/src/grebestand/federation/link_server.py
@@ -14,7 +14,7 @@
 from .keyring import Keyring
 from .messages import MAX_MESSAGE_BYTES, NOT_LEADING, InvalidMessageError, Message, Reply, UncertainReply, decode
 from .rate_limits import TokenBucket
-from .tls_link import PATH
+from .tls_link import LINK_PATH
 
 log = logging.getLogger(__name__)
 
@@ -104,7 +104,7 @@
         """Return the message of a request, or raise `RequestRefusedError`."""
         if not self.ring.trusts(environ.get("grebestand.peer")):
             raise RequestRefusedError("403 Forbidden", "its certificate is not believed any more")
-        if environ.get("PATH_INFO") != PATH or environ.get("REQUEST_METHOD") != "POST":
+        if environ.get("PATH_INFO") != LINK_PATH or environ.get("REQUEST_METHOD") != "POST":
             raise RequestRefusedError("404 Not Found", "no such message here; versions may differ")
         length = environ.get("CONTENT_LENGTH") or ""
         if not length.isdigit() or int(length) > MAX_MESSAGE_BYTES:
--- a/src/grebestand/federation/messages.py
+++ b/src/grebestand/federation/messages.py
@@ -1,7 +1,8 @@
-"""The messages between two clusters, and the limits that a message is checked against before it is acted on.
+"""The messages between two clusters, and the checks that each received message has to pass before it is processed.
 
-A reservation's id is drawn by the guest and never used again. Only a commit with that id starts anything, so that an
-offer or a commit which the network delivers again, or minutes late, finds nothing to start.
+The cluster that owns a gang is its home cluster; a cluster that runs gangs of others is a guest cluster. The guest
+cluster draws a random id for each reservation and never uses an id twice. Only a commit with the id of a valid
+reservation starts a gang, so an offer or a commit that the network duplicates or delivers minutes late starts nothing.
 """
 
 from __future__ import annotations
@@ -11,30 +12,28 @@
 from ..errors import GrebestandError
 from ..wire.jobs import JOB_ID, JobSpec, Kind, MalformedError, check_spec
 
-#: the longest message; a description of a job takes a few hundred bytes
+#: Size limit of a message, in bytes; a job specification takes a few hundred bytes.
 MAX_MESSAGE_BYTES = 16 * 1024
-#: the longest name of a cluster, in characters
+#: Limit on the length of a cluster's name, in characters.
 MAX_NAME_LENGTH = 100
-#: clusters that a gang may have been offered through
+#: Limit on the number of clusters in the path of a reservation request.
 MAX_PATH_LENGTH = 8
-#: names of images in the reply to a probe
+#: Limit on the number of image names in the reply to a probe.
 MAX_IMAGES = 32
-#: the length of a reservation's id: 16 bytes in hexadecimal digits
+#: Length of a reservation id, in characters: 16 bytes as hexadecimal digits.
 RESERVATION_ID_LENGTH = 32
-#: the version of these messages; a cluster of another version is probed and offered nothing
+#: Version of the message format. A cluster with another version is still probed, but receives no offers.
 VERSION = 1
-
-
-#: the reason in the reply of a controller that does not lead
+#: The reason in an `UncertainReply` from a controller that is not its cluster's leader.
 NOT_LEADING = "not leading"
 
 
 class Probe(msgspec.Struct, tag="look", frozen=True):
-    """Asks for the free capacity, so that a gang is offered first to the cluster that most likely accepts it.
+    """Requests a cluster's free capacity, so that a gang is offered first to the cluster most likely to accept it.
 
     Attributes:
-        home: the sender's cluster.
-        version: the version of the sender's messages.
+        home: Name of the sender's cluster.
+        version: Version of the sender's message format.
     """
 
     home: str
@@ -42,12 +41,12 @@
 
 
 class ReservationRequest(msgspec.Struct, tag="offer", frozen=True):
-    """Offers a gang: asks for machines to be reserved for all of it. Nothing may be started for it.
+    """Offers a gang: requests a reservation of machines for all its tasks. No task may start before a `Commit`.
 
     Attributes:
-        home: the sender's cluster.
-        spec: the gang.
-        path: the clusters that it has been offered through, home first.
+        home: Name of the sender's cluster.
+        spec: Specification of the gang.
+        path: Names of the clusters through which the gang has been offered, the home cluster first.
     """
 
     home: str
@@ -59,30 +58,33 @@
     """A message about one reservation.
 
     Attributes:
-        home: the sender's cluster.
-        ref: the gang's job id there.
-        id: the reservation's id.
+        home: Name of the sender's cluster.
+        job_id: The gang's job id in the sender's cluster.
+        reservation_id: The reservation's id, as drawn by the guest cluster.
     """
 
     home: str
-    ref: str
-    id: str
+    job_id: str = msgspec.field(name="ref")
+    reservation_id: str = msgspec.field(name="id")
 
 
 class Commit(_ReservationMessage, tag="commit", frozen=True):
-    """Home has recorded its decision for this reservation: the gang may start."""
+    """Tells the guest cluster that home has recorded its decision for this reservation: the gang may start."""
 
 
 class StatusQuery(_ReservationMessage, tag="ask", frozen=True):
-    """Asks for the status of a gang."""
+    """Requests the status of a gang."""
 
 
 class Recall(_ReservationMessage, tag="recall", frozen=True):
-    """Ends a reservation or a gang; the reply says how it ended, or confirms that it never starts."""
+    """Ends a reservation or a gang.
+
+    The reply says how the gang ended, or confirms that the gang never starts under this reservation.
+    """
 
 
 class Forget(_ReservationMessage, tag="forget", frozen=True):
-    """Home has recorded the end: the guest may remove its record."""
+    """Tells the guest cluster that home has recorded the gang's end: the guest cluster may remove its own record."""
 
 
 Message = Probe | ReservationRequest | Commit | StatusQuery | Recall | Forget
@@ -92,17 +94,17 @@
     """Reply to `Probe`.
 
     Attributes:
-        version: the version of the sender's messages.
-        free: machines without tasks that accept work.
-        cpus: the CPUs of the largest of them.
-        price: of a CPU for an hour, on average.
-        images: names of the images that most machines have.
+        version: Version of the sender's message format.
+        free_machines: Number of schedulable machines without tasks and without a reservation.
+        max_cpus: Number of CPUs of the largest free machine.
+        price_per_cpu_hour: Average price of one CPU for one hour.
+        images: Names of the images that are present on the most machines.
     """
 
     version: int
-    free: int
-    cpus: float
-    price: float
+    free_machines: int = msgspec.field(name="free")
+    max_cpus: float = msgspec.field(name="cpus")
+    price_per_cpu_hour: float = msgspec.field(name="price")
     images: list[str] = []
 
 
@@ -110,53 +112,53 @@
     """Reply to `ReservationRequest`: machines are reserved.
 
     Attributes:
-        id: the reservation's id.
-        for_s: for how many seconds, by the guest's clock.
+        reservation_id: The reservation's id.
+        duration_s: How long the reservation is valid by the guest cluster's clock, in seconds.
     """
 
-    id: str
-    for_s: float
+    reservation_id: str = msgspec.field(name="id")
+    duration_s: float = msgspec.field(name="for_s")
 
 
 class Rejection(msgspec.Struct, tag="refused", frozen=True):
-    """The message is not accepted. For one about a reservation: nothing starts under its id any more.
+    """Reply that rejects a message. If the message is about a reservation, nothing starts under that reservation's id.
 
     Attributes:
-        why: the reason.
+        reason: Why the message is rejected.
     """
 
-    why: str
+    reason: str = msgspec.field(name="why")
 
 
 class Running(msgspec.Struct, tag="running", frozen=True):
-    """The gang is a job of the guest cluster.
+    """Reply about a gang that is a live job of the guest cluster, or is being accepted as one.
 
     Attributes:
-        running: how many of its tasks run.
+        running: Number of the gang's tasks that are running.
     """
 
     running: int
 
 
 class Ended(msgspec.Struct, tag="ended", frozen=True):
-    """The gang has ended in the guest cluster, and no task of it is left.
+    """Reply about a gang that has ended in the guest cluster and has no tasks left there.
 
     Attributes:
-        done: it is done; otherwise the guest has given it back.
+        done: Whether all tasks completed; if not, the guest cluster has returned the gang to its home cluster.
     """
 
     done: bool
 
 
 class UncertainReply(msgspec.Struct, tag="unsure", frozen=True):
-    """The question cannot be answered now, or not by this controller; nothing follows from it.
+    """Reply of a controller that cannot process the message now; the receiver must not conclude anything from it.
 
     Attributes:
-        why: the reason.
-        leader: the name of the controller that leads there, if it is known and another.
+        reason: Why the message cannot be processed.
+        leader: Name of the controller that leads the replying cluster, if known and not the replying controller.
     """
 
-    why: str
+    reason: str = msgspec.field(name="why")
     leader: str | None = None
 
 
@@ -167,10 +169,10 @@
 
 
 class InvalidMessageError(GrebestandError, ValueError):
-    """A message that is too large, malformed or not allowed; it has changed nothing.
+    """A message is too large, malformed or not allowed; no state was changed.
 
     Attributes:
-        reason: what is wrong with it.
+        reason: What is wrong with the message.
     """
 
     def __init__(self, reason: str) -> None:
@@ -181,10 +183,16 @@
 def decode(body: bytes) -> Message:
     """Decode and check a message.
 
-    The length is checked before decoding, so that nothing large is ever built.
+    The length is checked before decoding, to bound the memory that a message can use.
+
+    Args:
+        body: The message as received.
+
+    Returns:
+        The decoded message.
 
     Raises:
-        InvalidMessageError: it is too long, malformed or not allowed.
+        InvalidMessageError: The message is too long, malformed or not allowed.
     """
     if len(body) > MAX_MESSAGE_BYTES:
         raise InvalidMessageError(f"a message of {len(body)} bytes, {MAX_MESSAGE_BYTES} are allowed")
@@ -214,15 +222,21 @@
 
 
 def _check_reservation_message(message: _ReservationMessage) -> None:
-    if not JOB_ID.match(message.ref) or len(message.id) != RESERVATION_ID_LENGTH:
+    if not JOB_ID.match(message.job_id) or len(message.reservation_id) != RESERVATION_ID_LENGTH:
         raise InvalidMessageError("malformed reference or reservation")
 
 
 def decode_reply(body: bytes) -> Reply:
     """Decode a reply.
 
+    Args:
+        body: The reply as received.
+
+    Returns:
+        The decoded reply.
+
     Raises:
-        InvalidMessageError: it is too long or malformed.
+        InvalidMessageError: The reply is too long or malformed.
     """
     if len(body) > MAX_MESSAGE_BYTES:
         raise InvalidMessageError("an answer that is too long")
--- a/src/grebestand/federation/offering.py
+++ b/src/grebestand/federation/offering.py
@@ -10,7 +10,7 @@
 from ..leader.term import Term
 from .overflow_limits import OverflowLimits
 from .rate_limits import TokenBucket
-from .remote_cluster import Cluster
+from .remote_cluster import RemoteCluster
 from .remote_gang import RemoteGang
 from .routing import load_after_offer, preference
 from .state_machines import HomeState
@@ -26,13 +26,13 @@
     """A gang that is to be offered to these clusters now, the most preferred one first."""
 
     gang: RemoteGang
-    clusters: list[Cluster]
+    clusters: list[RemoteCluster]
 
 
 class OfferPlanner:
     """Chooses the gangs to offer, within the operators' limits; many waiting gangs do not flood other clusters."""
 
-    def __init__(self, term: Term, clusters: dict[str, Cluster], limits: OverflowLimits) -> None:
+    def __init__(self, term: Term, clusters: dict[str, RemoteCluster], limits: OverflowLimits) -> None:
         """Start a term without any offer in flight."""
         self.term = term
         self.clusters = clusters
@@ -40,7 +40,7 @@
         self._offer_rate = TokenBucket(limits.offers_per_s, term.clock)
         self._next_search_at = -math.inf
 
-    def eligible(self, job: Job, now: float) -> bool:
+    def is_eligible(self, job: Job, now: float) -> bool:
         """Return whether a gang may be offered: it waits whole at home, for longer than the operators' expression."""
         return (
             job.is_gang
@@ -53,7 +53,7 @@
             and now - job.accepted_at >= self.limits.overflow_after_s(job, now)
         )
 
-    def due(self, gangs: dict[str, RemoteGang], now: float) -> Iterator[GangOffer]:
+    def due_offers(self, gangs: dict[str, RemoteGang], now: float) -> Iterator[GangOffer]:
         """Yield the gangs that are to be offered now, those that have waited longest first.
 
         The caller starts each offer before it takes the next one.
@@ -83,7 +83,7 @@
             yield GangOffer(gang, chosen)
 
     def _longest_waiting_first(self, now: float) -> list[Job]:
-        jobs = [job for job in self.term.registry.waiting_jobs() if self.eligible(job, now)]
+        jobs = [job for job in self.term.registry.waiting_jobs() if self.is_eligible(job, now)]
         jobs.sort(key=lambda job: (job.accepted_at, job.spec.id))
         return jobs
 
@@ -103,13 +103,13 @@
             for cluster in self.clusters.values()
         )
 
-    def _choose_clusters(self, job: Job, now: float) -> list[Cluster]:
+    def _choose_clusters(self, job: Job, now: float) -> list[RemoteCluster]:
         """Return the clusters to ask at once.
 
         One with known capacity is enough: the reservation of a second one would nearly always be in vain.
         """
         known_since = now - CAPACITY_VALID_PROBES * self.limits.probe_interval_s
-        chosen: list[Cluster] = []
+        chosen: list[RemoteCluster] = []
         for cluster in self._ranked(job):
             has_capacity = cluster.has_capacity(job, known_since)
             # order matters: a breaker that is asked after its pause counts that as its one request
@@ -120,7 +120,7 @@
                 break
         return chosen
 
-    def _ranked(self, job: Job) -> list[Cluster]:
+    def _ranked(self, job: Job) -> list[RemoteCluster]:
         """Return the compatible clusters, the most preferred first; of equals, by name."""
         now = self.term.clock()
         return sorted(
--- a/src/grebestand/federation/overflow_limits.py
+++ b/src/grebestand/federation/overflow_limits.py
@@ -7,7 +7,7 @@
 
 from ..cluster_state.jobs import Job
 from .messages import MAX_MESSAGE_BYTES
-from .routing import Prefer, by_free_capacity
+from .routing import PreferenceFunction, prefer_free_capacity
 
 #: clusters that one gang is offered to at a time
 CLUSTERS_AT_ONCE = 2
@@ -39,4 +39,4 @@
     retry_share: float = 0.3
     bytes_per_s: float = 64.0 * MAX_MESSAGE_BYTES
     probe_interval_s: float = 5.0
-    prefer: Prefer = by_free_capacity
+    prefer: PreferenceFunction = prefer_free_capacity
--- a/src/grebestand/federation/rate_limits.py
+++ b/src/grebestand/federation/rate_limits.py
@@ -33,7 +33,7 @@
         return True
 
 
-class RetryBackoff:
+class RetryBudget:
     """A budget of retries.
 
     Each message sent for the first time earns a share of a retry. A few retries a second are allowed in any case, so
--- a/src/grebestand/federation/remote_cluster.py
+++ b/src/grebestand/federation/remote_cluster.py
@@ -25,7 +25,7 @@
 #: probes sent a second, however many clusters there are
 PROBES_PER_S = 2.0
 #: rejections in a row after which a cluster is offered nothing for a while
-REJECTIONS_TO_OPEN = 4
+REJECTIONS_TO_PAUSE = 4
 #: the longest pause without offers to a cluster that rejects them
 LONGEST_REJECTION_PAUSE_S = 30.0
 
@@ -33,12 +33,12 @@
 class Link(Protocol):
     """The connection to another cluster."""
 
-    def tell(self, message: Message) -> Reply | None:
+    def send(self, message: Message) -> Reply | None:
         """Send a message and return the reply, or None if there was none that can be relied on."""
 
 
 @dataclass
-class Cluster:
+class RemoteCluster:
     """Another cluster, as home sees it.
 
     Attributes:
@@ -57,7 +57,7 @@
     breaker: CircuitBreaker
     load: RemoteLoad | None = None
     incompatible: bool = False
-    probe_at: float = -math.inf
+    next_probe_at: float = -math.inf
     offer_breaker: CircuitBreaker = field(init=False)
 
     def __post_init__(self) -> None:
@@ -66,7 +66,7 @@
             f"{self.name} (offers)",
             breaker.clock,
             breaker.rng,
-            failures=REJECTIONS_TO_OPEN,
+            failures=REJECTIONS_TO_PAUSE,
             longest_s=LONGEST_REJECTION_PAUSE_S,
         )
 
@@ -91,7 +91,7 @@
     def __init__(
         self,
         home: str,
-        clusters: list[Cluster],
+        clusters: list[RemoteCluster],
         *,
         limits: OverflowLimits,
         clock: Callable[[], float],
@@ -122,12 +122,12 @@
         #: names of clusters whose answer to a probe is awaited
         self._probing: set[str] = set()
 
-    def ask(self, cluster: Cluster, message: Message) -> Reply | None:
+    def send(self, cluster: RemoteCluster, message: Message) -> Reply | None:
         """Send a message; return the reply, or None if there is none or the budget of bytes is used up."""
         if not self._bytes.take(len(msgspec.msgpack.encode(message))):
             return None  # like a lost message: it is sent again
         sent_at = self.clock()
-        reply = cluster.link.tell(message)
+        reply = cluster.link.send(message)
         self.sketches.add("answer", self.clock() - sent_at)
         if reply is None:
             cluster.breaker.record_failure("no answer")
@@ -137,19 +137,19 @@
 
     def probe_due(self, now: float) -> None:
         """Probe the clusters whose turn it is, so that a gang is offered to the likeliest one first."""
-        for cluster in sorted(self.by_name.values(), key=lambda cluster: cluster.probe_at):
-            if now < cluster.probe_at or self._probes.available() < 1.0:
+        for cluster in sorted(self.by_name.values(), key=lambda cluster: cluster.next_probe_at):
+            if now < cluster.next_probe_at or self._probes.available() < 1.0:
                 return
             if cluster.name not in self._probing and cluster.breaker.allows_request():
                 self._probes.take(1.0)
-                cluster.probe_at = now + self.limits.probe_interval_s * (0.75 + 0.5 * self.rng.random())
+                cluster.next_probe_at = now + self.limits.probe_interval_s * (0.75 + 0.5 * self.rng.random())
                 self._probing.add(cluster.name)
                 self.spawn(lambda cluster=cluster: self.probe(cluster))  # type: ignore[misc]
 
-    def probe(self, cluster: Cluster) -> None:
+    def probe(self, cluster: RemoteCluster) -> None:
         """Ask a cluster for its free capacity, and note the answer."""
         try:
-            reply = self.ask(cluster, Probe(self.home, VERSION))
+            reply = self.send(cluster, Probe(self.home, VERSION))
         finally:
             self._probing.discard(cluster.name)
         if isinstance(reply, FreeCapacity):
--- a/src/grebestand/federation/reservations.py
+++ b/src/grebestand/federation/reservations.py
@@ -30,15 +30,15 @@
     """
 
     home: str
-    ref: str
+    home_job_id: str
     spec: JobSpec
-    id: str
-    until: float
+    reservation_id: str
+    expires_at: float
     machines: list[Machine]
     state: GuestState = GuestState.RESERVED
 
     @property
-    def job(self) -> str:
+    def job_id(self) -> str:
         """The gang's job id in this cluster."""
         return self.spec.id
 
@@ -55,43 +55,43 @@
     def add(self, reservation: Reservation) -> None:
         """Reserve the machines."""
         for machine in reservation.machines:
-            machine.reserved_for, machine.reserved_until = reservation.job, reservation.until
-        self.term.inventory.reserved_for_remote.add(reservation.job)
-        self.by_id[reservation.id] = reservation
+            machine.reserved_for, machine.reserved_until = reservation.job_id, reservation.expires_at
+        self.term.inventory.reserved_for_remote.add(reservation.job_id)
+        self.by_id[reservation.reservation_id] = reservation
         log.info(
             LogEvent(
                 "machines_reserved",
                 home=reservation.home,
-                job_id=reservation.ref,
+                job_id=reservation.home_job_id,
                 machines=len(reservation.machines),
             )
         )
 
     def exists_for(self, home: str, ref: str) -> bool:
         """Return whether there is a reservation for this gang of another cluster."""
-        return any(reservation.home == home and reservation.ref == ref for reservation in self.by_id.values())
+        return any(reservation.home == home and reservation.home_job_id == ref for reservation in self.by_id.values())
 
-    def move(self, reservation: Reservation, new: GuestState, why: str) -> None:
+    def change_state(self, reservation: Reservation, new: GuestState, why: str) -> None:
         """Change the state of a reservation: the one function that does so. Released machines are free again.
 
         Raises:
             IllegalTransitionError: the table of transitions does not allow it.
         """
-        home, ref, old = reservation.home, reservation.ref, reservation.state
+        home, ref, old = reservation.home, reservation.home_job_id, reservation.state
         check_transition(GUEST_TRANSITIONS, old, new, f"reservation of {home} for {ref}")
         log.info(LogEvent("reservation_state_changed", home=home, job_id=ref, from_=old, to=new, reason=why))
         reservation.state = new
         if new in (GuestState.RELEASED, GuestState.STARTED):
-            self.by_id.pop(reservation.id, None)
-            self.term.inventory.reserved_for_remote.discard(reservation.job)
+            self.by_id.pop(reservation.reservation_id, None)
+            self.term.inventory.reserved_for_remote.discard(reservation.job_id)
         if new is GuestState.RELEASED:
             for machine in reservation.machines:
-                if machine.reserved_for == reservation.job:
+                if machine.reserved_for == reservation.job_id:
                     machine.reserved_for = None
             self.term.registry.changed_since_scheduling = True
 
     def release_expired(self, now: float) -> None:
         """Release the reservations whose time is over, except those whose gang is being taken in."""
         for reservation in list(self.by_id.values()):
-            if reservation.state is GuestState.RESERVED and now >= reservation.until:
-                self.move(reservation, GuestState.RELEASED, "its time is over")
+            if reservation.state is GuestState.RESERVED and now >= reservation.expires_at:
+                self.change_state(reservation, GuestState.RELEASED, "its time is over")
--- a/src/grebestand/federation/routing.py
+++ b/src/grebestand/federation/routing.py
@@ -31,15 +31,15 @@
 
 
 #: how much a cluster is preferred for a gang, by its free capacity and the age of that answer in seconds
-Prefer = Callable[[Job, FreeCapacity, float], float]
+PreferenceFunction = Callable[[Job, FreeCapacity, float], float]
 
 
-def by_free_capacity(job: Job, capacity: FreeCapacity, age_s: float) -> float:
+def prefer_free_capacity(job: Job, capacity: FreeCapacity, age_s: float) -> float:
     """Prefer clusters with capacity for the whole gang, then those with more free machines."""
-    return float(capacity.free) + (FITS_BONUS if fits(job, capacity) else 0.0)
+    return float(capacity.free_machines) + (FITS_BONUS if fits(job, capacity) else 0.0)
 
 
-def preference(prefer: Prefer, job: Job, load: RemoteLoad | None, now: float) -> float:
+def preference(prefer: PreferenceFunction, job: Job, load: RemoteLoad | None, now: float) -> float:
     """Return how much a cluster is preferred; one without a recent load comes last, and is asked all the same."""
     if load is None or now - load.received_at > LOAD_VALID_S:
         return -math.inf
@@ -48,12 +48,12 @@
 
 def load_after_offer(load: RemoteLoad, job: Job) -> RemoteLoad:
     """Return what a cluster has left once a gang has been offered to it."""
-    tasks_per_machine = max(1, int(load.capacity.cpus // job.spec.cpus))
+    tasks_per_machine = max(1, int(load.capacity.max_cpus // job.spec.cpus))
     machines = -(-job.spec.tasks // tasks_per_machine)
-    free = max(0, load.capacity.free - machines)
-    return RemoteLoad(msgspec.structs.replace(load.capacity, free=free), load.received_at)
+    free = max(0, load.capacity.free_machines - machines)
+    return RemoteLoad(msgspec.structs.replace(load.capacity, free_machines=free), load.received_at)
 
 
 def fits(job: Job, capacity: FreeCapacity) -> bool:
     """Return whether the whole gang fits into this capacity; a hint, as much may have changed since."""
-    return capacity.free * int(capacity.cpus // job.spec.cpus) >= job.spec.tasks
+    return capacity.free_machines * int(capacity.max_cpus // job.spec.cpus) >= job.spec.tasks
--- a/src/grebestand/federation/settlement.py
+++ b/src/grebestand/federation/settlement.py
@@ -1,7 +1,7 @@
-"""What operators declare when a cluster is lost for good: a gang that it may still run returns home.
+"""Settlement: operators declare a cluster permanently lost, and gangs that it may still run return to their home.
 
-Nothing can distinguish a cluster that is gone from one that cannot be reached, so an operator decides, with a written
-confirmation. The record of the decision stays until that cluster, if it ever returns, has ended what it may still run.
+A lost cluster cannot be distinguished from an unreachable one, so an operator decides and types a confirmation. The
+record of the decision is kept until the lost cluster, once reachable again, confirms that the gang has ended there.
 """
 
 from __future__ import annotations
@@ -14,25 +14,26 @@
 from ..flow_control.rate_limiter import Urgency
 from ..storage.job_records import LiveJobRecord, live_key
 
-PREFIX = "federation/settled/"
+SETTLED_KEY_PREFIX = "federation/settled/"
 
 
-class Settled(msgspec.Struct, omit_defaults=True):
+class SettledGangRecord(msgspec.Struct, omit_defaults=True):
     """The stored record of a settled gang.
 
     Attributes:
-        cluster: the cluster that was lost.
-        ref: the gang's job id at home.
-        id: the reservation's id.
-        by: the operator.
-        next_at: when the cluster is asked next to end the gang, by the clock of this process; never stored.
+        cluster: Name of the lost cluster.
+        job_id: The gang's job id in its home cluster.
+        reservation_id: Id of the gang's reservation in the lost cluster.
+        operator: Name of the operator who settled the gang.
+        next_recall_at: When the lost cluster is next requested to end the gang, by this process's steady clock, in
+            seconds. Never stored.
     """
 
     cluster: str
-    ref: str
-    id: str
-    by: str
-    next_at: float = 0.0
+    job_id: str = msgspec.field(name="ref")
+    reservation_id: str = msgspec.field(name="id")
+    operator: str = msgspec.field(name="by")
+    next_recall_at: float = msgspec.field(default=0.0, name="next_at")
 
 
 @dataclass(frozen=True)
@@ -40,67 +41,75 @@
     """A gang whose live record names another cluster.
 
     Attributes:
-        ref: the gang's job id.
-        cluster: the other cluster.
-        id: the reservation's id.
-        tasks: its number of tasks.
-        version: the version of the live record.
-        record: the live record.
+        job_id: The gang's job id.
+        cluster: Name of the other cluster.
+        reservation_id: Id of the reservation in the other cluster.
+        tasks: Number of the gang's tasks.
+        version: Version of the live record in the key-value store.
+        live_record: The live record.
     """
 
-    ref: str
+    job_id: str
     cluster: str
-    id: str
+    reservation_id: str
     tasks: int
     version: int
-    record: LiveJobRecord
+    live_record: LiveJobRecord
 
 
-def remote_gangs(state: KeyValueStoreClient, cluster: str) -> list[RemoteGangRecord]:
-    """Return all gangs that a cluster runs or may come to run, by this cluster's records.
+def remote_gangs(store: KeyValueStoreClient, cluster: str) -> list[RemoteGangRecord]:
+    """Return all gangs that this cluster's records assign to another cluster.
+
+    Args:
+        store: The key-value store of this cluster.
+        cluster: Name of the other cluster.
+
+    Returns:
+        The gangs that the other cluster runs or may start later.
 
     Raises:
-        StoreError: the store could not be reached.
+        StoreError: The store could not be reached.
     """
     found = []
-    for pair in state.pairs("live/"):
+    for pair in store.pairs("live/"):
         if not isinstance(pair.value, dict) or pair.value.get("abroad") is None:
             continue
         record = msgspec.convert(pair.value, LiveJobRecord)
         if record.remote_assignment is not None and record.remote_assignment.cluster == cluster:
             gang = RemoteGangRecord(
-                ref=record.spec.id,
+                job_id=record.spec.id,
                 cluster=cluster,
-                id=record.remote_assignment.id,
+                reservation_id=record.remote_assignment.id,
                 tasks=record.spec.tasks,
                 version=pair.version,
-                record=record,
+                live_record=record,
             )
             found.append(gang)
     return found
 
 
-def settle(state: KeyValueStoreClient, gang: RemoteGangRecord, by: str) -> bool:
-    """Return a gang home and record who has decided so, in one transaction.
+def settle(store: KeyValueStoreClient, gang: RemoteGangRecord, operator: str) -> bool:
+    """Return a gang to its home cluster and record which operator decided so, in one transaction.
 
     Args:
-        state: the key-value store.
-        gang: the gang, as `remote_gangs` has found it.
-        by: the operator.
+        store: The key-value store of the home cluster.
+        gang: The gang, as returned by `remote_gangs`.
+        operator: Name of the operator.
 
     Returns:
-        False if the gang's record has changed meanwhile; nothing is written then.
+        True if the records were written; False if the gang's live record has changed since `remote_gangs` read it, in
+        which case nothing was written.
 
     Raises:
-        StoreError: the store could not be reached.
+        StoreError: The store could not be reached.
     """
-    live_record = msgspec.structs.replace(gang.record, remote_assignment=None)
-    settled = Settled(gang.cluster, gang.ref, gang.id, by)
-    _, failed = state.commit(
-        [version_is(live_key(gang.ref), gang.version)],
+    live_record = msgspec.structs.replace(gang.live_record, remote_assignment=None)
+    settled = SettledGangRecord(gang.cluster, gang.job_id, gang.reservation_id, operator)
+    _, failed = store.commit(
+        [version_is(live_key(gang.job_id), gang.version)],
         [
-            put(live_key(gang.ref), msgspec.to_builtins(live_record)),
-            put(PREFIX + gang.id, msgspec.to_builtins(settled)),
+            put(live_key(gang.job_id), msgspec.to_builtins(live_record)),
+            put(SETTLED_KEY_PREFIX + gang.reservation_id, msgspec.to_builtins(settled)),
         ],
         Urgency.COMPLETION,
     )
--- a/src/grebestand/federation/tls_link.py
+++ b/src/grebestand/federation/tls_link.py
@@ -16,13 +16,13 @@
 
 log = logging.getLogger(__name__)
 
-PATH = "/federation/1"
+LINK_PATH = "/federation/1"
 #: for one request to one controller
-ONE_S = 1.5
+REQUEST_TIMEOUT_S = 1.5
 #: for finding the controller that leads
-ALL_S = 3.0
+TOTAL_TIMEOUT_S = 3.0
 #: with less time left, no further controller is asked
-LEAST_TIMEOUT_S = 0.05
+MIN_REQUEST_TIMEOUT_S = 0.05
 #: for making a connection
 CONNECT_TIMEOUT_S = 1.0
 #: connections to one controller
@@ -34,11 +34,11 @@
 Connect = Callable[[str, int], Transport | None]
 
 
-def over_tls(peer: str, ring: Keyring) -> Connect:
+def tls_connector(peer: str, ring: Keyring) -> Connect:
     """Return a function that connects to controllers of a cluster, with the keys that are in force at that time."""
 
     def connect(host: str, port: int) -> Transport | None:
-        context = ring.client(peer)
+        context = ring.client_context(peer)
         if context is None:
             return None
         return HttpTransport(host, port, MAX_CONNECTIONS, connect_s=CONNECT_TIMEOUT_S, tls=context)
@@ -82,19 +82,19 @@
         self._leader: str | None = None
         self._open: dict[str, _OpenTransport] = {}
 
-    def tell(self, message: Message) -> Reply | None:
+    def send(self, message: Message) -> Reply | None:
         """Send a message and return the reply of the cluster's leader, or None if no controller replied.
 
         Without a leader the reply of another controller is returned, which is uncertain. Several controllers may get
         the message: every message is idempotent.
         """
         body = msgspec.msgpack.encode(message)
-        deadline = self.clock() + ALL_S
+        deadline = self.clock() + TOTAL_TIMEOUT_S
         candidates = self._candidates()
         last: Reply | None = None
-        while candidates and (left_s := deadline - self.clock()) > LEAST_TIMEOUT_S:
+        while candidates and (left_s := deadline - self.clock()) > MIN_REQUEST_TIMEOUT_S:
             name = candidates.pop(0)
-            reply = self._request(name, body, min(ONE_S, left_s))
+            reply = self._request(name, body, min(REQUEST_TIMEOUT_S, left_s))
             if reply is None:
                 continue
             if not isinstance(reply, UncertainReply) or _is_of_leader(reply):
@@ -120,7 +120,7 @@
         if transport is None:
             return None
         try:
-            status, answer = transport.request("POST", PATH, body, timeout_s)
+            status, answer = transport.request("POST", LINK_PATH, body, timeout_s)
             if status != HTTP_OK:
                 text = answer[:LOGGED_BODY_BYTES].decode("utf-8", "replace")
                 log.info(LogEvent("link_request_refused", controller=name, status=status, body=text))
@@ -155,4 +155,4 @@
 
 def _is_of_leader(reply: UncertainReply) -> bool:
     """Return whether the leader itself is uncertain, in which case no other controller knows better."""
-    return reply.leader is None and reply.why != NOT_LEADING
+    return reply.leader is None and reply.reason != NOT_LEADING
--- a/tests/fault_test/test_history_checker.py
+++ b/tests/fault_test/test_history_checker.py
@@ -87,7 +87,7 @@
         c.go(1)
         now = {}
         for side in c.sides:
-            jobs = {c.gang} if side is c.home else {r.job for r in side.guest.records.values()}
+            jobs = {c.gang} if side is c.home else {r.job_id for r in side.guest.records.values()}
             for w in side.workers:
                 for task in w.running():
                     job, _, index = task.rpartition("/")
@@ -111,7 +111,7 @@
         return recorded(c, 12)
 
     assert not [f for f in check(day()).faults if "while in" in f]
-    move = HomeCluster.move
+    move = HomeCluster.change_state
 
     def careless(self: HomeCluster, trip: RemoteGang, new: object, why: str) -> None:
         move(self, trip, new, why)  # type: ignore[arg-type]
--- a/tests/federation/test_circuit_breaker.py
+++ b/tests/federation/test_circuit_breaker.py
@@ -4,7 +4,7 @@
 
 import random
 
-from grebestand.federation.circuit_breaker import FAILURES, CircuitBreaker
+from grebestand.federation.circuit_breaker import FAILURES_TO_OPEN, CircuitBreaker
 from grebestand.federation.state_machines import BreakerState
 from grebestand.simulation.single_controller_cluster import ManualClock
 
@@ -21,7 +21,7 @@
             clock.now += 0.1
         pauses.append(clock.now - begin)
         breaker.record_failure("no answer")
-    assert FAILURES > 1 and pauses[-1] > 2 * pauses[0] and breaker.state is BreakerState.OPEN
+    assert FAILURES_TO_OPEN > 1 and pauses[-1] > 2 * pauses[0] and breaker.state is BreakerState.OPEN
     clock.now += 500.0
     assert breaker.allows_request()
     breaker.record_success()
--- a/tests/federation/test_federation_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -13,11 +13,11 @@
 from grebestand.fault_test.many_clusters import simulate
 from grebestand.features.registry import load
 from grebestand.federation import keys
-from grebestand.federation.feature import KEYS, NAMES, RECALL, Federation
-from grebestand.federation.guest import QUIET_S
+from grebestand.federation.feature import KEYS, NAMES, RECALL_PATH, Federation
+from grebestand.federation.guest import HOME_SILENCE_TIMEOUT_S
 from grebestand.federation.messages import VERSION, FreeCapacity, Probe, Rejection
 from grebestand.federation.routing import LOAD_VALID_S, RemoteLoad, fits, preference
-from grebestand.federation.settlement import PREFIX, remote_gangs, settle
+from grebestand.federation.settlement import SETTLED_KEY_PREFIX, remote_gangs, settle
 from grebestand.leader.term import Term
 from grebestand.settings.expressions import ExpressionError
 from grebestand.settings.platform import parse
@@ -110,14 +110,14 @@
     def worth(told: FreeCapacity, age: float) -> float:
         return preference(f.prefer, job, RemoteLoad(told, 0.0), age)
 
-    assert worth(room, 1.0) > worth(msgspec.structs.replace(room, free=1), 1.0)
+    assert worth(room, 1.0) > worth(msgspec.structs.replace(room, free_machines=1), 1.0)
     assert (
         worth(room, 1.0) > worth(room, 60.0) > worth(room, LOAD_VALID_S + 1.0) == preference(f.prefer, job, None, 0.0)
     )
     assert worth(msgspec.structs.replace(room, images=["img"]), 1.0) > worth(room, 1.0)
-    assert worth(msgspec.structs.replace(room, price=0.5), 1.0) < worth(room, 1.0)
-    assert fits(job, room) and not fits(job, msgspec.structs.replace(room, free=2))
-    assert set(f.rest) == set(NAMES) and set(KEYS) >= {"prefer", "overflow_after_s"}
+    assert worth(msgspec.structs.replace(room, price_per_cpu_hour=0.5), 1.0) < worth(room, 1.0)
+    assert fits(job, room) and not fits(job, msgspec.structs.replace(room, free_machines=2))
+    assert set(f.fixed_names) == set(NAMES) and set(KEYS) >= {"prefer", "overflow_after_s"}
 
 
 def test_overflow_time_follows_the_operators_expression(tmp_path: Path) -> None:
@@ -157,23 +157,23 @@
     clusters = Clusters()
     guest = clusters.east.guest
     asked = offer(clusters, rank="critical")
-    guest.answer(asked)
+    guest.handle_message(asked)
     (kept,) = guest.reservations.by_id.values()
     assert kept.spec.priority is Priority.LOW and kept.spec.team == "blue"
-    assert guest.answer(offer(clusters, hulls=["m4"])) != Rejection(
+    assert guest.handle_message(offer(clusters, hulls=["m4"])) != Rejection(
         "none of the machine types that it may run on is known here"
     )
-    assert guest.answer(offer(clusters, hulls=["g8"])) == Rejection(
+    assert guest.handle_message(offer(clusters, hulls=["g8"])) == Rejection(
         "none of the machine types that it may run on is known here"
     )
-    assert guest.answer(offer(clusters, quay="a")) == Rejection("it may run in one zone of its home only")
+    assert guest.handle_message(offer(clusters, quay="a")) == Rejection("it may run in one zone of its home only")
     bound = clusters.home.world.accept(clusters.home.node, shape="ensemble", shards=3, cpus=15.0, quay="a")
-    assert not clusters.home.home.offer_planner.eligible(
+    assert not clusters.home.home.offer_planner.is_eligible(
         clusters.home.term.registry.jobs[bound], clusters.clock.now + 1000.0
     )
-    assert isinstance(guest.answer(Probe("stranger", VERSION)), Rejection)
-    told = guest.answer(Probe("home", VERSION))
-    assert isinstance(told, FreeCapacity) and told.free == 4 - sum(
+    assert isinstance(guest.handle_message(Probe("stranger", VERSION)), Rejection)
+    told = guest.handle_message(Probe("home", VERSION))
+    assert isinstance(told, FreeCapacity) and told.free_machines == 4 - sum(
         len(r.machines) for r in guest.reservations.by_id.values()
     )
 
@@ -185,7 +185,7 @@
     assert own == clusters.gang
     clusters.until(lambda: clusters.runs_in() == "east")
     (record,) = clusters.east.guest.records.values()
-    assert record.ref == clusters.gang != record.job and clusters.gang in clusters.east.term.registry.jobs
+    assert record.home_job_id == clusters.gang != record.job_id and clusters.gang in clusters.east.term.registry.jobs
 
 
 # settling -------------------------------------------------------------------------------------------------
@@ -199,9 +199,9 @@
     for worker in clusters.east.workers:  # they are off, as the operators have made sure
         worker.lapse()
         worker.reachable = False
-    clusters.go(int(QUIET_S) + 5)  # and have waited for longer than it would start anything unasked
+    clusters.go(int(HOME_SILENCE_TIMEOUT_S) + 5)  # and have waited for longer than it would start anything unasked
     (gang,) = remote_gangs(clusters.home.node.store, "east")
-    assert gang.ref == clusters.gang and not remote_gangs(clusters.home.node.store, "west")
+    assert gang.job_id == clusters.gang and not remote_gangs(clusters.home.node.store, "west")
     assert settle(clusters.home.node.store, gang, "somebody") and not settle(clusters.home.node.store, gang, "somebody")
     clusters.go(15)
     assert clusters.home.term.registry.jobs[clusters.gang].startable_count() == 3 and clusters.home.home.settled.records
@@ -216,7 +216,7 @@
     clusters.until(lambda: not clusters.home.home.settled.records, 200)
     clusters.go(30)
     assert clusters.runs_in() == "home" and not clusters.east.guest.records
-    assert not [k for k in clusters.home.world.store.data if k.startswith(PREFIX)]
+    assert not [k for k in clusters.home.world.store.data if k.startswith(SETTLED_KEY_PREFIX)]
 
 
 def test_settle_command_changes_nothing_without_confirmation(
@@ -295,15 +295,15 @@
     clusters = Clusters()
     clusters.until(lambda: clusters.runs_in() == "east")
     follower = Process("node-1", None)
-    f.take_host(follower)
+    f.attach_host(follower)
     f.recall(clusters.gang)
-    assert follower.asked == [(RECALL, clusters.gang.encode())]
-    assert f.answer() is None  # and other clusters are told that it does not lead
+    assert follower.asked == [(RECALL_PATH, clusters.gang.encode())]
+    assert f.message_handler() is None  # and other clusters are told that it does not lead
     leader = Process("node-0", clusters.home.term)
-    f.take_host(leader)
-    f.begin(clusters.home.term)
-    assert f.home is not None and f.answer() is not None
-    f.take_recall(clusters.gang.encode())
+    f.attach_host(leader)
+    f.begin_term(clusters.home.term)
+    assert f.home is not None and f.message_handler() is not None
+    f.handle_recall(clusters.gang.encode())
     assert f.home.gangs[clusters.gang].recalled and not leader.asked
     leader.term = None  # the term is over: nothing of it answers any more
-    assert f.answer() is None
+    assert f.message_handler() is None
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -8,7 +8,7 @@
 import pytest
 
 from grebestand.federation import messages
-from grebestand.federation.guest import PREFIX
+from grebestand.federation.guest import GUEST_KEY_PREFIX
 from grebestand.federation.home import HomeCluster
 from grebestand.federation.messages import (
     Commit,
@@ -39,7 +39,9 @@
     clusters.finish(clusters.east)
     clusters.until(lambda: clusters.view() == "done")
     clusters.go(6)
-    assert not clusters.east.guest.records and not [k for k in clusters.east.world.store.data if k.startswith(PREFIX)]
+    assert not clusters.east.guest.records and not [
+        k for k in clusters.east.world.store.data if k.startswith(GUEST_KEY_PREFIX)
+    ]
     assert not clusters.home.home.gangs
 
 
@@ -188,12 +190,12 @@
     for worker in clusters.east.workers:
         worker.lapse()
         worker.reachable = False
-    first = {r.id for r in clusters.east.guest.records.values()}
+    first = {r.reservation_id for r in clusters.east.guest.records.values()}
     clusters.until(lambda: not clusters.home.term.registry.jobs[clusters.gang].runs_remotely, 200)
     for worker in clusters.east.workers:
         worker.reachable = True
     clusters.until(lambda: clusters.runs_in() == "east", 300)
-    assert not first & {r.id for r in clusters.east.guest.records.values()}
+    assert not first & {r.reservation_id for r in clusters.east.guest.records.values()}
 
 
 def test_repeated_old_messages_start_nothing() -> None:
@@ -205,7 +207,7 @@
     clusters.go(30)
     old = list(clusters.home.links["east"].sent)
     for message in (*old, *reversed(old)):
-        clusters.east.guest.answer(message)
+        clusters.east.guest.handle_message(message)
     clusters.go(40)
     assert (
         not any(clusters.gangs().values()) and not clusters.east.guest.reservations.by_id and clusters.view() == "done"
@@ -273,7 +275,7 @@
     east = next(iter(clusters.east.guest.records.values()), None) or next(
         iter(clusters.east.guest.reservations.by_id.values())
     )
-    job = clusters.east.term.registry.jobs[east.job]
+    job = clusters.east.term.registry.jobs[east.job_id]
     assert job.is_guest and job.remote_assignment is None and not clusters.others[1].guest.records
     for worker in clusters.east.workers:
         worker.reachable = True
@@ -325,21 +327,21 @@
     assert len(offers) <= 12 and len(asks) >= 20
     clusters.finish(clusters.east)  # there is room again: its own word of it is enough
     clusters.home.home.remotes.probe(cluster)
-    clusters.until(lambda: any(r.ref != clusters.gang for r in clusters.east.guest.records.values()), 60)
+    clusters.until(lambda: any(r.home_job_id != clusters.gang for r in clusters.east.guest.records.values()), 60)
 
 
 def test_forbidden_and_malformed_messages_are_rejected() -> None:
     clusters = Clusters()
     guest = clusters.east.guest
     good = offer(clusters)
-    assert isinstance(guest.answer(msgspec.structs.replace(good, home="stranger")), Rejection)
-    assert isinstance(guest.answer(msgspec.structs.replace(good, path=["home", "east"])), Rejection)
-    assert isinstance(guest.answer(Commit("home", clusters.gang, "0" * 32)), Rejection)
-    reserved = guest.answer(good)
+    assert isinstance(guest.handle_message(msgspec.structs.replace(good, home="stranger")), Rejection)
+    assert isinstance(guest.handle_message(msgspec.structs.replace(good, path=["home", "east"])), Rejection)
+    assert isinstance(guest.handle_message(Commit("home", clusters.gang, "0" * 32)), Rejection)
+    reserved = guest.handle_message(good)
     assert isinstance(reserved, Reserved)
     # another cluster cannot use the reservation
-    assert isinstance(guest.answer(Commit("west", good.spec.id, reserved.id)), Rejection)
-    assert isinstance(guest.answer(good), Rejection)  # the same again keeps no second room
+    assert isinstance(guest.handle_message(Commit("west", good.spec.id, reserved.reservation_id)), Rejection)
+    assert isinstance(guest.handle_message(good), Rejection)  # the same again keeps no second room
     bad = [
         b"", b"\x81", b"x" * (messages.MAX_MESSAGE_BYTES + 1),
         msgspec.msgpack.encode(StatusQuery("home", "no job", "0" * 32)),
@@ -353,18 +355,18 @@
         with pytest.raises(InvalidMessageError):
             messages.decode(body)
     clusters.east.node.election.resign("gives way", 10.0)
-    assert isinstance(guest.answer(good), UncertainReply)
+    assert isinstance(guest.handle_message(good), UncertainReply)
 
 
 def test_reservations_are_bounded_by_count_and_by_the_team_limit() -> None:
     clusters = Clusters()
     guest = clusters.east.guest
     guest.limits.max_reservations = 1
-    assert isinstance(guest.answer(offer(clusters)), Reserved)
-    assert guest.answer(offer(clusters)) == Rejection("as many as are allowed")
+    assert isinstance(guest.handle_message(offer(clusters)), Reserved)
+    assert guest.handle_message(offer(clusters)) == Rejection("as many as are allowed")
     guest.limits.max_reservations = 8
     clusters.east.term.registry.teams[clusters.east.term.registry.team_names.intern("blue")].limit = (15_000_000, 0)
-    assert guest.answer(offer(clusters)) == Rejection("the guests' limit is used up")
+    assert guest.handle_message(offer(clusters)) == Rejection("the guests' limit is used up")
 
 
 def test_random_faults_never_split_a_gang_nor_run_it_twice() -> None:
@@ -400,14 +402,16 @@
     """The guest's own clock decides, not how often its loop runs."""
     clusters = Clusters()
     asked = offer(clusters)
-    reserved = clusters.east.guest.answer(asked)
+    reserved = clusters.east.guest.handle_message(asked)
     assert isinstance(reserved, Reserved)
-    for _ in range(int(reserved.for_s) + 1):
+    for _ in range(int(reserved.duration_s) + 1):
         clusters.clock.now += 1.0
         clusters.east.term.election.renew()
-    assert isinstance(clusters.east.guest.answer(Commit("home", asked.spec.id, reserved.id)), Rejection)
+    assert isinstance(
+        clusters.east.guest.handle_message(Commit("home", asked.spec.id, reserved.reservation_id)), Rejection
+    )
     assert not clusters.east.guest.records
-    assert not [k for k in clusters.east.world.store.data if k.startswith(PREFIX)]
+    assert not [k for k in clusters.east.world.store.data if k.startswith(GUEST_KEY_PREFIX)]
 
 
 def test_leader_without_federation_does_not_start_a_gang_that_is_abroad() -> None:
@@ -426,7 +430,7 @@
 def test_reserved_machines_get_no_other_tasks_until_the_reservation_expires() -> None:
     clusters = Clusters()
     asked = offer(clusters)
-    reserved = clusters.east.guest.answer(asked)
+    reserved = clusters.east.guest.handle_message(asked)
     assert isinstance(reserved, Reserved)
     kept = [m for m in clusters.east.term.inventory.machines if m.reserved_for is not None]
     assert len(kept) == 2
--- a/tests/federation/test_rate_limits.py
+++ b/tests/federation/test_rate_limits.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from grebestand.federation.rate_limits import RetryBackoff, TokenBucket
+from grebestand.federation.rate_limits import RetryBudget, TokenBucket
 from grebestand.simulation.single_controller_cluster import ManualClock
 
 
@@ -18,7 +18,7 @@
 
 def test_retries_are_bounded_by_first_tries() -> None:
     clock = ManualClock()
-    retries = RetryBackoff(0.3, 1.0, clock)
+    retries = RetryBudget(0.3, 1.0, clock)
     assert count_taken(retries.take_retry, clock, 60.0) <= 62
     for _ in range(30):
         retries.record_first_try()
--- a/tests/federation/test_tls_link.py
+++ b/tests/federation/test_tls_link.py
@@ -20,7 +20,7 @@
 from grebestand.emulators.controller_processes import free_port
 from grebestand.federation import keys, tls_link
 from grebestand.federation.allowed_networks import AllowedNetworks, NetworkListError
-from grebestand.federation.keyring import LOOK_S, Keyring, KeyringError
+from grebestand.federation.keyring import CHECK_INTERVAL_S, Keyring, KeyringError
 from grebestand.federation.link_server import LinkAdmission, LinkServer
 from grebestand.federation.messages import (
     MAX_MESSAGE_BYTES,
@@ -32,7 +32,7 @@
     UncertainReply,
     decode_reply,
 )
-from grebestand.federation.tls_link import PATH, TlsLink, over_tls
+from grebestand.federation.tls_link import LINK_PATH, TlsLink, tls_connector
 from grebestand.simulation.single_controller_cluster import ManualClock
 
 NOW = dt.datetime.now(dt.UTC)
@@ -62,14 +62,14 @@
         return Rejection("heard")
 
     def wire(self, root: Path | None = None) -> HttpTransport:
-        context = Keyring(root or self.home, (root or self.home).name, self.clock).client("east")
+        context = Keyring(root or self.home, (root or self.home).name, self.clock).client_context("east")
         return HttpTransport("127.0.0.1", self.port, 1, tls=context)
 
     def tell(self, wire: HttpTransport, body: bytes | None = None) -> tuple[int, bytes]:
-        return wire.request("POST", PATH, msgspec.msgpack.encode(ASK) if body is None else body, 10.0)
+        return wire.request("POST", LINK_PATH, msgspec.msgpack.encode(ASK) if body is None else body, 10.0)
 
     def pass_time(self) -> None:
-        self.clock.now += LOOK_S + 1.0
+        self.clock.now += CHECK_INTERVAL_S + 1.0
 
 
 @pytest.fixture
@@ -95,7 +95,7 @@
     link_server = LinkServer(two.ring, lambda: two.answer, lambda: None, two.clock)
     server = listen(f"[::1]:{free_port()}", "listen", link_server.app, 4, gate)
     server.start()
-    context = Keyring(two.home, "home", two.clock).client("east")
+    context = Keyring(two.home, "home", two.clock).client_context("east")
     wire = HttpTransport("[::1]", server.server_port, 1, tls=context)
     assert two.tell(wire)[0] == 200
     server.stop(timeout=0.1)
@@ -104,13 +104,13 @@
 
 def test_keys_are_rotated_without_restart(two: Two) -> None:
     """Made, handed over, used, and only then the old one revoked; each step leaves a link that works."""
-    old = next(s for s in keys.show(two.home, NOW) if s.state == "active")
+    old = next(s for s in keys.list_certificates(two.home, NOW) if s.state == "active")
     pem = keys.rotate(two.home, 2.0, NOW)
     assert two.tell(two.wire())[0] == 200  # the next one is there and not used
     keys.trust(two.east, pem)
     two.pass_time()
     keys.activate(two.home)
-    shown = {s.file: s.state for s in keys.show(two.home, NOW)}
+    shown = {s.file: s.state for s in keys.list_certificates(two.home, NOW)}
     assert shown["own/0001.pem"] == "ready" and shown["own/0002.pem"] == "active"
     assert two.tell(two.wire())[0] == 200
     keys.revoke(two.east, old.fingerprint[:12])
@@ -124,7 +124,7 @@
 def test_open_connection_is_refused_after_its_certificate_is_revoked(two: Two) -> None:
     wire = two.wire()
     assert two.tell(wire)[0] == 200
-    mark = next(s for s in keys.show(two.east, NOW) if s.cluster == "home")
+    mark = next(s for s in keys.list_certificates(two.east, NOW) if s.cluster == "home")
     keys.revoke(two.east, mark.fingerprint)
     two.pass_time()
     status, _ = two.tell(wire)
@@ -142,7 +142,7 @@
         keys.create(root, "stranger", 2.0, NOW)
         keys.trust(root, two.east / "own" / "0001.pem")
     if case == "revoked":
-        keys.revoke(two.east, next(s for s in keys.show(two.east, NOW) if s.cluster == "home").fingerprint)
+        keys.revoke(two.east, next(s for s in keys.list_certificates(two.east, NOW) if s.cluster == "home").fingerprint)
         two.pass_time()
     with caplog.at_level(logging.WARNING), pytest.raises(UnreachableError):
         two.tell(two.wire(root))
@@ -252,41 +252,41 @@
 
 def test_leader_is_found_remembered_and_found_again() -> None:
     f = Fake()
-    assert f.link.tell(ASK) == Rejection("yes") and len(f.asked) <= 2
+    assert f.link.send(ASK) == Rejection("yes") and len(f.asked) <= 2
     f.asked.clear()
-    assert f.link.tell(ASK) == Rejection("yes") and f.asked == ["b"]
+    assert f.link.send(ASK) == Rejection("yes") and f.asked == ["b"]
     f.leads, f.hint = "c", False
     f.asked.clear()
-    assert f.link.tell(ASK) == Rejection("yes") and f.asked[0] == "b" and f.asked[-1] == "c"
+    assert f.link.send(ASK) == Rejection("yes") and f.asked[0] == "b" and f.asked[-1] == "c"
 
 
 def test_unanswered_message_takes_a_bounded_time() -> None:
     f = Fake()
     f.silent = {"a", "b", "c"}
     begin = f.clock.now
-    assert f.link.tell(ASK) is None
-    assert f.clock.now - begin <= tls_link.ALL_S + 1e-9 and len(f.asked) <= 3
+    assert f.link.send(ASK) is None
+    assert f.clock.now - begin <= tls_link.TOTAL_TIMEOUT_S + 1e-9 and len(f.asked) <= 3
     f.silent = {"b"}
     assert isinstance(
-        f.link.tell(ASK), UncertainReply
+        f.link.send(ASK), UncertainReply
     )  # the leader itself is silent: nothing follows from the others' word
 
 
 def test_connections_are_made_anew_after_keys_change() -> None:
     f = Fake()
-    f.link.tell(ASK)
+    f.link.send(ASK)
     before = f.opened
-    f.link.tell(ASK)
+    f.link.send(ASK)
     assert f.opened == before
     f.edition = 2
-    f.link.tell(ASK)
+    f.link.send(ASK)
     assert f.opened == before + 1
-    assert over_tls("nobody", _no_ring())("127.0.0.1", 1) is None
+    assert tls_connector("nobody", _no_ring())("127.0.0.1", 1) is None
 
 
 def _no_ring() -> Any:
     class Empty:
-        def client(self, peer: str) -> None:
+        def client_context(self, peer: str) -> None:
             return None
 
     return Empty()
@@ -318,7 +318,7 @@
     two.answer = answer  # type: ignore[method-assign]
     wire = two.wire()
     with pytest.raises(UnreachableError):
-        wire.request("POST", PATH, msgspec.msgpack.encode(ASK), 0.5)
+        wire.request("POST", LINK_PATH, msgspec.msgpack.encode(ASK), 0.5)
     wire.close()
     broken.set()
     gevent.sleep(0.1)
--- a/tests/support/federated_clusters.py
+++ b/tests/support/federated_clusters.py
@@ -14,7 +14,7 @@
 from grebestand.federation.home import HomeCluster
 from grebestand.federation.messages import Message, Probe, Reply, ReservationRequest
 from grebestand.federation.overflow_limits import OverflowLimits
-from grebestand.federation.remote_cluster import Cluster
+from grebestand.federation.remote_cluster import RemoteCluster
 from grebestand.leader.term import Term
 from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController, ManualClock
 from grebestand.wire.jobs import decode_spec
@@ -64,7 +64,8 @@
     def begin(self) -> None:
         """Begin home and guest of the present term, with the links as they are now."""
         clusters = [
-            Cluster(name, link, CircuitBreaker(name, self.world.clock, self.rng)) for name, link in self.links.items()
+            RemoteCluster(name, link, CircuitBreaker(name, self.world.clock, self.rng))
+            for name, link in self.links.items()
         ]
         self.home = HomeCluster(self.name, self.term, clusters, OverflowLimits(lambda job, now: 5.0), self.rng)
         if not self.looks:
@@ -89,7 +90,7 @@
         self.drop: Callable[[Message], str] = lambda message: ""
         self.sent: list[Message] = []
 
-    def tell(self, message: Message) -> Reply | None:
+    def send(self, message: Message) -> Reply | None:
         """Deliver a message, written and read as on the wire, and return its reply."""
         fault = self.drop(message)
         if fault == "request":
@@ -97,7 +98,7 @@
         received = messages.decode(msgspec.msgpack.encode(message))
         if not isinstance(received, Probe):
             self.sent.append(received)
-        reply = self.to.guest.answer(received)
+        reply = self.to.guest.handle_message(received)
         return None if fault == "answer" else messages.decode_reply(msgspec.msgpack.encode(reply))
 
 
@@ -147,7 +148,7 @@
         """Return the running tasks of the gang, by cluster: at home by its own job id, elsewhere by the guests'."""
         found = {}
         for side in self.sides:
-            names = {self.gang} if side is self.home else {r.job for r in side.guest.records.values()}
+            names = {self.gang} if side is self.home else {r.job_id for r in side.guest.records.values()}
             found[side.name] = [
                 task for worker in side.workers for task in worker.running() if task.rpartition("/")[0] in names
             ]
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -81,7 +81,7 @@
     "record: where tasks may be": leader_records.GrantRecord,
     "record: rental": leader_records.RentalRecord,
     "record: leader": election.LeaderValue,
-    "record: settled gang": settlement.Settled,
+    "record: settled gang": settlement.SettledGangRecord,
     "record: guest gang": guest.GuestRecord,
 }
 #: sent as MessagePack between controllers of one cluster, and between clusters
@@ -108,7 +108,7 @@
 }
 MESSAGES = JSON | MSGPACK
 #: settings files, whose fields are fixtures of their own
-FILES: dict[str, type[msgspec.Struct]] = {"platform": platform.Settings, "federation": federation.LocalLoad}
+FILES: dict[str, type[msgspec.Struct]] = {"platform": platform.Settings, "federation": federation.LocalSettings}
 #: a common base, and what stays in a process
 NOT_SENT = {messages._ReservationMessage, provisioning.PendingMachine}
 #: packages whose structures are for simulations and rehearsals only
@@ -211,7 +211,7 @@
     return {
         "machine types": machine_type_catalog.TYPES_KEY,
         "guest gang": guest.guest_key("id"),
-        "settled gangs": settlement.PREFIX,
+        "settled gangs": settlement.SETTLED_KEY_PREFIX,
         "written by a leader": sorted(world.store.data),
         "commands to workers": sorted(commands),
     }
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -28,7 +28,7 @@
 from grebestand.api.peer_api import CACHED_IMAGES_INTERVAL_S  # noqa: E402
 from grebestand.clocks import CLOCK_MARGIN_S, MAX_CLOCK_DRIFT  # noqa: E402
 from grebestand.controller.controller import CANCELLATION_BROADCAST_DELAY_S, LEASE_RENEW_INTERVAL_S  # noqa: E402
-from grebestand.federation.circuit_breaker import LONGEST_S  # noqa: E402
+from grebestand.federation.circuit_breaker import LONGEST_PAUSE_S  # noqa: E402
 from grebestand.flow_control.connection_limits import plan_connections  # noqa: E402
 from grebestand.heartbeat_relay.forwarder import GATHER_S, MOST_REPORTS  # noqa: E402
 from grebestand.heartbeat_relay.worker_assignment import SHARE_SLACK  # noqa: E402
@@ -950,7 +950,7 @@
          "up to 4, its workers' wait, then 1", f"{show(region / m.split['controllers'])} connections anew",
          "`heartbeat_relay/forwarder.py`", OPEN],
         ["a region apart for an hour", "0", "0: it has its own leader, state service and quota shares",
-         f"a try of the link at most each {LONGEST_S:g} s; gangs abroad wait for their news",
+         f"a try of the link at most each {LONGEST_PAUSE_S:g} s; gangs abroad wait for their news",
          "`federation/circuit_breaker.py`; open: quotas across regions", WORKED_OUT],
         ["state service of a region out",
          f"0 for {hold + lim['lease_s']:.0f} s; then all that runs: {show(m.sizes()[0].running)}",
