--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -1,4 +1,4 @@
-"""Federation as a feature of a controller: ties its settings, the link, home and guest to the controller's hooks."""
+"""The federation feature of a controller: connects its settings, link, home and guest to the controller's hooks."""
 
 from __future__ import annotations
 
@@ -49,24 +49,25 @@
     "RemoteClusterSettings",
 ]
 
+#: Path of the request by which a follower notifies the leader of its cluster that a user cancels a remote gang.
 RECALL_PATH = "/federation/recall"
-#: greenlets that wait for other clusters at a time
+#: At most this many greenlets wait for replies of other clusters at a time.
 MAX_LINK_GREENLETS = 32
-#: how long to wait before a greenlet is started while all of them are busy, in seconds
+#: Pause before a greenlet is started while the pool is full, in seconds.
 POOL_FULL_PAUSE_S = 0.05
-#: how old the zones' loads may be, in seconds: adding them up visits all machines
+#: How long computed loads of zones are used, in seconds. Computing them visits all machines.
 LOADS_VALID_S = 1.0
-#: the pause between two steps of the leader, in seconds
+#: Pause between two steps of the leader, in seconds.
 STEP_PAUSE_S = 0.2
-#: connections of other clusters at a time
+#: At most this many connections from other clusters are open at a time.
 MAX_LINK_CONNECTIONS = 40
-#: the longest job id that is read from a recall, in bytes
+#: At most this many bytes of a recall request are read as a job id.
 MAX_RECALL_BYTES = 64
 BYTES_PER_KILOBYTE = 1024
 
 
 class Federation:
-    """One controller's part in federation: the link's server always, home and guest while it leads."""
+    """Federation in one controller: always serves the link, and runs home and guest cluster while it leads."""
 
     def __init__(
         self,
@@ -80,12 +81,12 @@
         """Start without a term.
 
         Args:
-            values: the settings that are expressions.
-            settings: the platform's settings.
-            local: the plain settings.
-            clock: a steady clock, in seconds.
-            rng: draws pauses and orders; one with a random seed if not given.
-            spawn: runs a function that waits for another cluster; in a pool of greenlets if not given.
+            values: Federation settings that are expressions.
+            settings: The platform's settings.
+            local: Federation settings that are not expressions.
+            clock: Steady clock, in seconds.
+            rng: Source of random pauses and orders; by default one with a random seed.
+            spawn: Runs a function that waits for a reply of another cluster; by default in a pool of greenlets.
         """
         self.values = values
         self.settings = settings
@@ -98,7 +99,7 @@
         self.guest: GuestCluster | None = None
         self.term: Term | None = None
         self.pool = Pool(MAX_LINK_GREENLETS)
-        #: the share of each zone's CPUs in use, and when it was added up
+        #: The share of CPUs in use by zone index, and the time when these shares were computed.
         self._zone_loads: dict[int, float] = {}
         self._zone_loads_at = -math.inf
         self.links: dict[str, Link] = {}
@@ -108,7 +109,7 @@
             for objective in settings.params.objectives
             if objective.kind == "guarantee" and objective.within_s is not None
         ]
-        #: the values of names that are the same for every gang, or have no meaning
+        #: Values of expression names that do not depend on the gang; names without a meaning have their lowest value.
         self.fixed_names = {
             **NAMES_WITHOUT_MEANING,
             "clusters": float(max(1, len(local.others))),
@@ -119,14 +120,17 @@
     # hooks ------------------------------------------------------------------------------------------------
 
     def attach_host(self, host: Host) -> None:
-        """Keep the controller that this feature is part of."""
+        """Set the controller that this feature is part of."""
         self.host = host
 
     def begin_term(self, term: Any) -> None:
-        """Begin a term of this controller: gangs abroad and guests are read from the records.
+        """Begin a term of this controller as leader: restore remote gangs and guest gangs from the stored records.
+
+        Args:
+            term: The `Term` that begins.
 
         Raises:
-            StoreError: the store could not be reached.
+            StoreError: The store could not be reached.
         """
         assert isinstance(term, Term) and self.host is not None
         values = {key: self.values.value(key, self.fixed_names) for key in KEYS}
@@ -162,54 +166,73 @@
 
     def _spawn_in_pool(self, work: Callable[[], None]) -> None:
         if self.pool.full():
-            # every greenlet waits for another cluster: give them time, so that the leader's loop does not spin
+            # Yield while all greenlets wait for replies, so that the leader's loop does not spin.
             gevent.sleep(POOL_FULL_PAUSE_S)
         self.pool.spawn(work)
 
-    def _leads(self) -> bool:
+    def _is_leader(self) -> bool:
         return self.host is not None and self.term is not None and self.host.present() is self.term
 
     def step(self) -> None:
-        """Advance both sides, while this controller leads."""
-        if self._leads() and self.home is not None and self.guest is not None:
+        """Run the due steps of the guest and the home cluster if this controller leads."""
+        if self._is_leader() and self.home is not None and self.guest is not None:
             self.guest.step()
             self.home.step()
 
     def message_handler(self) -> Any:
-        """Return what replies to messages in the present term, or None if this controller does not lead."""
-        return self.guest.handle_message if self._leads() and self.guest is not None else None
+        """Return the function that replies to messages in this term, or None if this controller does not lead."""
+        return self.guest.handle_message if self._is_leader() and self.guest is not None else None
 
     def recall(self, ref: str) -> None:
-        """Recall a cancelled gang from another cluster, here or through the leader."""
-        if self._leads() and self.home is not None:
+        """Recall a cancelled gang from another cluster: directly if this controller leads, otherwise by its leader.
+
+        Args:
+            ref: The gang's job id.
+        """
+        if self._is_leader() and self.home is not None:
             self.home.recall(ref)
         elif self.host is not None:
             self.host.ask_leader(RECALL_PATH, ref.encode())
 
     def handle_recall(self, body: bytes) -> bytes:
-        """Recall a gang whose cancellation another controller of this cluster was asked for."""
-        if self._leads() and self.home is not None:
+        """Process a recall request from another controller of this cluster, which received the user's cancellation.
+
+        Args:
+            body: The gang's job id.
+
+        Returns:
+            The empty body of the response.
+        """
+        if self._is_leader() and self.home is not None:
             self.home.recall(body[:MAX_RECALL_BYTES].decode("ascii", "replace"))
         return b""
 
     def leader(self) -> str | None:
-        """Return the name of the controller that leads this cluster, if it is known."""
+        """Return the name of the controller that leads this cluster, or None if unknown."""
         return self.host.leader() if self.host is not None else None
 
     # expressions ------------------------------------------------------------------------------------------
 
     def _names(self, job: Job, **more: float) -> dict[str, float]:
-        """Return the values of all names that an expression about a gang may use."""
+        """Return the values of all names that an expression about a gang can use."""
         gang = {"gang_size": float(job.spec.tasks), "gang_cpus": job.spec.cpus * job.spec.tasks}
         return {**self.fixed_names, **gang, **more}
 
     def overflow_after_s(self, job: Job, now: float) -> float:
-        """Return for how many seconds a gang waits before it is offered, by the operators' expression."""
+        """Evaluate the setting `overflow_after_s` for a gang.
+
+        Args:
+            job: The gang.
+            now: Time of the steady clock, in seconds.
+
+        Returns:
+            How long the gang has to wait at home before it is offered to other clusters, in seconds.
+        """
         names = self._names(job, waited_s=now - job.accepted_at, zone_load=self._zone_load(job))
         return self.values.value("overflow_after_s", names)
 
     def _zone_load(self, job: Job) -> float:
-        """Return the share of CPUs in use in the gang's zone, or in the least loaded one if it may run in any."""
+        """Return the share of CPUs in use in the gang's zone, or in the least loaded zone if the gang names none."""
         now = self.clock()
         if now - self._zone_loads_at >= LOADS_VALID_S:
             self._zone_loads_at = now
@@ -228,7 +251,16 @@
         return {zone: used[zone] / cpus for zone, cpus in capacity.items() if cpus}
 
     def prefer(self, job: Job, capacity: FreeCapacity, age_s: float) -> float:
-        """Return how much a cluster is preferred for a gang, by the operators' expression."""
+        """Evaluate the setting `prefer` for a gang and a cluster.
+
+        Args:
+            job: The gang.
+            capacity: The cluster's last reply to a probe.
+            age_s: Age of that reply, in seconds.
+
+        Returns:
+            The preference; the gang is offered first to the cluster with the highest value.
+        """
         names = self._names(
             job,
             free_machines=float(capacity.free_machines),
@@ -241,10 +273,18 @@
 
 
 def make(values: Expressions, settings: Settings, plain: PlainValues) -> Features:
-    """Make the feature. Without other clusters nothing is served, and no library of the link is imported.
+    """Make the feature. Without other clusters in the settings, no link is served nor its libraries imported.
+
+    Args:
+        values: Federation settings that are expressions.
+        settings: The platform's settings.
+        plain: Federation settings that are not expressions.
+
+    Returns:
+        The hooks of the feature.
 
     Raises:
-        ExpressionError: a plain setting is wrong, or the keys cannot be used.
+        ExpressionError: A setting that is not an expression is invalid, or the keys cannot be used.
     """
     local = read_plain_settings(plain, settings)
     federation = Federation(values, settings, local)
@@ -261,8 +301,8 @@
 
 
 def _make_link(federation: Federation, local: LocalSettings, settings: Settings, plain: PlainValues) -> Listener:
-    """Make the links to all other clusters, and return the listener for their messages."""
-    # imported here, as a controller without other clusters needs neither netaddr nor the link's server
+    """Make the links to all other clusters, and return the listener for messages from other clusters."""
+    # Imported here, because a controller without other clusters needs neither netaddr nor the link's server.
     from .allowed_networks import AllowedNetworks, NetworkListError
     from .keyring import Keyring, KeyringError
     from .link_server import LinkAdmission, LinkServer
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -1,9 +1,10 @@
-"""The guest cluster's side: reserves machines for a gang of another cluster, and runs it after home's commit.
+"""The guest cluster's side: reserves machines for a gang of another cluster and runs the gang after home's commit.
 
-A reservation lives in the leader's memory only; losing it breaks no promise. Its id is drawn here, and only a commit
-that carries it can start anything. A commit that matches neither a reservation of this term nor a record therefore
-shows that nothing runs under that id and nothing ever will. When the gang is taken in, one transaction makes it a job
-of this cluster and records its home; from then on it is run and ended like any other job.
+A reservation is held in the leader's memory only; if it is lost, the commit is rejected and the gang returns home. The
+guest cluster draws the reservation's id, and only a commit with that id can start the gang. A commit whose id matches
+neither a reservation of this term nor a stored record is rejected: no task runs or will ever start under it.
+When a gang is accepted, one transaction creates a job of this cluster and a record that names the gang's home cluster.
+From then on the job is scheduled and ended like any other.
 """
 
 from __future__ import annotations
@@ -50,25 +51,25 @@
 GUEST_KEY_PREFIX = "federation/guest/"
 NO_SUCH_RESERVATION = "no such reservation"
 HOME_NOT_ALLOWED = "not a cluster whose gangs are taken"
-#: home asks every few seconds; a guest that it has not asked about for so long starts nothing new here, as home's
-#: operators may have settled it meanwhile
+#: A guest gang starts no new tasks after this many seconds without a message about it from its home cluster, because
+#: home's operators may have settled the gang by then. Home normally sends a status query every few seconds.
 HOME_SILENCE_TIMEOUT_S = 30.0
-#: bytes of randomness in a reservation's id, so that ids are neither repeated nor guessed
+#: Bytes of randomness in a reservation's id, so that ids are neither repeated nor guessed.
 RESERVATION_ID_BYTES = 16
-#: guests' job ids are drawn from this many numbers
+#: Size of the range from which numbers of guest jobs are drawn.
 GUEST_JOB_NUMBER_COUNT = 10**19
-#: the first of these numbers, above all that this cluster gives its own jobs
+#: The lowest number of a guest job, above all numbers that this cluster gives its own jobs.
 FIRST_GUEST_JOB_NUMBER = 9 * 10**19
 
 
 class GuestRecord(msgspec.Struct):
-    """The stored record of a gang that was taken in.
+    """The stored record of a gang of another cluster that was accepted as a job of this cluster.
 
     Attributes:
-        home: the gang's cluster.
-        ref: the gang's job id there.
-        id: the reservation's id.
-        job: the gang's job id here.
+        home: Name of the gang's home cluster.
+        home_job_id: The gang's job id in its home cluster.
+        reservation_id: The reservation's id.
+        job_id: The gang's job id in this cluster.
     """
 
     home: str
@@ -77,23 +78,23 @@
     job_id: str = msgspec.field(name="job")
 
 
-def guest_key(ident: str) -> str:
-    """Return the key of a guest gang's record, by its reservation id."""
-    return GUEST_KEY_PREFIX + ident
+def guest_key(reservation_id: str) -> str:
+    """Return the key of a guest gang's record in the key-value store."""
+    return GUEST_KEY_PREFIX + reservation_id
 
 
 @dataclass
 class GuestLimits:
-    """What this cluster accepts from others.
+    """Limits on what this cluster accepts from others.
 
     Attributes:
-        homes: clusters that may send gangs.
-        team: the team whose limit the guests' tasks count against.
-        priority: guests get no higher priority than this: they come after this cluster's own work.
-        reserve_s: for how many seconds machines are reserved.
-        give_back_s: a gang that has found no capacity here for so many seconds is given back.
-        max_reservations: reservations at a time.
-        max_guests: gangs taken in at a time.
+        homes: Names of the clusters that may offer gangs.
+        team: Name of the team whose limit the guests' tasks count against.
+        priority: The highest priority that a guest gets, so that this cluster's own jobs come first.
+        reserve_s: How long machines are reserved, in seconds.
+        return_after_s: A guest that has waited longer than this without capacity is returned to its home, in seconds.
+        max_reservations: At most this many reservations at a time.
+        max_guests: At most this many guest gangs at a time.
     """
 
     homes: frozenset[str]
@@ -106,41 +107,50 @@
 
 
 class GuestCluster:
-    """The guests of one leader's term. A new leader begins with the stored records."""
+    """The guest gangs of one leader's term. A new leader restores them from the stored records."""
 
     def __init__(self, name: str, term: Term, limits: GuestLimits, cancel: Callable[[str], bool]) -> None:
-        """Read the records of guests.
+        """Restore the guest gangs from the stored records.
 
         Args:
-            name: the name of this cluster.
-            term: the leader's term.
-            limits: what is accepted.
-            cancel: cancels a job of this cluster as its user would; returns whether it is over now.
+            name: Name of this cluster.
+            term: The leader's term.
+            limits: Limits on what this cluster accepts.
+            cancel: Cancels a job of this cluster, given its job id, as a user's cancellation does; returns whether the
+                job has ended.
 
         Raises:
-            StoreError: the store could not be reached.
+            StoreError: The store could not be reached.
         """
         self.name = name
         self.term = term
         self.limits = limits
         self.cancel = cancel
         self.reservations = Reservations(term)
-        #: the records of guests, by reservation id
+        #: Records of guest gangs, by reservation id.
         self.records: dict[str, GuestRecord] = {}
-        #: when home last asked about a guest or committed it, by reservation id
+        #: Time of the last commit or status query from home, by reservation id.
         self._last_asked_at: dict[str, float] = {}
         for pair in term.writer.store.pairs(GUEST_KEY_PREFIX):
             record = msgspec.convert(pair.value, GuestRecord)
             self.records[record.reservation_id] = record
             job = term.registry.jobs.get(record.job_id)
             if job is not None:
-                # home's operators may have declared this cluster lost meanwhile: it starts when home asks about it
+                # Home's operators may have declared this cluster lost during the change of leaders. The gang starts no
+                # tasks until home sends a message about it.
                 job.is_guest = job.origin_silent = True
 
     # messages ---------------------------------------------------------------------------------------------
 
     def handle_message(self, message: Message) -> Reply:
-        """Return the reply to a message; without a leader that may act, it is uncertain."""
+        """Process a message of another cluster.
+
+        Args:
+            message: The message, decoded and checked.
+
+        Returns:
+            The reply; an `UncertainReply` if this controller does not lead or the key-value store does not respond.
+        """
         if not self.term.loaded or not self.term.writer.is_leader():
             return UncertainReply(NOT_LEADING)
         try:
@@ -166,10 +176,10 @@
         return measure_free_capacity(self.term, self.term.clock())
 
     def _reserve(self, request: ReservationRequest) -> Reply:
-        """Reserve machines for the whole gang, or say why not."""
-        refusal = self._why_not_acceptable(request)
-        if refusal is not None:
-            return Rejection(refusal)
+        """Reserve machines for the whole gang, or reject the request."""
+        reason = self._rejection_reason(request)
+        if reason is not None:
+            return Rejection(reason)
         now = self.term.clock()
         registry = self.term.registry
         team = registry.team_names.find(self.limits.team)
@@ -190,8 +200,8 @@
         self.reservations.add(reservation)
         return Reserved(reservation.reservation_id, self.limits.reserve_s)
 
-    def _why_not_acceptable(self, request: ReservationRequest) -> str | None:
-        """Return why the gang is not accepted whatever the free capacity, or None."""
+    def _rejection_reason(self, request: ReservationRequest) -> str | None:
+        """Return why the gang cannot be accepted regardless of free capacity, or None if it can."""
         spec, limits = request.spec, self.limits
         if request.home not in limits.homes:
             return HOME_NOT_ALLOWED
@@ -209,9 +219,9 @@
         return None
 
     def _guest_job(self, spec: JobSpec, now: float) -> Job:
-        """Return the gang as a job of this cluster, with an id of its own and the guests' team.
+        """Return the gang as a job of this cluster, with a new job id and the guests' team.
 
-        The id is drawn; the transaction that takes the gang in requires that nobody here has used it.
+        The job id is random; the transaction that accepts the gang fails if this cluster has used that id already.
         """
         guest_spec = msgspec.structs.replace(
             spec,
@@ -226,25 +236,25 @@
         return job
 
     def _commit(self, commit: Commit) -> Reply:
-        """Take the gang in, as home has decided; idempotent."""
+        """Accept the gang as a job of this cluster, as home has assigned it; idempotent."""
         record = self.records.get(commit.reservation_id)
         if record is not None:
-            return self._record_query(record)
+            return self._record_contact(record)
         reservation = self.reservations.by_id.get(commit.reservation_id)
         if reservation is None or reservation.home != commit.home:
             return Rejection(NO_SUCH_RESERVATION)
         if reservation.state is GuestState.RESERVED:
             if self.term.clock() >= reservation.expires_at:
-                self.reservations.change_state(reservation, GuestState.RELEASED, "its time was over")
+                self.reservations.change_state(reservation, GuestState.RELEASED, "expired before the commit")
                 return Rejection(NO_SUCH_RESERVATION)
-            self.reservations.change_state(reservation, GuestState.STARTING, "decided at home")
-        return self._take_in(reservation)
+            self.reservations.change_state(reservation, GuestState.STARTING, "commit received")
+        return self._accept(reservation)
 
-    def _take_in(self, reservation: Reservation) -> Reply:
+    def _accept(self, reservation: Reservation) -> Reply:
         """Write the records that make the gang a job of this cluster.
 
-        A write without an answer may still be carried out. It is repeated with the same keys until its result is
-        known, so that it takes effect once.
+        The store may still apply a write that had no response. Each further commit therefore repeats the write with the
+        same keys, conditional on their absence, so that the write takes effect once.
         """
         record = GuestRecord(reservation.home, reservation.home_job_id, reservation.reservation_id, reservation.job_id)
         record_key, job_key = guest_key(reservation.reservation_id), live_key(reservation.job_id)
@@ -254,26 +264,28 @@
         version, failed = self.term.writer.commit(conditions, changes, Urgency.ACCEPT)
         if failed and record_key not in failed:
             if reservation.state is GuestState.STARTING:
-                self.reservations.change_state(reservation, GuestState.RELEASED, "its reference is taken here")
+                self.reservations.change_state(
+                    reservation, GuestState.RELEASED, f"job id {reservation.job_id} is in use in this cluster"
+                )
             return Rejection(NO_SUCH_RESERVATION)
         self.records[reservation.reservation_id] = record
-        if reservation.state is GuestState.STARTING:  # else a concurrent commit has already done so
-            self.reservations.change_state(reservation, GuestState.STARTED, "taken in")
-        if failed:  # an earlier attempt was carried out after all
+        if reservation.state is GuestState.STARTING:  # otherwise a concurrent commit has changed the state already
+            self.reservations.change_state(reservation, GuestState.STARTED, "accepted as a job of this cluster")
+        if failed:  # an earlier write without a response has taken effect
             found = self.term.writer.store.get(job_key, Urgency.ACCEPT)
             live, version = (found.value, found.version) if found is not None else (None, 0)
         if live is not None:
             self.term.job_watch.apply_record(live, version, self.term.clock())
-        return self._record_query(record)
+        return self._record_contact(record)
 
     def _query(self, query: StatusQuery) -> Reply:
         record = self.records.get(query.reservation_id)
         if record is not None:
-            return self._record_query(record)
+            return self._record_contact(record)
         return Running(0) if query.reservation_id in self.reservations.by_id else Rejection(NO_SUCH_RESERVATION)
 
-    def _record_query(self, record: GuestRecord) -> Reply:
-        """Note that home still relies on this cluster, so that the guest's tasks may start; return its status."""
+    def _record_contact(self, record: GuestRecord) -> Reply:
+        """Note that home still assigns the gang to this cluster, so that its tasks may start; return its status."""
         self._last_asked_at[record.reservation_id] = self.term.clock()
         job = self.term.registry.jobs.get(record.job_id)
         if job is not None and job.origin_silent:
@@ -282,7 +294,7 @@
         return self._status(record)
 
     def _status(self, record: GuestRecord) -> Reply:
-        """Return a guest's status by the registry, and by the stored record once the job has ended."""
+        """Return a guest's status from the registry, or from the completed job's record once the job has ended."""
         job = self.term.registry.jobs.get(record.job_id)
         if job is not None and job.is_live:
             return Running(job.running_count())
@@ -290,11 +302,12 @@
         if done is None:
             return UncertainReply("its end is being recorded")
         if not done and job is not None and job.allocations:
-            return UncertainReply("its tasks are being stopped")  # given back only once no task of it is left
+            # Home may start the gang again after `Ended`, so no task may be left here.
+            return UncertainReply("its tasks are being stopped")
         return Ended(done)
 
     def _ended_as_done(self, record: GuestRecord) -> bool | None:
-        """Return whether an ended guest was done and not cancelled, or None while that is not on record."""
+        """Return whether an ended guest was done rather than cancelled, or None while its end is not recorded."""
         completed = self.term.completed_jobs.get(record.job_id)
         if completed is not None:
             return completed.state is JobStatus.DONE
@@ -302,7 +315,7 @@
         return None if found is None else bool(found.value["state"] == JobStatus.DONE.value)
 
     def _recall(self, recall: Recall) -> Reply:
-        """End a reservation or a guest, whatever it is."""
+        """End a guest gang, or the reservation if the gang was not accepted."""
         record = self.records.get(recall.reservation_id)
         if record is None:
             return self._recall_reservation(recall)
@@ -319,11 +332,11 @@
         if reservation is not None and reservation.state is GuestState.STARTING:
             return UncertainReply("it is being taken in")
         if reservation is not None:
-            self.reservations.change_state(reservation, GuestState.RELEASED, "not needed")
+            self.reservations.change_state(reservation, GuestState.RELEASED, "recalled by home")
         return Rejection(NO_SUCH_RESERVATION)
 
     def _forget(self, forget: Forget) -> Reply:
-        """Remove the record of a guest that is over."""
+        """Remove the record of a guest that has ended."""
         record = self.records.get(forget.reservation_id)
         if record is None:
             return Rejection(NO_SUCH_RESERVATION)
@@ -340,7 +353,10 @@
     # steps ------------------------------------------------------------------------------------------------
 
     def step(self) -> None:
-        """Release expired reservations and give back guests that find no capacity; called in a loop of the leader."""
+        """Release expired reservations, pause guests of silent homes and return guests that find no capacity.
+
+        The leader calls this function in a loop.
+        """
         if not self.term.writer.is_leader():
             return
         now = self.term.clock()
@@ -349,7 +365,7 @@
             job = self.term.registry.jobs.get(record.job_id)
             if job is not None and job.is_live:
                 self._pause_if_home_is_silent(record, job, now)
-                self._give_back_if_without_capacity(record, job, now)
+                self._return_if_without_capacity(record, job, now)
 
     def _pause_if_home_is_silent(self, record: GuestRecord, job: Job, now: float) -> None:
         if (
@@ -359,7 +375,7 @@
             job.origin_silent = True
             log.info(LogEvent("guest_home_silent", job_id=record.home_job_id, home=record.home))
 
-    def _give_back_if_without_capacity(self, record: GuestRecord, job: Job, now: float) -> None:
+    def _return_if_without_capacity(self, record: GuestRecord, job: Job, now: float) -> None:
         if job.allocations or job.origin_silent or job.startable_count() != job.spec.tasks:
             return
         wait_s = now - job.waiting_since
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -1,9 +1,9 @@
-"""Home's side: the one decision for each offered gang, and what follows from the other cluster's replies.
+"""The home cluster's side: offers waiting gangs, assigns each to at most one cluster, and follows it there.
 
-The decision is one conditional write of the leader: the gang's live record names the cluster and the reservation. A
-user's cancellation, the end of the job and the decision all compete for that one key, so exactly one of them succeeds.
-From before the write is sent until the other cluster has confirmed that it does not run the gang any more, the job
-is marked `runs_remotely`: nothing of it starts at home.
+An assignment is one conditional write of the leader: the gang's live record then names the other cluster and the
+reservation. A user's cancellation, the end of the job and the assignment are all conditional on the version of that one
+key, so exactly one of them succeeds. From before the write is sent until the other cluster has confirmed that it no
+longer runs the gang, the job is marked `runs_remotely`, and none of its tasks start at home.
 """
 
 from __future__ import annotations
@@ -45,30 +45,32 @@
 
 log = logging.getLogger(__name__)
 
-#: the pause between two offers of one gang; it doubles with each offer
+#: Mean pause before a gang is offered again, in seconds. The pause doubles with each offer.
 OFFER_PAUSE_S = 5.0
-#: bounds the growth of that pause
+#: Bounds the exponential growth of the pause between offers of one gang.
 MAX_OFFER_PAUSE_DOUBLINGS = 5
-#: between two queries about one gang that is abroad; it doubles with each query that has no certain reply
+#: Mean interval between two status queries about one remote gang, in seconds. The interval doubles with each query that
+#: has no certain reply.
 QUERY_INTERVAL_S = 2.0
-#: bounds the growth of that interval
+#: Bounds the exponential growth of the interval between status queries.
 MAX_QUERY_INTERVAL_FACTOR = 8
-#: retries allowed a second, however few messages are sent for the first time
+#: Retries allowed a second even if few messages are sent for the first time.
 MIN_RETRIES_PER_S = 1.0
-#: between two summaries in the log
+#: Interval between two `federation_summary` log events, in seconds.
 SUMMARY_INTERVAL_S = 60.0
-#: after a step that the store did not answer
+#: Pause before a step is retried that failed because the key-value store did not respond, in seconds.
 STORE_RETRY_S = 1.0
-#: after a decision whose write had no answer; shorter, as the gang starts nowhere meanwhile
+#: Pause before an assignment is resolved whose write had no response, in seconds. Shorter than `STORE_RETRY_S`, because
+#: the gang cannot start in any cluster until then.
 DECISION_RETRY_S = 0.5
-#: after a step that met an unexpected exception
+#: Pause before a step is retried that raised an unexpected exception, in seconds.
 CRASH_RETRY_S = 5.0
-#: states in which another cluster may run the gang, or may come to run it
+#: States in which another cluster runs the gang or may start it later.
 REMOTE_STATES = frozenset({HomeState.DECIDING, HomeState.COMMITTED, HomeState.ABROAD, HomeState.RETURNING})
 
 
 class HomeCluster:
-    """The offered gangs of one leader's term. A new leader begins with the assignments in the live records."""
+    """The offered and remote gangs of one leader's term. A new leader restores them from the live records."""
 
     def __init__(
         self,
@@ -79,18 +81,19 @@
         rng: random.Random,
         spawn: Callable[[Callable[[], None]], None] = lambda work: work(),
     ) -> None:
-        """Resume the gangs that are abroad.
+        """Restore the gangs that are assigned to other clusters.
 
         Args:
-            name: the name of this cluster.
-            term: the leader's term.
-            clusters: the other clusters.
-            limits: the operators' limits.
-            rng: draws pauses and intervals.
-            spawn: runs a function that waits for another cluster, so that a silent one delays nothing else.
+            name: Name of this cluster.
+            term: The leader's term.
+            clusters: The other clusters.
+            limits: Limits from the operators' settings.
+            rng: Source of random pauses and intervals.
+            spawn: Runs a function that waits for a reply of another cluster, so that an unresponsive cluster delays
+                nothing else.
 
         Raises:
-            StoreError: the store could not be reached.
+            StoreError: The store could not be reached.
         """
         self.name = name
         self.term = term
@@ -103,35 +106,40 @@
         )
         self.offer_planner = OfferPlanner(term, self.remotes.by_name, limits)
         self.records = AssignmentRecords(term)
-        #: gangs that are offered or abroad, by job id
+        #: Gangs that were offered or are assigned to another cluster, by job id.
         self.gangs: dict[str, RemoteGang] = {}
-        #: offers sent, and how they ended
+        #: Numbers of offers sent, reservations received, assignments made, and reservations released unused.
         self.counts = {"offers": 0, "reserved": 0, "decided": 0, "in_vain": 0}
         self._retries = RetryBudget(limits.retry_share, MIN_RETRIES_PER_S, term.clock)
         self._summary_at = term.clock()
         self._ended_reservations: list[EndedReservation] = []
         self.settled = SettledGangs(term, self.remotes, spawn, self._ended_reservations.append)
-        self._resume()
+        self._restore_remote_gangs()
 
-    def _resume(self) -> None:
+    def _restore_remote_gangs(self) -> None:
         for job in self.term.registry.jobs.values():
             if job.remote_assignment is not None:
                 gang = self.gangs[job.spec.id] = RemoteGang(job, assignment=job.remote_assignment)
-                # whether the commit was ever sent is not on record: it is sent again, which is idempotent
-                self.change_state(gang, HomeState.COMMITTED, "on record")
+                # The live record does not say whether the commit was sent. Sending it again is idempotent.
+                self.change_state(gang, HomeState.COMMITTED, "the live record names another cluster")
 
-    def change_state(self, gang: RemoteGang, new: HomeState, why: str) -> None:
-        """Change the state of a gang: the one function that does so.
+    def change_state(self, gang: RemoteGang, new: HomeState, reason: str) -> None:
+        """Change the state of a gang and what follows from it; no other function sets the state.
+
+        Args:
+            gang: The gang.
+            new: The new state; nothing happens if the gang is in this state already.
+            reason: Why the state changes, for the log.
 
         Raises:
-            IllegalTransitionError: the table of transitions does not allow it.
+            IllegalTransitionError: `HOME_TRANSITIONS` does not allow the transition.
         """
         if gang.state is new:
             return
         job = gang.job
         job_id = job.spec.id
         check_transition(HOME_TRANSITIONS, gang.state, new, job_id)
-        log.info(LogEvent("remote_gang_state_changed", job_id=job_id, from_=gang.state, to=new, reason=why))
+        log.info(LogEvent("remote_gang_state_changed", job_id=job_id, from_=gang.state, to=new, reason=reason))
         gang.state = new
         job.runs_remotely = new in REMOTE_STATES
         if new is HomeState.WAITING:
@@ -147,7 +155,11 @@
         return float(OFFER_PAUSE_S * 2**doublings * (0.5 + self.rng.random()))
 
     def recall(self, ref: str) -> None:
-        """Note that a user has asked to cancel a gang that is abroad."""
+        """Request the end of a remote gang that its user cancels.
+
+        Args:
+            ref: The gang's job id; ignored if that job is neither offered nor remote.
+        """
         gang = self.gangs.get(ref)
         if gang is not None:
             gang.recalled = True
@@ -156,7 +168,10 @@
     # steps ------------------------------------------------------------------------------------------------
 
     def step(self) -> None:
-        """Advance every gang as far as possible now; called in a loop of the leader."""
+        """Run all steps that are due: advance gangs, probe clusters, recall settled gangs and send offers.
+
+        The leader calls this function in a loop.
+        """
         if not self.term.writer.is_leader():
             return
         now = self.term.clock()
@@ -170,7 +185,7 @@
         self._log_summary(now)
 
     def _spawn_step(self, gang: RemoteGang, step: Callable[[RemoteGang], None]) -> None:
-        """Run a step of a gang, unless another greenlet is at work on it."""
+        """Run a step of a gang, unless another greenlet is running a step of the same gang."""
         if gang.busy:
             return
         gang.busy = True
@@ -196,14 +211,14 @@
     def _advance_by_state(self, gang: RemoteGang) -> None:
         job = gang.job
         if gang.state in (HomeState.COMMITTED, HomeState.ABROAD) and job.remote_assignment is None and job.is_live:
-            self.change_state(gang, HomeState.RETURNING, "settled by its operators")
-            self.change_state(gang, HomeState.WAITING, "settled by its operators")
+            self.change_state(gang, HomeState.RETURNING, "settled by an operator")
+            self.change_state(gang, HomeState.WAITING, "settled by an operator")
             self.settled.load_records()
         elif not job.is_live and gang.state in (HomeState.WAITING, HomeState.OFFERED):
-            self._release(gang)
-            self.change_state(gang, HomeState.OVER, "it is over at home")
+            self._release_reservations(gang)
+            self.change_state(gang, HomeState.OVER, "the job has ended at home")
         elif gang.state is HomeState.DECIDING:
-            self._resolve_unknown_decision(gang)
+            self._resolve_unknown_assignment(gang)
         elif gang.state in (HomeState.COMMITTED, HomeState.ABROAD):
             self._follow(gang)
         elif gang.state is HomeState.RETURNING:
@@ -225,7 +240,7 @@
             self._spawn_step(offer.gang, lambda gang, clusters=clusters: self._offer(gang, clusters))  # type: ignore[misc]
 
     def _offer(self, gang: RemoteGang, clusters: list[RemoteCluster]) -> None:
-        """Ask these clusters for reservations, then decide."""
+        """Request reservations from these clusters, then assign the gang to one that granted a reservation."""
         gang.reservations = {}
         gang.offers += len(clusters)
         gang.offered_at = self.term.clock()
@@ -234,7 +249,7 @@
         request = ReservationRequest(self.name, gang.job.spec, [self.name])
         for cluster in clusters:
             self._record_offer_reply(gang, cluster, self.remotes.send(cluster, request))
-        self._decide(gang)
+        self._assign(gang)
 
     def _record_offer_reply(self, gang: RemoteGang, cluster: RemoteCluster, reply: Reply | None) -> None:
         if isinstance(reply, Reserved):
@@ -246,26 +261,28 @@
             job_id = gang.job.spec.id
             log.info(LogEvent("reservation_rejected", job_id=job_id, cluster=cluster.name, reason=reply.reason))
 
-    def _release(self, gang: RemoteGang, but: str | None = None) -> None:
-        """End the reservations that are not used, except one; if the message is lost, they expire by themselves."""
+    def _release_reservations(self, gang: RemoteGang, except_in: str | None = None) -> None:
+        """End the gang's reservations, except in one cluster; if a `Recall` is lost, its reservation expires."""
         for cluster_name, reservation_id in gang.reservations.items():
-            if cluster_name != but:
+            if cluster_name != except_in:
                 self.counts["in_vain"] += 1
                 recall = Recall(self.name, gang.job.spec.id, reservation_id)
                 self.remotes.send(self.remotes.by_name[cluster_name], recall)
         gang.reservations = {}
 
-    # the decision -----------------------------------------------------------------------------------------
+    # assignment -------------------------------------------------------------------------------------------
 
-    def _decide(self, gang: RemoteGang) -> None:
-        """Assign the gang to one cluster, unless it can start at home by now."""
+    def _assign(self, gang: RemoteGang) -> None:
+        """Assign the gang to one cluster, unless the gang has started or ended at home during the offer."""
         job = gang.job
         chosen = next(iter(gang.reservations), None)
         if chosen is None or job.allocations or not job.is_live or job.startable_count() != job.spec.tasks:
-            self._release(gang)
-            self.change_state(
-                gang, HomeState.WAITING, "no capacity elsewhere" if chosen is None else "it starts at home"
-            )
+            self._release_reservations(gang)
+            if chosen is None:
+                reason = "no cluster has reserved machines"
+            else:
+                reason = "the gang has started or ended at home, or has tasks that may not start now"
+            self.change_state(gang, HomeState.WAITING, reason)
             return
         gang.assignment = RemoteAssignment(chosen, gang.reservations[chosen])
         self.change_state(gang, HomeState.DECIDING, f"reserved by {chosen}")
@@ -275,7 +292,7 @@
             log.info(LogEvent("remote_assignment_unknown", job_id=job.spec.id, cluster=chosen, error=error))
             gang.next_step_at = self.term.clock() + DECISION_RETRY_S
             return
-        self._release(gang, but=chosen)
+        self._release_reservations(gang, except_in=chosen)
         if gang.state is HomeState.COMMITTED:
             self.counts["decided"] += 1
             duration_s = self.term.clock() - gang.offered_at
@@ -284,47 +301,59 @@
             self._advance(gang)
 
     def _write(self, gang: RemoteGang, assignment: RemoteAssignment | None) -> None:
-        """Set or clear the assignment in the live record, if that is still as this leader knows it."""
+        """Set or clear the assignment in the live record, unless the record has another version than this leader knows.
+
+        In that case, the record is read and the gang's state follows from it.
+        """
         if self.records.write(gang.job, assignment):
-            self.change_state(gang, HomeState.COMMITTED if assignment else HomeState.WAITING, "on record")
+            self.change_state(gang, HomeState.COMMITTED if assignment else HomeState.WAITING, "live record written")
         else:
             self._reread(gang)
 
     def _reread(self, gang: RemoteGang) -> None:
-        """Adopt a live record that differs: a user's cancellation came first, or an earlier write was made."""
+        """Read a live record that has changed, and set the gang's state accordingly.
+
+        Either a user's cancellation was written first, or an earlier write without a response took effect.
+        """
         if not self.records.reread(gang.job):
-            self.change_state(gang, HomeState.OVER, "it was cancelled first")
+            self.change_state(gang, HomeState.OVER, "the job was cancelled before the live record was written")
         elif gang.job.remote_assignment is None:
-            self.change_state(gang, HomeState.WAITING, "on record")
+            self.change_state(gang, HomeState.WAITING, "the live record names no other cluster")
         else:
             gang.assignment = gang.job.remote_assignment
             if gang.state is HomeState.DECIDING:
-                self.change_state(gang, HomeState.COMMITTED, "on record")
+                self.change_state(gang, HomeState.COMMITTED, "the live record names another cluster")
 
-    def _resolve_unknown_decision(self, gang: RemoteGang) -> None:
-        """Find out whether a decision whose write had no answer was made.
+    def _resolve_unknown_assignment(self, gang: RemoteGang) -> None:
+        """Resolve an assignment whose write had no response.
 
-        The store may still carry out that write. Another write on the same version rules this out, or fails because
-        the first one was made.
+        The store may still apply that write. A second write, conditional on the same version, either succeeds, so that
+        the first write can no longer take effect, or fails because the first write took effect.
         """
         self._write(gang, None)
         if gang.state is HomeState.WAITING:
-            self._release(gang)
+            self._release_reservations(gang)
 
-    # abroad -----------------------------------------------------------------------------------------------
+    # remote gangs -----------------------------------------------------------------------------------------
 
     def _follow(self, gang: RemoteGang) -> None:
-        """Send the commit until it is answered, and ask for the status from then on."""
+        """Send the message that is due for a gang assigned to another cluster.
+
+        This is a `Recall` once the user has cancelled the gang; otherwise a `Commit` until the other cluster confirms
+        that the gang is its job, and a `StatusQuery` from then on.
+        """
         assert gang.assignment is not None
         cluster = self.remotes.by_name.get(gang.assignment.cluster)
         kind = Recall if gang.recalled else Commit if gang.state is HomeState.COMMITTED else StatusQuery
         self._query(gang, cluster, kind(self.name, gang.job.spec.id, gang.assignment.id))
 
     def _query(self, gang: RemoteGang, cluster: RemoteCluster | None, message: Message) -> None:
-        """Send a message about a gang abroad, and act on the reply."""
+        """Send a message about a remote gang and process the reply."""
         gang.next_step_at = self.term.clock() + QUERY_INTERVAL_S * (0.75 + 0.5 * self.rng.random())
         if cluster is None or not cluster.breaker.allows_request():
-            return  # not in the settings any more, or not to be asked for a while: it may run the gang all the same
+            # The cluster was removed from the settings or its circuit breaker is open. It may still run the gang, so
+            # the gang must not return home.
+            return
         if gang.unanswered_queries and not self._retries.take_retry():
             return
         if not gang.unanswered_queries:
@@ -334,15 +363,18 @@
         if isinstance(reply, Running):
             gang.job.remote_running_count = reply.running
             if gang.state is HomeState.COMMITTED:
-                self.change_state(gang, HomeState.ABROAD, f"{cluster.name} runs it")
+                self.change_state(gang, HomeState.ABROAD, f"{cluster.name} confirms that it runs the gang")
         elif isinstance(reply, Ended | Rejection):
             gang.done = isinstance(reply, Ended) and reply.done
-            why = "done there" if gang.done else "given back" if isinstance(reply, Ended) else reply.reason
-            self.change_state(gang, HomeState.RETURNING, why)
+            if isinstance(reply, Rejection):
+                reason = reply.reason
+            else:
+                reason = f"done in {cluster.name}" if gang.done else f"returned by {cluster.name}"
+            self.change_state(gang, HomeState.RETURNING, reason)
             self._advance(gang)
 
     def _record_certainty(self, gang: RemoteGang, reply: Reply | None) -> None:
-        """Count queries without a certain reply; from the second one in a row on, the interval doubles."""
+        """Count consecutive queries without a certain reply; from the second on, the interval doubles with each."""
         if reply is not None and not isinstance(reply, UncertainReply):
             gang.unanswered_queries = 0
             return
@@ -352,7 +384,7 @@
             gang.next_step_at = self.term.clock() + QUERY_INTERVAL_S * factor * (0.5 + self.rng.random())
 
     def _return(self, gang: RemoteGang) -> None:
-        """Take a gang back that the other cluster does not run any more: it is done, cancelled, or waits at home."""
+        """Record that another cluster no longer runs the gang: the gang is done, is cancelled, or waits at home."""
         job = gang.job
         assignment = gang.assignment
         assert assignment is not None
@@ -375,20 +407,21 @@
         self.change_state(gang, HomeState.OVER, "done")
 
     def _cancel(self, gang: RemoteGang) -> None:
-        """Record the cancellation; only from here on its user gets it confirmed."""
+        """Record the cancellation; its user receives the confirmation only after this write."""
         if not self.records.write_cancellation(gang.job):
             self._reread(gang)
             return
         self.term.dispatch.cancel(gang.job, self.term.clock())
-        self.change_state(gang, HomeState.OVER, "cancelled for its user")
+        self.change_state(gang, HomeState.OVER, "cancelled by its user")
 
     def _forget_ended_reservations(self) -> None:
-        """Let the others remove their records of reservations that home's live records no longer name."""
+        """Let other clusters remove their records of reservations that no live record here names any more."""
         for ended in list(self._ended_reservations):
             job = self.term.registry.jobs.get(ended.job_id)
             if job is not None and job.remote_assignment is not None:
-                continue  # its end is not on record yet
+                continue  # the live record still names the reservation
             self._ended_reservations.remove(ended)
             cluster = self.remotes.by_name.get(ended.cluster)
-            if cluster is not None:  # if the message is lost, the record there stays until its operators settle it
+            # If this message is lost, the record stays in the other cluster until operators of that cluster remove it.
+            if cluster is not None:
                 self.remotes.send(cluster, Forget(self.name, ended.job_id, ended.reservation_id))
--- a/src/grebestand/federation/offering.py
+++ b/src/grebestand/federation/offering.py
@@ -1,4 +1,4 @@
-"""Which gangs are offered to other clusters, when, and to which of them."""
+"""Planning of offers: which gangs are offered to other clusters, when, and to which clusters."""
 
 from __future__ import annotations
 
@@ -15,25 +15,31 @@
 from .routing import load_after_offer, preference
 from .state_machines import HomeState
 
-#: seconds between two searches through all waiting gangs
+#: Interval between two searches through all waiting gangs, in seconds.
 SEARCH_INTERVAL_S = 0.5
-#: a cluster's free capacity counts as known for this many intervals between probes: one probe may be lost
+#: A cluster's free capacity counts as known for this many probe intervals, so that one probe may be lost.
 CAPACITY_VALID_PROBES = 2
 
 
 @dataclass(frozen=True)
 class GangOffer:
-    """A gang that is to be offered to these clusters now, the most preferred one first."""
+    """A gang to offer now, and the clusters to offer it to, the most preferred one first."""
 
     gang: RemoteGang
     clusters: list[RemoteCluster]
 
 
 class OfferPlanner:
-    """Chooses the gangs to offer, within the operators' limits; many waiting gangs do not flood other clusters."""
+    """Chooses the gangs to offer, within the limits that protect other clusters from floods of offers."""
 
     def __init__(self, term: Term, clusters: dict[str, RemoteCluster], limits: OverflowLimits) -> None:
-        """Start a term without any offer in flight."""
+        """Start a term without offers in flight.
+
+        Args:
+            term: The leader's term.
+            clusters: The other clusters, by name.
+            limits: Limits from the operators' settings.
+        """
         self.term = term
         self.clusters = clusters
         self.limits = limits
@@ -41,7 +47,12 @@
         self._next_search_at = -math.inf
 
     def is_eligible(self, job: Job, now: float) -> bool:
-        """Return whether a gang may be offered: it waits whole at home, for longer than the operators' expression."""
+        """Return whether a gang may be offered: all its tasks wait at home, for at least `overflow_after_s`.
+
+        Args:
+            job: The job to check.
+            now: Time of the steady clock, in seconds.
+        """
         return (
             job.is_gang
             and job.is_live
@@ -54,13 +65,13 @@
         )
 
     def due_offers(self, gangs: dict[str, RemoteGang], now: float) -> Iterator[GangOffer]:
-        """Yield the gangs that are to be offered now, those that have waited longest first.
+        """Yield the offers to send now, those of the gangs that have waited longest first.
 
-        The caller starts each offer before it takes the next one.
+        The caller must start each offer before it requests the next one.
 
         Args:
-            gangs: the gangs that home has offered or that are abroad, by job id.
-            now: the time of the steady clock, in seconds.
+            gangs: The gangs that were offered or are assigned to other clusters, by job id.
+            now: Time of the steady clock, in seconds.
         """
         if not self.clusters or now < self._next_search_at:
             return
@@ -77,7 +88,7 @@
                 return
             for cluster in chosen:
                 if cluster.load is not None:
-                    # the next gang is not offered the same capacity
+                    # Deducted, so that the next gang is not offered the same capacity.
                     cluster.load = load_after_offer(cluster.load, job)
             in_flight += 1
             yield GangOffer(gang, chosen)
@@ -88,13 +99,13 @@
         return jobs
 
     def _may_be_offered(self, gang: RemoteGang, now: float) -> bool:
-        """Return whether the gang has offers left and its pause is over, or need not be waited for."""
+        """Return whether the gang has offers left, and its pause is over or a probe has found capacity for it."""
         if gang.state is not HomeState.WAITING or gang.offers >= self.limits.max_offers_per_gang:
             return False
         return gang.next_step_at <= now or self._capacity_found_since_offer(gang, now)
 
     def _capacity_found_since_offer(self, gang: RemoteGang, now: float) -> bool:
-        """Return whether a cluster has answered since the last offer that it has capacity for the gang."""
+        """Return whether a reply to a probe since the last offer shows capacity for the gang."""
         return gang.offers > 0 and any(
             not cluster.incompatible
             and cluster.load is not None
@@ -104,15 +115,15 @@
         )
 
     def _choose_clusters(self, job: Job, now: float) -> list[RemoteCluster]:
-        """Return the clusters to ask at once.
+        """Return the clusters to which the gang is offered at the same time.
 
-        One with known capacity is enough: the reservation of a second one would nearly always be in vain.
+        If the first has known capacity, it is the only one: a second reservation would nearly always go unused.
         """
         known_since = now - CAPACITY_VALID_PROBES * self.limits.probe_interval_s
         chosen: list[RemoteCluster] = []
         for cluster in self._ranked(job):
             has_capacity = cluster.has_capacity(job, known_since)
-            # order matters: a breaker that is asked after its pause counts that as its one request
+            # The order of the conditions matters: after a pause, `allows_request` uses up the one trial request.
             if not cluster.breaker.allows_request() or not (has_capacity or cluster.offer_breaker.allows_request()):
                 continue
             chosen.append(cluster)
@@ -121,7 +132,7 @@
         return chosen
 
     def _ranked(self, job: Job) -> list[RemoteCluster]:
-        """Return the compatible clusters, the most preferred first; of equals, by name."""
+        """Return the compatible clusters, the most preferred first, and by name if equally preferred."""
         now = self.term.clock()
         return sorted(
             (cluster for cluster in self.clusters.values() if not cluster.incompatible),
--- a/src/grebestand/federation/overflow_limits.py
+++ b/src/grebestand/federation/overflow_limits.py
@@ -1,4 +1,4 @@
-"""The operators' limits on what a home cluster offers and sends to others."""
+"""The operators' limits on the offers and messages that a home cluster sends to other clusters."""
 
 from __future__ import annotations
 
@@ -9,26 +9,27 @@
 from .messages import MAX_MESSAGE_BYTES
 from .routing import PreferenceFunction, prefer_free_capacity
 
-#: clusters that one gang is offered to at a time
+#: Default limit on the clusters to which one gang is offered at a time.
 CLUSTERS_AT_ONCE = 2
-#: offers of one gang after which it is left at home for good
+#: Default limit on the offers of one gang; after that, the gang waits at home.
 OFFERS_PER_GANG = 12
 
 
 @dataclass
 class OverflowLimits:
-    """The operators' values at the beginning of a term.
+    """Values of the operators' settings at the beginning of a term.
 
     Attributes:
-        overflow_after_s: for how many seconds a gang waits at home before it is offered, by the gang and the time.
-        max_offers_in_flight: gangs that may be offered or abroad at a time.
-        offers_per_s: offers sent a second, to all clusters together.
-        max_clusters_at_once: clusters that a gang is offered to at a time.
-        max_offers_per_gang: offers of a gang until it is left at home for good.
-        retry_share: retries for each message sent for the first time, beside one a second.
-        bytes_per_s: bytes of messages sent a second.
-        probe_interval_s: seconds between two probes of a cluster's free capacity.
-        prefer: how much a cluster is preferred for a gang.
+        overflow_after_s: Returns how long a gang waits at home before it is offered, in seconds, given the gang and the
+            time of the steady clock.
+        max_offers_in_flight: At most this many gangs are offered or assigned to other clusters at a time.
+        offers_per_s: Offers sent a second, to all clusters together.
+        max_clusters_at_once: At most this many clusters are offered the same gang at a time.
+        max_offers_per_gang: At most this many offers are sent for a gang; after that, the gang waits at home.
+        retry_share: Retries allowed for each message sent for the first time, in addition to one a second.
+        bytes_per_s: Bytes of messages sent a second, to all clusters together.
+        probe_interval_s: Mean interval between two probes of a cluster's free capacity, in seconds.
+        prefer: Returns how much a cluster is preferred for a gang.
     """
 
     overflow_after_s: Callable[[Job, float], float]
--- a/src/grebestand/federation/rate_limits.py
+++ b/src/grebestand/federation/rate_limits.py
@@ -1,32 +1,43 @@
-"""Limits on what is sent or logged per second, and a budget of retries that does not flood a link in trouble."""
+"""Rate limits on messages and log events, and a retry budget that keeps retries from flooding an impaired link."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-#: bounds the burst of retries after a long time without any
+#: Limit on the retries that are saved up for a burst.
 MAX_EARNED_RETRIES = 20.0
 
 
 class TokenBucket:
-    """A rate limit of `per_s` tokens a second, with one second's worth at once."""
+    """A token bucket that is refilled with `per_s` tokens a second and holds the tokens of one second."""
 
     def __init__(self, per_s: float, clock: Callable[[], float]) -> None:
-        """Start with one second's worth of tokens; `clock` is a steady clock in seconds."""
+        """Start with a full bucket.
+
+        Args:
+            per_s: Tokens added a second.
+            clock: Steady clock, in seconds.
+        """
         self.per_s = per_s
         self.clock = clock
         self._level = per_s
         self._filled_at = clock()
 
     def available(self) -> float:
-        """Return the tokens that can be taken now."""
+        """Return how many tokens the bucket holds now; negative after a request for more than it can hold."""
         now = self.clock()
         self._level = min(self.per_s, self._level + (now - self._filled_at) * self.per_s)
         self._filled_at = now
         return self._level
 
     def take(self, tokens: float) -> bool:
-        """Take tokens if there are enough; more than a second's worth goes when the bucket is full."""
+        """Take tokens and return True, or return False if the bucket holds too few.
+
+        More tokens than the bucket can hold may be taken when the bucket is full; its level is negative then.
+
+        Args:
+            tokens: How many tokens to take.
+        """
         if self.available() < min(tokens, self.per_s):
             return False
         self._level -= tokens
@@ -34,31 +45,31 @@
 
 
 class RetryBudget:
-    """A budget of retries.
+    """A retry budget.
 
-    Each message sent for the first time earns a share of a retry. A few retries a second are allowed in any case, so
-    that a gang is still asked about when nothing else is sent.
+    Each message sent for the first time earns a share of a retry. A minimum rate of retries is always allowed, so that
+    the status of a gang is still queried when nothing else is sent.
     """
 
-    def __init__(self, share: float, least_per_s: float, clock: Callable[[], float]) -> None:
+    def __init__(self, share: float, min_per_s: float, clock: Callable[[], float]) -> None:
         """Start without earned retries.
 
         Args:
-            share: retries earned by each first try.
-            least_per_s: retries allowed a second in any case.
-            clock: a steady clock, in seconds.
+            share: Retries earned by each first try.
+            min_per_s: Retries always allowed a second.
+            clock: Steady clock, in seconds.
         """
         self.share = share
         self._earned = 0.0
-        self._least = TokenBucket(least_per_s, clock)
+        self._min_rate = TokenBucket(min_per_s, clock)
 
     def record_first_try(self) -> None:
         """Earn a share of a retry."""
         self._earned = min(MAX_EARNED_RETRIES, self._earned + self.share)
 
     def take_retry(self) -> bool:
-        """Take a retry if one is left; return whether it may be made."""
+        """Take a retry from the budget; return whether the retry is allowed."""
         if self._earned >= 1.0:
             self._earned -= 1.0
             return True
-        return self._least.take(1.0)
+        return self._min_rate.take(1.0)
--- a/src/grebestand/federation/remote_cluster.py
+++ b/src/grebestand/federation/remote_cluster.py
@@ -1,4 +1,4 @@
-"""The other clusters as home sees them: how to reach each, how well it answers, and what capacity it has free."""
+"""State that the home cluster keeps about other clusters: links, circuit breakers and their last known capacity."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 log = logging.getLogger(__name__)
 
-#: probes sent a second, however many clusters there are
+#: Limit on probes sent a second, to all clusters together.
 PROBES_PER_S = 2.0
-#: rejections in a row after which a cluster is offered nothing for a while
+#: Consecutive rejections after which offers to a cluster are paused.
 REJECTIONS_TO_PAUSE = 4
-#: the longest pause without offers to a cluster that rejects them
+#: Limit on the mean pause without offers to a cluster that rejects offers, in seconds.
 LONGEST_REJECTION_PAUSE_S = 30.0
 
 
@@ -34,22 +34,22 @@
     """The connection to another cluster."""
 
     def send(self, message: Message) -> Reply | None:
-        """Send a message and return the reply, or None if there was none that can be relied on."""
+        """Send a message and return the reply, or None if no valid reply was received."""
 
 
 @dataclass
 class RemoteCluster:
-    """Another cluster, as home sees it.
+    """What the home cluster knows about another cluster.
 
     Attributes:
-        name: the cluster's name.
-        link: the connection to it.
-        breaker: whether it answers; while open, nothing is sent.
-        load: its last answer to a probe.
-        incompatible: it uses another version of the messages; it is offered nothing.
-        probe_at: when it is probed next, by home's steady clock.
-        offer_breaker: whether it accepts offers. A cluster that rejects one after the other is offered less, and still
-            asked about the gangs that it runs.
+        name: Name of the other cluster.
+        link: Connection to the other cluster.
+        breaker: Circuit breaker for all messages; opens when the other cluster does not reply.
+        load: The last reply to a probe, or None if there was none.
+        incompatible: Whether the other cluster uses another version of the message format; if so, it gets no offers.
+        next_probe_at: When the next probe is due, by home's steady clock, in seconds.
+        offer_breaker: Circuit breaker for offers; opens when the other cluster rejects several in a row. Status queries
+            about gangs that the other cluster runs are still sent then.
     """
 
     name: str
@@ -66,16 +66,26 @@
             f"{self.name} (offers)",
             breaker.clock,
             breaker.rng,
-            failures=REJECTIONS_TO_PAUSE,
-            longest_s=LONGEST_REJECTION_PAUSE_S,
+            failures_to_open=REJECTIONS_TO_PAUSE,
+            longest_pause_s=LONGEST_REJECTION_PAUSE_S,
         )
 
     def has_capacity(self, job: Job, since: float) -> bool:
-        """Return whether a probe answered at `since` or later found capacity for the whole gang."""
+        """Return whether a probe has found capacity for the whole gang.
+
+        Args:
+            job: The gang.
+            since: Replies to probes received before this time of home's steady clock are ignored, in seconds.
+        """
         return self.load is not None and self.load.received_at >= since and fits(job, self.load.capacity)
 
     def record_capacity(self, capacity: FreeCapacity, now: float) -> None:
-        """Note the answer to a probe."""
+        """Record the reply to a probe.
+
+        Args:
+            capacity: The reply.
+            now: Time of home's steady clock, in seconds.
+        """
         incompatible = capacity.version != VERSION
         if incompatible is not self.incompatible:
             self.incompatible = incompatible
@@ -86,7 +96,7 @@
 
 
 class RemoteClusters:
-    """All other clusters: sends them messages within a budget of bytes, and probes their free capacity."""
+    """All other clusters: sends them messages within a rate limit in bytes, and probes their free capacity."""
 
     def __init__(
         self,
@@ -99,16 +109,16 @@
         spawn: Callable[[Callable[[], None]], None],
         sketches: DurationSketches,
     ) -> None:
-        """Start without any knowledge of their capacity.
+        """Start with no known capacity of other clusters.
 
         Args:
-            home: the name of this cluster.
-            clusters: the other clusters.
-            limits: the operators' limits.
-            clock: a steady clock, in seconds.
-            rng: draws the intervals between probes.
-            spawn: runs a function that waits for another cluster.
-            sketches: takes the durations of answered and unanswered messages.
+            home: Name of this cluster.
+            clusters: The other clusters.
+            limits: Limits from the operators' settings.
+            clock: Steady clock, in seconds.
+            rng: Source of random intervals between probes.
+            spawn: Runs a function that waits for a reply of another cluster.
+            sketches: Receives the duration of each message exchange, with or without a reply.
         """
         self.home = home
         self.by_name = {cluster.name: cluster for cluster in clusters}
@@ -117,15 +127,23 @@
         self.rng = rng
         self.spawn = spawn
         self.sketches = sketches
-        self._bytes = TokenBucket(limits.bytes_per_s, clock)
-        self._probes = TokenBucket(PROBES_PER_S, clock)
-        #: names of clusters whose answer to a probe is awaited
+        self._bytes_rate = TokenBucket(limits.bytes_per_s, clock)
+        self._probe_rate = TokenBucket(PROBES_PER_S, clock)
+        #: Names of clusters to which a probe is in flight.
         self._probing: set[str] = set()
 
     def send(self, cluster: RemoteCluster, message: Message) -> Reply | None:
-        """Send a message; return the reply, or None if there is none or the budget of bytes is used up."""
-        if not self._bytes.take(len(msgspec.msgpack.encode(message))):
-            return None  # like a lost message: it is sent again
+        """Send a message to a cluster and record in its circuit breaker whether it replied.
+
+        Args:
+            cluster: The receiver.
+            message: The message.
+
+        Returns:
+            The reply, or None if there is no reply or the message was not sent because of the rate limit in bytes.
+        """
+        if not self._bytes_rate.take(len(msgspec.msgpack.encode(message))):
+            return None  # callers retry as after a lost message
         sent_at = self.clock()
         reply = cluster.link.send(message)
         self.sketches.add("answer", self.clock() - sent_at)
@@ -136,18 +154,18 @@
         return reply
 
     def probe_due(self, now: float) -> None:
-        """Probe the clusters whose turn it is, so that a gang is offered to the likeliest one first."""
+        """Probe the clusters whose next probe is due, to offer a gang first to the likeliest to accept."""
         for cluster in sorted(self.by_name.values(), key=lambda cluster: cluster.next_probe_at):
-            if now < cluster.next_probe_at or self._probes.available() < 1.0:
+            if now < cluster.next_probe_at or self._probe_rate.available() < 1.0:
                 return
             if cluster.name not in self._probing and cluster.breaker.allows_request():
-                self._probes.take(1.0)
+                self._probe_rate.take(1.0)
                 cluster.next_probe_at = now + self.limits.probe_interval_s * (0.75 + 0.5 * self.rng.random())
                 self._probing.add(cluster.name)
                 self.spawn(lambda cluster=cluster: self.probe(cluster))  # type: ignore[misc]
 
     def probe(self, cluster: RemoteCluster) -> None:
-        """Ask a cluster for its free capacity, and note the answer."""
+        """Request a cluster's free capacity and record the reply."""
         try:
             reply = self.send(cluster, Probe(self.home, VERSION))
         finally:
--- a/src/grebestand/federation/remote_gang.py
+++ b/src/grebestand/federation/remote_gang.py
@@ -1,4 +1,4 @@
-"""What home knows of a gang that it has offered to other clusters, or that is abroad."""
+"""State that the home cluster keeps about a gang offered or assigned to another cluster."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass
 class RemoteGang:
-    """One gang that is offered or abroad.
+    """One gang that was offered or is assigned to another cluster.
 
     Attributes:
-        job: the gang.
-        state: where home's decision stands; only `HomeCluster.move` changes it.
-        offers: offers sent so far.
-        next_step_at: when the next step is due, by home's steady clock.
-        reservations: while offered, the ids of the reservations by cluster name.
-        assignment: the chosen cluster and reservation, from the decision on.
-        recalled: the user has asked to cancel it.
-        unanswered_queries: messages in a row that had no certain reply.
-        busy: a greenlet is at work on it.
-        offered_at: when it was last offered.
-        done: the other cluster has confirmed that it is done.
+        job: The gang.
+        state: State of the gang's assignment; only `HomeCluster.change_state` changes it.
+        offers: Number of offers sent so far.
+        next_step_at: When the next step is due, by home's steady clock, in seconds.
+        reservations: While the gang is offered, the ids of its reservations by cluster name.
+        assignment: The chosen cluster and reservation, once chosen.
+        recalled: Whether the user has requested to cancel the gang.
+        unanswered_queries: Number of consecutive messages without a certain reply.
+        busy: Whether a greenlet is running a step of the gang.
+        offered_at: When the gang was last offered, by home's steady clock, in seconds.
+        done: Whether the other cluster has confirmed that the gang is done.
     """
 
     job: Job
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class EndedReservation:
-    """A reservation that has ended: the other cluster's record of it may be removed once home's is durable."""
+    """An ended reservation, whose record in the other cluster may be removed once home has recorded the end."""
 
     cluster: str
     job_id: str
--- a/src/grebestand/federation/reservations.py
+++ b/src/grebestand/federation/reservations.py
@@ -1,4 +1,4 @@
-"""Machines that a guest cluster reserves for gangs of other clusters until home's decision, or until a time."""
+"""Machines that a guest cluster reserves for gangs of other clusters until the home cluster's commit or a timeout."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     """Machines reserved for one gang of another cluster.
 
     Attributes:
-        home: the gang's cluster.
-        ref: the gang's job id there.
-        spec: the gang as a job of this cluster.
-        id: the reservation's id.
-        until: when it expires, by this cluster's steady clock.
-        machines: the reserved machines.
-        state: where it stands; only `Reservations.move` changes it.
+        home: Name of the gang's home cluster.
+        home_job_id: The gang's job id in its home cluster.
+        spec: Specification of the gang as a job of this cluster.
+        reservation_id: The reservation's id.
+        expires_at: When the reservation expires, by this cluster's steady clock, in seconds.
+        machines: The reserved machines.
+        state: State of the reservation; only `Reservations.change_state` changes it.
     """
 
     home: str
@@ -44,16 +44,16 @@
 
 
 class Reservations:
-    """The reservations of one leader's term. They are in memory only: a new leader has none."""
+    """The reservations of one leader's term. Reservations are held in memory only, so a new leader has none."""
 
     def __init__(self, term: Term) -> None:
         """Start without reservations."""
         self.term = term
-        #: by reservation id
+        #: Reservations in the states RESERVED and STARTING, by reservation id.
         self.by_id: dict[str, Reservation] = {}
 
     def add(self, reservation: Reservation) -> None:
-        """Reserve the machines."""
+        """Mark the reservation's machines as reserved."""
         for machine in reservation.machines:
             machine.reserved_for, machine.reserved_until = reservation.job_id, reservation.expires_at
         self.term.inventory.reserved_for_remote.add(reservation.job_id)
@@ -67,19 +67,29 @@
             )
         )
 
-    def exists_for(self, home: str, ref: str) -> bool:
-        """Return whether there is a reservation for this gang of another cluster."""
-        return any(reservation.home == home and reservation.home_job_id == ref for reservation in self.by_id.values())
+    def exists_for(self, home: str, home_job_id: str) -> bool:
+        """Return whether there is a reservation for a gang of another cluster.
 
-    def change_state(self, reservation: Reservation, new: GuestState, why: str) -> None:
-        """Change the state of a reservation: the one function that does so. Released machines are free again.
+        Args:
+            home: Name of the gang's home cluster.
+            home_job_id: The gang's job id in its home cluster.
+        """
+        return any(found.home == home and found.home_job_id == home_job_id for found in self.by_id.values())
+
+    def change_state(self, reservation: Reservation, new: GuestState, reason: str) -> None:
+        """Change the state of a reservation; no other function does so. Machines of a released one become free.
+
+        Args:
+            reservation: The reservation.
+            new: The new state.
+            reason: Why the state changes, for the log.
 
         Raises:
-            IllegalTransitionError: the table of transitions does not allow it.
+            IllegalTransitionError: `GUEST_TRANSITIONS` does not allow the transition.
         """
-        home, ref, old = reservation.home, reservation.home_job_id, reservation.state
-        check_transition(GUEST_TRANSITIONS, old, new, f"reservation of {home} for {ref}")
-        log.info(LogEvent("reservation_state_changed", home=home, job_id=ref, from_=old, to=new, reason=why))
+        home, job_id, old = reservation.home, reservation.home_job_id, reservation.state
+        check_transition(GUEST_TRANSITIONS, old, new, f"reservation of {home} for {job_id}")
+        log.info(LogEvent("reservation_state_changed", home=home, job_id=job_id, from_=old, to=new, reason=reason))
         reservation.state = new
         if new in (GuestState.RELEASED, GuestState.STARTED):
             self.by_id.pop(reservation.reservation_id, None)
@@ -91,7 +101,11 @@
             self.term.registry.changed_since_scheduling = True
 
     def release_expired(self, now: float) -> None:
-        """Release the reservations whose time is over, except those whose gang is being taken in."""
+        """Release expired reservations, except those whose commit has been received and is being recorded.
+
+        Args:
+            now: Time of this cluster's steady clock, in seconds.
+        """
         for reservation in list(self.by_id.values()):
             if reservation.state is GuestState.RESERVED and now >= reservation.expires_at:
-                self.change_state(reservation, GuestState.RELEASED, "its time is over")
+                self.change_state(reservation, GuestState.RELEASED, "expired")
--- a/src/grebestand/federation/settled_gangs.py
+++ b/src/grebestand/federation/settled_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs that operators have settled after the loss of a cluster: that cluster has to end them if it comes back."""
+"""Settled gangs: a cluster that operators declared lost has to end its settled gangs if it is reachable again."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 log = logging.getLogger(__name__)
 
-#: seconds between two recalls of one settled gang
+#: Interval between two recalls of one settled gang, in seconds.
 RECALL_INTERVAL_S = 10.0
 
 
 class SettledGangs:
-    """Recalls each settled gang from its cluster until that has confirmed its end, and removes the record then."""
+    """Recalls each settled gang until its cluster has confirmed that the gang has ended, then removes the record."""
 
     def __init__(
         self,
@@ -36,19 +36,19 @@
         """Read the records.
 
         Args:
-            term: the leader's term.
-            remotes: the other clusters.
-            spawn: runs a function that waits for another cluster.
-            on_ended: called with each reservation whose end is confirmed and whose record is removed.
+            term: The leader's term.
+            remotes: The other clusters.
+            spawn: Runs a function that waits for a reply of another cluster.
+            on_ended: Called with each reservation whose end is confirmed and whose record is removed.
 
         Raises:
-            StoreError: the store could not be reached.
+            StoreError: The store could not be reached.
         """
         self.term = term
         self.remotes = remotes
         self.spawn = spawn
         self.on_ended = on_ended
-        #: the records, by reservation id
+        #: Records of settled gangs, by reservation id.
         self.records: dict[str, SettledGangRecord] = {}
         self.load_records()
 
@@ -56,14 +56,18 @@
         """Read the records of all settled gangs.
 
         Raises:
-            StoreError: the store could not be reached.
+            StoreError: The store could not be reached.
         """
         for pair in self.term.writer.store.pairs(SETTLED_KEY_PREFIX):
             record = msgspec.convert(pair.value, SettledGangRecord)
             self.records[record.reservation_id] = record
 
     def recall_due(self, now: float) -> None:
-        """Recall the settled gangs whose turn it is from the clusters that may be asked."""
+        """Recall the settled gangs whose next recall is due and whose cluster's circuit breaker allows a request.
+
+        Args:
+            now: Time of the steady clock, in seconds.
+        """
         for record in list(self.records.values()):
             cluster = self.remotes.by_name.get(record.cluster)
             if cluster is None or now < record.next_recall_at or not cluster.breaker.allows_request():
