--- a/src/grebestand/federation/__init__.py
+++ b/src/grebestand/federation/__init__.py
@@ -1,6 +1,6 @@
-"""Federation: a gang that cannot start whole at home is offered, whole, to another cluster.
+"""Federation: a gang whose tasks cannot all start in its home cluster is offered, as a whole, to another cluster.
 
-`home` decides about its gangs and follows them abroad, `guest` reserves machines and runs gangs of others; `messages`
-has what they send each other, and `state_machines` the states of both. docs/federation.md says why a gang never runs
-in two clusters.
+`home` assigns this cluster's gangs to other clusters and follows them there; `guest` reserves machines for gangs of
+other clusters and runs them; `messages` defines the messages between the two sides, and `state_machines` their states.
+docs/federation.md says why a gang never runs in two clusters.
 """
--- a/src/grebestand/federation/allowed_networks.py
+++ b/src/grebestand/federation/allowed_networks.py
@@ -10,11 +10,11 @@
 
 
 class NetworkListError(GrebestandError, ValueError):
-    """A network in the settings cannot be read.
+    """A network in the settings is invalid.
 
     Attributes:
-        network: the text in the settings.
-        reason: what is wrong with it.
+        network: The text in the settings.
+        reason: What is wrong with the text.
     """
 
     def __init__(self, network: str, reason: str) -> None:
@@ -24,13 +24,16 @@
 
 
 class AllowedNetworks:
-    """A set of networks; `host in networks` is true if the address lies in one of them."""
+    """A set of networks; `host in networks` is true if the address `host` lies in one of the networks."""
 
     def __init__(self, texts: list[str]) -> None:
-        """Read the networks, each an address with a prefix length; overlapping ones are merged.
+        """Parse the networks and merge overlapping ones.
+
+        Args:
+            texts: Networks, each an address with a prefix length.
 
         Raises:
-            NetworkListError: one of them cannot be read.
+            NetworkListError: A network is invalid.
         """
         self._set = IPSet()
         for text in texts:
@@ -42,7 +45,7 @@
         try:
             address = IPAddress(address_without_scope)
         except (AddrFormatError, ValueError):
-            return False  # what is no address is not allowed
+            return False  # not an IP address
         if address.version == IPV6 and address.is_ipv4_mapped():
             address = address.ipv4()
         return address in self._set
@@ -53,7 +56,7 @@
 
 def _read_network(text: str) -> IPNetwork:
     if "/" not in text:
-        raise NetworkListError(text, "an address and a prefix length are needed, such as 10.2.0.0/16")
+        raise NetworkListError(text, "expected an address and a prefix length, such as 10.2.0.0/16")
     try:
         network = IPNetwork(text)
     except (AddrFormatError, ValueError) as error:
--- a/src/grebestand/federation/assignment_records.py
+++ b/src/grebestand/federation/assignment_records.py
@@ -1,4 +1,4 @@
-"""The live record of a gang, which names the cluster that runs it: how home writes it and reads it back."""
+"""Writes and reads of a gang's live record, which names the cluster that the gang is assigned to."""
 
 from __future__ import annotations
 
@@ -14,18 +14,26 @@
 
 
 class AssignmentRecords:
-    """Writes of one term to the live records of gangs, each conditional on the version that the leader knows.
+    """Writes to the live records of gangs in one term, each conditional on the record's version known to the leader.
 
-    Every method raises `StoreError` if the store could not be reached, in which case a write may have been made or may
-    still be made, and `FencedError` if the term is over.
+    Every method raises `StoreError` if the store could not be reached; a write may have taken effect, or may later.
+    Methods that write raise `FencedError` if the term is over.
     """
 
     def __init__(self, term: Term) -> None:
-        """Write under the fencing token of this term."""
+        """Use the fencing token of a term for all writes."""
         self.term = term
 
     def write(self, job: Job, assignment: RemoteAssignment | None) -> bool:
-        """Set or clear the assignment in the live record and in the job; return False if the record has changed."""
+        """Set or clear the assignment in the live record and in the job.
+
+        Args:
+            job: The gang.
+            assignment: The new assignment, or None to clear it.
+
+        Returns:
+            True if the record was written, False if the record has another version than the job's.
+        """
         key = live_key(job.spec.id)
         accepted_at = self.term.wall() - (self.term.clock() - job.accepted_at)
         record = LiveJobRecord(job.spec, accepted_at, assignment, job.is_guest)
@@ -38,7 +46,7 @@
         return True
 
     def reread(self, job: Job) -> bool:
-        """Read the live record into the job; return False if there is none, as the job has been cancelled."""
+        """Update the job from its live record; return False if there is no live record because the job has ended."""
         found = self.term.writer.store.get(live_key(job.spec.id), Urgency.ACCEPT)
         if found is None:
             return False
@@ -47,7 +55,14 @@
         return True
 
     def write_cancellation(self, job: Job) -> bool:
-        """Replace the live record by that of a cancelled job; return False if the live record has changed."""
+        """Replace the live record by the completed record of a cancelled job.
+
+        Args:
+            job: The gang.
+
+        Returns:
+            True if the records were written, False if the live record has another version than the job's.
+        """
         job_id = job.spec.id
         record = CompletedJobRecord(JobStatus.CANCELLED, 0)
         _, failed = self.term.writer.commit(
--- a/src/grebestand/federation/feature_settings.py
+++ b/src/grebestand/federation/feature_settings.py
@@ -10,7 +10,7 @@
 from ..wire.jobs import PRIORITIES
 from .messages import MAX_MESSAGE_BYTES, MAX_NAME_LENGTH
 
-#: the names that expressions may use, each with its range
+#: The names that expressions can use, each with its range.
 NAMES: dict[str, tuple[float, float]] = {
     "waited_s": (0.0, 1e9),
     "guarantee_s": (0.0, 1e6),
@@ -25,10 +25,10 @@
     "price": (0.0, 1e6),
     "report_s": (1e-3, 1e5),
 }
-#: the value of a name in an expression for which it has no meaning
+#: Value of each name in expressions for which the name has no meaning: the low end of its range.
 NAMES_WITHOUT_MEANING = {name: low for name, (low, _) in NAMES.items()}
 
-#: the settings that are expressions, each with the allowed range of its value
+#: The settings that are expressions, each with the valid range of its value.
 KEYS: dict[str, ValidValues] = {
     "overflow_after_s": ValidValues(0, 1e9),
     "prefer": ValidValues(-1e9, 1e9),
@@ -45,7 +45,7 @@
     "most_guests": ValidValues(0, 10_000),
     "guest_rank": ValidValues(0, len(PRIORITIES) - 1),
 }
-#: the values of settings that the file does not have
+#: Default values of the settings.
 DEFAULTS: dict[str, object] = {
     "overflow_after_s": "10 + 20 * (1 - zone_load) + guarantee_s",
     "prefer": "min(2, free_machines / gang_size) / (1 + told_age_s / 30) + has_image * min(1, image_gb / 10) - price",
@@ -62,16 +62,16 @@
     "most_guests": 64,
     "guest_rank": 3,
 }
-#: the settings that are not expressions; the fields of `LocalLoad`
+#: The plain settings, which are not expressions; they are the fields of `LocalSettings`.
 PLAIN = frozenset({"cluster", "keys", "guests_team", "listen", "networks", "others"})
 
 
 class RemoteClusterSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Another cluster.
+    """Settings of another cluster.
 
     Attributes:
-        name: its name.
-        controllers: the addresses of its controllers on the link, by controller name.
+        name: Name of the other cluster.
+        controllers: Addresses of the other cluster's controllers on the link, by controller name.
     """
 
     name: str
@@ -79,15 +79,15 @@
 
 
 class LocalSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The plain settings.
+    """The plain settings of this cluster, which are not expressions.
 
     Attributes:
-        cluster: the name of this cluster.
-        keys: the directory of keys, relative to the file.
-        guests_team: the team whose limit the tasks of guests count against; empty if no gangs are accepted.
-        listen: the addresses of this cluster's controllers on the link, by controller name.
-        networks: the networks that other clusters connect from.
-        others: the other clusters.
+        cluster: Name of this cluster.
+        keys: Directory of keys, relative to the settings file.
+        guests_team: Name of the team whose limit the tasks of guests count against; empty if no gangs are accepted.
+        listen: Addresses of this cluster's controllers on the link, by controller name.
+        networks: Networks from which other clusters connect, in CIDR notation.
+        others: The other clusters.
     """
 
     cluster: str
@@ -102,11 +102,14 @@
     """Read and check the plain settings.
 
     Args:
-        plain: the plain settings as they stand in the file.
-        settings: the platform's settings.
+        plain: The plain settings as they stand in the file.
+        settings: The platform's settings.
+
+    Returns:
+        The checked settings.
 
     Raises:
-        ExpressionError: one of them is wrong; names the field at fault.
+        ExpressionError: A setting is invalid; the error names the field at fault.
     """
     try:
         local = msgspec.convert(plain.values, LocalSettings)
--- a/src/grebestand/federation/free_capacity.py
+++ b/src/grebestand/federation/free_capacity.py
@@ -1,4 +1,4 @@
-"""What this cluster has free for gangs of others: the reply to a probe."""
+"""Measurement of this cluster's free capacity for gangs of other clusters: the reply to a probe."""
 
 from __future__ import annotations
 
@@ -9,24 +9,28 @@
 
 
 def measure_free_capacity(term: Term, now: float) -> FreeCapacity:
-    """Return the free machines, the average price and the images that most machines have.
+    """Return the free machines, the average price and the most common images.
 
-    It helps others to choose whom to ask first; nothing is reserved.
+    Other clusters rank clusters for an offer by this reply; no machine is reserved.
+
+    Args:
+        term: The leader's term.
+        now: Time of the steady clock, in seconds.
     """
     inventory = term.inventory
-    is_schedulable = [machine for machine in inventory.machines if inventory.is_schedulable(machine, now)]
-    free = [machine for machine in is_schedulable if not machine.allocations and machine.reserved_for is None]
+    schedulable = [machine for machine in inventory.machines if inventory.is_schedulable(machine, now)]
+    free = [machine for machine in schedulable if not machine.allocations and machine.reserved_for is None]
     return FreeCapacity(
         version=VERSION,
         free_machines=len(free),
         max_cpus=max((machine.capacity[0] / MICRO_UNITS for machine in free), default=0.0),
-        price_per_cpu_hour=_price_per_cpu_hour(term, is_schedulable),
-        images=_commonest_images(term, is_schedulable),
+        price_per_cpu_hour=_price_per_cpu_hour(term, schedulable),
+        images=_commonest_images(term, schedulable),
     )
 
 
 def _commonest_images(term: Term, machines: list[Machine]) -> list[str]:
-    """Return the names of the images that most machines have, the commonest first."""
+    """Return the names of the images that are present on the most machines, the most common first."""
     machines_by_image: dict[int, int] = {}
     for machine in machines:
         for image in machine.images:
@@ -36,11 +40,12 @@
 
 
 def _price_per_cpu_hour(term: Term, machines: list[Machine]) -> float:
-    """Return the average price of a CPU for an hour; 0 without machines of known kinds."""
-    all_kinds = term.inventory.machine_types
-    kinds = [all_kinds[machine.type_index] for machine in machines if machine.type_index in all_kinds]
-    cpus = sum(kind.cpus for kind in kinds)
-    # paired by position, which is exact only while every machine's kind is known; the price is a hint for others
-    pairs = zip(kinds, machines, strict=False)
-    price = sum(kind.spot_price if machine.spot else kind.price for kind, machine in pairs)
+    """Return the average price of one CPU for one hour; 0 without machines of known types."""
+    known_types = term.inventory.machine_types
+    types = [known_types[machine.type_index] for machine in machines if machine.type_index in known_types]
+    cpus = sum(machine_type.cpus for machine_type in types)
+    # Paired by position, which is exact only if the type of every machine is known. That suffices for other clusters,
+    # which use the price only to rank clusters.
+    pairs = zip(types, machines, strict=False)
+    price = sum(machine_type.spot_price if machine.spot else machine_type.price for machine_type, machine in pairs)
     return price / max(1.0, cpus)
--- a/src/grebestand/federation/keyring.py
+++ b/src/grebestand/federation/keyring.py
@@ -1,7 +1,7 @@
-"""The certificates that a controller trusts and presents on the link, read again when their files change.
+"""The certificates that a controller trusts and presents on the link, reloaded when their files change.
 
-TLS is that of the standard library, with gevent's sockets. Each trusted certificate is its own root: a peer is
-identified by which of them it presents, not by a name, which anybody may write into a certificate.
+TLS is that of the standard library, with gevent's sockets. Each trusted certificate is its own trust root. A peer is
+identified by the certificate that it presents, not by the name in the certificate, which anybody can choose.
 """
 
 from __future__ import annotations
@@ -22,22 +22,23 @@
 
 log = logging.getLogger(__name__)
 
-#: how often the files are checked for changes, in seconds
+#: Interval between two checks of the files for changes, in seconds.
 CHECK_INTERVAL_S = 2.0
-#: how long a handshake may take
+#: Timeout of a TLS handshake, in seconds.
 HANDSHAKE_TIMEOUT_S = 3.0
-#: digits of a certificate's fingerprint that are logged
+#: Number of hexadecimal digits of a certificate's fingerprint that are logged.
 LOGGED_FINGERPRINT_DIGITS = 16
-#: OpenSSL's codes of verification errors in words: X509_V_ERR_CERT_HAS_EXPIRED, _NOT_YET_VALID, and unknown issuers
+#: Names of OpenSSL's verification errors: 10 is X509_V_ERR_CERT_HAS_EXPIRED, 9 is X509_V_ERR_CERT_NOT_YET_VALID, and
+#: the others mean an unknown issuer.
 VERIFICATION_ERRORS = {10: "expired", 9: "not yet valid", 18: "unknown", 19: "unknown", 20: "unknown", 21: "unknown"}
 
 
 class KeyringError(GrebestandError, ValueError):
-    """The keys cannot be used.
+    """A cluster's keys or certificates cannot be used.
 
     Attributes:
-        path: the file or directory at fault.
-        reason: what is missing or cannot be read.
+        path: The file or directory at fault.
+        reason: What is missing or cannot be read.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
@@ -47,14 +48,14 @@
 
 
 class Peer(NamedTuple):
-    """The other end of an accepted connection: its cluster and its certificate's fingerprint."""
+    """The peer of an accepted connection: the name of its cluster and the fingerprint of its certificate."""
 
     cluster: str
     fingerprint: str
 
 
 class FileState(NamedTuple):
-    """What tells whether a file has changed: its path, its modification time in nanoseconds and its size in bytes."""
+    """State of a file, to detect changes: path, modification time in nanoseconds and size in bytes."""
 
     path: str
     modified_ns: int
@@ -63,14 +64,18 @@
 
 @dataclass
 class _TrustedCertificates:
-    """The certificates that are or were trusted: owners by fingerprint, and PEM texts by cluster and fingerprint."""
+    """Trusted and revoked certificates: owners by fingerprint, and PEM texts by cluster and fingerprint."""
 
     owners: dict[str, str] = field(default_factory=dict)
     by_cluster: dict[str, dict[str, str]] = field(default_factory=dict)
 
 
 def read_revoked(root: Path) -> set[str]:
-    """Return the fingerprints of the certificates that are not trusted any more."""
+    """Return the fingerprints of revoked certificates.
+
+    Args:
+        root: The directory of keys.
+    """
     try:
         return set((root / "revoked").read_text().split())
     except FileNotFoundError:
@@ -78,29 +83,29 @@
 
 
 class Keyring:
-    """The keys and certificates in force."""
+    """The current keys and certificates of a cluster."""
 
     def __init__(self, root: Path, cluster: str, clock: Callable[[], float]) -> None:
-        """Read the keys. Later faults are logged, and the keys that were read before stay in force.
+        """Read the keys. If a later reload fails, the failure is logged and the earlier keys stay in use.
 
         Args:
-            root: the directory of keys; `keys` describes it.
-            cluster: the name of this cluster.
-            clock: a steady clock, in seconds.
+            root: The directory of keys; the module `keys` describes its files.
+            cluster: Name of this cluster.
+            clock: Steady clock, in seconds.
 
         Raises:
-            KeyringError: there are no usable keys.
+            KeyringError: There are no usable keys.
         """
         self.root = root
         self.cluster = cluster
         self.clock = clock
-        #: incremented with each change: connections made before are made anew
+        #: Incremented by each reload, so that links replace connections that were made with an earlier edition.
         self.edition = 0
         self._loaded_state: tuple[FileState, ...] = ()
         self._checked_at = clock()
         self._server_context: ssl.SSLContext
         self._client_contexts: dict[str, ssl.SSLContext] = {}
-        #: the cluster of each certificate that is or was trusted, by fingerprint
+        #: The cluster of each trusted or revoked certificate, by fingerprint.
         self._owners: dict[str, str] = {}
         self._revoked: set[str] = set()
         self._load(self._file_states())
@@ -114,7 +119,7 @@
         return tuple(sorted(states))
 
     def refresh(self) -> None:
-        """Read the files again if they have changed, at most every `LOOK_S`; unusable ones change nothing."""
+        """Reload the files if they have changed, at most once per `CHECK_INTERVAL_S`; unusable files have no effect."""
         now = self.clock()
         if now - self._checked_at < CHECK_INTERVAL_S:
             return
@@ -138,7 +143,7 @@
         if name != self.cluster:
             raise KeyringError(self.root, f"keys of {name!r}, not of {self.cluster!r}")
         trusted = self._read_trusted()
-        # revoked certificates pass the handshake and are refused after it, so that the log can say so
+        # Revoked certificates pass the handshake and are refused afterwards, so that the log can name the reason.
         every_text = [text for texts in trusted.by_cluster.values() for text in texts.values()]
         server_context = self._context(ssl.PROTOCOL_TLS_SERVER, generation, every_text)
         client_contexts = {}
@@ -163,11 +168,11 @@
         return trusted
 
     def _context(self, protocol: int, generation: str, trusted_texts: list[str]) -> ssl.SSLContext:
-        """Return a TLS context that presents a generation's certificate and trusts these."""
+        """Return a TLS context that presents a generation's certificate and trusts the given certificates."""
         certificate = self.root / "own" / f"{generation}.pem"
         context: ssl.SSLContext = gevent_ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_3
-        context.check_hostname = False  # the certificate itself is the identity
+        context.check_hostname = False  # peers are identified by their certificates, not by host names
         context.verify_mode = ssl.CERT_REQUIRED
         try:
             context.load_cert_chain(certificate, self.root / "own" / f"{generation}.key")
@@ -178,19 +183,26 @@
         return context
 
     def client_context(self, peer: str) -> ssl.SSLContext | None:
-        """Return the context for connections to a cluster, which only its own certificates pass.
+        """Return the TLS context for connections to a cluster, which trusts only that cluster's certificates.
+
+        Args:
+            peer: Name of the other cluster.
 
         Returns:
-            None if no certificate of that cluster is known.
+            The context, or None if no certificate of the other cluster is known.
         """
         self.refresh()
         return self._client_contexts.get(peer)
 
     def accept_handshake(self, sock: Any, host: str) -> Any:
-        """Make the server's side of a handshake.
+        """Make the server side of a TLS handshake.
+
+        Args:
+            sock: The accepted TCP connection.
+            host: Address of the peer, for the log.
 
         Returns:
-            The connection, with a `Peer` as its attribute `peer`, or None if it is refused; the log says why.
+            The TLS connection, with a `Peer` as its attribute `peer`; None if the peer is refused, with a log event.
         """
         self.refresh()
         connection = self._handshake(sock, host)
@@ -228,7 +240,11 @@
         return None
 
     def trusts(self, peer: tuple[str, str] | None) -> bool:
-        """Return whether an accepted connection would be accepted now: it may outlive the trust in its keys."""
+        """Return whether a connection would be accepted now; its certificate may have been revoked while it was open.
+
+        Args:
+            peer: The cluster and fingerprint of the connection's peer, or None.
+        """
         self.refresh()
         if peer is None:
             return False
--- a/src/grebestand/federation/keys.py
+++ b/src/grebestand/federation/keys.py
@@ -1,17 +1,17 @@
-"""The keys and certificates of a cluster, made and rotated by its operators; needs the library `cryptography`.
+"""Management of a cluster's keys and certificates by its operators; needs the library `cryptography`.
 
-A directory of keys holds
+A directory of keys contains
 
     cluster           the cluster's name
-    own/0001.key      a generation's private key, and
-    own/0001.pem      its certificate, signed by itself; the other clusters are given this file
-    active            the generation that is presented to others
+    own/0001.key      private key of generation 0001
+    own/0001.pem      self-signed certificate of generation 0001, to be copied to the other clusters
+    active            the number of the generation that this cluster presents to others
     trusted/NAME/*.pem  trusted certificates of the cluster NAME
-    revoked           fingerprints that are not trusted any more, one a line
+    revoked           fingerprints of revoked certificates, one a line
 
-There is no certificate authority: each cluster trusts exactly the certificates that its operators were given by the
-others'. Several may be trusted at a time, so that a new generation is handed out before it is used, and the old one
-stays valid meanwhile. Controllers notice changes by themselves (`keyring`).
+There is no certificate authority: each cluster trusts exactly the certificates that its operators received from the
+operators of other clusters. Several certificates of a cluster can be trusted at a time, so that a new generation is
+distributed before it is used, while the old generation stays valid. Controllers reload changed files (`keyring`).
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 from ..errors import GrebestandError
 from .keyring import read_revoked
 
-#: a certificate is valid from this long before it was made: clocks of other clusters may be behind
+#: A certificate is valid from this long before its creation, because clocks of other clusters may be behind.
 VALID_BEFORE = dt.timedelta(hours=1)
-#: the longest name of a cluster, in characters
+#: Limit on the length of a cluster's name, in characters.
 MAX_CLUSTER_NAME_LENGTH = 60
-#: digits of a fingerprint that name a certificate's file
+#: Number of hexadecimal digits of a certificate's fingerprint in the name of its file.
 FILE_NAME_DIGITS = 16
-#: fewer digits of a fingerprint than this do not name a certificate
+#: A prefix of a fingerprint needs at least this many hexadecimal digits to name a certificate.
 MIN_FINGERPRINT_DIGITS = 8
-#: the files of generations, 0001.pem and following
+#: Glob pattern of the certificates of generations: 0001.pem, 0002.pem, ...
 GENERATION_FILES = "[0-9][0-9][0-9][0-9].pem"
-#: private keys are readable by their owner only
+#: File mode of private keys: readable by their owner only.
 PRIVATE_MODE = 0o600
 PUBLIC_MODE = 0o644
 
@@ -49,7 +49,7 @@
     """An operation on the keys is not possible.
 
     Attributes:
-        reason: one line that names the file or the name at fault.
+        reason: One line that names the file or the name at fault.
     """
 
     def __init__(self, reason: str) -> None:
@@ -59,14 +59,14 @@
 
 @dataclass(frozen=True)
 class KeySummary:
-    """One certificate, as it is listed.
+    """Summary of one certificate.
 
     Attributes:
-        cluster: the cluster that it belongs to.
-        file: its path in the directory of keys.
-        fingerprint: its SHA-256, in hexadecimal digits.
-        until: when it expires.
-        state: "active", "ready", "trusted", "revoked" or "expired".
+        cluster: Name of the cluster that owns the certificate.
+        file: Path of the certificate in the directory of keys.
+        fingerprint: SHA-256 of the certificate, in hexadecimal digits.
+        until: When the certificate expires.
+        state: "active", "ready" (an own generation that is not active), "trusted", "revoked" or "expired".
     """
 
     cluster: str
@@ -77,10 +77,10 @@
 
 
 def check_name(name: str) -> str:
-    """Return the name of a cluster.
+    """Return a cluster's name unchanged if it is valid.
 
     Raises:
-        KeyFileError: the text cannot be a name.
+        KeyFileError: The name is invalid.
     """
     allowed = all(character.isalnum() or character in "-_." for character in name)
     if not name or len(name) > MAX_CLUSTER_NAME_LENGTH or not allowed or name.startswith("."):
@@ -94,7 +94,7 @@
 
 
 def _write(path: Path, data: bytes, mode: int = PUBLIC_MODE) -> None:
-    """Write a file whole or not at all: a controller may read it at any moment."""
+    """Write a file atomically, because a controller may read it at any time."""
     path.parent.mkdir(parents=True, exist_ok=True)
     handle, temporary = tempfile.mkstemp(dir=path.parent, prefix=".new-")
     try:
@@ -102,7 +102,7 @@
             file.write(data)
         os.chmod(temporary, mode)
         os.replace(temporary, path)
-    except BaseException:  # also when interrupted: no temporary file with a private key may be left
+    except BaseException:  # also on KeyboardInterrupt, so that no temporary file with a private key is left
         Path(temporary).unlink(missing_ok=True)
         raise
 
@@ -115,12 +115,12 @@
 
 
 def _generations(root: Path) -> list[str]:
-    """Return the numbers of this cluster's generations, the oldest first."""
+    """Return the numbers of this cluster's generations, in ascending order."""
     return sorted(path.stem for path in (root / "own").glob(GENERATION_FILES))
 
 
 def _make_generation(root: Path, name: str, days: float, now: dt.datetime) -> Path:
-    """Make the next generation of a cluster's key and certificate, which is not used yet."""
+    """Make the next generation of a cluster's key and certificate, without activating it; return the certificate."""
     present = _generations(root)
     number = int(present[-1]) + 1 if present else 1
     key = ec.generate_private_key(ec.SECP256R1())
@@ -147,7 +147,7 @@
         .not_valid_before(now - VALID_BEFORE)
         .not_valid_after(until)
         .add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), critical=False)
-        # tells the generations apart, which have one name
+        # The key identifiers distinguish the generations of a cluster, which have the same name.
         .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
         .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(key.public_key()), critical=False)
         .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
@@ -163,19 +163,19 @@
 
 
 def create(root: Path, name: str, days: float, now: dt.datetime) -> Path:
-    """Make the first generation, which is in use at once.
+    """Make the first generation of a cluster's key and certificate, and activate it.
 
     Args:
-        root: the directory of keys.
-        name: the name of this cluster.
-        days: for how many days the certificate is valid.
-        now: the time of day.
+        root: The directory of keys.
+        name: Name of this cluster.
+        days: How long the certificate is valid, in days.
+        now: The current time.
 
     Returns:
-        The path of the certificate that the other clusters are given.
+        Path of the certificate, to be copied to the other clusters.
 
     Raises:
-        KeyFileError: the name is malformed, or there are keys already.
+        KeyFileError: The name is invalid, or the directory contains keys already.
     """
     check_name(name)
     if (root / "cluster").exists():
@@ -187,25 +187,34 @@
 
 
 def rotate(root: Path, days: float, now: dt.datetime) -> Path:
-    """Make the next generation, to be handed out while the present one is still in use.
+    """Make the next generation, to be distributed to other clusters while the active one is still in use.
+
+    Args:
+        root: The directory of keys.
+        days: How long the certificate is valid, in days.
+        now: The current time.
 
     Returns:
-        The path of the certificate that the other clusters are given.
+        Path of the certificate, to be copied to the other clusters.
 
     Raises:
-        KeyFileError: there are no keys yet.
+        KeyFileError: The directory contains no keys yet.
     """
     return _make_generation(root, _own_name(root), days, now)
 
 
 def activate(root: Path, number: str | None = None) -> str:
-    """Use a generation from now on, the newest by default; the other clusters have to trust it by now.
+    """Activate a generation, which the other clusters must trust already.
+
+    Args:
+        root: The directory of keys.
+        number: Number of the generation; the newest by default.
 
     Returns:
-        The generation's number.
+        Number of the generation.
 
     Raises:
-        KeyFileError: there is no such generation.
+        KeyFileError: There is no such generation.
     """
     _own_name(root)
     present = _generations(root)
@@ -219,34 +228,41 @@
 def trust(root: Path, file: Path) -> Path:
     """Trust another cluster's certificate, in addition to those that are trusted already.
 
+    Args:
+        root: The directory of keys.
+        file: The certificate.
+
     Returns:
-        The path of the copy in the directory of keys.
+        Path of the copy in the directory of keys.
 
     Raises:
-        KeyFileError: the file is not a certificate of another cluster.
+        KeyFileError: The file is not a certificate of another cluster.
     """
     own_name = _own_name(root)
     certificate = _read_certificate(file)
     names = certificate.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
     name = check_name(str(names[0].value)) if names else ""
     if not name:
-        raise KeyFileError(f"{file}: names no cluster")
+        raise KeyFileError(f"{file}: expected a cluster's name as the certificate's common name, found none")
     if name == own_name:
-        raise KeyFileError(f"{file}: is of this cluster itself")
+        raise KeyFileError(f"{file}: expected a certificate of another cluster, found one of this cluster itself")
     path = root / "trusted" / name / f"{fingerprint(certificate)[:FILE_NAME_DIGITS]}.pem"
     _write(path, certificate.public_bytes(serialization.Encoding.PEM))
     return path
 
 
 def revoke(root: Path, prefix: str) -> KeySummary:
-    """Trust a certificate no more, from the next connection on.
+    """Revoke a certificate. Controllers refuse it, also on open connections, once they have reloaded the keys.
 
     Args:
-        root: the directory of keys.
-        prefix: the beginning of the certificate's fingerprint.
+        root: The directory of keys.
+        prefix: The first hexadecimal digits of the certificate's fingerprint.
+
+    Returns:
+        Summary of the certificate before the revocation.
 
     Raises:
-        KeyFileError: the prefix is too short, or does not name exactly one certificate.
+        KeyFileError: The prefix is too short, or does not match exactly one certificate.
     """
     certificates = list_certificates(root, dt.datetime.now(dt.UTC))
     found = [summary for summary in certificates if summary.fingerprint.startswith(prefix.lower())]
@@ -259,10 +275,14 @@
 
 
 def list_certificates(root: Path, now: dt.datetime) -> list[KeySummary]:
-    """Return all certificates, this cluster's own ones first.
+    """Return summaries of all certificates, this cluster's own ones first.
+
+    Args:
+        root: The directory of keys.
+        now: The current time, to find expired certificates.
 
     Raises:
-        KeyFileError: there are no keys, or a file is not a certificate.
+        KeyFileError: There are no keys, or a file is not a certificate.
     """
     own_name = _own_name(root)
     active = (root / "active").read_text().strip()
--- a/src/grebestand/federation/link_server.py
+++ b/src/grebestand/federation/link_server.py
@@ -1,4 +1,4 @@
-"""Receives other clusters' messages: checks network, certificate and limits, then lets the guest cluster reply."""
+"""The server side of the link: checks each peer and message, then passes the message to the guest cluster."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 log = logging.getLogger(__name__)
 
-#: refusals that are logged a second: a broken peer must not fill the disk
+#: Limit on refusals that are logged a second, so that a faulty peer cannot fill the disk.
 LOGGED_REFUSALS_PER_S = 2.0
 
 
 class LinkAdmission:
-    """The gate of the link: the address is checked before the cost of a handshake is paid."""
+    """Admission of connections to the link: checks the address first, to spare refused hosts' TLS handshakes."""
 
     def __init__(self, networks: AllowedNetworks, ring: Keyring, clock: Callable[[], float]) -> None:
         """Admit connections from these networks.
 
         Args:
-            networks: where other clusters connect from.
-            ring: makes the handshake.
-            clock: a steady clock, in seconds.
+            networks: Networks from which other clusters may connect.
+            ring: Makes the TLS handshake.
+            clock: Steady clock, in seconds.
         """
         self.networks = networks
         self.ring = ring
@@ -45,16 +45,16 @@
         return allowed
 
     def wrap(self, socket: Any, host: str) -> Any:
-        """Make the TLS handshake; return the connection, or None if it is refused."""
+        """Make the TLS handshake; return the TLS connection, or None if the peer is refused."""
         return self.ring.accept_handshake(socket, host)
 
 
 class RequestRefusedError(GrebestandError):
-    """A request is not a message that this peer may send.
+    """A request is invalid, or the peer may not send the message in it.
 
     Attributes:
-        status: the HTTP status line.
-        reason: why it is refused; the body of the response.
+        status: HTTP status line of the response.
+        reason: Why the request is refused; the body of the response.
     """
 
     def __init__(self, status: str, reason: str) -> None:
@@ -69,33 +69,33 @@
     def __init__(
         self,
         ring: Keyring,
-        answer: Callable[[], Callable[[Message], Reply] | None],
+        message_handler: Callable[[], Callable[[Message], Reply] | None],
         leader: Callable[[], str | None],
         clock: Callable[[], float],
     ) -> None:
         """Serve messages of other clusters.
 
         Args:
-            ring: the certificates that are trusted.
-            answer: returns what replies to messages in the present term, or None if this controller does not lead.
-            leader: the name of the controller that leads, if it is known.
-            clock: a steady clock, in seconds.
+            ring: The trusted certificates.
+            message_handler: Returns the function that replies to messages, or None if this controller does not lead.
+            leader: Returns the name of the controller that leads this cluster, or None if unknown.
+            clock: Steady clock, in seconds.
         """
         self.ring = ring
-        self.answer = answer
+        self.message_handler = message_handler
         self.leader = leader
         self._log_rate = TokenBucket(LOGGED_REFUSALS_PER_S, clock)
 
     def app(self, environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
-        """Serve one message of another cluster and its reply, by the WSGI protocol."""
+        """Receive one message of another cluster and return the reply, as a WSGI application."""
         peer = environ.get("grebestand.peer")
-        sender = peer[0] if peer else "nobody known"
+        sender = peer[0] if peer else "unknown"
         try:
             message = self._read_message(environ, sender)
         except RequestRefusedError as refusal:
             return self._refuse(start, refusal, sender)
-        answer = self.answer()
-        reply = answer(message) if answer is not None else UncertainReply(NOT_LEADING, self.leader())
+        handle = self.message_handler()
+        reply = handle(message) if handle is not None else UncertainReply(NOT_LEADING, self.leader())
         body = msgspec.msgpack.encode(reply)
         start("200 OK", [("Content-Type", "application/msgpack"), ("Content-Length", str(len(body)))])
         return [body]
@@ -103,20 +103,27 @@
     def _read_message(self, environ: dict[str, Any], sender: str) -> Message:
         """Return the message of a request, or raise `RequestRefusedError`."""
         if not self.ring.trusts(environ.get("grebestand.peer")):
-            raise RequestRefusedError("403 Forbidden", "its certificate is not believed any more")
+            raise RequestRefusedError("403 Forbidden", f"the certificate of {sender!r} is no longer trusted")
         if environ.get("PATH_INFO") != LINK_PATH or environ.get("REQUEST_METHOD") != "POST":
-            raise RequestRefusedError("404 Not Found", "no such message here; versions may differ")
+            raise RequestRefusedError("404 Not Found", f"expected POST {LINK_PATH}; the clusters' versions may differ")
         length = environ.get("CONTENT_LENGTH") or ""
         if not length.isdigit() or int(length) > MAX_MESSAGE_BYTES:
-            raise RequestRefusedError("413 Payload Too Large", f"at most {MAX_MESSAGE_BYTES} bytes are read")
+            raise RequestRefusedError(
+                "413 Payload Too Large", f"expected a message of at most {MAX_MESSAGE_BYTES} bytes, got {length[:20]!r}"
+            )
         try:
             message = decode(environ["wsgi.input"].read(int(length)))
         except InvalidMessageError as error:
             raise RequestRefusedError("400 Bad Request", str(error)) from error
         except OSError as error:
-            raise RequestRefusedError("400 Bad Request", "the message broke off") from error
+            raise RequestRefusedError(
+                "400 Bad Request", "the connection closed before the message was complete"
+            ) from error
         if message.home != sender:
-            raise RequestRefusedError("403 Forbidden", f"it speaks for {message.home!r}")
+            raise RequestRefusedError(
+                "403 Forbidden",
+                f"message names {message.home!r} as its sender, but the certificate is that of {sender!r}",
+            )
         return message
 
     def _refuse(self, start: Callable[..., Any], refusal: RequestRefusedError, sender: str) -> list[bytes]:
--- a/src/grebestand/federation/routing.py
+++ b/src/grebestand/federation/routing.py
@@ -1,4 +1,4 @@
-"""Which cluster a gang is offered to first: the operators' expression over the clusters' free capacity."""
+"""Ranking of clusters for an offer, by the operators' expression over the clusters' free capacity."""
 
 from __future__ import annotations
 
@@ -11,43 +11,53 @@
 from ..cluster_state.jobs import Job
 from .messages import FreeCapacity
 
-#: the answer to a probe is ignored when it is older than this
+#: A reply to a probe is ignored if it is older than this, in seconds.
 LOAD_VALID_S = 120.0
-#: a cluster with capacity for the whole gang goes before any without, however many machines that has free
+#: Added to the preference for a cluster with capacity for the whole gang; larger than any number of free machines.
 FITS_BONUS = 1e6
 
 
 @dataclass(frozen=True)
 class RemoteLoad:
-    """A cluster's last answer to a probe.
+    """A cluster's last reply to a probe.
 
     Attributes:
-        capacity: what the cluster has free.
-        received_at: when the answer came, by this cluster's steady clock.
+        capacity: The cluster's free capacity.
+        received_at: When the reply was received, by this cluster's steady clock, in seconds.
     """
 
     capacity: FreeCapacity
     received_at: float
 
 
-#: how much a cluster is preferred for a gang, by its free capacity and the age of that answer in seconds
+#: Returns how much a cluster is preferred for a gang, given its last reply to a probe and that reply's age in seconds.
 PreferenceFunction = Callable[[Job, FreeCapacity, float], float]
 
 
 def prefer_free_capacity(job: Job, capacity: FreeCapacity, age_s: float) -> float:
-    """Prefer clusters with capacity for the whole gang, then those with more free machines."""
+    """Return a preference for clusters with capacity for the whole gang, then for those with more free machines."""
     return float(capacity.free_machines) + (FITS_BONUS if fits(job, capacity) else 0.0)
 
 
 def preference(prefer: PreferenceFunction, job: Job, load: RemoteLoad | None, now: float) -> float:
-    """Return how much a cluster is preferred; one without a recent load comes last, and is asked all the same."""
+    """Return how much a cluster is preferred for a gang.
+
+    Args:
+        prefer: The operators' preference.
+        job: The gang.
+        load: The cluster's last reply to a probe, or None.
+        now: Time of this cluster's steady clock, in seconds.
+
+    Returns:
+        The preference; minus infinity without a recent reply, so that the cluster is ranked last but not excluded.
+    """
     if load is None or now - load.received_at > LOAD_VALID_S:
         return -math.inf
     return prefer(job, load.capacity, now - load.received_at)
 
 
 def load_after_offer(load: RemoteLoad, job: Job) -> RemoteLoad:
-    """Return what a cluster has left once a gang has been offered to it."""
+    """Return a cluster's load, less the machines that a gang offered to it would use."""
     tasks_per_machine = max(1, int(load.capacity.max_cpus // job.spec.cpus))
     machines = -(-job.spec.tasks // tasks_per_machine)
     free = max(0, load.capacity.free_machines - machines)
@@ -55,5 +65,5 @@
 
 
 def fits(job: Job, capacity: FreeCapacity) -> bool:
-    """Return whether the whole gang fits into this capacity; a hint, as much may have changed since."""
+    """Return whether the whole gang fits into this capacity; only a hint, as the capacity may have changed since."""
     return capacity.free_machines * int(capacity.max_cpus // job.spec.cpus) >= job.spec.tasks
--- a/src/grebestand/federation/state_machines.py
+++ b/src/grebestand/federation/state_machines.py
@@ -1,4 +1,4 @@
-"""The state machines of federation: a gang at home, a reservation of a guest, and a circuit breaker."""
+"""The state machines of federation: a gang in its home cluster, a reservation in a guest cluster, a circuit breaker."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class HomeState(Enum):
-    """Where home's decision about one gang stands."""
+    """State of a gang in its home cluster."""
 
-    #: at home; nobody else may start it
+    #: The gang waits at home; no other cluster may start it.
     WAITING = auto()
-    #: clusters may have reserved machines for it; only home may start it
+    #: Other clusters may have reserved machines for the gang; only home may start it.
     OFFERED = auto()
-    #: the write that names one cluster has been sent: neither home nor anybody else may start it
+    #: The write that assigns the gang to one cluster has been sent: no cluster may start the gang.
     DECIDING = auto()
-    #: the write is durable; the commit may have reached that cluster
+    #: The assignment is durable; the commit may have reached the assigned cluster, which may start the gang.
     COMMITTED = auto()
-    #: the cluster has confirmed that it runs the gang
+    #: The assigned cluster has confirmed that the gang is its job.
     ABROAD = auto()
-    #: the cluster has confirmed that it will not run the gang any more; the write that records this has been sent
+    #: The assigned cluster has confirmed that it no longer runs the gang; home's record of that may not be durable yet.
     RETURNING = auto()
-    #: done, or cancelled for its user
+    #: The gang is done, or cancelled by its user.
     OVER = auto()
 
 
@@ -36,15 +36,15 @@
 
 
 class GuestState(Enum):
-    """Where a guest cluster stands with one reservation."""
+    """State of a reservation in a guest cluster."""
 
-    #: machines are reserved until a time; nothing runs
+    #: Machines are reserved until a timeout; no task of the gang runs.
     RESERVED = auto()
-    #: home's commit has arrived; the write that takes the gang in has been sent
+    #: Home's commit has been received; the write that makes the gang a job of this cluster may have been sent.
     STARTING = auto()
-    #: the write is durable: from here on the gang is a job of this cluster, with a job's states
+    #: The write is durable: the gang is a job of this cluster, and has a job's states from here on.
     STARTED = auto()
-    #: the reservation has ended: nothing can start under it
+    #: The reservation has ended: nothing can start under its id.
     RELEASED = auto()
 
 
@@ -59,11 +59,11 @@
 class BreakerState(Enum):
     """States of a circuit breaker."""
 
-    #: requests are sent
+    #: Requests are allowed.
     CLOSED = auto()
-    #: no requests are sent during a pause
+    #: No requests are allowed until the pause is over.
     OPEN = auto()
-    #: one trial request is sent after the pause
+    #: One trial request is allowed after the pause; the usual name of this state is half-open.
     TRYING = auto()
 
 
--- a/src/grebestand/federation/tls_link.py
+++ b/src/grebestand/federation/tls_link.py
@@ -1,4 +1,4 @@
-"""The link to another cluster: finds the controller that leads there, over mutual TLS, within a time limit."""
+"""The client side of the link to another cluster: sends messages to the leader there over mutual TLS."""
 
 from __future__ import annotations
 
@@ -17,25 +17,30 @@
 log = logging.getLogger(__name__)
 
 LINK_PATH = "/federation/1"
-#: for one request to one controller
+#: Timeout of one request to one controller, in seconds.
 REQUEST_TIMEOUT_S = 1.5
-#: for finding the controller that leads
+#: Timeout of a message, in seconds, including requests to controllers that do not lead.
 TOTAL_TIMEOUT_S = 3.0
-#: with less time left, no further controller is asked
+#: No request is sent to a further controller if less time than this is left, in seconds.
 MIN_REQUEST_TIMEOUT_S = 0.05
-#: for making a connection
+#: Timeout of making a connection, in seconds.
 CONNECT_TIMEOUT_S = 1.0
-#: connections to one controller
+#: Limit on connections to one controller.
 MAX_CONNECTIONS = 4
 HTTP_OK = 200
-#: bytes of a refusal's text that are logged
+#: At most this many bytes of the body of a refusal are logged.
 LOGGED_BODY_BYTES = 120
-#: connects to a controller's host and port, or returns None if no certificate of its cluster is trusted
+#: Connects to a controller's host and port, or returns None if no certificate of the controller's cluster is trusted.
 Connect = Callable[[str, int], Transport | None]
 
 
 def tls_connector(peer: str, ring: Keyring) -> Connect:
-    """Return a function that connects to controllers of a cluster, with the keys that are in force at that time."""
+    """Return a function that connects to controllers of a cluster with the keys current at that time.
+
+    Args:
+        peer: Name of the other cluster.
+        ring: Keys of this cluster and the certificates that it trusts.
+    """
 
     def connect(host: str, port: int) -> Transport | None:
         context = ring.client_context(peer)
@@ -48,14 +53,14 @@
 
 @dataclass(frozen=True)
 class _OpenTransport:
-    """A connection, and the edition of the keyring that it was made with."""
+    """A transport to a controller, and the edition of the keyring with which it was made."""
 
     edition: int
     transport: Transport
 
 
 class TlsLink:
-    """The link to one cluster. It remembers who leads there; other controllers often know the leader."""
+    """The link to one cluster; remembers which controller leads there and follows hints from the others."""
 
     def __init__(
         self,
@@ -68,11 +73,11 @@
         """Start without connections.
 
         Args:
-            controllers: host and port of each controller of the cluster, by name.
-            connect: connects to one of them.
-            edition: the edition of the keyring; connections of an earlier one are made anew.
-            clock: a steady clock, in seconds.
-            rng: draws the order in which controllers are asked.
+            controllers: Host and port of each controller of the cluster, by name.
+            connect: Connects to a controller.
+            edition: Returns the current edition of the keyring; connections made with an earlier one are replaced.
+            clock: Steady clock, in seconds.
+            rng: Source of the random order in which controllers are tried.
         """
         self.controllers = controllers
         self.connect = connect
@@ -83,10 +88,15 @@
         self._open: dict[str, _OpenTransport] = {}
 
     def send(self, message: Message) -> Reply | None:
-        """Send a message and return the reply of the cluster's leader, or None if no controller replied.
+        """Send a message to the leader of the other cluster.
+
+        Several controllers may receive the message until the leader is found; every message is idempotent.
+
+        Args:
+            message: The message.
 
-        Without a leader the reply of another controller is returned, which is uncertain. Several controllers may get
-        the message: every message is idempotent.
+        Returns:
+            The leader's reply; without one, the last `UncertainReply` of another controller; None if none replied.
         """
         body = msgspec.msgpack.encode(message)
         deadline = self.clock() + TOTAL_TIMEOUT_S
@@ -108,7 +118,7 @@
         return last
 
     def _candidates(self) -> list[str]:
-        """Return the controllers in the order to ask: the last known leader, then the others in random order."""
+        """Return the controllers in the order to try them: the last known leader, then the others in random order."""
         names = [name for name in self.controllers if name != self._leader]
         self.rng.shuffle(names)
         if self._leader in self.controllers:
@@ -134,7 +144,7 @@
             return None
 
     def _transport(self, name: str) -> Transport | None:
-        """Return the connection to a controller, made anew if the keys have changed."""
+        """Return the transport to a controller; it is replaced if the keys have changed."""
         edition = self.edition()
         known = self._open.get(name)
         if known is not None and known.edition == edition:
@@ -154,5 +164,5 @@
 
 
 def _is_of_leader(reply: UncertainReply) -> bool:
-    """Return whether the leader itself is uncertain, in which case no other controller knows better."""
+    """Return whether the leader itself sent this uncertain reply, so that no other controller is certain."""
     return reply.leader is None and reply.reason != NOT_LEADING
--- a/tests/federation/test_circuit_breaker.py
+++ b/tests/federation/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The circuit breaker of a cluster: pauses, trial requests, and what ends them."""
+"""Circuit breaker of another cluster: pauses, trial requests, and how the breaker closes again."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def test_breaker_allows_another_trial_if_the_first_was_never_sent() -> None:
-    """One question goes after a pause; the asker may find no budget for it, and then nobody was ever asked again."""
+    """An allowed trial request may not be sent, because of a rate limit: the breaker must not wait for it forever."""
     clock = ManualClock()
     breaker = CircuitBreaker("east", clock, random.Random(3))
     while breaker.allows_request():
--- a/tests/federation/test_rate_limits.py
+++ b/tests/federation/test_rate_limits.py
@@ -30,4 +30,5 @@
     bucket = TokenBucket(4.0, clock)
     assert count_taken(lambda: bucket.take(1.0), clock, 30.0) <= 30 * 4 + 4
     clock.now += 10.0
-    assert bucket.take(100.0) and not bucket.take(1.0)  # more than a second's worth goes, and is paid for
+    # More tokens than the bucket holds can be taken from a full bucket, whose level is negative then.
+    assert bucket.take(100.0) and not bucket.take(1.0)
