--- a/tests/federation/test_federation_feature.py
+++ b/tests/federation/test_federation_feature.py
@@ -1,4 +1,4 @@
-"""Federation as a feature: its file, its place in a controller, routing, what operators settle, and many clusters."""
+"""The federation feature: its settings, routing, settlement, commands, many clusters, and its hooks in a controller."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 from support.federated_clusters import Clusters, offer
 
 NOW = dt.datetime.now(dt.UTC)
-HEAD = 'feature = "federation"\ncluster = "home"\n'
-LINK = (
+BASE_SETTINGS = 'feature = "federation"\ncluster = "home"\n'
+LINK_SETTINGS = (
     'keys = "keys"\nguests_team = "blue"\nnetworks = ["127.0.0.0/8"]\n[listen]\nnode-0 = "127.0.0.1:9443"\n'
     '[[others]]\nname = "east"\n[others.controllers]\nnode-0 = "127.0.0.1:9444"\n'
 )
 
 
-def write(root: Path, text: str) -> str:
+def write_settings(root: Path, text: str) -> str:
     file = root / "federation.toml"
     file.write_text(text)
     return str(file)
 
 
 def test_without_other_clusters_nothing_is_served_and_gangs_stay_home(tmp_path: Path) -> None:
-    features = load([write(tmp_path, HEAD)], parse(SETTINGS))
+    features = load([write_settings(tmp_path, BASE_SETTINGS)], parse(SETTINGS))
     assert features.names == ["federation"] and not features.listeners
     clusters = Clusters()
     clusters.home.home.remotes.by_name.clear()
@@ -53,7 +53,7 @@
 
 def test_settings_with_other_clusters_serve_the_link(tmp_path: Path) -> None:
     keys.create(tmp_path / "keys", "home", 2.0, NOW)
-    features = load([write(tmp_path, HEAD + LINK)], parse(SETTINGS))
+    features = load([write_settings(tmp_path, BASE_SETTINGS + LINK_SETTINGS)], parse(SETTINGS))
     (listener,) = features.listeners
     assert listener.address == "127.0.0.1:9443" and listener.gate is not None
     assert listener.gate.admit("127.0.0.1") and not listener.gate.admit("10.0.0.1")
@@ -63,22 +63,31 @@
     ("text", "fault"),
     [
         ('feature = "federation"\n', "cluster: column 1: "),
-        (HEAD + 'overflow_after_s = "waited / 2"\n', "overflow_after_s: column 1: unknown name 'waited'"),
-        (HEAD + 'prefer = "1 / free_machines"\n', "prefer: column 5: this division can fail"),
-        (HEAD + "offers_per_s = -1\n", "offers_per_s: column 1: always outside the allowed range"),
-        (HEAD + "pause = 1\n", "pause: column 1: unknown setting"),
-        (HEAD + 'guests_team = "green"\n', "guests_team: column 1: no team of this cluster: 'green'"),
-        (HEAD + LINK.replace("node-0", "node-9", 1), "listen: column 1: has no address for this controller, 'node-0'"),
-        (HEAD + LINK.replace("9444", "x"), "others.east.controllers.node-0: column 1: "),
-        (HEAD + LINK.replace('"east"', '"home"'), "others.home: column 1: named twice, or this cluster itself"),
-        (HEAD + LINK.replace("0.0/8", "0.1/8"), "networks: column 1: '127.0.0.1/8': has bits beyond its prefix"),
-        (HEAD + LINK, "keys: column 1: "),
+        (BASE_SETTINGS + 'overflow_after_s = "waited / 2"\n', "overflow_after_s: column 1: unknown name 'waited'"),
+        (BASE_SETTINGS + 'prefer = "1 / free_machines"\n', "prefer: column 5: this division can fail"),
+        (BASE_SETTINGS + "offers_per_s = -1\n", "offers_per_s: column 1: always outside the allowed range"),
+        (BASE_SETTINGS + "pause = 1\n", "pause: column 1: unknown setting"),
+        (BASE_SETTINGS + 'guests_team = "green"\n', "guests_team: column 1: no team of this cluster: 'green'"),
+        (
+            BASE_SETTINGS + LINK_SETTINGS.replace("node-0", "node-9", 1),
+            "listen: column 1: has no address for this controller, 'node-0'",
+        ),
+        (BASE_SETTINGS + LINK_SETTINGS.replace("9444", "x"), "others.east.controllers.node-0: column 1: "),
+        (
+            BASE_SETTINGS + LINK_SETTINGS.replace('"east"', '"home"'),
+            "others.home: column 1: named twice, or this cluster itself",
+        ),
+        (
+            BASE_SETTINGS + LINK_SETTINGS.replace("0.0/8", "0.1/8"),
+            "networks: column 1: '127.0.0.1/8': has bits beyond its prefix",
+        ),
+        (BASE_SETTINGS + LINK_SETTINGS, "keys: column 1: "),
     ],
 )
 def test_settings_fault_names_file_field_and_column_and_exits_with_2(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, fault: str
 ) -> None:
-    file = write(tmp_path, text)
+    file = write_settings(tmp_path, text)
     with pytest.raises(ExpressionError) as caught:
         load([file], parse(SETTINGS))
     assert str(caught.value.faults[0]).startswith(f"{file}: {fault}")
@@ -91,48 +100,56 @@
 # routing --------------------------------------------------------------------------------------------------
 
 
-def federation(tmp_path: Path, more: str = "") -> Federation:
+def make_federation(tmp_path: Path, more: str = "") -> Federation:
     keys.create(tmp_path / "keys", "home", 2.0, NOW)
-    file = write(tmp_path, HEAD + more + LINK)
+    file = write_settings(tmp_path, BASE_SETTINGS + more + LINK_SETTINGS)
     found = load([file], parse(SETTINGS))
-    made = found.steps[0][0].__self__  # type: ignore[attr-defined]
-    assert isinstance(made, Federation)
-    return made
+    federation = found.steps[0][0].__self__  # type: ignore[attr-defined]
+    assert isinstance(federation, Federation)
+    return federation
 
 
 def test_preference_follows_free_capacity_age_images_and_price(tmp_path: Path) -> None:
-    f = federation(tmp_path)
+    feature = make_federation(tmp_path)
     clusters = Clusters()
-    f.term = clusters.home.term
+    feature.term = clusters.home.term
     job = clusters.home.term.registry.jobs[clusters.gang]
-    room = FreeCapacity(VERSION, 6, 16.0, 0.1, [])
+    capacity = FreeCapacity(VERSION, 6, 16.0, 0.1, [])
 
-    def worth(told: FreeCapacity, age: float) -> float:
-        return preference(f.prefer, job, RemoteLoad(told, 0.0), age)
+    def preference_for(reported: FreeCapacity, age_s: float) -> float:
+        return preference(feature.prefer, job, RemoteLoad(reported, 0.0), age_s)
 
-    assert worth(room, 1.0) > worth(msgspec.structs.replace(room, free_machines=1), 1.0)
+    assert preference_for(capacity, 1.0) > preference_for(msgspec.structs.replace(capacity, free_machines=1), 1.0)
     assert (
-        worth(room, 1.0) > worth(room, 60.0) > worth(room, LOAD_VALID_S + 1.0) == preference(f.prefer, job, None, 0.0)
+        preference_for(capacity, 1.0)
+        > preference_for(capacity, 60.0)
+        > preference_for(capacity, LOAD_VALID_S + 1.0)
+        == preference(feature.prefer, job, None, 0.0)
     )
-    assert worth(msgspec.structs.replace(room, images=["img"]), 1.0) > worth(room, 1.0)
-    assert worth(msgspec.structs.replace(room, price_per_cpu_hour=0.5), 1.0) < worth(room, 1.0)
-    assert fits(job, room) and not fits(job, msgspec.structs.replace(room, free_machines=2))
-    assert set(f.fixed_names) == set(NAMES) and set(KEYS) >= {"prefer", "overflow_after_s"}
+    assert preference_for(msgspec.structs.replace(capacity, images=["img"]), 1.0) > preference_for(capacity, 1.0)
+    assert preference_for(msgspec.structs.replace(capacity, price_per_cpu_hour=0.5), 1.0) < preference_for(
+        capacity, 1.0
+    )
+    assert fits(job, capacity) and not fits(job, msgspec.structs.replace(capacity, free_machines=2))
+    assert set(feature.fixed_names) == set(NAMES) and set(KEYS) >= {"prefer", "overflow_after_s"}
 
 
 def test_overflow_time_follows_the_operators_expression(tmp_path: Path) -> None:
-    f = federation(tmp_path, 'overflow_after_s = "20 if gang_size < 3 else 100 * (1 - zone_load) + gang_cpus"\n')
+    feature = make_federation(
+        tmp_path, 'overflow_after_s = "20 if gang_size < 3 else 100 * (1 - zone_load) + gang_cpus"\n'
+    )
     clusters = Clusters()
-    f.term = clusters.home.term
+    feature.term = clusters.home.term
     job = clusters.home.term.registry.jobs[clusters.gang]
-    load_now = 45.0 / 48.0  # of one zone; the other has no machines
-    assert f.overflow_after_s(job, clusters.clock.now) == pytest.approx(100 * (1 - load_now) + 45.0)
+    zone_load = 45.0 / 48.0  # of one zone; the other has no machines
+    assert feature.overflow_after_s(job, clusters.clock.now) == pytest.approx(100 * (1 - zone_load) + 45.0)
 
 
 def test_cluster_with_capacity_is_asked_first() -> None:
     clusters = Clusters("east", "west")
     clusters.home.home.limits.max_clusters_at_once = 1
-    clusters.home.home.limits.overflow_after_s = lambda job, now: 15.0  # long enough for a look at who has room by then
+    # Long enough that both clusters have replied to a probe before the first offer.
+    clusters.home.home.limits.overflow_after_s = lambda job, now: 15.0
     clusters.east.world.accept(clusters.east.node, shards=4, cpus=15.0, rank="critical")
     clusters.until(lambda: clusters.runs_in() is not None)
     assert clusters.runs_in() == "west" and clusters.home.home.counts["offers"] == 1
@@ -140,26 +157,26 @@
 
 def test_cluster_of_another_version_is_offered_nothing() -> None:
     clusters = Clusters()
-    look = clusters.east.guest._probe
+    probe = clusters.east.guest._probe
 
-    def newer(message: Probe) -> object:
-        told = look(message)
-        return msgspec.structs.replace(told, version=VERSION + 1) if isinstance(told, FreeCapacity) else told
+    def reply_with_newer_version(message: Probe) -> object:
+        reply = probe(message)
+        return msgspec.structs.replace(reply, version=VERSION + 1) if isinstance(reply, FreeCapacity) else reply
 
-    clusters.east.guest._probe = newer  # type: ignore[method-assign, assignment]
+    clusters.east.guest._probe = reply_with_newer_version  # type: ignore[method-assign, assignment]
     clusters.go(30)
     assert clusters.home.home.remotes.by_name["east"].incompatible and not clusters.home.home.counts["offers"]
-    clusters.east.guest._probe = look  # type: ignore[method-assign]
+    clusters.east.guest._probe = probe  # type: ignore[method-assign]
     clusters.until(lambda: clusters.runs_in() == "east")
 
 
 def test_guest_gets_low_priority_and_only_suitable_machines() -> None:
     clusters = Clusters()
     guest = clusters.east.guest
-    asked = offer(clusters, rank="critical")
-    guest.handle_message(asked)
-    (kept,) = guest.reservations.by_id.values()
-    assert kept.spec.priority is Priority.LOW and kept.spec.team == "blue"
+    request = offer(clusters, rank="critical")
+    guest.handle_message(request)
+    (reservation,) = guest.reservations.by_id.values()
+    assert reservation.spec.priority is Priority.LOW and reservation.spec.team == "blue"
     assert guest.handle_message(offer(clusters, hulls=["m4"])) != Rejection(
         "none of the machine types that it may run on is known here"
     )
@@ -172,14 +189,14 @@
         clusters.home.term.registry.jobs[bound], clusters.clock.now + 1000.0
     )
     assert isinstance(guest.handle_message(Probe("stranger", VERSION)), Rejection)
-    told = guest.handle_message(Probe("home", VERSION))
-    assert isinstance(told, FreeCapacity) and told.free_machines == 4 - sum(
+    reply = guest.handle_message(Probe("home", VERSION))
+    assert isinstance(reply, FreeCapacity) and reply.free_machines == 4 - sum(
         len(r.machines) for r in guest.reservations.by_id.values()
     )
 
 
 def test_equal_job_ids_in_two_clusters_do_not_collide() -> None:
-    """The guest's job has a reference drawn there; its own job of the same name is another."""
+    """A guest gang gets a new job id, so that it cannot collide with a job of the guest cluster with the same id."""
     clusters = Clusters()
     own = clusters.east.world.accept(clusters.east.node, ref=clusters.gang, shards=1, cpus=1.0)
     assert own == clusters.gang
@@ -188,18 +205,18 @@
     assert record.home_job_id == clusters.gang != record.job_id and clusters.gang in clusters.east.term.registry.jobs
 
 
-# settling -------------------------------------------------------------------------------------------------
+# settlement -----------------------------------------------------------------------------------------------
 
 
 def test_settled_gang_returns_home_and_ends_in_a_cluster_that_comes_back() -> None:
     clusters = Clusters()
     clusters.until(lambda: clusters.runs_in() == "east")
-    wire = clusters.home.links["east"]
-    wire.drop = lambda m: "request"
-    for worker in clusters.east.workers:  # they are off, as the operators have made sure
+    link = clusters.home.links["east"]
+    link.drop = lambda m: "request"
+    for worker in clusters.east.workers:  # operators switch machines of a lost cluster off before they settle gangs
         worker.lapse()
         worker.reachable = False
-    clusters.go(int(HOME_SILENCE_TIMEOUT_S) + 5)  # and have waited for longer than it would start anything unasked
+    clusters.go(int(HOME_SILENCE_TIMEOUT_S) + 5)  # after this time, the guest cluster starts no task of the gang
     (gang,) = remote_gangs(clusters.home.node.store, "east")
     assert gang.job_id == clusters.gang and not remote_gangs(clusters.home.node.store, "west")
     assert settle(clusters.home.node.store, gang, "somebody") and not settle(clusters.home.node.store, gang, "somebody")
@@ -208,10 +225,10 @@
     clusters.home.home.limits.overflow_after_s = lambda job, now: 1e9
     clusters.finish(clusters.home)
     clusters.until(lambda: clusters.runs_in() == "home")
-    # the cluster is back, with a record of a gang that it would start again
+    # The lost cluster is reachable again and still has a record of the gang.
     for worker in clusters.east.workers:
         worker.reachable = True
-    wire.drop = lambda m: ""
+    link.drop = lambda m: ""
     assert clusters.east.guest.records
     clusters.until(lambda: not clusters.home.home.settled.records, 200)
     clusters.go(30)
@@ -250,8 +267,8 @@
     assert [line.split()[:2] for line in lines] == [["ready", "home"], ["active", "home"], ["trusted", "east"]]
     assert main(["federation", "keys", "revoke", "--dir", a, lines[2].split()[6][:12]]) == 0
     assert main(["federation", "keys", "create", "--dir", a, "--cluster", "home"]) == 2
-    told = capsys.readouterr().err
-    assert told.startswith("grebestand: federation: ") and told.count("\n") == 1
+    error_output = capsys.readouterr().err
+    assert error_output.startswith("grebestand: federation: ") and error_output.count("\n") == 1
 
 
 # many clusters --------------------------------------------------------------------------------------------
@@ -262,18 +279,18 @@
     assert few.decided and many.decided
     assert many.offers / many.gangs <= 3 * max(1.0, few.offers / few.gangs)
     assert many.most_offers <= 12
-    assert many.looks <= 8 * 150 * 2 + 8 * 2  # two a second, however many there are
+    assert many.looks <= 8 * 150 * 2 + 8 * 2  # each cluster sends at most two probes a second in total
     assert many.reserved_share < 0.05
     assert simulate(2, 1.0, 3, 150) == few  # the same seed, the same figures
 
 
-class Process:
-    """A controller as its features see it."""
+class FakeHost:
+    """A fake controller process, with the part of the interface that features use."""
 
     def __init__(self, name: str, term: Term | None) -> None:
         self.name = name
         self.term = term
-        self.asked: list[tuple[str, bytes]] = []
+        self.leader_requests: list[tuple[str, bytes]] = []
 
     def present(self) -> Term | None:
         return self.term
@@ -285,25 +302,25 @@
         return False
 
     def ask_leader(self, path: str, body: bytes) -> bytes | None:
-        self.asked.append((path, body))
+        self.leader_requests.append((path, body))
         return b""
 
 
-def test_an_abort_that_another_controller_was_asked_for_reaches_the_leader(tmp_path: Path) -> None:
-    """Users reach any controller; only the leader's home can ask the other cluster to end a gang."""
-    f = federation(tmp_path)
+def test_cancellation_received_by_a_follower_reaches_the_leader(tmp_path: Path) -> None:
+    """Users may send a cancellation to any controller, but only the leader can recall a gang from another cluster."""
+    feature = make_federation(tmp_path)
     clusters = Clusters()
     clusters.until(lambda: clusters.runs_in() == "east")
-    follower = Process("node-1", None)
-    f.attach_host(follower)
-    f.recall(clusters.gang)
-    assert follower.asked == [(RECALL_PATH, clusters.gang.encode())]
-    assert f.message_handler() is None  # and other clusters are told that it does not lead
-    leader = Process("node-0", clusters.home.term)
-    f.attach_host(leader)
-    f.begin_term(clusters.home.term)
-    assert f.home is not None and f.message_handler() is not None
-    f.handle_recall(clusters.gang.encode())
-    assert f.home.gangs[clusters.gang].recalled and not leader.asked
-    leader.term = None  # the term is over: nothing of it answers any more
-    assert f.message_handler() is None
+    follower = FakeHost("node-1", None)
+    feature.attach_host(follower)
+    feature.recall(clusters.gang)
+    assert follower.leader_requests == [(RECALL_PATH, clusters.gang.encode())]
+    assert feature.message_handler() is None  # so that the link server replies that this controller does not lead
+    leader = FakeHost("node-0", clusters.home.term)
+    feature.attach_host(leader)
+    feature.begin_term(clusters.home.term)
+    assert feature.home is not None and feature.message_handler() is not None
+    feature.handle_recall(clusters.gang.encode())
+    assert feature.home.gangs[clusters.gang].recalled and not leader.leader_requests
+    leader.term = None  # the term is over, so its guest cluster must not reply to messages any more
+    assert feature.message_handler() is None
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -1,4 +1,4 @@
-"""Two clusters: a gang goes abroad whole or stays, whatever is lost, late, crashed or decided at the same moment."""
+"""Hand-over of gangs between clusters: a gang runs once and in one cluster, in spite of faults and races."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("lost", [False, True])
 def test_of_two_reservations_one_is_committed_and_the_other_released(lost: bool) -> None:
-    """The other's reservation ends at once, or by itself if the word is lost."""
+    """The unused reservation is released by a recall, or expires if the recall is lost."""
     clusters = Clusters("east", "west", looks=False)
     if lost:
         clusters.home.links["west"].drop = lambda m: "request" if isinstance(m, Recall) else ""
@@ -70,24 +70,24 @@
 
 
 def test_home_starts_nothing_while_the_commit_may_have_arrived() -> None:
-    """The answer to the commit is lost, and room appears at home: the gang is abroad, and stays there."""
+    """Replies to the commit are lost and home gets free capacity: the gang stays in the other cluster."""
     clusters = Clusters()
-    wire = clusters.home.links["east"]
-    wire.drop = lambda m: "answer" if isinstance(m, Commit | StatusQuery) else ""
+    link = clusters.home.links["east"]
+    link.drop = lambda m: "answer" if isinstance(m, Commit | StatusQuery) else ""
     clusters.until(lambda: clusters.runs_in() == "east")
     for worker in clusters.home.workers:
         for task in worker.running():
             worker.finish(task)
     clusters.go(30)
     assert clusters.runs_in() == "east" and clusters.home.home.gangs[clusters.gang].state is HomeState.COMMITTED
-    wire.drop = lambda m: ""
+    link.drop = lambda m: ""
     clusters.until(lambda: clusters.home.home.gangs[clusters.gang].state is HomeState.ABROAD)
 
 
 def test_commit_after_the_reservation_expired_starts_nothing_and_the_gang_returns() -> None:
     clusters = Clusters()
-    wire = clusters.home.links["east"]
-    wire.drop = lambda m: "request" if isinstance(m, Commit) else ""
+    link = clusters.home.links["east"]
+    link.drop = lambda m: "request" if isinstance(m, Commit) else ""
     clusters.until(
         lambda: (
             clusters.gang in clusters.home.home.gangs
@@ -96,7 +96,7 @@
     )
     assert clusters.home.term.registry.jobs[clusters.gang].startable_count() == 0
     clusters.go(25)
-    wire.drop = lambda m: ""
+    link.drop = lambda m: ""
     clusters.until(
         lambda: not clusters.home.term.registry.jobs[clusters.gang].runs_remotely or clusters.runs_in() is not None
     )
@@ -105,7 +105,7 @@
 
 def test_gang_that_starts_at_home_during_an_offer_withdraws_it() -> None:
     clusters = Clusters()
-    wire = clusters.home.links["east"]
+    link = clusters.home.links["east"]
     job = clusters.home.term.registry.jobs[clusters.gang]
 
     def starts_at_home(message: Message) -> str:
@@ -116,8 +116,8 @@
                 )
         return ""
 
-    wire.drop = starts_at_home
-    clusters.until(lambda: bool(wire.sent))
+    link.drop = starts_at_home
+    clusters.until(lambda: bool(link.sent))
     gang = clusters.home.home.gangs[clusters.gang]
     assert gang.state is HomeState.WAITING and not job.runs_remotely and len(job.allocations) == 3
     assert not clusters.east.guest.reservations.by_id
@@ -126,26 +126,26 @@
 @pytest.mark.parametrize("lost", [1, 2])
 def test_decision_with_unanswered_write_is_resolved_by_another_write(lost: int) -> None:
     clusters = Clusters()
-    wire = clusters.home.links["east"]
+    link = clusters.home.links["east"]
 
-    def lose(message: Message) -> str:
+    def lose_responses(message: Message) -> str:
         if isinstance(message, ReservationRequest):
             clusters.home.world.store.lose_answers = lost
         return ""
 
-    wire.drop = lose
-    clusters.until(lambda: bool(wire.sent))
+    link.drop = lose_responses
+    clusters.until(lambda: bool(link.sent))
     assert clusters.home.term.registry.jobs[clusters.gang].startable_count() == 0
-    wire.drop = lambda m: ""
+    link.drop = lambda m: ""
     clusters.until(lambda: clusters.runs_in() == "east", 200)
 
 
 @pytest.mark.parametrize("step", range(1, 13))
 @pytest.mark.parametrize("who", ["home", "east", "both"])
 def test_gang_runs_once_although_leaders_crash_at_any_message(who: str, step: int) -> None:
-    """The answer of message number `step` is lost with the leaders; new ones go on from what is on record."""
+    """The leaders crash before the reply to message number `step`; new leaders continue from the stored records."""
     clusters = Clusters()
-    wire = clusters.home.links["east"]
+    link = clusters.home.links["east"]
     count = 0
 
     def crash(message: Message) -> str:
@@ -153,7 +153,7 @@
         count += not isinstance(message, Probe)
         return "answer" if count == step and not isinstance(message, Probe) else ""
 
-    wire.drop = crash
+    link.drop = crash
     crashed = False
     for _ in range(40):
         clusters.go(1)
@@ -161,30 +161,30 @@
             crashed = True
             clusters.crash(*[side for side in (clusters.home, clusters.east) if who in (side.name, "both")])
     clusters.until(lambda: clusters.runs_in() is not None, 200)
-    where = clusters.home if clusters.runs_in() == "home" else clusters.east
-    clusters.finish(where)
+    cluster = clusters.home if clusters.runs_in() == "home" else clusters.east
+    clusters.finish(cluster)
     clusters.until(lambda: clusters.view() == "done", 200)
 
 
 def test_cancellation_is_confirmed_only_after_the_other_cluster_has_ended_the_gang() -> None:
-    """While the link is down the user is told at once when to come back; afterwards it is cancelled, and stays so."""
+    """While the link is down, a cancellation gets status 503 and a time to retry; afterwards it succeeds."""
     clusters = Clusters()
     clusters.until(lambda: clusters.runs_in() == "east")
-    wire = clusters.home.links["east"]
-    wire.drop = lambda m: "request"
+    link = clusters.home.links["east"]
+    link.drop = lambda m: "request"
     clusters.home.node.users.recall = clusters.home.home.recall
     answer = clusters.home.node.users.cancel(clusters.gang)
     assert answer.status == 503 and answer.retry_after
     clusters.go(10)
     assert clusters.home.node.users.cancel(clusters.gang).status == 503 and clusters.runs_in() == "east"
-    wire.drop = lambda m: ""
+    link.drop = lambda m: ""
     clusters.until(lambda: clusters.home.node.users.cancel(clusters.gang).status == 200, 20)
     assert clusters.view() == "cancelled" and not clusters.gangs()["east"]
     clusters.go(30)
     assert clusters.view() == "cancelled" and clusters.runs_in() is None
 
 
-def test_guest_without_capacity_is_given_back() -> None:
+def test_guest_without_capacity_is_returned_to_its_home() -> None:
     clusters = Clusters()
     clusters.until(lambda: clusters.runs_in() == "east")
     for worker in clusters.east.workers:
@@ -199,7 +199,7 @@
 
 
 def test_repeated_old_messages_start_nothing() -> None:
-    """Everything that was ever sent is delivered once more, minutes later, in order and in reverse."""
+    """All messages of a gang that is done are delivered again after a while, in order and in reverse order."""
     clusters = Clusters()
     clusters.until(lambda: clusters.runs_in() == "east")
     clusters.finish(clusters.east)
@@ -218,15 +218,15 @@
     clusters = Clusters()
     for _ in range(60):
         clusters.home.world.accept(clusters.home.node, shape="ensemble", shards=3, cpus=15.0)
-    wire = clusters.home.links["east"]
+    link = clusters.home.links["east"]
     begin = clusters.clock.now
     clusters.go(30)
-    offers = [m for m in wire.sent if isinstance(m, ReservationRequest)]
+    offers = [m for m in link.sent if isinstance(m, ReservationRequest)]
     assert len(offers) <= 4.0 * (clusters.clock.now - begin) + 4
     assert len(clusters.east.guest.reservations.by_id) + len(clusters.east.guest.records) <= 8
     clusters.go(400)
     per_gang: dict[str, int] = {}
-    for m in wire.sent:
+    for m in link.sent:
         if isinstance(m, ReservationRequest):
             per_gang[m.spec.id] = per_gang.get(m.spec.id, 0) + 1
     assert max(per_gang.values()) <= OFFERS_PER_GANG
@@ -234,11 +234,11 @@
 
 @pytest.mark.parametrize("late", [False, True])
 def test_clusters_with_clocks_hours_apart_agree(late: bool) -> None:
-    """Only durations by one steady clock are compared; news that comes after the reservation's end starts nothing."""
+    """Clusters compare only times of their own steady clocks; a commit after the reservation's end starts nothing."""
     clusters = Clusters(ahead=True)
-    wire = clusters.home.links["east"]
+    link = clusters.home.links["east"]
     if late:
-        wire.drop = lambda m: "request" if isinstance(m, Commit) and clusters.clock.now < 1050.0 else ""
+        link.drop = lambda m: "request" if isinstance(m, Commit) and clusters.clock.now < 1050.0 else ""
     clusters.until(lambda: clusters.runs_in() == "east", 200)
     assert not late or clusters.clock.now > 1050.0
     clusters.crash(clusters.east)
@@ -247,17 +247,20 @@
     clusters.until(lambda: clusters.view() == "done")
 
 
-def test_guest_taken_in_by_an_unanswered_write_is_never_offered_to_a_third_cluster() -> None:
-    """Found by a rehearsal: the state service fell silent in the write that took a gang in. The leader's watch brought
-    it into the books as if it were a job of its own; it was offered on and done in a third cluster, and when home's
-    news came again it was started here as well. Its record itself says now that it is a guest."""
+def test_guest_accepted_by_an_unanswered_write_is_never_offered_to_a_third_cluster() -> None:
+    """Guards against a gang that runs in two clusters after a write without a response.
+
+    The store does not respond to the write that accepts a guest gang, and the leader learns of the job by its watch. If
+    the live record did not mark the job as a guest, the leader would offer the gang to a third cluster, and would start
+    the gang itself when home repeats the commit.
+    """
     clusters = Clusters("east", "west")
     clusters.home.links["west"].drop = lambda m: "request"
     clusters.east.links = {"west": Wire(clusters.others[1])}
     clusters.east.begin()
     begin = clusters.clock.now
 
-    def silent(message: Message) -> str:
+    def stop_responding(message: Message) -> str:
         if (
             isinstance(message, Commit)
             and not clusters.east.world.store.lose_answers
@@ -270,7 +273,7 @@
                 worker.reachable = False
         return ""
 
-    clusters.home.links["east"].drop = silent
+    clusters.home.links["east"].drop = stop_responding
     clusters.go(40)
     east = next(iter(clusters.east.guest.records.values()), None) or next(
         iter(clusters.east.guest.reservations.by_id.values())
@@ -287,26 +290,26 @@
 def test_return_with_unanswered_write_takes_effect_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The watch tells of the write before its answer would, and the write is made again: that changes nothing twice."""
+    """The store's watch delivers a write whose response is lost; the repeated write must have no second effect."""
     clusters = Clusters()
     clusters.until(lambda: clusters.runs_in() == "east")
-    returns = HomeCluster._return
+    original_return = HomeCluster._return
 
-    def unanswered(self: HomeCluster, gang: RemoteGang) -> None:
+    def return_unanswered(self: HomeCluster, gang: RemoteGang) -> None:
         clusters.home.world.store.lose_answers = 1
-        returns(self, gang)
+        original_return(self, gang)
 
-    monkeypatch.setattr(HomeCluster, "_return", unanswered)
+    monkeypatch.setattr(HomeCluster, "_return", return_unanswered)
     for worker in clusters.east.workers:
         worker.lapse()
         worker.reachable = False
     clusters.until(lambda: not clusters.home.term.registry.jobs[clusters.gang].runs_remotely, 200)
-    monkeypatch.setattr(HomeCluster, "_return", returns)
+    monkeypatch.setattr(HomeCluster, "_return", original_return)
     clusters.home.world.store.lose_answers = 0
     clusters.go(10)
     gang = clusters.home.home.gangs.get(clusters.gang)
     assert gang is None or gang.state in (HomeState.WAITING, HomeState.OFFERED), gang
-    assert not clusters.east.guest.records  # and the other cluster need not keep it any more
+    assert not clusters.east.guest.records  # removed by home's `Forget`
     for worker in clusters.east.workers:
         worker.reachable = True
     clusters.until(lambda: clusters.runs_in() == "east", 300)
@@ -317,15 +320,16 @@
     clusters.until(lambda: clusters.runs_in() == "east")
     for _ in range(10):
         clusters.home.world.accept(clusters.home.node, shape="ensemble", shards=3, cpus=15.0)
-    wire = clusters.home.links["east"]
-    wire.sent.clear()
+    link = clusters.home.links["east"]
+    link.sent.clear()
     clusters.go(60)
     cluster = clusters.home.home.remotes.by_name["east"]
     assert cluster.offer_breaker.state is not BreakerState.CLOSED and cluster.breaker.state is BreakerState.CLOSED
-    offers = [m for m in wire.sent if isinstance(m, ReservationRequest)]
-    asks = [m for m in wire.sent if isinstance(m, StatusQuery)]
-    assert len(offers) <= 12 and len(asks) >= 20
-    clusters.finish(clusters.east)  # there is room again: its own word of it is enough
+    offers = [m for m in link.sent if isinstance(m, ReservationRequest)]
+    queries = [m for m in link.sent if isinstance(m, StatusQuery)]
+    assert len(offers) <= 12 and len(queries) >= 20
+    # A probe that finds free capacity again is enough to resume offers.
+    clusters.finish(clusters.east)
     clusters.home.home.remotes.probe(cluster)
     clusters.until(lambda: any(r.home_job_id != clusters.gang for r in clusters.east.guest.records.values()), 60)
 
@@ -341,7 +345,7 @@
     assert isinstance(reserved, Reserved)
     # another cluster cannot use the reservation
     assert isinstance(guest.handle_message(Commit("west", good.spec.id, reserved.reservation_id)), Rejection)
-    assert isinstance(guest.handle_message(good), Rejection)  # the same again keeps no second room
+    assert isinstance(guest.handle_message(good), Rejection)  # a duplicate gets no second reservation
     bad = [
         b"", b"\x81", b"x" * (messages.MAX_MESSAGE_BYTES + 1),
         msgspec.msgpack.encode(StatusQuery("home", "no job", "0" * 32)),
@@ -370,28 +374,28 @@
 
 
 def test_random_faults_never_split_a_gang_nor_run_it_twice() -> None:
-    """Random losses, crashes and finished work; `check` looks after every second."""
+    """Random lost messages, crashes and completed tasks; `Clusters.go` checks each second that the gang runs once."""
     outcomes = set()
     for seed in range(12):
         rng = random.Random(seed)
         clusters = Clusters("east", "west", looks=seed % 2 == 0)
-        for wire in clusters.home.links.values():
-            wire.drop = lambda m, rng=rng: rng.choices(["", "request", "answer"], [6, 1, 1])[0]  # type: ignore[misc]
+        for link in clusters.home.links.values():
+            link.drop = lambda m, rng=rng: rng.choices(["", "request", "answer"], [6, 1, 1])[0]  # type: ignore[misc]
         for _ in range(60):
             clusters.go(1)
             if rng.random() < 0.04:
                 clusters.crash(rng.choice(clusters.sides))
             if rng.random() < 0.05:
                 clusters.finish(clusters.home)
-        for wire in clusters.home.links.values():
-            wire.drop = lambda m: ""
+        for link in clusters.home.links.values():
+            link.drop = lambda m: ""
         for _ in range(200):
             if clusters.view() == "done":
                 break
-            where = clusters.runs_in()
-            if where is not None:
-                outcomes.add(where)
-                clusters.finish(next(s for s in clusters.sides if s.name == where))
+            cluster = clusters.runs_in()
+            if cluster is not None:
+                outcomes.add(cluster)
+                clusters.finish(next(s for s in clusters.sides if s.name == cluster))
             clusters.finish(clusters.home)
             clusters.go(1)
         assert clusters.view() == "done", seed
@@ -399,23 +403,23 @@
 
 
 def test_late_commit_is_rejected_before_the_reservation_is_released() -> None:
-    """The guest's own clock decides, not how often its loop runs."""
+    """The reservation expires by the guest cluster's clock, regardless of how often its loop runs."""
     clusters = Clusters()
-    asked = offer(clusters)
-    reserved = clusters.east.guest.handle_message(asked)
+    request = offer(clusters)
+    reserved = clusters.east.guest.handle_message(request)
     assert isinstance(reserved, Reserved)
     for _ in range(int(reserved.duration_s) + 1):
         clusters.clock.now += 1.0
         clusters.east.term.election.renew()
     assert isinstance(
-        clusters.east.guest.handle_message(Commit("home", asked.spec.id, reserved.reservation_id)), Rejection
+        clusters.east.guest.handle_message(Commit("home", request.spec.id, reserved.reservation_id)), Rejection
     )
     assert not clusters.east.guest.records
     assert not [k for k in clusters.east.world.store.data if k.startswith(GUEST_KEY_PREFIX)]
 
 
 def test_leader_without_federation_does_not_start_a_gang_that_is_abroad() -> None:
-    """Switched off by mistake, with a gang in another cluster: the live record itself keeps it from starting here."""
+    """If federation is switched off by mistake, the live record still keeps a remote gang from starting at home."""
     clusters = Clusters()
     clusters.until(lambda: clusters.runs_in() == "east")
     world = clusters.home.world
@@ -429,17 +433,17 @@
 
 def test_reserved_machines_get_no_other_tasks_until_the_reservation_expires() -> None:
     clusters = Clusters()
-    asked = offer(clusters)
-    reserved = clusters.east.guest.handle_message(asked)
+    request = offer(clusters)
+    reserved = clusters.east.guest.handle_message(request)
     assert isinstance(reserved, Reserved)
-    kept = [m for m in clusters.east.term.inventory.machines if m.reserved_for is not None]
-    assert len(kept) == 2
+    reserved_machines = [m for m in clusters.east.term.inventory.machines if m.reserved_for is not None]
+    assert len(reserved_machines) == 2
     clusters.east.world.accept(clusters.east.node, shards=64, cpus=1.0, ramGb=0.1)
     for _ in range(8):
         clusters.clock.now += 1.0
         clusters.east.round()
-    assert all(not m.allocations for m in kept)
-    for _ in range(12):  # and is given to others when its time is over
+    assert all(not m.allocations for m in reserved_machines)
+    for _ in range(12):  # long enough that the reservation expires
         clusters.clock.now += 1.0
         clusters.east.round()
-    assert all(m.allocations for m in kept)
+    assert all(m.allocations for m in reserved_machines)
