--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -183,16 +183,16 @@
         """Return the function that replies to messages in this term, or None if this controller does not lead."""
         return self.guest.handle_message if self._is_leader() and self.guest is not None else None
 
-    def recall(self, ref: str) -> None:
+    def recall(self, job_id: str) -> None:
         """Recall a cancelled gang from another cluster: directly if this controller leads, otherwise by its leader.
 
         Args:
-            ref: The gang's job id.
+            job_id: The gang's job id.
         """
         if self._is_leader() and self.home is not None:
-            self.home.recall(ref)
+            self.home.recall(job_id)
         elif self.host is not None:
-            self.host.ask_leader(RECALL_PATH, ref.encode())
+            self.host.ask_leader(RECALL_PATH, job_id.encode())
 
     def handle_recall(self, body: bytes) -> bytes:
         """Process a recall request from another controller of this cluster, which received the user's cancellation.
--- a/src/grebestand/federation/guest.py
+++ b/src/grebestand/federation/guest.py
@@ -130,7 +130,7 @@
         #: Records of guest gangs, by reservation id.
         self.records: dict[str, GuestRecord] = {}
         #: Time of the last commit or status query from home, by reservation id.
-        self._last_asked_at: dict[str, float] = {}
+        self._last_contact_at: dict[str, float] = {}
         for pair in term.writer.store.pairs(GUEST_KEY_PREFIX):
             record = msgspec.convert(pair.value, GuestRecord)
             self.records[record.reservation_id] = record
@@ -286,7 +286,7 @@
 
     def _record_contact(self, record: GuestRecord) -> Reply:
         """Note that home still assigns the gang to this cluster, so that its tasks may start; return its status."""
-        self._last_asked_at[record.reservation_id] = self.term.clock()
+        self._last_contact_at[record.reservation_id] = self.term.clock()
         job = self.term.registry.jobs.get(record.job_id)
         if job is not None and job.origin_silent:
             job.origin_silent = False
@@ -347,7 +347,7 @@
         if found is not None:
             self.term.writer.commit([version_is(key, found.version)], [delete(key)], Urgency.PROGRESS)
         self.records.pop(record.reservation_id, None)
-        self._last_asked_at.pop(record.reservation_id, None)
+        self._last_contact_at.pop(record.reservation_id, None)
         return Rejection(NO_SUCH_RESERVATION)
 
     # steps ------------------------------------------------------------------------------------------------
@@ -370,7 +370,7 @@
     def _pause_if_home_is_silent(self, record: GuestRecord, job: Job, now: float) -> None:
         if (
             not job.origin_silent
-            and now - self._last_asked_at.get(record.reservation_id, -math.inf) > HOME_SILENCE_TIMEOUT_S
+            and now - self._last_contact_at.get(record.reservation_id, -math.inf) > HOME_SILENCE_TIMEOUT_S
         ):
             job.origin_silent = True
             log.info(LogEvent("guest_home_silent", job_id=record.home_job_id, home=record.home))
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -154,13 +154,13 @@
         doublings = min(MAX_OFFER_PAUSE_DOUBLINGS, gang.offers)
         return float(OFFER_PAUSE_S * 2**doublings * (0.5 + self.rng.random()))
 
-    def recall(self, ref: str) -> None:
+    def recall(self, job_id: str) -> None:
         """Request the end of a remote gang that its user cancels.
 
         Args:
-            ref: The gang's job id; ignored if that job is neither offered nor remote.
+            job_id: The gang's job id; ignored if that job is neither offered nor remote.
         """
-        gang = self.gangs.get(ref)
+        gang = self.gangs.get(job_id)
         if gang is not None:
             gang.recalled = True
             gang.next_step_at = -math.inf
--- a/src/grebestand/federation/keyring.py
+++ b/src/grebestand/federation/keyring.py
@@ -211,14 +211,14 @@
         fingerprint = hashlib.sha256(connection.getpeercert(binary_form=True) or b"").hexdigest()
         owner = self._owners.get(fingerprint)
         if owner is None or fingerprint in self._revoked:
-            why = "revoked" if fingerprint in self._revoked else "unknown"
+            found = "revoked" if fingerprint in self._revoked else "unknown"
             log.warning(
                 LogEvent(
                     "link_refused",
                     host=host,
                     certificate=fingerprint[:LOGGED_FINGERPRINT_DIGITS],
                     owner=owner,
-                    reason=f"its certificate is {why}",
+                    reason=f"its certificate is {found}",
                 )
             )
             connection.close()
@@ -231,8 +231,8 @@
             with gevent.Timeout(HANDSHAKE_TIMEOUT_S, TimeoutError("no handshake")):
                 return self._server_context.wrap_socket(sock, server_side=True)
         except ssl.SSLCertVerificationError as error:
-            why = VERIFICATION_ERRORS.get(error.verify_code, error.verify_message)
-            log.warning(LogEvent("link_refused", host=host, reason=f"its certificate is {why}"))
+            found = VERIFICATION_ERRORS.get(error.verify_code, error.verify_message)
+            log.warning(LogEvent("link_refused", host=host, reason=f"its certificate is {found}"))
         except (ssl.SSLEOFError, ConnectionError, TimeoutError) as error:
             log.debug(LogEvent("link_handshake_broken_off", host=host, error=error))
         except (OSError, ValueError) as error:
--- a/tests/fault_test/test_history_checker.py
+++ b/tests/fault_test/test_history_checker.py
@@ -117,7 +117,7 @@
         move(self, trip, new, why)  # type: ignore[arg-type]
         trip.job.runs_remotely = False
 
-    monkeypatch.setattr(HomeCluster, "move", careless)
+    monkeypatch.setattr(HomeCluster, "change_state", careless)
     verdict = check(day())
     assert verdict.twice == 1 and [f for f in verdict.faults if "while in" in f]
 
