--- a/src/grebestand/federation/settled_gangs.py
+++ b/src/grebestand/federation/settled_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs that operators have settled after the loss of a cluster: that cluster has to end them if it comes back."""
+"""Settled gangs: a cluster that operators declared lost has to end its settled gangs if it is reachable again."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from ..leader.term import Term
 from ..log_events import LogEvent
 from .messages import Ended, Recall, Rejection
-from .remote_cluster import Cluster, RemoteClusters
+from .remote_cluster import RemoteCluster, RemoteClusters
 from .remote_gang import EndedReservation
-from .settlement import PREFIX, Settled
+from .settlement import SETTLED_KEY_PREFIX, SettledGangRecord
 
 log = logging.getLogger(__name__)
 
-#: seconds between two recalls of one settled gang
+#: Interval between two recalls of one settled gang, in seconds.
 RECALL_INTERVAL_S = 10.0
 
 
 class SettledGangs:
-    """Recalls each settled gang from its cluster until that has confirmed its end, and removes the record then."""
+    """Recalls each settled gang until its cluster has confirmed that the gang has ended, then removes the record."""
 
     def __init__(
         self,
@@ -36,56 +36,60 @@
         """Read the records.
 
         Args:
-            term: the leader's term.
-            remotes: the other clusters.
-            spawn: runs a function that waits for another cluster.
-            on_ended: called with each reservation whose end is confirmed and whose record is removed.
+            term: The leader's term.
+            remotes: The other clusters.
+            spawn: Runs a function that waits for a reply of another cluster.
+            on_ended: Called with each reservation whose end is confirmed and whose record is removed.
 
         Raises:
-            StoreError: the store could not be reached.
+            StoreError: The store could not be reached.
         """
         self.term = term
         self.remotes = remotes
         self.spawn = spawn
         self.on_ended = on_ended
-        #: the records, by reservation id
-        self.records: dict[str, Settled] = {}
-        self.read()
+        #: Records of settled gangs, by reservation id.
+        self.records: dict[str, SettledGangRecord] = {}
+        self.load_records()
 
-    def read(self) -> None:
+    def load_records(self) -> None:
         """Read the records of all settled gangs.
 
         Raises:
-            StoreError: the store could not be reached.
+            StoreError: The store could not be reached.
         """
-        for pair in self.term.writer.store.pairs(PREFIX):
-            record = msgspec.convert(pair.value, Settled)
-            self.records[record.id] = record
+        for pair in self.term.writer.store.pairs(SETTLED_KEY_PREFIX):
+            record = msgspec.convert(pair.value, SettledGangRecord)
+            self.records[record.reservation_id] = record
 
     def recall_due(self, now: float) -> None:
-        """Recall the settled gangs whose turn it is from the clusters that may be asked."""
+        """Recall the settled gangs whose next recall is due and whose cluster's circuit breaker allows a request.
+
+        Args:
+            now: Time of the steady clock, in seconds.
+        """
         for record in list(self.records.values()):
             cluster = self.remotes.by_name.get(record.cluster)
-            if cluster is None or now < record.next_at or not cluster.breaker.allows_request():
+            if cluster is None or now < record.next_recall_at or not cluster.breaker.allows_request():
                 continue
-            record.next_at = now + RECALL_INTERVAL_S
+            record.next_recall_at = now + RECALL_INTERVAL_S
             self.spawn(lambda record=record, cluster=cluster: self._recall(record, cluster))  # type: ignore[misc]
 
-    def _recall(self, record: Settled, cluster: Cluster) -> None:
-        reply = self.remotes.ask(cluster, Recall(self.remotes.home, record.ref, record.id))
+    def _recall(self, record: SettledGangRecord, cluster: RemoteCluster) -> None:
+        reply = self.remotes.send(cluster, Recall(self.remotes.home, record.job_id, record.reservation_id))
         if not isinstance(reply, Ended | Rejection):
             return
         try:
             self._remove_record(record)
         except (StoreError, FencedError) as error:
-            log.info(LogEvent("settlement_removal_postponed", job_id=record.ref, error=error))
+            log.info(LogEvent("settlement_removal_postponed", job_id=record.job_id, error=error))
             return
-        self.records.pop(record.id, None)
-        log.info(LogEvent("settled_gang_gone", job_id=record.ref, cluster=record.cluster))
-        self.on_ended(EndedReservation(record.cluster, record.ref, record.id))
+        self.records.pop(record.reservation_id, None)
+        log.info(LogEvent("settled_gang_gone", job_id=record.job_id, cluster=record.cluster))
+        self.on_ended(EndedReservation(record.cluster, record.job_id, record.reservation_id))
 
-    def _remove_record(self, record: Settled) -> None:
-        key = PREFIX + record.id
+    def _remove_record(self, record: SettledGangRecord) -> None:
+        key = SETTLED_KEY_PREFIX + record.reservation_id
         found = self.term.writer.store.get(key, Urgency.PROGRESS)
         if found is not None:
             self.term.writer.commit([version_is(key, found.version)], [delete(key)], Urgency.PROGRESS)
--- a/tests/federation/test_circuit_breaker.py
+++ b/tests/federation/test_circuit_breaker.py
@@ -1,10 +1,10 @@
-"""The circuit breaker of a cluster: pauses, trial requests, and what ends them."""
+"""Circuit breaker of another cluster: pauses, trial requests, and how the breaker closes again."""
 
 from __future__ import annotations
 
 import random
 
-from grebestand.federation.circuit_breaker import FAILURES, CircuitBreaker
+from grebestand.federation.circuit_breaker import FAILURES_TO_OPEN, CircuitBreaker
 from grebestand.federation.state_machines import BreakerState
 from grebestand.simulation.single_controller_cluster import ManualClock
 
@@ -21,7 +21,7 @@
             clock.now += 0.1
         pauses.append(clock.now - begin)
         breaker.record_failure("no answer")
-    assert FAILURES > 1 and pauses[-1] > 2 * pauses[0] and breaker.state is BreakerState.OPEN
+    assert FAILURES_TO_OPEN > 1 and pauses[-1] > 2 * pauses[0] and breaker.state is BreakerState.OPEN
     clock.now += 500.0
     assert breaker.allows_request()
     breaker.record_success()
@@ -29,7 +29,7 @@
 
 
 def test_breaker_allows_another_trial_if_the_first_was_never_sent() -> None:
-    """One question goes after a pause; the asker may find no budget for it, and then nobody was ever asked again."""
+    """An allowed trial request may not be sent, because of a rate limit: the breaker must not wait for it forever."""
     clock = ManualClock()
     breaker = CircuitBreaker("east", clock, random.Random(3))
     while breaker.allows_request():
--- a/tests/federation/test_rate_limits.py
+++ b/tests/federation/test_rate_limits.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from grebestand.federation.rate_limits import RetryBackoff, TokenBucket
+from grebestand.federation.rate_limits import RetryBudget, TokenBucket
 from grebestand.simulation.single_controller_cluster import ManualClock
 
 
@@ -18,7 +18,7 @@
 
 def test_retries_are_bounded_by_first_tries() -> None:
     clock = ManualClock()
-    retries = RetryBackoff(0.3, 1.0, clock)
+    retries = RetryBudget(0.3, 1.0, clock)
     assert count_taken(retries.take_retry, clock, 60.0) <= 62
     for _ in range(30):
         retries.record_first_try()
@@ -30,4 +30,5 @@
     bucket = TokenBucket(4.0, clock)
     assert count_taken(lambda: bucket.take(1.0), clock, 30.0) <= 30 * 4 + 4
     clock.now += 10.0
-    assert bucket.take(100.0) and not bucket.take(1.0)  # more than a second's worth goes, and is paid for
+    # More tokens than the bucket holds can be taken from a full bucket, whose level is negative then.
+    assert bucket.take(100.0) and not bucket.take(1.0)
--- a/tests/support/federated_clusters.py
+++ b/tests/support/federated_clusters.py
@@ -14,7 +14,7 @@
 from grebestand.federation.home import HomeCluster
 from grebestand.federation.messages import Message, Probe, Reply, ReservationRequest
 from grebestand.federation.overflow_limits import OverflowLimits
-from grebestand.federation.remote_cluster import Cluster
+from grebestand.federation.remote_cluster import RemoteCluster
 from grebestand.leader.term import Term
 from grebestand.simulation.single_controller_cluster import SETTINGS, InMemoryCluster, InMemoryController, ManualClock
 from grebestand.wire.jobs import decode_spec
@@ -80,7 +80,8 @@
     def start_federation(self) -> None:
         """Create home and guest for the present term, with the present links."""
         clusters = [
-            Cluster(name, link, CircuitBreaker(name, self.cluster.clock, self.rng)) for name, link in self.links.items()
+            RemoteCluster(name, link, CircuitBreaker(name, self.cluster.clock, self.rng))
+            for name, link in self.links.items()
         ]
         self.home = HomeCluster(self.name, self.term, clusters, OverflowLimits(lambda job, now: 5.0), self.rng)
         if not self.probes_enabled:
@@ -111,7 +112,7 @@
         self.select_loss: Callable[[Message], str] = lambda message: ""
         self.sent_messages: list[Message] = []
 
-    def tell(self, message: Message) -> Reply | None:
+    def send(self, message: Message) -> Reply | None:
         """Encode, decode and deliver a message; return its reply, or None if the message or the reply is lost."""
         lost = self.select_loss(message)
         if lost == "request":
@@ -119,7 +120,7 @@
         received = messages.decode(msgspec.msgpack.encode(message))
         if not isinstance(received, Probe):
             self.sent_messages.append(received)
-        reply = self.target.guest.answer(received)
+        reply = self.target.guest.handle_message(received)
         return None if lost == "answer" else messages.decode_reply(msgspec.msgpack.encode(reply))
 
 
@@ -189,7 +190,7 @@
         """Return by cluster the gang's running tasks, which have another job id outside the home cluster."""
         found = {}
         for cluster in self.clusters:
-            names = {self.gang} if cluster is self.home else {r.job for r in cluster.guest.records.values()}
+            names = {self.gang} if cluster is self.home else {r.job_id for r in cluster.guest.records.values()}
             found[cluster.name] = [
                 task
                 for worker in cluster.workers
