--- a/tools/account.py
+++ b/tools/account.py
@@ -1,14 +1,14 @@
-"""Runs one controller like `run.py` and accounts for its processor time on standard error.
+"""Runs one controller like `run.py` and prints an account of its processor time to standard error.
 
     python3 tools/account.py [--every S] [--functions N] [--memory] --config settings.toml
 
-Every S seconds it prints what each kind of greenlet took since the last time, how often it ran, and how its stretches
-without a yield are distributed: while one lasts, no report is answered and no hold is renewed. Some
-parts that compute without yielding are counted a second time, as `.part`, and so is garbage collection. With
-`--functions N` it prints instead the N functions that took most; that needs `yappi` (requirements-dev.txt) and
-makes everything several times slower, so read it as shares. With `--memory` it adds resident kilobytes and the
-number of objects of the project's classes. To account for a simulated day, name it as `run` in a copy's
-`deploy/service.toml`.
+Every S seconds the account lists, for each kind of greenlet, the processor time of the last interval, the number of
+runs, and the distribution of the times without a yield: during such a time the controller answers no heartbeat and
+renews no lease. Garbage collection and the methods in `MEASURED_METHODS`, listed as `.Class.method`, are counted a
+second time on their own. With `--functions N` the tool prints instead the N functions with the most own time; this
+needs `yappi` (requirements-dev.txt) and makes the controller several times slower, so that only the shares are
+meaningful. With `--memory` the tool adds the resident memory in KiB and the number of objects of the project's classes.
+To measure a simulated day, set this file as `run` in a copy of `deploy/service.toml`.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 _ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 sys.path[:0] = [os.path.join(_ROOT, "src"), os.path.join(_ROOT, "target", "deps")]
-_BORN = time.monotonic()
+_STARTED_AT = time.monotonic()
 
 import gevent  # noqa: E402
 import greenlet  # noqa: E402
@@ -50,8 +50,8 @@
 from grebestand.scheduling.scheduler import Scheduler  # noqa: E402
 from grebestand.scheduling.template_targets import TemplateTargets  # noqa: E402
 
-#: parts that never yield, so that a clock around them tells what they take
-PARTS: list[tuple[type, list[str]]] = [
+#: Methods that never yield, or are generators of steps that never yield, so that elapsed time measures their cost.
+MEASURED_METHODS: list[tuple[type, list[str]]] = [
     (PeerStatusComposer, ["compose"]),
     (HeartbeatReconciler, ["reconcile"]),
     (CommandBuilder, ["build_commands"]),
@@ -71,57 +71,86 @@
 ]
 
 
-def label_of(g: Any) -> str:
-    """What a greenlet is for: the name of what it runs, and of the step that it was given."""
-    run = getattr(g, "_run", None)
-    name = getattr(run, "__qualname__", type(g).__name__)
-    args = getattr(g, "args", ())
-    steps = [a.__name__ for a in args if hasattr(a, "__name__")]
+def greenlet_label(origin: Any) -> str:
+    """Return the name of the function that a greenlet runs, and of functions among its arguments."""
+    run = getattr(origin, "_run", None)
+    name = getattr(run, "__qualname__", type(origin).__name__)
+    args = getattr(origin, "args", ())
+    steps = [argument.__name__ for argument in args if hasattr(argument, "__name__")]
     return "/".join([name, *steps])
 
 
-class Account:
-    """Processor time, runs and stretches without a yield, by what a greenlet runs."""
+class ProcessorAccount:
+    """Time, runs and times without a yield, by label of a greenlet, method or garbage collection.
+
+    Attributes:
+        total_s: Time spent, in seconds.
+        runs: Number of runs.
+        intervals: Distribution of the times without a yield, in seconds.
+    """
 
     def __init__(self) -> None:
         self.clock = time.perf_counter
         self.reset()
-        self.since = self.collecting_since = self.clock()
+        self.switched_at = self.collecting_since = self.clock()
 
     def reset(self) -> None:
-        """Forget what was counted."""
-        self.took: Counter[str] = Counter()
+        """Discard all counts."""
+        self.total_s: Counter[str] = Counter()
         self.runs: Counter[str] = Counter()
-        self.stretches = DurationSketches()
+        self.intervals = DurationSketches()
 
     def add(self, label: str, seconds: float, runs: int = 1) -> None:
-        """Count one stretch of a label, in seconds."""
-        self.took[label] += seconds
+        """Add one time without a yield to a label.
+
+        Args:
+            label: Label of the greenlet, method or garbage collection.
+            seconds: Length of the time, in seconds.
+            runs: Number by which the number of runs increases.
+        """
+        self.total_s[label] += seconds
         self.runs[label] += runs
-        self.stretches.add(label, seconds)
+        self.intervals.add(label, seconds)
+
+    def on_garbage_collection(self, phase: str, info: dict[str, int]) -> None:
+        """Count a garbage collection; its time is also included in that of the greenlet that it interrupts.
 
-    def collected(self, phase: str, info: dict[str, int]) -> None:
-        """Garbage collections, which happen inside whatever runs: counted a second time under a label of their own."""
+        Args:
+            phase: "start" or "stop", as in `gc.callbacks`.
+            info: The generation that is collected, under the key "generation".
+        """
         now = self.clock()
         if phase == "start":
             self.collecting_since = now
         else:
             self.add(f"(collection {info['generation']})", now - self.collecting_since)
 
-    def switched(self, event: str, args: tuple[Any, Any]) -> None:
-        """Trace function of greenlets: the stretch that ends belongs to the greenlet that is left."""
+    def on_switch(self, event: str, args: tuple[Any, Any]) -> None:
+        """Count the time since the last switch for the greenlet that is left; a trace function of `greenlet`.
+
+        Args:
+            event: Kind of the switch.
+            args: The greenlet that is left and the greenlet that continues.
+        """
         now = self.clock()
         origin = args[0]
         label = getattr(origin, "_account_label", None)
         if label is None:
-            label = label_of(origin)
+            label = greenlet_label(origin)
             with contextlib.suppress(AttributeError):
                 origin._account_label = label
-        self.add(label, now - self.since)
-        self.since = now
+        self.add(label, now - self.switched_at)
+        self.switched_at = now
+
+    def measure_method(self, owner: type, name: str) -> None:
+        """Replace a method by one that is counted, including the functions that it calls.
 
-    def watch(self, owner: type, name: str) -> None:
-        """Counts what a method takes, with all that it calls; of one that is cut into steps, each step."""
+        Each step of a method that is a generator counts as a separate time without a yield.
+
+        Args:
+            owner: Class of the method.
+            name: Name of the method.
+        """
         inner = getattr(owner, name)
         label = f".{owner.__name__}.{name.lstrip('_')}"
 
@@ -149,62 +178,78 @@
 
         setattr(owner, name, stepped if inspect.isgeneratorfunction(inner) else timed)
 
-    def show(self, seconds: float) -> None:
-        """Print the account of the last so many seconds to standard error and begin anew."""
+    def print_and_reset(self, seconds: float) -> None:
+        """Print the account to standard error and discard all counts.
+
+        Args:
+            seconds: Time since the last reset, in seconds.
+        """
         rows = [
             f"account of {seconds:.0f} s: seconds, runs; stretches in ms: half are below, 99% are below, the longest"
         ]
-        for label, took in self.took.most_common(40):
-            half, most = (1000 * self.stretches.quantile(label, q) for q in (0.5, 0.99))
-            longest = 1000 * self.stretches.longest(label)
-            rows.append(f"  {took:8.2f} {self.runs[label]:7d} {half:8.2f} {most:8.1f} {longest:8.1f}  {label}")
+        for label, total_s in self.total_s.most_common(40):
+            median, high = (1000 * self.intervals.quantile(label, q) for q in (0.5, 0.99))
+            longest = 1000 * self.intervals.longest(label)
+            rows.append(f"  {total_s:8.2f} {self.runs[label]:7d} {median:8.2f} {high:8.1f} {longest:8.1f}  {label}")
         self.reset()
         print("\n".join(rows), file=sys.stderr, flush=True)
 
 
-def _functions(n: int) -> None:
+def _print_functions(count: int) -> None:
     import yappi
 
-    stats = sorted(yappi.get_func_stats(), key=lambda s: -s.tsub)[:n]
+    stats = sorted(yappi.get_func_stats(), key=lambda stat: -stat.tsub)[:count]
     rows = ["functions: own seconds, with what they call, calls"]
     rows += [
-        f"  {s.tsub:8.2f} {s.ttot:8.2f} {s.ncall:9d}  {s.name} {s.module.rsplit('/', 1)[-1]}:{s.lineno}" for s in stats
+        f"  {stat.tsub:8.2f} {stat.ttot:8.2f} {stat.ncall:9d}  "
+        f"{stat.name} {stat.module.rsplit('/', 1)[-1]}:{stat.lineno}"
+        for stat in stats
     ]
     print("\n".join(rows), file=sys.stderr, flush=True)
     yappi.clear_stats()
 
 
-def _memory() -> None:
+def _print_memory() -> None:
     with open("/proc/self/statm") as f:
         resident = int(f.read().split()[1]) * (os.sysconf("SC_PAGE_SIZE") // 1024)
-    ours = (type(o) for o in gc.get_objects())
-    counts = Counter(t.__name__ for t in ours if str(t.__module__).startswith("grebestand"))
+    classes = (type(item) for item in gc.get_objects())
+    counts = Counter(cls.__name__ for cls in classes if str(cls.__module__).startswith("grebestand"))
     print(f"memory: {resident} KB, objects: {dict(counts.most_common(12))}", file=sys.stderr, flush=True)
 
 
-def _report(account: Account, every: float, functions: int, memory: bool) -> None:
+def _report_periodically(account: ProcessorAccount, every_s: float, functions: int, memory: bool) -> None:
     while True:
-        gevent.sleep(every)
+        gevent.sleep(every_s)
         if functions:
-            _functions(functions)
+            _print_functions(functions)
         else:
-            account.show(every)
+            account.print_and_reset(every_s)
         if memory:
-            _memory()
-
-
-def _arguments() -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="Runs one controller and accounts for its processor time.")
-    parser.add_argument("--every", type=float, default=60.0, metavar="S", help="seconds between two accounts")
-    parser.add_argument("--functions", type=int, default=0, metavar="N", help="functions to show, by yappi")
-    parser.add_argument("--memory", action="store_true", help="also what the process holds")
+            _print_memory()
+
+
+def _parse_arguments() -> argparse.Namespace:
+    parser = argparse.ArgumentParser(description="Runs one controller and prints an account of its processor time.")
+    parser.add_argument(
+        "--every", type=float, default=60.0, metavar="S", help="seconds between two accounts (default: 60)"
+    )
+    parser.add_argument(
+        "--functions",
+        type=int,
+        default=0,
+        metavar="N",
+        help="print the N functions with the most own time, measured by yappi",
+    )
+    parser.add_argument(
+        "--memory", action="store_true", help="also print the resident memory and the number of objects"
+    )
     parser.add_argument("--config", required=True, metavar="FILE", help="the platform's settings (TOML)")
     return parser.parse_args()
 
 
 if __name__ == "__main__":
-    arguments = _arguments()
-    account = Account()
+    arguments = _parse_arguments()
+    account = ProcessorAccount()
     if arguments.functions:
         import yappi
 
@@ -212,11 +257,11 @@
         yappi.set_clock_type("wall")
         yappi.start()
     else:
-        greenlet.settrace(account.switched)
-        gc.callbacks.append(account.collected)
-        for owner, names in PARTS:
+        greenlet.settrace(account.on_switch)
+        gc.callbacks.append(account.on_garbage_collection)
+        for owner, names in MEASURED_METHODS:
             for name in names:
-                account.watch(owner, name)
-    print(f"imports took {1000 * (time.monotonic() - _BORN):.0f} ms", file=sys.stderr)
-    gevent.spawn(_report, account, arguments.every, arguments.functions, arguments.memory)
+                account.measure_method(owner, name)
+    print(f"imports took {1000 * (time.monotonic() - _STARTED_AT):.0f} ms", file=sys.stderr)
+    gevent.spawn(_report_periodically, account, arguments.every, arguments.functions, arguments.memory)
     sys.exit(main(["serve", "--config", arguments.config]))
--- a/tools/decisions.py
+++ b/tools/decisions.py
@@ -1,13 +1,14 @@
-"""Measures the decision side alone: the project's own model of machines and jobs, seeded, with no network and no clock.
+"""Measures the cost of a leader's scheduling decisions on a seeded model of machines and jobs.
 
     python3 tools/decisions.py [--machines N ...] [--tasks N] [--seed S] [--no-count]
 
-For each size it builds the books as a leader finds them, then takes each step that a leader repeats: taking over
-(records read, every machine proved by its report), setting targets, the first full pass over an empty fleet, full
-passes while the rest waits, and reports with and without news. It prints for each step its operations (calls of
-functions, the same on every machine for the same seed), its processor time, and the longest stretch without a
-yield; at the end, how each grows with the number of machines, as the exponent of a straight line through the
-logarithms. Figures are of simulated machines.
+The model has no network and no real clock. For each number of machines the tool builds the cluster state that a new
+leader reads, then runs each step that a leader repeats: taking over (reading records and reconciling the heartbeat of
+every machine), updating targets, the first full scheduling pass over a cluster without tasks, full passes while jobs
+wait, and heartbeats with and without changes. The tool prints for each step the number of operations (function calls,
+which are the same on every computer for the same seed), the processor time, and the longest time without a yield. At
+the end the tool prints how each of them grows with the number of machines, as the exponent of a power law fitted by
+least squares to the logarithms. All results are for simulated machines.
 """
 
 from __future__ import annotations
@@ -71,12 +72,13 @@
 rps = 3.0
 list_lag_s = 8.0
 """
-TYPES = [
+MACHINE_TYPES = [
     MachineType("wide", 32.0, 0.0, 128.0, ZONES, 100.0, 1.0, 1.0, 0.4, 40.0),
     MachineType("slim", 16.0, 0.0, 64.0, ZONES, 60.0, 1.0, 0.5, 0.2, 40.0),
 ]
-#: shape, priority, CPUs, sizes, whether in one zone, whether spread, weight
-SHAPES = [
+#: Job templates: kind, priority, CPUs of each task, numbers of tasks, whether all tasks run in one zone, whether
+#: the tasks are spread, and the weight with which the template is drawn.
+JOB_TEMPLATES = [
     (Kind.GANG, Priority.NORMAL, 15.0, (2, 6, 12, 24), True, False, 2),
     (Kind.GANG, Priority.HIGH, 8.0, (4, 16), False, True, 1),
     (Kind.ARRAY, Priority.LOW, 1.0, (40, 200, 1000, 4000), False, False, 6),
@@ -84,14 +86,21 @@
     (Kind.ARRAY, Priority.NORMAL, 4.0, (10, 60), True, False, 2),
     (Kind.SERVICE, Priority.PRODUCTION, 2.0, (3, 9), False, True, 1),
 ]
-#: a pass must not hold a controller for longer than this without a yield
-MOST_S = 0.2
+#: Longest time that a step may run without a yield, since a controller handles no requests meanwhile, in seconds.
+MAX_UNINTERRUPTED_S = 0.2
 
 
-class Model:
-    """Books of so many machines and waiting tasks, and workers that do what they are told."""
+class LeaderModel:
+    """The cluster state of a leader, with simulated workers that execute each command at once."""
 
     def __init__(self, machines: int, tasks: int, seed: int) -> None:
+        """Create an empty cluster state and draw the machines and jobs, which `take_over_steps` adds.
+
+        Args:
+            machines: Number of machines.
+            tasks: Number of tasks in all jobs.
+            seed: Seed of the random generator.
+        """
         self.rng = random.Random(seed)
         self.now = 1000.0
         text = SETTINGS + "".join(
@@ -99,17 +108,17 @@
             for i in range(TEAMS)
         )
         settings = platform.parse(text)
-        p = settings.params
-        self.registry = JobRegistry(p.teams, p.zones)
-        self.inventory = MachineInventory(self.registry, p.workers.lease_s, p.workers.report_s)
-        self.inventory.set_machine_types(TYPES)
+        params = settings.params
+        self.registry = JobRegistry(params.teams, params.zones)
+        self.inventory = MachineInventory(self.registry, params.workers.lease_s, params.workers.report_s)
+        self.inventory.set_machine_types(MACHINE_TYPES)
         self.dispatch = Dispatch(self.registry, self.inventory, 7)
         run_times = RunTimeEstimates()
-        policy_evaluator = PolicyEvaluator(policy.default(), p, self.registry, self.inventory)
-        view = SchedulingContext(
+        policy_evaluator = PolicyEvaluator(policy.default(), params, self.registry, self.inventory)
+        context = SchedulingContext(
             self.registry, self.inventory, self.dispatch, run_times, policy_evaluator.policy_values, Features()
         )
-        self.scheduler = Scheduler(view, p.objectives, p.workers.gang_wait_s)
+        self.scheduler = Scheduler(context, params.objectives, params.workers.gang_wait_s)
         health = MachineHealth(self.inventory, self.dispatch, run_times, 3)
         sketches = DurationSketches()
         self.reconciler = HeartbeatReconciler(
@@ -121,64 +130,73 @@
             StragglerDetector(self.inventory, health, 1.5, 8),
             sketches,
         )
-        self.answers = CommandBuilder(self.registry, sketches)
+        self.command_builder = CommandBuilder(self.registry, sketches)
         self.specs = list(self._specs(tasks))
         self.machines = [
-            (f"n-{i:06d}", self.rng.choice(TYPES).name, self.rng.choice(ZONES), self.rng.random() < 0.2)
+            (f"n-{i:06d}", self.rng.choice(MACHINE_TYPES).name, self.rng.choice(ZONES), self.rng.random() < 0.2)
             for i in range(machines)
         ]
-        self.sequence = dict.fromkeys((m[0] for m in self.machines), 0)
-        self.held: dict[str, dict[str, TaskStatus]] = {m[0]: {} for m in self.machines}
+        self.heartbeat_numbers = dict.fromkeys((machine[0] for machine in self.machines), 0)
+        self.task_statuses: dict[str, dict[str, TaskStatus]] = {machine[0]: {} for machine in self.machines}
 
     def _specs(self, tasks: int) -> Iterator[JobSpec]:
-        weights = [s[-1] for s in SHAPES]
+        weights = [template[-1] for template in JOB_TEMPLATES]
         count = 0
         while tasks > 0:
-            kind, priority, cpus, sizes, one_zone, spread, _ = self.rng.choices(SHAPES, weights)[0]
-            n = min(self.rng.choice(sizes), tasks)
-            tasks -= n
+            kind, priority, cpus, sizes, one_zone, spread, _ = self.rng.choices(JOB_TEMPLATES, weights)[0]
+            size = min(self.rng.choice(sizes), tasks)
+            tasks -= size
             count += 1
             image = self.rng.randrange(40)
             yield JobSpec(
-                f"j-{count:06d}", kind.value, f"t{self.rng.randrange(TEAMS)}", kind, priority, n, cpus, 0.0, cpus * 3,
-                f"image-{image}", 0.5 + image / 20, one_zone, spread, kind is Kind.ARRAY, 60.0, 15.0, 3.0,
+                f"j-{count:06d}", kind.value, f"t{self.rng.randrange(TEAMS)}", kind, priority, size, cpus, 0.0,
+                cpus * 3, f"image-{image}", 0.5 + image / 20, one_zone, spread, kind is Kind.ARRAY, 60.0, 15.0, 3.0,
             )  # fmt: skip
 
     def report(self, machine: int) -> list[Command]:
-        """One report of a machine, and its answer."""
+        """Reconcile one heartbeat of a machine, and execute the commands of the response.
+
+        Args:
+            machine: Index of the machine in `machines`.
+
+        Returns:
+            The commands of the response.
+        """
         name, kind, zone, spot = self.machines[machine]
-        self.sequence[name] += 1
-        held = self.held[name]
-        m = self.reconciler.reconcile(
-            Heartbeat(name, f"{name}:1", kind, zone, spot, 1, self.sequence[name], 7, None, list(held.values())),
+        self.heartbeat_numbers[name] += 1
+        statuses = self.task_statuses[name]
+        reconciled = self.reconciler.reconcile(
+            Heartbeat(
+                name, f"{name}:1", kind, zone, spot, 1, self.heartbeat_numbers[name], 7, None, list(statuses.values())
+            ),
             self.now,
             False,
         )
-        assert m is not None
-        self.scheduler.fill(m, self.now)
-        for allocation in m.allocations.values():  # grants are taken as written
+        assert reconciled is not None
+        self.scheduler.fill(reconciled, self.now)
+        # There is no state service: each grant counts as written, so that tasks may start.
+        for allocation in reconciled.allocations.values():
             allocation.job.granted_machines, allocation.job.granted_tasks_below = None, allocation.job.spec.tasks
-        commands = self.answers.build_commands(
-            m, Heartbeat(name, "", kind, zone, spot, 1, self.sequence[name]), self.now
+        commands = self.command_builder.build_commands(
+            reconciled, Heartbeat(name, "", kind, zone, spot, 1, self.heartbeat_numbers[name]), self.now
         )
-        for c in commands:
-            if c.op == "start":
-                held[c.task] = TaskStatus(c.task, c.attempt, TaskPhase.RUNNING)
-            elif c.op == "stop" and c.task in held:
-                held[c.task].state, held[c.task].why = TaskPhase.EXITED, ExitReason.STOPPED
-            elif c.op == "forget":
-                held.pop(c.task, None)
+        for command in commands:
+            if command.op == "start":
+                statuses[command.task] = TaskStatus(command.task, command.attempt, TaskPhase.RUNNING)
+            elif command.op == "stop" and command.task in statuses:
+                status = statuses[command.task]
+                status.state, status.why = TaskPhase.EXITED, ExitReason.STOPPED
+            elif command.op == "forget":
+                statuses.pop(command.task, None)
         return commands
 
-    def everyone(self) -> None:
-        """Deliver a heartbeat of every machine."""
+    def report_all(self) -> None:
+        """Reconcile one heartbeat of every machine."""
         for i in range(len(self.machines)):
             self.report(i)
 
-    # steps ------------------------------------------------------------------------------------------------
-
-    def take_over(self) -> Iterator[None]:
-        """The steps of a failover: machines and jobs from records, then a heartbeat of every machine."""
+    def take_over_steps(self) -> Iterator[None]:
+        """Run a failover: add machines and jobs from records, then reconcile a heartbeat of every machine."""
         for name, kind, zone, spot in self.machines:
             self.inventory.add_machine(name, f"{name}:1", kind, zone, spot, self.now, recorded=True)
         yield
@@ -192,30 +210,30 @@
             self.report(i)
             yield
 
-    def retarget(self) -> Iterator[None]:
-        """The steps of setting targets."""
+    def update_targets_steps(self) -> Iterator[None]:
+        """Update the scheduling targets."""
         self.now += 5.0
         return self.scheduler.update_targets_steps(self.now)
 
-    def one_pass(self) -> Iterator[None]:
-        """The steps of a full pass."""
+    def full_pass_steps(self) -> Iterator[None]:
+        """Run a full scheduling pass."""
         self.now += 1.0
         return self.scheduler.full_pass_steps(self.now)
 
-    def quiet_reports(self) -> Iterator[None]:
-        """Heartbeats of a hundred machines with nothing new."""
+    def unchanged_reports_steps(self) -> Iterator[None]:
+        """Reconcile heartbeats of 100 machines on which no task has changed."""
         self.now += 1.0
         for i in range(100):
             self.report(i * len(self.machines) // 100)
             yield
 
-    def busy_reports(self) -> Iterator[None]:
-        """Reports in each of which one task has ended; the room goes to what waits."""
+    def completion_reports_steps(self) -> Iterator[None]:
+        """Reconcile heartbeats of 100 machines, each with a completed task whose capacity is used for waiting tasks."""
         self.now += 1.0
         for i in range(100):
             machine = i * len(self.machines) // 100
-            held = self.held[self.machines[machine][0]]
-            ended = next((t for t in held.values() if t.state is TaskPhase.RUNNING), None)
+            statuses = self.task_statuses[self.machines[machine][0]]
+            ended = next((status for status in statuses.values() if status.state is TaskPhase.RUNNING), None)
             if ended is not None:
                 ended.state, ended.why = TaskPhase.EXITED, ExitReason.DONE
             self.report(machine)
@@ -223,47 +241,69 @@
 
 
 @dataclass
-class Cost:
-    """What some steps cost: operations, processor seconds, and the longest step in seconds."""
+class StepCost:
+    """The cost of one step.
 
-    operations: int = 0
-    seconds: float = 0.0
-    longest: float = 0.0
+    Attributes:
+        function_calls: Number of function calls.
+        processor_s: Processor time, in seconds.
+        longest_s: Longest processor time without a yield, in seconds.
+    """
+
+    function_calls: int = 0
+    processor_s: float = 0.0
+    longest_s: float = 0.0
 
 
 @dataclass
-class Table:
-    """What each step cost at each size."""
+class CostTable:
+    """The cost of each step for each number of machines.
+
+    Attributes:
+        costs: Costs by the name of the step and the number of machines.
+    """
+
+    costs: dict[str, dict[int, StepCost]] = field(default_factory=dict)
+
+    def exponent(self, step: str, measure_of: Callable[[StepCost], float]) -> float | None:
+        """Return the exponent with which a cost grows with the number of machines.
 
-    rows: dict[str, dict[int, Cost]] = field(default_factory=dict)
+        Args:
+            step: Name of the step.
+            measure_of: Returns the measure of a cost whose growth is computed.
 
-    def exponent(self, step: str, of: Callable[[Cost], float]) -> float | None:
-        """The slope of a straight line through the logarithms, by least squares; none with one size only."""
-        points = [(math.log(n), math.log(of(c))) for n, c in self.rows[step].items() if of(c) > 0]
+        Returns:
+            The slope of a least-squares line through the logarithms, or None with fewer than two positive values.
+        """
+        points = [
+            (math.log(machines), math.log(measure_of(cost)))
+            for machines, cost in self.costs[step].items()
+            if measure_of(cost) > 0
+        ]
         if len(points) < 2:
             return None
-        mx, my = (sum(p[i] for p in points) / len(points) for i in (0, 1))
-        spread = sum((x - mx) ** 2 for x, _ in points)
-        return sum((x - mx) * (y - my) for x, y in points) / spread
+        mean_x, mean_y = (sum(point[i] for point in points) / len(points) for i in (0, 1))
+        variation = sum((x - mean_x) ** 2 for x, _ in points)
+        return sum((x - mean_x) * (y - mean_y) for x, y in points) / variation
 
 
-def timed(steps: Iterable[None]) -> Cost:
-    """Run steps and return their processor time."""
-    cost = Cost()
+def measure_time(steps: Iterable[None]) -> StepCost:
+    """Run all steps and return their processor time and the longest time between two yields."""
+    cost = StepCost()
     clock = time.process_time
     begin = since = clock()
     for _ in steps:
         now = clock()
-        cost.longest = max(cost.longest, now - since)
+        cost.longest_s = max(cost.longest_s, now - since)
         since = now
     end = clock()
-    cost.longest = max(cost.longest, end - since)
-    cost.seconds = end - begin
+    cost.longest_s = max(cost.longest_s, end - since)
+    cost.processor_s = end - begin
     return cost
 
 
-def counted(steps: Iterable[None]) -> int:
-    """Run steps and return the number of function calls."""
+def count_function_calls(steps: Iterable[None]) -> int:
+    """Run all steps and return the number of function calls."""
     calls = 0
 
     def count(frame: object, event: str, argument: object) -> None:
@@ -279,77 +319,99 @@
     return calls
 
 
-def measure(machines: int, tasks: int, seed: int, count: bool) -> dict[str, Cost]:
-    """Every step at one size; operations are counted on a second model with the same seed."""
-    found: dict[str, Cost] = {}
+def measure(machines: int, tasks: int, seed: int, count: bool) -> dict[str, StepCost]:
+    """Measure every step with one number of machines.
+
+    Function calls are counted on a second model with the same seed, because counting slows the steps down.
+
+    Args:
+        machines: Number of machines.
+        tasks: Number of tasks in all jobs.
+        seed: Seed of the model.
+        count: Whether function calls are counted.
+
+    Returns:
+        The cost of each step, by the name of the step.
+    """
+    costs: dict[str, StepCost] = {}
     for counting in (False, True) if count else (False,):
-        model = Model(machines, tasks, seed)
+        model = LeaderModel(machines, tasks, seed)
         gc.collect()
         gc.freeze()
-        plan: list[tuple[str, Callable[[], Iterator[None]]]] = [
-            ("taking over", model.take_over),
-            ("targets, empty fleet", model.retarget),
-            ("first full pass", model.one_pass),
-            ("targets", model.retarget),
-            ("full pass", model.one_pass),
-            ("100 quiet reports", model.quiet_reports),
-            ("100 reports with an end", model.busy_reports),
-            ("full pass after them", model.one_pass),
+        steps_by_name: list[tuple[str, Callable[[], Iterator[None]]]] = [
+            ("taking over", model.take_over_steps),
+            ("targets, empty fleet", model.update_targets_steps),
+            ("first full pass", model.full_pass_steps),
+            ("targets", model.update_targets_steps),
+            ("full pass", model.full_pass_steps),
+            ("100 quiet reports", model.unchanged_reports_steps),
+            ("100 reports with an end", model.completion_reports_steps),
+            ("full pass after them", model.full_pass_steps),
         ]
-        for name, step in plan:
+        for name, step in steps_by_name:
             if name == "targets":
-                model.everyone()
+                model.report_all()
                 model.now += 30.0
-                model.everyone()
+                model.report_all()
             if counting:
-                found[name].operations = counted(step())
+                costs[name].function_calls = count_function_calls(step())
             else:
-                found[name] = timed(step())
+                costs[name] = measure_time(step())
         gc.unfreeze()
-    return found
+    return costs
 
 
-def show(table: Table, machines: int) -> None:
-    """Print the rows of one size."""
+def print_costs(table: CostTable, machines: int) -> None:
+    """Print the cost of each step for one number of machines."""
     print(f"\n{machines} machines")
     print(f"  {'step':26} {'operations':>12} {'processor s':>12} {'longest ms':>11}")
-    for step, costs in table.rows.items():
-        c = costs[machines]
-        over = "  over the bound" if c.longest > MOST_S else ""
-        print(f"  {step:26} {c.operations:12,d} {c.seconds:12.3f} {1000 * c.longest:11.1f}{over}", flush=True)
+    for step, costs in table.costs.items():
+        cost = costs[machines]
+        over = "  over the bound" if cost.longest_s > MAX_UNINTERRUPTED_S else ""
+        print(
+            f"  {step:26} {cost.function_calls:12,d} {cost.processor_s:12.3f} {1000 * cost.longest_s:11.1f}{over}",
+            flush=True,
+        )
 
 
 def main() -> int:
-    """Measure the sizes that the command line names; return the exit status."""
-    parser = argparse.ArgumentParser(description="Measures the cost of decisions as machines grow in number.")
+    """Measure with the numbers of machines given on the command line, and return the exit status."""
+    parser = argparse.ArgumentParser(
+        description="Measures how the cost of scheduling decisions grows with the number of machines."
+    )
     parser.add_argument(
         "--machines", type=int, nargs="+", metavar="N", default=[5000],
-        help="sizes to measure; with one, a quarter and a half of it are measured too, for the exponent",
+        help="numbers of machines to measure; with one, a quarter and a half of it are measured too, for the exponent",
     )  # fmt: skip
     parser.add_argument(
-        "--tasks", type=int, default=1_000_000, metavar="N", help="tasks in all jobs (default: 1,000,000)"
+        "--tasks", type=int, default=1_000_000, metavar="N", help="number of tasks in all jobs (default: 1,000,000)"
     )
     parser.add_argument("--seed", type=int, default=1, metavar="S")
-    parser.add_argument("--no-count", action="store_true", help="only time, do not count operations")
+    parser.add_argument("--no-count", action="store_true", help="measure time only, do not count operations")
     options = parser.parse_args()
     if min(options.machines) < 100 or options.tasks < 1:
-        parser.error("at least 100 machines and one task")
+        parser.error(f"expected at least 100 machines and 1 task, found {min(options.machines)} and {options.tasks}")
     sizes = sorted(set(options.machines))
     if len(sizes) == 1:
         sizes = [max(100, sizes[0] // 4), max(100, sizes[0] // 2), sizes[0]]
-    table = Table()
-    for n in sizes:
-        for step, cost in measure(n, options.tasks, options.seed, not options.no_count).items():
-            table.rows.setdefault(step, {})[n] = cost
-        show(table, n)
+    table = CostTable()
+    for machines in sizes:
+        for step, cost in measure(machines, options.tasks, options.seed, not options.no_count).items():
+            table.costs.setdefault(step, {})[machines] = cost
+        print_costs(table, machines)
     print("\ngrowth with the number of machines, as an exponent")
     print(f"  {'step':26} {'operations':>12} {'processor s':>12} {'longest ms':>11}")
-    measures: list[Callable[[Cost], float]] = [lambda c: c.operations, lambda c: c.seconds, lambda c: c.longest]
-    for step in table.rows:
-        slopes = [table.exponent(step, of) for of in measures]
+    measures: list[Callable[[StepCost], float]] = [
+        lambda cost: cost.function_calls, lambda cost: cost.processor_s, lambda cost: cost.longest_s,
+    ]  # fmt: skip
+    for step in table.costs:
+        exponents = [table.exponent(step, measure_of) for measure_of in measures]
         print(
             f"  {step:26}"
-            + "".join(f"{'-' if s is None else f'{s:.2f}':>{w}}" for s, w in zip(slopes, (13, 13, 12), strict=True))
+            + "".join(
+                f"{'-' if exponent is None else f'{exponent:.2f}':>{width}}"
+                for exponent, width in zip(exponents, (13, 13, 12), strict=True)
+            )
         )
     return 0
 
