--- a/tools/history_digest.py
+++ b/tools/history_digest.py
@@ -1,13 +1,13 @@
-"""Digests of what several simulated clusters did, to tell whether a change of the code changed any decision.
+"""Prints digests of the behaviour of simulated clusters, which show whether a change of the code changes a decision.
 
     python3 tools/history_digest.py [--only NAME] > digests.txt
 
-Plays seeded schedules of troubles over real controllers on simulated time (`simulation.cluster`) and prints for each a
-sha256 digest of what could be seen from outside: each answer to a user, each set of orders that a worker executed, each
-request that changed the state service, in order, with simulated time in milliseconds. Only messages as they are sent
-are taken in, no name of the code. `tests/fixtures/history_digests.txt` is the output before packages, modules, classes
-and fields were renamed: a change that is meant to move or rename only has to print the same. A change that decides
-otherwise on purpose prints other digests, which is why no test compares them. Needs what the tests need.
+The tool runs real controllers on simulated time (`simulation.cluster`) under seeded schedules of faults. For each
+scenario it prints a SHA-256 digest of the externally visible events: each response to a user, each set of commands that
+a worker executed, and each request that changed the state service, in order, with the simulated time in milliseconds.
+The digest covers messages as they are sent and no identifiers of the code, so that a change that only moves or renames
+code must print the digests in `tests/fixtures/history_digests.txt`. A change that alters decisions on purpose prints
+other digests, which is why no test compares them. The tool needs the same packages as the tests.
 """
 
 from __future__ import annotations
@@ -38,9 +38,10 @@
 
 Schedule = list[tuple[float, tuple[object, ...]]]
 
-#: where jobs of the first play may run
-PLACES: list[dict[str, Any]] = [{"quay": "a"}, {"samePlace": True}, {"scatter": True}, {}]
+#: Placement constraints of the jobs of the first scenario.
+PLACEMENT_CONSTRAINTS: list[dict[str, Any]] = [{"quay": "a"}, {"samePlace": True}, {"scatter": True}, {}]
 
+#: Crashed, restarted and hung controllers and machines, each after a pause in seconds.
 CRASHES: Schedule = [
     (6.0, ("crash", "node-0", 5.0)),
     (9.0, ("blink", {"node-1", "node-2"}, 0.3)),
@@ -50,7 +51,8 @@
     (9.0, ("cancels", 4, 8.0)),
     (6.0, ("taken", 2)),
 ]
-CUTS: Schedule = [
+#: Interrupted and slow network links, each after a pause in seconds.
+LINK_FAULTS: Schedule = [
     (5.0, ("gap", 3.0, 15.0, LinkMode.REFUSED)),
     (30.0, ("alone", "node-1", LinkMode.HELD)),
     (12.0, ("heal",)),
@@ -58,7 +60,8 @@
     (7.0, ("cut", "node-2", "a", LinkMode.ANSWERS_LOST)),
     (10.0, ("zone", "node-0", "b", 20.0)),
 ]
-LATE: Schedule = [
+#: Late, lost and repeated messages, each after a pause in seconds.
+MESSAGE_FAULTS: Schedule = [
     (4.0, ("copies", 0.2, 30.0)),
     (6.0, ("late writes", 0.3, 20.0)),
     (6.0, ("late orders", 0.5, 30.0)),
@@ -72,8 +75,8 @@
 ]
 
 
-def gangs_and_services() -> None:
-    """No trouble: arrays, gangs and services of all priorities, bound to zones and spread, on more work than fits."""
+def run_gangs_and_services() -> None:
+    """Run arrays, gangs and services of all priorities and placement constraints, without faults, on a full cluster."""
     with simulated() as loop:
         world = SimulatedCluster(loop, seed=41, machines=8)
         world.crowd(3.0, 100.0)
@@ -81,17 +84,17 @@
         for number in range(24):
             shape = ("ensemble", "array", "daemon")[number % 3]
             rank = ("critical", "high", "standard", "best_effort")[number % 4]
-            allocation = PLACES[number // 2 % len(PLACES)]
+            constraints = PLACEMENT_CONSTRAINTS[number // 2 % len(PLACEMENT_CONSTRAINTS)]
             world.submit(
-                ("red", "blue")[number % 2], 2 + number % 5, 1.0 + number % 3, shape=shape, rank=rank, **allocation
+                ("red", "blue")[number % 2], 2 + number % 5, 1.0 + number % 3, shape=shape, rank=rank, **constraints
             )
             gevent.sleep(4)
         world.cancel_now(5)
         gevent.sleep(60)
 
 
-def one_controller() -> None:
-    """One controller alone, whose process ends twice."""
+def run_one_controller() -> None:
+    """Run a cluster with a single controller that crashes and restarts twice."""
     with simulated() as loop:
         world = SimulatedCluster(loop, seed=42, controllers=1, machines=6)
         world.cancelling = 0.3
@@ -104,75 +107,91 @@
         gevent.sleep(60)
 
 
-PLAYS: dict[str, Callable[[], object]] = {
-    "gangs and services": gangs_and_services,
-    "one controller": one_controller,
+#: Scenarios by the name that is printed.
+SCENARIOS: dict[str, Callable[[], object]] = {
+    "gangs and services": run_gangs_and_services,
+    "one controller": run_one_controller,
     "crashes": lambda: played(CRASHES, 43),
-    "cuts": lambda: played(CUTS, 44),
-    "late messages": lambda: played(LATE, 45),
+    "cuts": lambda: played(LINK_FAULTS, 44),
+    "late messages": lambda: played(MESSAGE_FAULTS, 45),
     "crashes, reports over any controller": lambda: played(CRASHES, 46, rules=SPREAD),
-    "cuts, reports over any controller": lambda: played(CUTS, 47, rules=SPREAD),
-    "late messages, reports over any controller": lambda: played(LATE, 48, rules=SPREAD),
+    "cuts, reports over any controller": lambda: played(LINK_FAULTS, 47, rules=SPREAD),
+    "late messages, reports over any controller": lambda: played(MESSAGE_FAULTS, 48, rules=SPREAD),
 }
 
 
-class History:
-    """A running digest of what was seen, and how much that was."""
+class HistoryDigest:
+    """A running digest of the visible events.
+
+    Attributes:
+        digest: The SHA-256 digest of the events so far.
+        responses: Number of responses to users.
+        commands: Number of commands that workers executed.
+        commits: Number of successful transactions of the state service.
+    """
 
     def __init__(self) -> None:
         self.digest = hashlib.sha256()
-        self.answers = self.orders = self.writes = 0
+        self.responses = self.commands = self.commits = 0
 
     def add(self, seconds: float, what: str, content: bytes) -> None:
-        """Take in one event at a simulated time."""
+        """Add one event to the digest.
+
+        Args:
+            seconds: Simulated time of the event, in seconds.
+            what: Kind of the event and the names of the participants.
+            content: The message.
+        """
         self.digest.update(f"{round(seconds * 1000)} {what} {len(content)} ".encode() + content + b"\n")
 
 
 @contextmanager
-def recorded() -> Iterator[History]:
-    """All that users are told, workers are told and the state service is made to change, while it lasts."""
-    history = History()
+def record_digest() -> Iterator[HistoryDigest]:
+    """Return a digest of all visible events of simulated clusters that run within the context."""
+    history = HistoryDigest()
     told, obey, request = ClientHistory.told, SimulatedWorker.obey, KeyValueStoreEmulator.request
 
-    def told_and_kept(
+    def record_response(
         self: ClientHistory, status: int, body: bytes, asked: float, now: float, calm_at: float, undone: list[str]
     ) -> ClientObservation:
-        history.answers += 1
+        history.responses += 1
         history.add(now, f"user {self.ref} {status}", body)
         return told(self, status, body, asked, now, calm_at, undone)
 
-    def obeyed_and_kept(self: SimulatedWorker, orders: HeartbeatResponse) -> None:
-        history.orders += len(orders.commands)
-        history.add(self.basis.loop.time, f"worker {self.name} {self.epoch}", msgspec.json.encode(orders))
-        obey(self, orders)
+    def record_commands(self: SimulatedWorker, response: HeartbeatResponse) -> None:
+        history.commands += len(response.commands)
+        history.add(self.basis.loop.time, f"worker {self.name} {self.epoch}", msgspec.json.encode(response))
+        obey(self, response)
 
-    def requested_and_kept(
+    def record_store_request(
         self: KeyValueStoreEmulator, method: str, path: str, body: bytes, timeout: float
     ) -> tuple[int, bytes]:
-        status, answer = request(self, method, path, body, timeout)
+        status, response = request(self, method, path, body, timeout)
         if method != "GET":
-            history.writes += status == 200 and path == "/commit"
-            history.add(self.clock(), f"store {method} {path} {status}", body + b" " + answer)
-        return status, answer
+            history.commits += status == 200 and path == "/commit"
+            history.add(self.clock(), f"store {method} {path} {status}", body + b" " + response)
+        return status, response
 
     with (
-        mock.patch.object(ClientHistory, "told", told_and_kept),
-        mock.patch.object(SimulatedWorker, "obey", obeyed_and_kept),
-        mock.patch.object(KeyValueStoreEmulator, "request", requested_and_kept),
+        mock.patch.object(ClientHistory, "told", record_response),
+        mock.patch.object(SimulatedWorker, "obey", record_commands),
+        mock.patch.object(KeyValueStoreEmulator, "request", record_store_request),
     ):
         yield history
 
 
 def main() -> int:
-    """Play and print; return the exit status."""
-    parser = argparse.ArgumentParser(description="Prints digests of what simulated clusters did.")
-    parser.add_argument("--only", choices=list(PLAYS), metavar="NAME", help="one play: " + "; ".join(PLAYS))
+    """Run the scenarios, print their digests and return the exit status."""
+    parser = argparse.ArgumentParser(description="Prints digests of the behaviour of simulated clusters.")
+    parser.add_argument(
+        "--only", choices=list(SCENARIOS), metavar="NAME", help="run one scenario only: " + "; ".join(SCENARIOS)
+    )
     options = parser.parse_args()
-    for name, play in PLAYS.items():
+    for name, run_scenario in SCENARIOS.items():
         if options.only in (None, name):
-            with recorded() as history:
-                play()
-            counts = f"{history.answers} answers, {history.orders} commands, {history.writes} commits"
+            with record_digest() as history:
+                run_scenario()
+            counts = f"{history.responses} answers, {history.commands} commands, {history.commits} commits"
             print(f"{history.digest.hexdigest()}  {name}: {counts}", flush=True)
     return 0
 
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -4,7 +4,7 @@
 
 `decisions` measures the steps of `decisions.py` with each number of machines and each seed, with 25 tasks per machine.
 `books` measures the resident memory of the cluster state by numbers of machines and waiting tasks. `bytes` measures
-the encoded sizes of records, heartbeats, responses and messages between controllers, and the time to check the settings.
+the encoded sizes of records, heartbeats, responses and messages between controllers, and the time to check settings.
 The tool prints one line of JSON for each size, with the values of all seeds in order. All results are for simulated
 machines.
 """
