--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail is held to its rules."""
+"""Tests that KNOWN-RED.txt, the list of tests that are expected to fail, is applied and validated."""
 
 from __future__ import annotations
 
@@ -18,15 +18,23 @@
 
 @pytest.fixture(params=[(), ("-n", "2")], ids=["in one process", "in several"], autouse=True)
 def processes(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The test command runs tests in several processes."""
+    """Run each test with one process and with several, since pytest-xdist applies the list in worker processes."""
     monkeypatch.setattr("test_known_red.PROCESSES", request.param)
 
 
 PROCESSES: tuple[str, ...] = ()
 
 
-def run(pytester: pytest.Pytester, *lines: str) -> tuple[int, str]:
-    """Run two tests, one of which fails, under a list of these lines; without lines the file is missing."""
+def run_listed(pytester: pytest.Pytester, *lines: str) -> tuple[int, str]:
+    """Run two tests, one of which fails, with a list of known failures.
+
+    Args:
+        pytester: Fixture that runs pytest.
+        lines: Lines of the list; without lines the file is missing.
+
+    Returns:
+        The exit status and the output of pytest.
+    """
     pytester.makepyfile(test_it=TESTS)
     here = Path(__file__).parent
     pytester.mkpydir("support")
@@ -39,23 +47,23 @@
 
 
 @pytest.mark.parametrize("lines", [("none",), (HEADER, "none")])
-def test_with_an_empty_list_a_failure_is_one(pytester: pytest.Pytester, lines: tuple[str, ...]) -> None:
-    status, said = run(pytester, *lines)
-    assert status == pytest.ExitCode.TESTS_FAILED and "FAILED test_it.py::test_bad" in said
+def test_failure_fails_the_run_with_an_empty_list(pytester: pytest.Pytester, lines: tuple[str, ...]) -> None:
+    status, output = run_listed(pytester, *lines)
+    assert status == pytest.ExitCode.TESTS_FAILED and "FAILED test_it.py::test_bad" in output
 
 
-def test_without_a_list_no_test_runs(pytester: pytest.Pytester) -> None:
-    status, said = run(pytester)
-    assert status == pytest.ExitCode.USAGE_ERROR and "KNOWN-RED.txt is missing" in said
+def test_no_test_runs_without_a_list(pytester: pytest.Pytester) -> None:
+    status, output = run_listed(pytester)
+    assert status == pytest.ExitCode.USAGE_ERROR and "KNOWN-RED.txt is missing" in output
 
 
-def test_a_listed_failure_is_passed_over_and_printed(pytester: pytest.Pytester) -> None:
-    status, said = run(pytester, HEADER, "test_it.py::test_bad | pytest -q, seed 3 | the cause | issue 7")
-    assert status == 0 and "known red: test_it.py::test_bad: the cause (pytest -q, seed 3); issue 7" in said
+def test_listed_failure_is_printed_and_does_not_fail_the_run(pytester: pytest.Pytester) -> None:
+    status, output = run_listed(pytester, HEADER, "test_it.py::test_bad | pytest -q, seed 3 | the cause | issue 7")
+    assert status == 0 and "known red: test_it.py::test_bad: the cause (pytest -q, seed 3); issue 7" in output
 
 
 @pytest.mark.parametrize(
-    ("lines", "told"),
+    ("lines", "message"),
     [
         ([HEADER, BAD, GOOD], "FAILED test_it.py::test_good"),
         ([HEADER, BAD, BAD.replace("test_bad", "test_none")], "no test has the name"),
@@ -65,19 +73,19 @@
         ([""], "the header"),
     ],
 )
-def test_what_must_not_stand_there_fails_the_run(pytester: pytest.Pytester, lines: list[str], told: str) -> None:
-    status, said = run(pytester, *lines)
-    assert status != 0 and told in said
+def test_invalid_entry_fails_the_run(pytester: pytest.Pytester, lines: list[str], message: str) -> None:
+    status, output = run_listed(pytester, *lines)
+    assert status != 0 and message in output
 
 
-def test_an_entry_has_four_fields() -> None:
+def test_entry_has_four_fields() -> None:
     listed = parse_known_failures(f"{HEADER}\ntests/test_x.py::test_y[a|b] | run.py x, seed 3 |  two leaders | 12 \n")
     name = "tests/test_x.py::test_y[a|b]"
     assert listed == {name: KnownFailure(name, "run.py x, seed 3", "two leaders", "12")}
 
 
 @pytest.mark.parametrize(
-    ("lines", "told"),
+    ("lines", "message"),
     [
         ([], "neither 'none' nor entries"),
         ([HEADER], "neither 'none' nor entries"),
@@ -97,6 +105,6 @@
         ([HEADER, *[BAD] * 4], "4 entries, 3 are allowed"),
     ],
 )
-def test_a_malformed_list_is_refused(lines: list[str], told: str) -> None:
-    with pytest.raises(KnownRedError, match=told):
+def test_malformed_list_is_rejected(lines: list[str], message: str) -> None:
+    with pytest.raises(KnownRedError, match=message):
         parse_known_failures("".join(f"{line}\n" for line in lines))
--- a/tests/test_served.py
+++ b/tests/test_served.py
@@ -1,4 +1,4 @@
-"""tools/served.py counts what a day served from its report and from the service's log events."""
+"""Tests that tools/served.py counts the completed jobs of a simulated day in its report and in log events."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def _tool() -> Any:
+def _load_tool() -> Any:
     spec = importlib.util.spec_from_file_location("served", ROOT / "tools" / "served.py")
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
-    sys.modules["served"] = module  # dataclasses look themselves up there
+    sys.modules["served"] = module  # `dataclass` looks up the module of a class in `sys.modules`
     spec.loader.exec_module(module)
     return module
 
 
-served = _tool()
+served = _load_tool()
 
 REPORT = {
     "classes": {
@@ -41,7 +41,7 @@
     ],
 }
 
-#: tasks, class, team, seconds before the start, last event
+#: Number of tasks, class, team, waiting time in seconds, and last event of each job.
 JOBS = {
     "j-1": (26, "etl", "ops", 3.2, "done"),
     "j-2": (30, "etl", "ops", 241.0, "done"),
@@ -52,7 +52,7 @@
     "j-7": (2, "web", "ops", None, "cancelled before"),
 }
 
-PRINTED = """\
+EXPECTED_OUTPUT = """\
 class                      jobs   done  share   shares of its aims
 etl                           5      4  0.800   start 60: 0.75; slowdown 2: 0.5
 web                           2      2  1.000   start 5: 1.0
@@ -71,7 +71,7 @@
 
 
 def log_lines() -> list[str]:
-    """The log of `JOBS` as a bench writes it, with lines that are no events or only look like some."""
+    """Return a log of `JOBS` in the format of a simulated day, with lines that are no events or malformed events."""
     lines = ["starting", "   0.0 c1 INFO grebestand.api: job_accepted job_id=", "9.0 c1 INFO a: job_started wait_s=1"]
 
     def add(event: str, **fields: object) -> None:
@@ -91,7 +91,7 @@
     return lines
 
 
-def run(directory: Path, report: object, lines: list[str], *options: str) -> int:
+def run_tool(directory: Path, report: object, lines: list[str], *options: str) -> int:
     (directory / "report.json").write_text(json.dumps(report))
     (directory / "log").write_text("\n".join(lines))
     status: int = served.main([str(directory / "report.json"), str(directory / "log"), *options])
@@ -106,26 +106,26 @@
         (("--floor", "0.9"), 0.9, "etl, two words, largest of etl, largest of web", 1),
     ],
 )
-def test_shares_are_printed_and_held_to_the_floor(
+def test_shares_are_printed_and_compared_with_the_floor(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], options: tuple[str, ...], floor: float, below: str, status: int
 ) -> None:
-    assert run(tmp_path, REPORT, log_lines(), *options) == status
-    assert capsys.readouterr().out == PRINTED.format(floor=floor, below=below)
+    assert run_tool(tmp_path, REPORT, log_lines(), *options) == status
+    assert capsys.readouterr().out == EXPECTED_OUTPUT.format(floor=floor, below=below)
 
 
-def test_a_log_without_events_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert run(tmp_path, REPORT, ["INFO grebestand.api: accepted j-1: array of 26 tasks of etl for ops"]) == 1
-    said = capsys.readouterr().out
-    assert "none: the service does not log the class of what it accepts" in said
-    assert "no class or no team found" in said and "below" not in said
+def test_log_without_events_is_reported(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    assert run_tool(tmp_path, REPORT, ["INFO grebestand.api: accepted j-1: array of 26 tasks of etl for ops"]) == 1
+    output = capsys.readouterr().out
+    assert "none: the service does not log the class of what it accepts" in output
+    assert "no class or no team found" in output and "below" not in output
 
 
-def test_a_report_without_classes_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert run(tmp_path, {"classes": {}, "targets": []}, log_lines()) == 1
+def test_report_without_classes_is_reported(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    assert run_tool(tmp_path, {"classes": {}, "targets": []}, log_lines()) == 1
     assert "no class or no team found" in capsys.readouterr().out
 
 
-def test_a_tenth_of_many_jobs_is_largest() -> None:
+def test_largest_jobs_are_a_tenth_of_many_jobs() -> None:
     lines = [f"INFO a: job_accepted job_id=j-{i} tasks={i} class=etl team=ops" for i in range(1, 51)]
     (row,) = served.count_largest(served.read_job_log(lines))
-    assert (row.jobs, row.tasks, row.done_share, row.begun_share) == (5, 46, 0.0, 0.0)
+    assert (row.jobs, row.tasks, row.done_share, row.started_share) == (5, 46, 0.0, 0.0)
--- a/tools/served.py
+++ b/tools/served.py
@@ -1,16 +1,18 @@
 #!/usr/bin/env python3
-"""Prints what share of each class's and of each team's jobs a day served.
+"""Prints the share of jobs that a simulated day completed, by job class and by team.
 
     python3 tools/served.py REPORT LOG [--floor 0.5]
 
-REPORT is the JSON report of a day that a bench ran, LOG the output of that run with the log level `info`.
+REPORT is the JSON report of a simulated day, and LOG the output of the same run with the log level `info`.
 
-Classes come from the report: jobs done of those that their users did not cancel, and beside it the class's share of
-each of its aims. Teams come from the events that the service logs (`job_accepted`, `job_finished`, `job_cancelled`): a
-job whose last event was lost with a crash counts as not served. The largest tenth of each class's jobs, three at least,
-is counted where `job_accepted` has the class and the number of tasks; `job_started` tells how long such a job waited.
+The shares of classes come from the report: completed jobs among those that their users did not cancel, followed by the
+values of the class's objectives. The shares of teams come from the log events `job_accepted`, `job_finished` and
+`job_cancelled`; a job whose last event was lost in a crash counts as not completed. The largest tenth of each class's
+jobs, and at least three of them, are also counted on their own: `job_accepted` has the class and the number of tasks,
+and `job_started` the waiting time.
 
-Exits with 1 if a class, a team or the largest jobs of a class lie below the floor, or if nothing was found.
+The exit status is 1 if a class, a team or the largest jobs of a class have a share below the floor, or if no class or
+no team was found.
 """
 
 from __future__ import annotations
@@ -31,12 +33,12 @@
 
 DEFAULT_FLOOR = 0.5
 
-#: the largest jobs of a class should have begun within this time
-BEGIN_WITHIN_S = 240.0
+#: Time within which the largest jobs of a class should have started, in seconds.
+START_WITHIN_S = 240.0
 
-#: the largest jobs of a class are one in this many, but no fewer than `FEWEST_LARGEST`
-ONE_LARGEST_IN = 10
-FEWEST_LARGEST = 3
+#: The largest jobs of a class are its jobs divided by this number, but at least `MIN_LARGEST`.
+LARGEST_DIVISOR = 10
+MIN_LARGEST = 3
 
 STATE_DONE = "done"
 STATE_CANCELLED = "cancelled"
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True)
 class JobSize:
-    """The number of tasks and the class of an accepted job."""
+    """Number of tasks and class of an accepted job."""
 
     tasks: int
     class_name: str
@@ -52,7 +54,15 @@
 
 @dataclass
 class JobLog:
-    """What a log says of its jobs, by job id."""
+    """Data of the jobs in a log, by job id.
+
+    Attributes:
+        teams: Team of each accepted job.
+        sizes: Number of tasks and class of each accepted job, if logged.
+        waits_s: Waiting time before the first start of each job, in seconds.
+        done: Ids of completed jobs.
+        cancelled: Ids of cancelled jobs.
+    """
 
     teams: dict[str, str] = field(default_factory=dict)
     sizes: dict[str, JobSize] = field(default_factory=dict)
@@ -60,19 +70,19 @@
     done: set[str] = field(default_factory=set)
     cancelled: set[str] = field(default_factory=set)
 
-    def counts(self, job_id: str) -> bool:
-        """Whether the job should have been served: it was not cancelled, or was done all the same."""
+    def is_counted(self, job_id: str) -> bool:
+        """Return whether a job is counted: it was not cancelled, or completed before the cancellation took effect."""
         return job_id not in self.cancelled or job_id in self.done
 
     def add(self, event: str, fields: dict[str, str]) -> None:
-        """Take in one event of the log; other events and events without a job id are passed over."""
+        """Add one event of the log; events of other kinds and events without a job id are ignored."""
         job_id = fields.get("job_id")
         if job_id is None:
             return
         if event == "job_accepted":
             self._accept(job_id, fields)
         elif event == "job_started":
-            wait_s = _as_number(fields.get("wait_s"))
+            wait_s = _parse_number(fields.get("wait_s"))
             if wait_s is not None:
                 self.waits_s.setdefault(job_id, wait_s)
         elif event == "job_finished" and fields.get("state") == STATE_DONE:
@@ -91,29 +101,37 @@
 
 @dataclass
 class ServedCount:
-    """How many jobs there were, and how many of them were done."""
+    """Number of jobs, and number of completed jobs among them."""
 
     jobs: int = 0
     done: int = 0
 
     @property
     def share(self) -> float:
-        """The share of the jobs that were done; of no jobs, all."""
+        """Share of completed jobs; 1.0 without jobs."""
         return self.done / self.jobs if self.jobs else 1.0
 
 
 @dataclass(frozen=True)
 class LargestJobs:
-    """How the largest jobs of a class fared; `tasks` is the size of the smallest of them."""
+    """Results of the largest jobs of a class.
+
+    Attributes:
+        class_name: Name of the class.
+        jobs: Number of these jobs.
+        tasks: Number of tasks of the smallest of these jobs.
+        done_share: Share of these jobs that completed.
+        started_share: Share of these jobs that started within `START_WITHIN_S`.
+    """
 
     class_name: str
     jobs: int
     tasks: int
     done_share: float
-    begun_share: float
+    started_share: float
 
 
-def _as_number(text: str | None) -> float | None:
+def _parse_number(text: str | None) -> float | None:
     try:
         return None if text is None else float(text)
     except ValueError:
@@ -121,7 +139,7 @@
 
 
 def read_job_log(lines: Iterable[str]) -> JobLog:
-    """Return what the events in a log's lines say of its jobs."""
+    """Return the data of the jobs in the events of a log."""
     log = JobLog()
     for line in lines:
         parsed = parse_log_event(line)
@@ -131,7 +149,7 @@
 
 
 def count_classes(report: dict[str, Any]) -> dict[str, ServedCount]:
-    """Return the jobs of each class of a report, without those that their users cancelled."""
+    """Count the jobs of each class in a report, without those that their users cancelled."""
     return {
         name: ServedCount(jobs=counts["jobs"] - counts.get("cancelled", 0), done=counts["done"])
         for name, counts in report["classes"].items()
@@ -139,47 +157,47 @@
 
 
 def count_teams(log: JobLog) -> dict[str, ServedCount]:
-    """Return the jobs of each team, the worst served team first."""
+    """Count the jobs of each team, sorted by the share of completed jobs from the lowest on."""
     teams: defaultdict[str, ServedCount] = defaultdict(ServedCount)
     for job_id, team in log.teams.items():
-        if log.counts(job_id):
+        if log.is_counted(job_id):
             teams[team].jobs += 1
             teams[team].done += job_id in log.done
     return dict(sorted(teams.items(), key=lambda item: item[1].share))
 
 
 def count_largest(log: JobLog) -> list[LargestJobs]:
-    """Return how the largest jobs of each class fared, classes by name."""
-    found = []
+    """Count the largest jobs of each class, sorted by the name of the class."""
+    results = []
     for class_name in sorted({size.class_name for size in log.sizes.values()}):
         jobs = sorted(
             (size.tasks, job_id)
             for job_id, size in log.sizes.items()
-            if size.class_name == class_name and log.counts(job_id)
+            if size.class_name == class_name and log.is_counted(job_id)
         )
-        largest = jobs[-max(FEWEST_LARGEST, len(jobs) // ONE_LARGEST_IN) :]
+        largest = jobs[-max(MIN_LARGEST, len(jobs) // LARGEST_DIVISOR) :]
         if largest:
-            found.append(_count_fared(log, class_name, largest))
-    return found
+            results.append(_summarize_largest(log, class_name, largest))
+    return results
 
 
-def _count_fared(log: JobLog, class_name: str, largest: Sequence[tuple[int, str]]) -> LargestJobs:
+def _summarize_largest(log: JobLog, class_name: str, largest: Sequence[tuple[int, str]]) -> LargestJobs:
     done = sum(job_id in log.done for _, job_id in largest)
-    begun = sum(log.waits_s.get(job_id, float("inf")) <= BEGIN_WITHIN_S for _, job_id in largest)
+    started = sum(log.waits_s.get(job_id, float("inf")) <= START_WITHIN_S for _, job_id in largest)
     smallest_tasks, _ = largest[0]
-    return LargestJobs(class_name, len(largest), smallest_tasks, done / len(largest), begun / len(largest))
+    return LargestJobs(class_name, len(largest), smallest_tasks, done / len(largest), started / len(largest))
 
 
 def print_classes(report: dict[str, Any], classes: dict[str, ServedCount]) -> None:
-    """Print a line for each class, with the class's share of each of its aims."""
+    """Print a line for each class, with the values of the class's objectives."""
     print(f"{'class':24} {'jobs':>6} {'done':>6} {'share':>6}   shares of its aims")
     for name, count in classes.items():
-        aims = "; ".join(
+        objectives = "; ".join(
             f"{target['kind']} {target.get('within_s') or target.get('times')}: {target['value']}"
             for target in report["targets"]
             if target.get("class") == name
         )
-        print(f"{name:24} {count.jobs:6d} {count.done:6d} {count.share:6.3f}   {aims}")
+        print(f"{name:24} {count.jobs:6d} {count.done:6d} {count.share:6.3f}   {objectives}")
 
 
 def print_teams(teams: dict[str, ServedCount]) -> None:
@@ -191,10 +209,10 @@
 
 def print_largest(log: JobLog, largest: Iterable[LargestJobs]) -> None:
     """Print a line for the largest jobs of each class."""
-    begun_title = f"begun in {BEGIN_WITHIN_S:.0f} s"
-    print(f"\n{'largest of class':24} {'jobs':>6} {'tasks':>6} {'done':>6} {begun_title:>14}")
+    started_title = f"begun in {START_WITHIN_S:.0f} s"
+    print(f"\n{'largest of class':24} {'jobs':>6} {'tasks':>6} {'done':>6} {started_title:>14}")
     for row in largest:
-        print(f"{row.class_name:24} {row.jobs:6d} {row.tasks:6d} {row.done_share:6.3f} {row.begun_share:14.3f}")
+        print(f"{row.class_name:24} {row.jobs:6d} {row.tasks:6d} {row.done_share:6.3f} {row.started_share:14.3f}")
     if not log.sizes:
         print("none: the service does not log the class of what it accepts")
 
@@ -202,16 +220,16 @@
 def names_below(
     floor: float, classes: dict[str, ServedCount], teams: dict[str, ServedCount], largest: Iterable[LargestJobs]
 ) -> list[str]:
-    """Return the classes, the teams and the classes' largest jobs whose share lies below the floor."""
+    """Return the names of classes, teams and largest jobs of a class with a share below the floor."""
     return [
         *(name for name, count in classes.items() if count.share < floor),
         *(team for team, count in teams.items() if count.share < floor),
-        *(f"largest of {row.class_name}" for row in largest if min(row.done_share, row.begun_share) < floor),
+        *(f"largest of {row.class_name}" for row in largest if min(row.done_share, row.started_share) < floor),
     ]
 
 
 def parse_arguments(arguments: Sequence[str] | None) -> argparse.Namespace:
-    """Return the options of the command line."""
+    """Parse the command line, by default that of the process."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("report", type=Path)
     parser.add_argument("log", type=Path)
@@ -220,7 +238,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Print the shares of a day and return the exit status."""
+    """Print the shares of a simulated day and return the exit status."""
     options = parse_arguments(arguments)
     report = json.loads(options.report.read_text())
     log = read_job_log(options.log.read_text(errors="replace").splitlines())
@@ -237,5 +255,5 @@
 
 
 if __name__ == "__main__":
-    signal.signal(signal.SIGPIPE, signal.SIG_DFL)  # end quietly when the reader of the output does
+    signal.signal(signal.SIGPIPE, signal.SIG_DFL)  # exit without a traceback when the reader of the output exits
     sys.exit(main())
