--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,8 +1,8 @@
-"""What others rely on stays as it is: messages, records, keys, settings, paths, texts and the command line.
+"""Tests that messages, records, keys, settings, paths, texts and the command line stay compatible.
 
-The fixtures are what earlier versions sent, stored and accepted. Labels name things by what they are to others, so that
-a rename in the code leaves the fixtures alone. `python3 tests/test_compatibility.py` adds what has no fixture yet; what
-stands there is changed by hand only, with a change of the protocol that is meant.
+The fixtures contain what earlier versions sent, stored and accepted. Their labels describe the external purpose of each
+item, so that a rename in the code does not change the fixtures. `python3 tests/test_compatibility.py` adds items
+without a fixture. Existing fixtures are changed by hand only, together with an intended change of the protocol.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 DEPLOY = ROOT.parent.parent / "deploy"
 FIXTURES = Path(__file__).parent / "fixtures"
 
-#: sent as JSON, or stored as JSON by the state service
+#: Structures that are sent as JSON, or stored as JSON in the state service.
 JSON: dict[str, type[msgspec.Struct]] = {
     "job submission": jobs.JobSpec,
     "job answer": jobs.JobStatusResponse,
@@ -84,7 +84,7 @@
     "record: settled gang": settlement.Settled,
     "record: guest gang": guest.GuestRecord,
 }
-#: sent as MessagePack between controllers of one cluster, and between clusters
+#: Structures that are sent as MessagePack between controllers of one cluster, or between clusters.
 MSGPACK: dict[str, type[msgspec.Struct]] = {
     "controllers: hello": peers.PeerStatus,
     "controllers: resigned": peers.ResignationNotice,
@@ -107,11 +107,11 @@
     "clusters: unsure": messages.UncertainReply,
 }
 MESSAGES = JSON | MSGPACK
-#: settings files, whose fields are fixtures of their own
+#: Settings files, whose fields have fixtures of their own.
 FILES: dict[str, type[msgspec.Struct]] = {"platform": platform.Settings, "federation": federation.LocalLoad}
-#: a common base, and what stays in a process
+#: A common base class, and a structure that never leaves its process.
 NOT_SENT = {messages._ReservationMessage, provisioning.PendingMachine}
-#: packages whose structures are for simulations and rehearsals only
+#: Packages whose structures are used by simulations and load tests only.
 SIMULATION = (simulation.__name__, load_test.__name__)
 ENUMERATIONS: dict[str, type[Enum]] = {
     "shape of a job": jobs.Kind, "rank of a job": jobs.Priority, "state of a job": jobs.JobStatus,
@@ -119,17 +119,23 @@
 }  # fmt: skip
 
 
-class Values:
-    """Values for fields of any type, each as different from the others as its type allows."""
+class ValueGenerator:
+    """Generates values for fields of any type, each different from the others as far as its type allows."""
 
     def __init__(self) -> None:
         self.count = 0
 
-    def of(self, kind: inspect.Type, full: bool) -> Any:  # noqa: C901 - one case a kind
+    def value_of(self, kind: inspect.Type, full: bool) -> Any:  # noqa: C901 - one case for each kind of type
+        """Return a value of a type.
+
+        Args:
+            kind: The type.
+            full: Whether optional fields of structures are set.
+        """
         self.count += 1
         match kind:
             case inspect.Metadata(type=inner):
-                return self.of(inner, full)
+                return self.value_of(inner, full)
             case inspect.IntType():
                 return self.count
             case inspect.FloatType():
@@ -145,184 +151,201 @@
             case inspect.EnumType(cls=cls):
                 return list(cls)[self.count % len(cls)]
             case inspect.UnionType(types=options):
-                return self.of(next(t for t in options if not isinstance(t, inspect.NoneType)), full)
+                return self.value_of(
+                    next(option for option in options if not isinstance(option, inspect.NoneType)), full
+                )
             case inspect.ListType(item_type=item):
-                return [self.of(item, full)]
+                return [self.value_of(item, full)]
             case inspect.TupleType(item_types=items):
-                return tuple(self.of(item, full) for item in items)
+                return tuple(self.value_of(item, full) for item in items)
             case inspect.DictType(key_type=key, value_type=value):
-                return {self.of(key, full): self.of(value, full)}
+                return {self.value_of(key, full): self.value_of(value, full)}
             case inspect.StructType(cls=struct):
                 return self.instance(struct, full)
         raise NotImplementedError(kind)
 
     def instance(self, struct: type, full: bool) -> Any:
-        return struct(**{f.name: self.of(f.type, full) for f in fields(struct) if full or f.required})
+        """Return an instance of a structure with its required fields, and with all fields if `full` is set."""
+        return struct(
+            **{field.name: self.value_of(field.type, full) for field in fields_of(struct) if full or field.required}
+        )
 
 
-def fields(struct: type) -> tuple[inspect.Field, ...]:
-    found = inspect.type_info(struct)
-    assert isinstance(found, inspect.StructType)
-    return found.fields
+def fields_of(struct: type) -> tuple[inspect.Field, ...]:
+    info = inspect.type_info(struct)
+    assert isinstance(info, inspect.StructType)
+    return info.fields
 
 
-def encoded(label: str, message: Any) -> str:
+def encode(label: str, message: Any) -> str:
     return msgspec.json.encode(message).decode() if label in JSON else msgspec.msgpack.encode(message).hex()
 
 
-def decoded(label: str, text: str, kind: Any) -> Any:
+def decode(label: str, text: str, kind: Any) -> Any:
     if label in JSON:
         return msgspec.json.decode(text, type=kind)
     return msgspec.msgpack.decode(bytes.fromhex(text), type=kind)
 
 
-def messages_now() -> dict[str, Any]:
+def current_messages() -> dict[str, Any]:
     variants = {"defaults": False, "all set": True}
     return {
-        label: {variant: encoded(label, Values().instance(struct, full)) for variant, full in variants.items()}
+        label: {variant: encode(label, ValueGenerator().instance(struct, full)) for variant, full in variants.items()}
         for label, struct in MESSAGES.items()
     }
 
 
-def enumerations_now() -> dict[str, Any]:
-    found: dict[str, Any] = {label: [member.value for member in cls] for label, cls in ENUMERATIONS.items()}
-    return found | {"ranks from the highest on": list(jobs.PRIORITIES)}
+def current_enumerations() -> dict[str, Any]:
+    values: dict[str, Any] = {label: [member.value for member in cls] for label, cls in ENUMERATIONS.items()}
+    return values | {"ranks from the highest on": list(jobs.PRIORITIES)}
 
 
-def keys_now() -> dict[str, Any]:
-    """Keys in the state service, most as a leader has written them in its work, and what it has told workers."""
+def current_keys() -> dict[str, Any]:
+    """Return keys of the state service, most of them as written by a leader, and the commands it sent to workers."""
     commands: set[str] = set()
     obey = WorkerEmulator.obey
 
-    def noted(self: WorkerEmulator, orders: workers.HeartbeatResponse) -> None:
-        commands.update(command.op for command in orders.commands)
-        obey(self, orders)
-
-    with mock.patch.object(WorkerEmulator, "obey", noted):
-        world = InMemoryCluster()
-        worker, node = world.worker("n-000000"), InMemoryController(world, "node-0")
-        term = node.lead()
-        world.settle(term, 3)
-        ended, cancelled, _ = [world.accept(node) for _ in range(3)]
-        world.settle(term)
+    def record_commands(self: WorkerEmulator, response: workers.HeartbeatResponse) -> None:
+        commands.update(command.op for command in response.commands)
+        obey(self, response)
+
+    with mock.patch.object(WorkerEmulator, "obey", record_commands):
+        cluster = InMemoryCluster()
+        worker, controller = cluster.worker("n-000000"), InMemoryController(cluster, "node-0")
+        term = controller.lead()
+        cluster.settle(term, 3)
+        ended, cancelled, _ = [cluster.accept(controller) for _ in range(3)]
+        cluster.settle(term)
         worker.finish(f"{ended}/0")
-        node.users.cancel(cancelled)
-        world.settle(term)
+        controller.users.cancel(cancelled)
+        cluster.settle(term)
     return {
         "machine types": machine_type_catalog.TYPES_KEY,
         "guest gang": guest.guest_key("id"),
         "settled gangs": settlement.PREFIX,
-        "written by a leader": sorted(world.store.data),
+        "written by a leader": sorted(cluster.store.data),
         "commands to workers": sorted(commands),
     }
 
 
-def paths_of(struct: type, before: str = "") -> list[str]:
-    """All fields of a settings file, with those of its tables."""
-    found = []
-    for field in fields(struct):
-        kind, path = field.type, before + field.encode_name
+def paths_of(struct: type, prefix: str = "") -> list[str]:
+    """Return the paths of all fields of a settings file, including the fields of its tables."""
+    paths = []
+    for field in fields_of(struct):
+        kind, path = field.type, prefix + field.encode_name
         if isinstance(kind, inspect.ListType):
             kind, path = kind.item_type, f"{path}[]"
-        found += paths_of(kind.cls, f"{path}.") if isinstance(kind, inspect.StructType) else [path]
-    return sorted(found)
+        paths += paths_of(kind.cls, f"{path}.") if isinstance(kind, inspect.StructType) else [path]
+    return sorted(paths)
 
 
-def settings_now() -> dict[str, Any]:
+def current_settings() -> dict[str, Any]:
     shipped = Path(policy.__file__).with_name("default_policy.toml")
     files = {path.name: sorted(tomllib.loads(path.read_text("utf-8"))) for path in [shipped, *DEPLOY.glob("*.toml")]}
     ranges = [(policy.VARIABLES, policy.KEYS), (federation.NAMES, federation.KEYS)]
     return {
         **{f"fields of the {name} file": paths_of(struct) for name, struct in FILES.items()},
         **{f"keys of {name}": keys for name, keys in sorted(files.items())},
-        "policy and federation: names": [{n: list(r) for n, r in sorted(names.items())} for names, _ in ranges],
-        "policy and federation: keys": [{k: dataclasses.astuple(r) for k, r in sorted(d.items())} for _, d in ranges],
+        "policy and federation: names": [
+            {name: list(bounds) for name, bounds in sorted(names.items())} for names, _ in ranges
+        ],
+        "policy and federation: keys": [
+            {key: dataclasses.astuple(valid) for key, valid in sorted(keys.items())} for _, keys in ranges
+        ],
         "functions of expressions": sorted(operations.FUNCTIONS),
         "federation: defaults": federation.DEFAULTS,
         "federation: plain keys": sorted(federation.PLAIN),
         "features": sorted(BUILT_IN),
-        "hooks": sorted(f.name for f in dataclasses.fields(Features)),
-        "columns of a history": sorted(f.name for f in dataclasses.fields(TaskEvent)),
+        "hooks": sorted(field.name for field in dataclasses.fields(Features)),
+        "columns of a history": sorted(field.name for field in dataclasses.fields(TaskEvent)),
     }
 
 
-def command_line_now(*verbs: str) -> dict[str, Any]:
-    """Options and choices of each verb, from its help."""
-    out, wide = io.StringIO(), mock.patch.dict(os.environ, {"COLUMNS": "10000"})
-    with wide, contextlib.redirect_stdout(out), contextlib.suppress(SystemExit):
-        cli.main([*verbs, "--help"])
-    usage = out.getvalue().partition("\n\n")[0]
-    found: dict[str, Any] = {" ".join(verbs): sorted(set(re.findall(r"--[a-z][a-z-]*|\{.*?\}", usage)))}
-    inner = re.search(r"\{([a-z,-]+)\} \.\.\.", usage)
-    for verb in inner[1].split(",") if inner else ():
-        found |= command_line_now(*verbs, verb)
-    return found
+def current_command_line(*subcommands: str) -> dict[str, Any]:
+    """Return the options and choices of each subcommand, as printed by its help."""
+    output, wide_terminal = io.StringIO(), mock.patch.dict(os.environ, {"COLUMNS": "10000"})
+    with wide_terminal, contextlib.redirect_stdout(output), contextlib.suppress(SystemExit):
+        cli.main([*subcommands, "--help"])
+    usage = output.getvalue().partition("\n\n")[0]
+    options: dict[str, Any] = {" ".join(subcommands): sorted(set(re.findall(r"--[a-z][a-z-]*|\{.*?\}", usage)))}
+    nested = re.search(r"\{([a-z,-]+)\} \.\.\.", usage)
+    for subcommand in nested[1].split(",") if nested else ():
+        options |= current_command_line(*subcommands, subcommand)
+    return options
 
 
-NOW = {
-    "messages": messages_now, "enumerations": enumerations_now, "keys": keys_now, "settings": settings_now,
-    "command_line": command_line_now,
+#: Functions that return the current items of each fixture file, by the name of the file.
+CURRENT = {
+    "messages": current_messages, "enumerations": current_enumerations, "keys": current_keys,
+    "settings": current_settings, "command_line": current_command_line,
 }  # fmt: skip
 
 
 def fixture(name: str) -> dict[str, Any]:
+    """Return the content of a fixture file, or an empty dictionary if the file does not exist."""
     path = FIXTURES / f"{name}.json"
     return dict(json.loads(path.read_text("utf-8"))) if path.exists() else {}
 
 
 @pytest.mark.parametrize("label", sorted(MESSAGES))
-def test_what_was_encoded_is_decoded_and_encoded_again_to_the_same_bytes(label: str) -> None:
+def test_fixture_is_decoded_and_encoded_to_the_same_bytes(label: str) -> None:
     kept = fixture("messages")[label]
     assert list(kept) == ["defaults", "all set"]
-    assert kept == {which: encoded(label, decoded(label, text, MESSAGES[label])) for which, text in kept.items()}
-    # the very same instances are encoded: no field was added, taken away or moved
-    assert messages_now()[label] == kept
+    assert kept == {which: encode(label, decode(label, text, MESSAGES[label])) for which, text in kept.items()}
+    # The same instances are generated, so that no field was added, removed or moved.
+    assert current_messages()[label] == kept
 
 
 @pytest.mark.parametrize("label", sorted(MESSAGES))
-def test_unknown_fields_are_passed_over_and_missing_ones_have_their_defaults(label: str) -> None:
-    """As controllers of two versions meet in one cluster, or one reads what another has stored."""
+def test_unknown_fields_are_ignored_and_missing_fields_have_defaults(label: str) -> None:
+    """Controllers of two versions exchange messages in one cluster and read records that the other version stored."""
     kept, kind = fixture("messages")[label], MESSAGES[label]
-    bare, full = (decoded(label, kept[which], Any) for which in ("defaults", "all set"))
-    more = [*full, 1] if isinstance(full, list) else {**full, "unknown": [1]}
-    assert decoded(label, encoded(label, more), kind) == decoded(label, kept["all set"], kind)
-    names = [f.encode_name for f in fields(kind) if f.required]
-    less = bare[: len(names)] if isinstance(bare, list) else {k: v for k, v in bare.items() if k in {"type", *names}}
-    assert decoded(label, encoded(label, less), kind) == decoded(label, kept["defaults"], kind)
+    bare, full = (decode(label, kept[which], Any) for which in ("defaults", "all set"))
+    extended = [*full, 1] if isinstance(full, list) else {**full, "unknown": [1]}
+    assert decode(label, encode(label, extended), kind) == decode(label, kept["all set"], kind)
+    names = [field.encode_name for field in fields_of(kind) if field.required]
+    reduced = (
+        bare[: len(names)]
+        if isinstance(bare, list)
+        else {key: value for key, value in bare.items() if key in {"type", *names}}
+    )
+    assert decode(label, encode(label, reduced), kind) == decode(label, kept["defaults"], kind)
 
 
 @pytest.mark.parametrize("label", sorted(label for label in MSGPACK if label.startswith("clusters: ")))
-def test_a_message_between_clusters_is_told_from_the_others_by_its_tag(label: str) -> None:
+def test_message_between_clusters_is_identified_by_its_tag(label: str) -> None:
     for text in fixture("messages")[label].values():
-        assert type(decoded(label, text, messages.Message | messages.Reply)) is MESSAGES[label]
+        assert type(decode(label, text, messages.Message | messages.Reply)) is MESSAGES[label]
 
 
-def test_every_structure_has_a_fixture() -> None:
+def test_each_structure_has_a_fixture() -> None:
     found: set[type] = set()
     for info in pkgutil.walk_packages([str(ROOT)], "grebestand."):
         if not info.name.startswith(SIMULATION) and not info.name.endswith("__main__"):
-            here = vars(import_module(info.name)).values()
-            found |= {c for c in here if isinstance(c, type) and issubclass(c, msgspec.Struct)} - {msgspec.Struct}
-    in_files = {c for c in found if c.__module__ in {f.__module__ for f in FILES.values()}}
-    assert found - in_files - NOT_SENT == set(MESSAGES.values())
+            values = vars(import_module(info.name)).values()
+            found |= {value for value in values if isinstance(value, type) and issubclass(value, msgspec.Struct)}
+    file_modules = {struct.__module__ for struct in FILES.values()}
+    in_files = {struct for struct in found if struct.__module__ in file_modules}
+    assert found - {msgspec.Struct} - in_files - NOT_SENT == set(MESSAGES.values())
     assert fixture("messages").keys() == MESSAGES.keys()
 
 
-@pytest.mark.parametrize("name", sorted(NOW.keys() - {"messages"}))
-def test_names_and_values_that_others_use_are_unchanged(name: str) -> None:
-    assert json.loads(json.dumps(NOW[name]())) == fixture(name)
+@pytest.mark.parametrize("name", sorted(CURRENT.keys() - {"messages"}))
+def test_external_names_and_values_are_unchanged(name: str) -> None:
+    assert json.loads(json.dumps(CURRENT[name]())) == fixture(name)
 
 
-def test_texts_that_others_get_or_send_are_still_in_the_code() -> None:
-    """Paths, answers to users, workers and clusters, and variables of the environment."""
-    there: set[object] = set()
+def test_external_texts_are_constants_of_the_code() -> None:
+    """Checks paths, responses to users, workers and clusters, HTTP headers, and environment variables."""
+    constants: set[object] = set()
     for path in ROOT.rglob("*.py"):
         if f"{grebestand.__name__}.{path.relative_to(ROOT).parts[0]}" not in SIMULATION:
-            there |= {n.value for n in ast.walk(ast.parse(path.read_text("utf-8"))) if isinstance(n, ast.Constant)}
+            tree = ast.parse(path.read_text("utf-8"))
+            constants |= {node.value for node in ast.walk(tree) if isinstance(node, ast.Constant)}
     texts = {text for part in fixture("texts").values() for text in part}
-    assert texts and {t for t in texts if t not in there and t.encode() not in there} == set()
+    assert texts and {text for text in texts if text not in constants and text.encode() not in constants} == set()
 
 
 if __name__ == "__main__":
-    for each, now in NOW.items():
-        (FIXTURES / f"{each}.json").write_text(json.dumps(now() | fixture(each), indent=1) + "\n", "utf-8")
+    for name, current in CURRENT.items():
+        (FIXTURES / f"{name}.json").write_text(json.dumps(current() | fixture(name), indent=1) + "\n", "utf-8")
