--- a/src/grebestand/fault_test/history_checker.py
+++ b/src/grebestand/fault_test/history_checker.py
@@ -141,7 +141,7 @@
         violations_before = len(self.verdict.violations)
         final_events = self.gang.final_events
         if len({event.what for event in final_events}) > 1:
-            self._add_violation(f": its user was told both {final_events[0].what} and {final_events[-1].what}")
+            self._add_violation(f": reported to its user as both {final_events[0].what} and {final_events[-1].what}")
         cancelled = bool(final_events) and final_events[0].what == "cancelled"
         if not cancelled:
             self.verdict.gangs += 1
--- a/tests/fault_test/test_history_checker.py
+++ b/tests/fault_test/test_history_checker.py
@@ -57,7 +57,7 @@
         ([*ACCEPTED, dataclasses.replace(DONE[0], what="cancelled", at=1.0), *complete_run("home", "j", 30.0)],
          "gangs 0, whole once 0, partly 0, twice 0, lost 0", "after it was cancelled"),
         ([*ACCEPTED, *complete_run("home", "j"), *DONE, dataclasses.replace(DONE[0], what="cancelled", at=10.0)],
-         "gangs 1, whole once 0, partly 0, twice 0, lost 0", "told both done and cancelled"),
+         "gangs 1, whole once 0, partly 0, twice 0, lost 0", "as both done and cancelled"),
     ],
 )  # fmt: skip
 def test_checker_detects_each_kind_of_violation(events: list[TaskEvent], summary: str, violation: str) -> None:
--- a/tests/tools/test_capacity.py
+++ b/tests/tools/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md says what tools/capacity.py works out, and only of mechanisms that there are."""
+"""Tests that docs/CAPACITY.md has the tables of tools/capacity.py, and that their rows name existing modules."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def _tool() -> Any:
+def _load_tool() -> Any:
     spec = importlib.util.spec_from_file_location("capacity", ROOT / "tools" / "capacity.py")
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
-    sys.modules["capacity"] = module  # dataclasses look themselves up there
+    sys.modules["capacity"] = module  # `dataclass` looks up the module of a class in `sys.modules`
     spec.loader.exec_module(module)
     return module
 
 
-capacity = _tool()
+capacity = _load_tool()
 TEXT = (ROOT / "tools" / "capacity.toml").read_text("utf-8")
 PAGE = (ROOT / "docs" / "CAPACITY.md").read_text("utf-8")
 
 
-def test_the_page_holds() -> None:
-    assert capacity.differences(PAGE, capacity.Model(TEXT)) == []
+def test_page_has_the_computed_tables() -> None:
+    assert capacity.differences(PAGE, capacity.CapacityModel(TEXT)) == []
 
 
 @pytest.mark.parametrize(
@@ -44,15 +44,16 @@
         ("sockets = 1752", "sockets = 4752", {"leader", "relay", "misfits"}),
     ],
 )
-def test_a_changed_bound_is_found(old: str, new: str, blocks: set[str]) -> None:
-    """Broken on purpose: each has to be seen in the blocks that rest on it."""
+def test_changed_bound_changes_the_tables_that_use_it(old: str, new: str, blocks: set[str]) -> None:
+    """Checks that a change of an input is detected in each table that depends on that input."""
     text = TEXT.replace(old, new)
     assert text != TEXT
-    assert blocks <= found_in(capacity.Model(text))
+    assert blocks <= differing_tables(capacity.CapacityModel(text))
 
 
-def found_in(m: Any) -> set[str]:
-    return {w.split(":")[0] for w in capacity.differences(PAGE, m)}
+def differing_tables(model: Any) -> set[str]:
+    """Return the names of tables that differ between the page and a model."""
+    return {difference.split(":")[0] for difference in capacity.differences(PAGE, model)}
 
 
 @pytest.mark.parametrize(
@@ -69,40 +70,43 @@
         ("worker, processor", {"worker"}),
     ],
 )
-def test_a_changed_slope_is_found(slope: str, blocks: set[str]) -> None:
-    """The same, for a slope that is three times as steep."""
-    m = capacity.Model(TEXT)
+def test_changed_slope_changes_the_tables_that_use_it(slope: str, blocks: set[str]) -> None:
+    """Checks that tripled values of a slope are detected in each table that depends on the slope."""
+    m = capacity.CapacityModel(TEXT)
     steeper = [[3 * v for v in values] for values in m.slopes[slope].values]
     m.slopes[slope] = dataclasses.replace(m.slopes[slope], values=steeper)
-    assert blocks | {"slopes"} <= found_in(m)
+    assert blocks | {"slopes"} <= differing_tables(m)
 
 
-def test_a_figure_typed_into_the_page_is_found() -> None:
+def test_value_edited_on_the_page_is_detected() -> None:
     before, mark, after = PAGE.partition("| sum | ")
     wrong = before + mark + "9" + after
-    assert capacity.differences(wrong, capacity.Model(TEXT)) != []
-    assert capacity.differences(PAGE.replace("<!-- capacity: failures -->", "<!-- -->"), capacity.Model(TEXT)) != []
+    assert capacity.differences(wrong, capacity.CapacityModel(TEXT)) != []
+    assert (
+        capacity.differences(PAGE.replace("<!-- capacity: failures -->", "<!-- -->"), capacity.CapacityModel(TEXT))
+        != []
+    )
 
 
-def test_a_sum_is_that_of_its_parts() -> None:
-    m = capacity.Model(TEXT)
-    for found, bound in [(capacity.in_force(m), 5.0), *((c, 1.5) for _, c in capacity.urgent_cases(m))]:
-        *rows, total = list(capacity.parts(found, bound))[2:]
+def test_sum_of_a_delay_is_that_of_its_parts() -> None:
+    m = capacity.CapacityModel(TEXT)
+    for found, bound in [(capacity.configuration_delays(m), 5.0), *((c, 1.5) for _, c in capacity.urgent_cases(m))]:
+        *rows, total = list(capacity.delay_table(found, bound))[2:]
         for i in (2, 3):
-            told = float(total.split("|")[i].strip().strip("*"))
-            assert told == pytest.approx(sum(float(r.split("|")[i]) for r in rows), abs=0.03)
+            printed = float(total.split("|")[i].strip().strip("*"))
+            assert printed == pytest.approx(sum(float(r.split("|")[i]) for r in rows), abs=0.03)
 
 
-def test_rows_name_what_is_there_or_say_open(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rows_name_existing_modules_or_are_open(monkeypatch: pytest.MonkeyPatch) -> None:
     row = capacity.Row("x", "s", lambda m, s: 1.0, ("nowhere/none.py",))
     monkeypatch.setitem(capacity.ROLES, "leader", [row])
-    wrong = capacity.differences(PAGE, capacity.Model(TEXT))
+    wrong = capacity.differences(PAGE, capacity.CapacityModel(TEXT))
     assert "leader: x: there is no nowhere/none.py" in wrong
-    assert capacity.absent("not said") == ["not said"] and capacity.absent("open: not built") == []
+    assert capacity.missing_modules("not said") == ["not said"] and capacity.missing_modules("open: not built") == []
 
 
-def test_what_nobody_measured_stays_open() -> None:
-    m = capacity.Model(TEXT)
+def test_values_without_a_measurement_are_open() -> None:
+    m = capacity.CapacityModel(TEXT)
     for name, slope in m.slopes.items():
         if slope.state == capacity.OPEN:
             with pytest.raises(capacity.OpenSlopeError):
@@ -112,49 +116,51 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "message"),
     [
         ({"state": "open"}, "x: open, with 3 sizes"),
         ({"values": [[1.0], [2.0]]}, "x: measured, with 3 sizes and 2 values"),
-        ({"run": ""}, "x: state 'measured', run ''"),
-        ({"state": "guessed"}, "x: state 'guessed'"),
+        ({"run": ""}, "x: expected state 'measured' or 'open' and a run, found state 'measured', run ''"),
+        ({"state": "guessed"}, "x: expected state 'measured' or 'open' and a run, found state 'guessed'"),
         ({"linear": False}, "x: linear = False, but a line misses by 0%"),
         ({"values": [[1.0], [4.0], [9.0]]}, "x: linear = True, but"),
-        ({"linear": None}, "x: whether it is linear"),
-        ({"sizes": [1.0, 3.0, 2.0]}, "x: sizes in order"),
+        ({"linear": None}, "x: expected `linear` exactly with three sizes or more, found linear = None"),
+        ({"sizes": [1.0, 3.0, 2.0]}, "x: expected ascending sizes"),
     ],
 )
-def test_slopes_hold_together(change: dict[str, Any], told: str) -> None:
+def test_inconsistent_slope_is_rejected(change: dict[str, Any], message: str) -> None:
     good = {
         "name": "x", "unit": "s", "per": "workers", "state": "measured", "run": "a run", "linear": True,
         "sizes": [1.0, 2.0, 3.0], "values": [[1.0], [2.0], [3.0]],
     }  # fmt: skip
     capacity.Slope(**good).check()
-    with pytest.raises(capacity.SlopeError, match="^" + told.replace("(", r"\(")):
+    with pytest.raises(capacity.SlopeError, match="^" + message.replace("(", r"\(")):
         capacity.Slope(**(good | change)).check()
 
 
-def test_slopes_between_and_beyond_their_sizes() -> None:
+def test_slopes_are_interpolated_and_extrapolated() -> None:
     straight = capacity.Slope("x", "s", "n", "measured", "r", [0, 10, 20], [[1.0], [3.0], [5.0]], True)
     assert straight.at(15) == pytest.approx(4.0) and straight.beyond(21) and not straight.beyond(20)
     square = capacity.Slope("x", "s", "n", "measured", "r", [1, 2, 4], [[1.0], [4.0], [16.0]], False)
     assert square.at(3) == pytest.approx(9.0) and square.at(8) == pytest.approx(64.0)
 
 
-def test_waits_for_reports_are_those_of_drawn_intervals() -> None:
-    """The analytic distribution beside machines whose intervals are drawn."""
+def test_report_probabilities_agree_with_simulated_intervals() -> None:
+    """Compares the analytic distribution with that of machines whose heartbeat intervals are drawn at random."""
     rng, t, n, k = random.Random(1), 3.0, 8, 3
     waits = []
     for _ in range(4000):
         left = []
         for _ in range(n):
-            # an interval is met with a chance that grows with its length
+            # A random time falls into an interval with a probability proportional to the length of the interval.
             while rng.random() * 1.25 * t > (interval := t * rng.uniform(0.75, 1.25)):
                 pass
             left.append(rng.random() * interval)
         waits.append(sorted(left)[k - 1])
     for x in (0.5, 1.0, 1.5):
         share = sum(w <= x for w in waits) / len(waits)
-        assert capacity.reported(x, k, n, t) == pytest.approx(share, abs=0.03)
-    assert capacity.residual(3.75, t) == 1.0 and capacity.residual(0, t) == 0.0
-    assert capacity.reported(1.5, 128, 128, t) < 1e-30 and math.isclose(capacity.held(0.0, 0.0, t), 0.0)
+        assert capacity.all_reported_probability(x, k, n, t) == pytest.approx(share, abs=0.03)
+    assert capacity.report_probability(3.75, t) == 1.0 and capacity.report_probability(0, t) == 0.0
+    assert capacity.all_reported_probability(1.5, 128, 128, t) < 1e-30 and math.isclose(
+        capacity.held_response_probability(0.0, 0.0, t), 0.0
+    )
