--- a/tests/scenarios/test_fault_pairs.py
+++ b/tests/scenarios/test_fault_pairs.py
@@ -57,6 +57,7 @@
     The previous value isn't restored: another fault may have set the previous value, which would then outlast
     `end_faults`.
     """
+    assert hasattr(target, field), field
     setattr(target, field, value)
     gevent.spawn_later(seconds, setattr, target, field, afterwards)
 
@@ -260,7 +261,7 @@
     set_links_temporarily(cluster, current_leader(cluster), [STATE], refused_or_held(rng), rng.uniform(4.0, 20.0))
     cluster.cancel_running_jobs(6)
     gevent.spawn_later(
-        rng.uniform(0.3, 1.5), set_temporarily, cluster.store, "down", True, rng.uniform(51.0, 70.0), False
+        rng.uniform(0.3, 1.5), set_temporarily, cluster.store, "unavailable", True, rng.uniform(51.0, 70.0), False
     )
 
 
