--- a/src/grebestand/api/heartbeat_api.py
+++ b/src/grebestand/api/heartbeat_api.py
@@ -29,7 +29,7 @@
 RETRY_AFTER_S = 1
 
 
-def _all_peers_responsive(name: str) -> bool:
+def _never_unresponsive(name: str) -> bool:
     return False
 
 
@@ -51,7 +51,7 @@
         term: Callable[[], Term | None],
         assignment: WorkerAssignment | None = None,
         forwarder: HeartbeatForwarder | None = None,
-        is_peer_unresponsive: Callable[[str], bool] = _all_peers_responsive,
+        is_peer_unresponsive: Callable[[str], bool] = _never_unresponsive,
         wait_for_leadership_change: Callable[[float], object] = _do_not_wait,
     ) -> None:
         """Create the interface.
@@ -73,13 +73,13 @@
         self.is_peer_unresponsive = is_peer_unresponsive
         self.wait_for_leadership_change = wait_for_leadership_change
 
-    def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
+    def handle_heartbeat(self, body: bytes, connection: object = None, over_limit: bool = False) -> Response:
         """Answer a heartbeat.
 
         Args:
             body: Body of the request.
             connection: Connection of the worker.
-            surplus: Whether `connection` exceeds the number of connections that the server keeps, in which case the
+            over_limit: Whether `connection` exceeds the number of connections that the server keeps, in which case the
                 worker is redirected.
 
         Returns:
@@ -89,7 +89,7 @@
             heartbeat = _heartbeat_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             return Response(400, _json.encode({"error": str(error)}))
-        redirect = self._assign(heartbeat, connection, surplus)
+        redirect = self._assign(heartbeat, connection, over_limit)
         if redirect is not None:
             return redirect
         response = self._answer(heartbeat) or self._answer_once_loaded(heartbeat)
@@ -101,27 +101,28 @@
 
     # which controller serves the worker -------------------------------------------------------------------
 
-    def _assign(self, heartbeat: Heartbeat, connection: object, surplus: bool) -> Response | None:
+    def _assign(self, heartbeat: Heartbeat, connection: object, over_limit: bool) -> Response | None:
         """Record the worker if this controller should serve it; return a redirect otherwise."""
         assignment, forwarder = self.assignment, self.forwarder
         if assignment is None or forwarder is None:
             return None
         leads = self.election.is_leader()
         if assignment.state is AssignmentMode.LEADER_ONLY:
-            full = surplus or (
+            is_full = over_limit or (
                 leads and heartbeat.machine not in assignment.kept_workers and not assignment.free_connections
             )
-            if leads and not full:
+            if leads and not is_full:
                 assignment.record_heartbeat(heartbeat.machine, connection)
-            return Response(421, _json.encode(Redirect()), close=True) if full else None
+            return Response(421, _json.encode(Redirect()), close=True) if is_full else None
+        cannot_keep = over_limit
         if not (leads or forwarder.accepts_heartbeats()):
             if self.term() is not None or not assignment.accepting_peers():
-                # this controller is about to lead, or no other one accepts workers: the worker waits for an answer here
+                # this controller is about to lead, or no other accepts workers: the worker waits for a response here
                 return None
             # this controller cannot forward, so its workers are redirected, to the leader only as many at a time as the
             # leader's status says that it can serve
-            surplus = True
-        controller = assignment.choose_controller(heartbeat.machine, heartbeat.zone, leads, surplus)
+            cannot_keep = True
+        controller = assignment.choose_controller(heartbeat.machine, heartbeat.zone, leads, cannot_keep)
         if controller != self.name:
             return Response(421, _json.encode(Redirect(controller)), close=True)
         assignment.record_heartbeat(heartbeat.machine, connection)
@@ -157,17 +158,17 @@
         return forwarder.accepts_heartbeats() or not assignment.accepting_peers()
 
     def _forward(self, forwarder: HeartbeatForwarder, body: bytes, heartbeat: Heartbeat) -> Response:
-        """Return the leader's answer, waiting during a change of leader for the next one, possibly this controller."""
+        """Return the leader's response; during a change of leader, wait for the next one, possibly this controller."""
         received_at = forwarder.clock()
-        answer_until = received_at + RESPONSE_TIMEOUT_S
+        respond_until = received_at + RESPONSE_TIMEOUT_S
         while True:
             if forwarder.accepts_heartbeats():
-                status, answer = forwarder.forward(body, received_at)
+                status, response_body = forwarder.forward(body, received_at)
                 if status in (200, 400):
-                    return Response(status, answer)
+                    return Response(status, response_body)
                 if status == 503:
                     break
-            left_s = answer_until - forwarder.clock()
+            left_s = respond_until - forwarder.clock()
             if left_s <= 0:
                 break
             self.wait_for_leadership_change(min(LEADERSHIP_WAIT_S, left_s))
@@ -186,7 +187,7 @@
         return self._answer(heartbeat)
 
     def _answer(self, heartbeat: Heartbeat) -> Response | None:
-        """Return the answer of this controller's own term, or None if this controller may not answer."""
+        """Return the response of this controller's own term, or None if this controller may not answer."""
         self.election.check_clock()
         term = self.term()
         if term is None:
--- a/src/grebestand/api/http_server.py
+++ b/src/grebestand/api/http_server.py
@@ -45,14 +45,14 @@
 class _ReplayedLines:
     """A file object that returns lines read earlier, then the lines that are still to be read from a connection."""
 
-    def __init__(self, lines: list[bytes], rest: Any) -> None:
+    def __init__(self, lines: list[bytes], connection_file: Any) -> None:
         self._lines = iter(lines)
-        self._rest = rest
+        self._connection_file = connection_file
 
     def readline(self, limit: int = MAX_HEADER_LINE_BYTES) -> bytes:
         """Return the next line; `limit` applies only to lines that are still to be read from the connection."""
         line = next(self._lines, None)
-        return self._rest.readline(limit) if line is None else line
+        return self._connection_file.readline(limit) if line is None else line
 
 
 class _Handler(WSGIHandler):  # type: ignore[misc]
@@ -78,13 +78,13 @@
         else:
             return headers_factory(_ReplayedLines(lines, rfile))
         block = b"".join(lines)
-        found = self._parsed_headers.get(block)
-        if found is None:
-            found = headers_factory(_ReplayedLines(lines, rfile))
+        headers = self._parsed_headers.get(block)
+        if headers is None:
+            headers = headers_factory(_ReplayedLines(lines, rfile))
             if len(self._parsed_headers) >= MAX_CACHED_HEADERS:
                 self._parsed_headers.pop(next(iter(self._parsed_headers)))
-            self._parsed_headers[block] = found
-        return found
+            self._parsed_headers[block] = headers
+        return headers
 
     def read_requestline(self) -> Any:
         """Read the first line of the next request, with the idle timeout instead of the request timeout."""
@@ -136,7 +136,7 @@
 class _BoundedServer(WSGIServer):  # type: ignore[misc]
     """Keeps a limited number of connections open, and answers one request on each surplus connection.
 
-    Accepting surplus connections avoids that clients wait in the backlog without any answer.
+    Accepting surplus connections avoids that clients wait in the backlog without any response.
 
     Attributes:
         max_connections: Number of open connections from which on a new one is a surplus connection.
--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -47,7 +47,7 @@
 STORE_REQUEST_TIMEOUT_S = 1.5
 #: Minimum remaining time for which another request to the store is sent.
 MIN_STORE_REQUEST_S = 0.05
-#: Time after the arrival of a user's request until which a transaction without an answer is retried.
+#: Time after the arrival of a user's request until which a transaction without a response is retried.
 COMMIT_RETRY_LIMIT_S = 3.0
 #: Minimum timeout of a transaction that accepts a job, and minimum remaining time for retrying such a transaction.
 MIN_ACCEPT_TIMEOUT_S = 0.3
@@ -136,7 +136,7 @@
             raise StoreError("it has taken too long already", possibly_applied=False)
         return min(STORE_REQUEST_TIMEOUT_S, left_s)
 
-    def _completed(self, job_id: str, urgency: Urgency, until: float) -> CompletedJobRecord | None:
+    def _read_completed_record(self, job_id: str, urgency: Urgency, until: float) -> CompletedJobRecord | None:
         """Return the record of a completed job, cached if possible as it never changes, or None without a record."""
         known = self.completed_jobs.get(job_id)
         if known is not None:
@@ -147,12 +147,12 @@
         record = msgspec.convert(found.value, CompletedJobRecord)
         self.completed_jobs.remember(job_id, record)
         if record.state is JobStatus.CANCELLED:
-            # the controller that committed the cancellation may have got no answer from the store and thus confirmed
+            # the controller that committed the cancellation may have got no response from the store and thus confirmed
             # nothing, so this controller may be the first to confirm the cancellation to a user
             self.on_cancelled(job_id)
         return record
 
-    def _live(self, job_id: str, urgency: Urgency, until: float) -> tuple[int, bool]:
+    def _read_live_record(self, job_id: str, urgency: Urgency, until: float) -> tuple[int, bool]:
         """Read the live record of a job.
 
         Returns:
@@ -183,7 +183,7 @@
         completed = self.completed_jobs.get(job_id)
         if completed is None:
             read_began_at = self.clock()
-            version, may_run_remotely = self._live(job_id, urgency, until)
+            version, may_run_remotely = self._read_live_record(job_id, urgency, until)
             if version:
                 if self.clock() - read_began_at > STATUS_VALID_S:
                     # this process was stalled, so the version read may be outdated
@@ -191,7 +191,7 @@
                 done, running = self.task_counts(job_id)
                 status = JobStatus.RUNNING if running else JobStatus.PENDING
                 return JobLookup(status, done, running, version, may_run_remotely)
-            completed = self._completed(job_id, urgency, until)
+            completed = self._read_completed_record(job_id, urgency, until)
         return None if completed is None else JobLookup.from_record(completed)
 
     def _lookup_accepted(self, job_id: str, until: float) -> JobLookup:
@@ -206,7 +206,7 @@
         return found
 
     @staticmethod
-    def _view(status: int, job_id: str, known: JobLookup) -> Response:
+    def _job_response(status: int, job_id: str, known: JobLookup) -> Response:
         """Return the response that describes a job.
 
         All kinds of requests use this format, so that they agree on the final state of a job.
@@ -264,7 +264,7 @@
         """
         known = self._lookup(job_id, Urgency.ACCEPT, self.clock() + READ_LIMIT_S)
         if known is not None:
-            return self._view(200, job_id, known)
+            return self._job_response(200, job_id, known)
         if isinstance(error, JobRejectedError):
             return _error(error.refusal.status, str(error), error.refusal.retry_after)
         log.info(LogEvent("job_refused", job_id=job_id, reason=error))
@@ -274,17 +274,17 @@
         """Record a job, or return the status of an earlier job with this id."""
         completed = self.completed_jobs.get(job_id)
         if completed is not None:
-            return self._view(200, job_id, JobLookup.from_record(completed))
+            return self._job_response(200, job_id, JobLookup.from_record(completed))
         now = self.clock()
         read_until, retry_until = now + READ_LIMIT_S, now + COMMIT_RETRY_LIMIT_S
         reads = self.batched_reads
         if (reads is not None and reads.knows(job_id)) or any(self.task_counts(job_id)):
             # a transaction counts against the store's write rate even if its conditions fail, so a repeated submission
             # that is recognised beforehand only reads
-            return self._view(200, job_id, self._lookup_accepted(job_id, read_until))
+            return self._job_response(200, job_id, self._lookup_accepted(job_id, read_until))
         version = self._create_record(job_id, record, retry_until)
         if version is None:
-            return self._view(200, job_id, self._lookup_accepted(job_id, read_until))
+            return self._job_response(200, job_id, self._lookup_accepted(job_id, read_until))
         if reads is not None:
             reads.remember_version(job_id, version)
         log.info(
@@ -297,12 +297,12 @@
                 team=spec.team,
             )
         )
-        return self._view(201, job_id, JobLookup(JobStatus.PENDING))
+        return self._job_response(201, job_id, JobLookup(JobStatus.PENDING))
 
     def _create_record(self, job_id: str, record: bytes, retry_until: float) -> int | None:
         """Write a live record unless the job has a record already.
 
-        A transaction without an answer may or may not have been applied. Retrying it with the same conditions is safe,
+        A transaction without a response may or may not have been applied. Retrying it with the same conditions is safe,
         as it fails if the first one was applied.
 
         Returns:
@@ -338,7 +338,7 @@
             return _error(503, STORE_UNREACHABLE, RETRY_SOON_S)
         if known is None:
             return _error(404, "no such job")
-        return self._view(200, job_id, known)
+        return self._job_response(200, job_id, known)
 
     # cancellation -----------------------------------------------------------------------------------------
 
@@ -365,7 +365,7 @@
             if known is None:
                 return _error(404, "no such job")
             if known.state in (JobStatus.DONE, JobStatus.CANCELLED):
-                return self._view(200, job_id, known)
+                return self._job_response(200, job_id, known)
             if known.may_run_remotely:
                 self.recall(job_id)
                 return _error(503, "another cluster runs it and is asked to end it", RETRY_REMOTE_CANCELLATION_S)
@@ -382,7 +382,7 @@
                 self.completed_jobs.remember(job_id, record)
                 log.info(LogEvent("cancellation_confirmed", job_id=job_id))
                 self.on_cancelled(job_id)
-                return self._view(200, job_id, JobLookup.from_record(record))
+                return self._job_response(200, job_id, JobLookup.from_record(record))
             if self.clock() > retry_until:
                 return _error(503, "the job changes too often", RETRY_SOON_S)
 
--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -43,7 +43,7 @@
 STATUS_GAP_TOLERATED_S = 25.0
 #: Timeout of a new leader's request for cached images to each peer; short, as scheduling begins only afterwards.
 IMAGES_REQUEST_TIMEOUT_S = 0.3
-#: Maximum number of bytes read of a message.
+#: Maximum size of a message in bytes; the rest of a longer message is not read.
 MAX_MESSAGE_BYTES = 1 << 22
 
 
@@ -128,7 +128,7 @@
     # requests to peers ------------------------------------------------------------------------------------
 
     def exchange_status(self, peer: PeerClient) -> None:
-        """Send this controller's status to a peer, and process the status that the peer answers with."""
+        """Send this controller's status to a peer, and process the status in the peer's response."""
         sent_at = self.clock()
         status = peer.call(STATUS_PATH, self.compose_status(), PeerStatus)
         self._record_responsiveness(peer, sent_at, answered=status is not None)
@@ -164,14 +164,14 @@
     ) -> None:
         """Record the period for which all cancellations confirmed by a peer are known to this controller.
 
-        Only the status in a peer's answer is used, as its content is not older than the request that it answers. A
+        Only the status in a peer's response is used, as its content is not older than the request that it answers. A
         status sent in a request by the peer may have been delayed for minutes.
 
         Args:
             peer: The peer.
-            status: Status with which the peer answered.
+            status: Status in the peer's response.
             sent_at: When the answered request was sent, by the steady clock.
-            restarted: Whether the peer's process has restarted since the peer's previous answer.
+            restarted: Whether the peer's process has restarted since the peer's previous response.
         """
         gap = (
             sent_at - peer.answered_request_sent_at > STATUS_GAP_TOLERATED_S
@@ -238,7 +238,7 @@
         )
 
     def _apply_status(self, status: PeerStatus) -> None:
-        """Store the data of a peer's status, whether received as a request or as an answer."""
+        """Store the data of a peer's status, whether received as a request or as a response."""
         if status.cancelled:
             self._listener.on_peer_cancellations(status.cancelled)
         if status.token:
@@ -255,7 +255,7 @@
             body: Encoded message.
 
         Returns:
-            The encoded answer, or None if the path is unknown.
+            The encoded response, or None if the path is unknown.
 
         Raises:
             msgspec.DecodeError: The message cannot be decoded.
@@ -278,7 +278,7 @@
         return msgspec.msgpack.encode(self.compose_status())
 
     def _answer_images(self, images: CachedImages) -> bytes:
-        """Store the leader's list of cached images, or answer with the stored list if the message is empty.
+        """Store the leader's list of cached images, or respond with the stored list if the message is empty.
 
         A new leader requests the stored list with an empty message.
         """
@@ -290,12 +290,14 @@
     def app(self, environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
         """Answer one request of a peer, as a WSGI application."""
         try:
-            answer = self.handle_message(environ.get("PATH_INFO", ""), environ["wsgi.input"].read(MAX_MESSAGE_BYTES))
+            response_body = self.handle_message(
+                environ.get("PATH_INFO", ""), environ["wsgi.input"].read(MAX_MESSAGE_BYTES)
+            )
         except (msgspec.DecodeError, BatchRefusedError, OSError):
             start_response("400 Bad Request", [])
             return [b""]
-        if answer is None:
+        if response_body is None:
             start_response("404 Not Found", [])
             return [b""]
         start_response("200 OK", [("Content-Type", "application/msgpack")])
-        return [answer]
+        return [response_body]
--- a/src/grebestand/api/read_batching.py
+++ b/src/grebestand/api/read_batching.py
@@ -97,7 +97,7 @@
                 # reads may still join the batch during this wait, because the transaction is sent afterwards
                 self.store.wait_for_rate_limit(Urgency.POLL, ANSWER_TIMEOUT_S)
                 self._close(batch)
-                self._ask(batch)
+                self._compare_versions(batch)
             except StoreError as error:
                 batch.error = error
             finally:
@@ -108,7 +108,7 @@
         if self._open is batch:
             self._open = None
 
-    def _ask(self, batch: _ReadBatch) -> None:
+    def _compare_versions(self, batch: _ReadBatch) -> None:
         """Compare the versions of all records in the batch with the store.
 
         If some versions have changed, the transaction fails as a whole. Changed records are then dropped, and the
--- a/tests/api/test_consistent_reads.py
+++ b/tests/api/test_consistent_reads.py
@@ -43,14 +43,14 @@
     """A process that is stalled for 10 s after reading a status must not return that status as the current one."""
     cluster, controller, term = start_cluster(1)
     job_id = cluster.submit_job(controller)
-    read = controller.job_api._live
+    read = controller.job_api._read_live_record
 
     def slow(job_id: str, urgency: Urgency, until: float) -> tuple[int, bool]:
         found = read(job_id, urgency, until)
         cluster.clock.now += 10.0
         return found
 
-    controller.job_api._live = slow  # type: ignore[method-assign]
+    controller.job_api._read_live_record = slow  # type: ignore[method-assign]
     assert controller.job_api.poll(job_id).status == 503
     assert term.token
 
--- a/tests/scenarios/test_random_fault_schedules.py
+++ b/tests/scenarios/test_random_fault_schedules.py
@@ -309,7 +309,7 @@
 def test_job_without_any_response_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Fault built in on purpose: requests about one job always get status 503."""
     unanswered = "j-000003"
-    poll, view = JobApi.poll, JobApi._view
+    poll, view = JobApi.poll, JobApi._job_response
 
     def poll_unless_unanswered(self: JobApi, job_id: str) -> Response:
         return Response(503) if job_id == unanswered else poll(self, job_id)
@@ -318,7 +318,7 @@
         return Response(503) if (status, job_id) == (200, unanswered) else view(status, job_id, known)
 
     monkeypatch.setattr(JobApi, "poll", poll_unless_unanswered)
-    monkeypatch.setattr(JobApi, "_view", staticmethod(view_unless_unanswered))
+    monkeypatch.setattr(JobApi, "_job_response", staticmethod(view_unless_unanswered))
     _, unsettled = run_schedule([(4.0, ("heal",))], 1)
     assert any(text.startswith(f"{unanswered} unanswered") for text in unsettled)
 
--- a/tests/scenarios/test_status_consistency.py
+++ b/tests/scenarios/test_status_consistency.py
@@ -80,14 +80,14 @@
 
 def answer_from_read_in_progress(monkeypatch: pytest.MonkeyPatch) -> None:
     """Answer a request that arrives during a shared read with the result of that read, which may be too old."""
-    ask = BatchedReads._ask
+    ask = BatchedReads._compare_versions
 
     def ask_and_keep_batch_open(self: BatchedReads, batch: Any) -> None:
         ask(self, batch)
         self._open = batch
         gevent.sleep(0.02)
 
-    monkeypatch.setattr(BatchedReads, "_ask", ask_and_keep_batch_open)
+    monkeypatch.setattr(BatchedReads, "_compare_versions", ask_and_keep_batch_open)
 
 
 def answer_repeats_without_counts(monkeypatch: pytest.MonkeyPatch) -> None:
