--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -101,7 +101,7 @@
             teams: Teams that may submit jobs, with their limits.
             max_value_bytes: Size limit of a value written to the store, in bytes.
             wall_clock: The time of day, in seconds.
-            clock: A steady clock, in seconds.
+            clock: A monotonic clock, in seconds.
             machine_types: Returns the machine types that the cloud offers, or None while they are not known.
             task_counts: Returns the numbers of done and of running tasks of a job, as far as they are known.
             completed_jobs: Cache of completed jobs.
--- a/src/grebestand/api/peer_api.py
+++ b/src/grebestand/api/peer_api.py
@@ -101,7 +101,7 @@
 
         Args:
             peers: Clients of the other controllers.
-            clock: Steady clock, in seconds.
+            clock: Monotonic clock, in seconds.
             compose_status: Returns the current status of this controller.
             features: Hooks of the features, some of which handle messages.
             store_proxy: Handles proxied store requests; without it their path counts as unknown.
@@ -149,7 +149,7 @@
 
         Args:
             peer: The peer.
-            sent_at: When the status was sent, by the steady clock.
+            sent_at: When the status was sent, by the monotonic clock.
             answered: Whether the peer answered the status exchange that has just ended.
         """
         if answered or self.clock() - sent_at < UNRESPONSIVE_AFTER_S:
@@ -170,7 +170,7 @@
         Args:
             peer: The peer.
             status: Status in the peer's response.
-            sent_at: When the answered request was sent, by the steady clock.
+            sent_at: When the answered request was sent, by the monotonic clock.
             restarted: Whether the peer's process has restarted since the peer's previous response.
         """
         gap = (
@@ -220,10 +220,10 @@
         answered before that read was sent, so the read has covered them.
 
         Args:
-            known_at: When the latest answered read of the live records was sent, by the steady clock.
+            known_at: When the latest answered read of the live records was sent, by the monotonic clock.
 
         Returns:
-            The time by the steady clock, in seconds; -inf if the cancellations of some peer are not known.
+            The time by the monotonic clock, in seconds; -inf if the cancellations of some peer are not known.
         """
         seen_up_to = (
             peer.answered_request_sent_at if known_at >= peer.gapless_since else -math.inf for peer in self.peers
--- a/src/grebestand/controller/cancellations.py
+++ b/src/grebestand/controller/cancellations.py
@@ -22,7 +22,7 @@
 
 
 class CancellationRecorder:
-    """Records cancellations and stops the cancelled jobs in this controller's own term."""
+    """Records cancellations and stops the cancelled jobs in this controller's own term, if it has one."""
 
     def __init__(self, current_term: CurrentTerm, completed_jobs: CompletedJobs, clock: Callable[[], float]) -> None:
         self.current_term = current_term
@@ -83,7 +83,7 @@
         gevent.spawn_later(BROADCAST_DELAY_S, self._broadcast)
 
     def _broadcast(self) -> None:
-        """Send the status to all peers and wait for all answers, then repeat if more jobs were cancelled meanwhile.
+        """Send the status to all peers and wait for all responses, then repeat if more jobs were cancelled meanwhile.
 
         Waiting limits the requests to one per peer; further requests to an unresponsive peer would use up connections.
         """
--- a/src/grebestand/controller/controller.py
+++ b/src/grebestand/controller/controller.py
@@ -99,7 +99,7 @@
             body: Encoded message.
 
         Returns:
-            The peer's answer, or None if no such peer is known or the peer did not answer.
+            The peer's response, or None if no such peer is known or the peer did not respond.
         """
         for peer in self.peer_api.peers:
             if peer.last_status is not None and peer.last_status.token and peer.name == self.election.leader:
@@ -124,8 +124,8 @@
         )
         peer_connections = max(MIN_PEER_CONNECTIONS, self.connections.from_peers)
         listen(self.settings.peer_listen, "peer_listen", self.peer_api.app, peer_connections).start()
-        for extra in self.features.listeners:
-            listen(extra.address, extra.field, extra.app, extra.connections, extra.gate).start()
+        for listener in self.features.listeners:
+            listen(listener.address, listener.field, listener.app, listener.connections, listener.gate).start()
         self.start_loops()
         gevent.spawn(collect_garbage_by_time, gevent.sleep, self._has_spare_time)
         log.info(LogEvent("controller_started", controller=self.name, address=self.settings.listen))
--- a/src/grebestand/controller/http_front.py
+++ b/src/grebestand/controller/http_front.py
@@ -72,16 +72,16 @@
             return Response(200 if self.transfer.is_healthy() else 503, b"{}")
         return self._answer_user(environ, method, path)
 
-    def handle_heartbeat(self, body: bytes, connection: object = None, surplus: bool = False) -> Response:
-        """Answer a worker's heartbeat, and record that workers reach this controller, whatever the answer is.
+    def handle_heartbeat(self, body: bytes, connection: object = None, over_limit: bool = False) -> Response:
+        """Answer a worker's heartbeat, and record that workers reach this controller, whatever the response is.
 
         Args:
             body: Body of the request.
             connection: Connection of the worker.
-            surplus: Whether `connection` exceeds the number of connections that the server keeps.
+            over_limit: Whether `connection` exceeds the number of connections that the server keeps.
         """
         self.workers_link.record_success()
-        return self.heartbeat_api.handle_heartbeat(body, connection, surplus)
+        return self.heartbeat_api.handle_heartbeat(body, connection, over_limit)
 
     def _answer_user(self, environ: dict[str, Any], method: str, path: str) -> Response:
         """Answer a user's request, or reject it with status 503 if connections or processing time are short.
--- a/src/grebestand/controller/leader_loop.py
+++ b/src/grebestand/controller/leader_loop.py
@@ -89,7 +89,7 @@
     def _resume(self) -> None:
         """Resume leading after a pause, once cancellations committed during the pause have been read.
 
-        No heartbeat may be answered before that read, as the answer could start tasks of a cancelled job.
+        No heartbeat may be answered before that read, as the response could start tasks of a cancelled job.
         """
         term = self.current_term.term
         if term is None or not term.loaded:
--- a/src/grebestand/controller/leadership_transfer.py
+++ b/src/grebestand/controller/leadership_transfer.py
@@ -23,17 +23,17 @@
 
 log = logging.getLogger(__name__)
 
-#: Maximum age of a peer's last answer to a status exchange for the peer to count as present.
+#: Maximum age of a peer's last response to a status exchange for the peer to count as present.
 PEER_PRESENT_S = 3.0
 #: Maximum age of a peer's status for comparing who reaches the key-value store; shorter than for presence, as the
 #: comparison needs recent data.
 STORE_COMPARISON_VALID_S = 2.5
-#: Margin for comparing store ages: statuses are exchanged about once a second, so the age of a peer's last answer from
-#: the store may itself be this old.
+#: Margin for comparing when the store last responded to two controllers: statuses are exchanged about once a second, so
+#: what is known of a peer may itself be this old.
 STORE_AGE_MARGIN_S = 1.5
-#: Time without an answer from the store after which a controller is unhealthy if the store answers a peer.
+#: Time without a response from the store after which a controller is unhealthy if the store answers a peer.
 STORE_UNHEALTHY_AFTER_S = 4.0
-#: Time without an answer from the store, directly or through a peer, after which a leader resigns if the store answers
+#: Time without a response from the store, directly or through a peer, after which a leader resigns if the store answers
 #: a peer.
 STORE_RESIGN_AFTER_S = 5.0
 
@@ -98,7 +98,7 @@
         self.checked_workers_at = clock()
         #: Start of the latest series of `check_workers` calls without a gap of more than `CHECK_GAP_S`.
         self.checking_since = self.checked_workers_at
-        #: Time until which this controller lets another one lead that a resigned leader named as its successor.
+        #: Time until which this controller does not take the leader key, as a resigned leader named another successor.
         self._successor_first_until = -math.inf
         #: Number of successive resignations because of silence of all workers.
         self._silence_resignations = 0
@@ -117,9 +117,9 @@
     def find_peer_reaching_store(self) -> PeerClient | None:
         """Return a peer that the store answered clearly after this controller's store requests began to fail, or None.
 
-        A recent answer to the peer is not sufficient: in an outage of the store all controllers lose the store at about
-        the same time, and a leader that resigned because a peer had its last answer a second later would end its term
-        for nothing.
+        A recent response to the peer is not sufficient: in an outage of the store all controllers lose the store at
+        about the same time, and a leader that resigned because a peer got its last response a second later would end
+        its term for nothing.
         """
         failed_at = self.store_link.failing_since
         if failed_at is None:
--- a/src/grebestand/controller/peer_directory.py
+++ b/src/grebestand/controller/peer_directory.py
@@ -24,7 +24,7 @@
         Args:
             peers: Clients of the other controllers.
             zones: Zone of each peer, by the peer's name.
-            clock: Steady clock, in seconds.
+            clock: Monotonic clock, in seconds.
             current_term: This controller's term.
         """
         self.peers = peers
--- a/src/grebestand/controller/peer_events.py
+++ b/src/grebestand/controller/peer_events.py
@@ -31,7 +31,7 @@
         self.transfer = transfer
 
     def on_peer_status(self, status: PeerStatus) -> None:
-        """Handle a peer's answer to a status exchange."""
+        """Handle a peer's response to a status exchange."""
         self.assignment_loop.on_peer_status(status)
 
     def on_peer_cancellations(self, job_ids: list[str]) -> None:
@@ -39,7 +39,7 @@
         self.cancellations.record_from_peer(job_ids)
 
     def on_peer_resigned(self, notice: ResignationNotice) -> None:
-        """Handle the resignation of a leader in a greenlet of its own, so that the answer to the notice is not late."""
+        """Handle a leader's resignation in a separate greenlet, so that the response to the notice is not delayed."""
         gevent.spawn(self.transfer.handle_resignation, notice)
 
     def on_leader_restarted(self, name: str) -> None:
--- a/src/grebestand/controller/peer_status.py
+++ b/src/grebestand/controller/peer_status.py
@@ -16,7 +16,7 @@
 
 #: Value of `PeerStatus.workers_age_s` while no worker has reached this controller yet.
 NO_WORKER_SEEN_S = -1.0
-#: Value of `PeerStatus.room` while this controller answers no heartbeats.
+#: Value of `PeerStatus.free_connections` while this controller answers no heartbeats.
 NO_WORKERS_ACCEPTED = -1
 
 
