--- a/src/grebestand/api/job_api.py
+++ b/src/grebestand/api/job_api.py
@@ -169,6 +169,7 @@
             return 0, False
         if reads is not None:
             reads.remember_version(job_id, found.version)
+        # `abroad` is the stored name of `LiveJobRecord.remote_assignment`
         return found.version, found.value.get("abroad") is not None
 
     def _lookup(self, job_id: str, urgency: Urgency, until: float) -> JobLookup | None:
--- a/src/grebestand/clients/kv_store.py
+++ b/src/grebestand/clients/kv_store.py
@@ -25,15 +25,15 @@
 
 Message = TypeVar("Message")
 
-#: timeout of a request for one key, a transaction or a lease
+#: Timeout of a request for one key, a transaction or a lease
 REQUEST_TIMEOUT_S = 1.5
-#: timeout of a request for a page of keys, whose response is larger
+#: Timeout of a request for a page of keys, whose response is larger
 PAGE_TIMEOUT_S = 4.0
 #: Added to the time for which the store may delay its response to a watch; the sum is the timeout of the request.
 WATCH_GRACE_S = 2.0
-#: default number of keys on a page
+#: Default number of keys on a page
 DEFAULT_PAGE_KEYS = 200
-#: maximum number of bytes of an unexpected response that are quoted in an error text
+#: Maximum number of bytes of an unexpected response that are quoted in an error text
 MAX_QUOTED_BYTES = 200
 
 _encoder = msgspec.json.Encoder()
@@ -220,8 +220,8 @@
             return 0, self._decode(body, CommitResult).failed
         if status == HTTPStatus.BAD_REQUEST and b"lease" in body:
             raise LeaseExpiredError(body.decode("utf-8", "replace"))
-        text = f"POST /commit: unexpected status {status}: {body[:MAX_QUOTED_BYTES]!r}"
-        raise StoreError(text, possibly_applied=False)
+        error_text = f"POST /commit: unexpected status {status}: {body[:MAX_QUOTED_BYTES]!r}"
+        raise StoreError(error_text, possibly_applied=False)
 
     def grant_lease(self, ttl_ms: int) -> int:
         """Create a lease and return its number. The lease expires `ttl_ms` milliseconds after its last renewal."""
@@ -298,9 +298,9 @@
                 self.request_limiter.acquire(urgency, 1, max_wait_s=timeout)
             except RateLimitedError as error:
                 raise StoreError(str(error), possibly_applied=False) from error
-        data = b"" if message is None else _encoder.encode(message)
+        request_body = b"" if message is None else _encoder.encode(message)
         try:
-            status, body = self._transport.request(method, path, data, timeout)
+            status, body = self._transport.request(method, path, request_body, timeout)
         except UnreachableError as error:
             raise StoreError(str(error), possibly_applied=True) from error
         if status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
--- a/src/grebestand/heartbeat_relay/batch_receiver.py
+++ b/src/grebestand/heartbeat_relay/batch_receiver.py
@@ -90,7 +90,7 @@
             election: The election, which knows whether this controller is the leader.
             term: Returns the current term while this controller is the leader, else None.
             overload_monitor: Measures the load of this controller.
-            clock: Returns the current time, in seconds.
+            clock: Monotonic clock, in seconds.
             wait_for_records: Waits until a new leader has loaded its records, for a limited time.
         """
         self.senders = frozenset(senders)
--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -83,7 +83,7 @@
 
         Args:
             name: Name of this controller.
-            clock: Returns the current time, in seconds.
+            clock: Monotonic clock, in seconds.
             leader: Returns the client for the leader, or None if the leader is unknown or is this controller.
         """
         self.name = name
@@ -94,7 +94,7 @@
         #: Set while the queue is not empty and a further batch may be sent.
         self._sendable = Event()
         self._batches_in_flight = 0
-        #: When the first of the batches was sent that have failed since the last response; infinite if none has failed.
+        #: When the earliest batch was sent that has failed since the last response; infinite if none has failed.
         self._failing_since = math.inf
         #: End of the current pause, and the leader and fencing token that the pause applies to.
         self._paused_until = -math.inf
@@ -129,7 +129,7 @@
         return self.state is ForwarderState.OPEN and leader is not None
 
     def has_short_queue(self) -> bool:
-        """Return whether a new heartbeat would be sent soon enough for its response to arrive in time."""
+        """Return whether the queue is so short that the response to a new heartbeat would arrive in time."""
         if not self._queue:
             return True
         now = self.clock()
@@ -208,14 +208,14 @@
         self.batch_count += 1
         self.forwarded_count += len(batch)
         message = HeartbeatBatch(self.name, [heartbeat.body for heartbeat in batch])
-        reply = leader.call(BATCH_PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
-        if reply is None or len(reply.responses) != len(batch):
+        batch_response = leader.call(BATCH_PATH, message, HeartbeatBatchResponse, BATCH_TIMEOUT_S)
+        if batch_response is None or len(batch_response.responses) != len(batch):
             self._record_failure(sent_at, leader)
             return None
         self._failing_since = math.inf
-        if reply.overloaded:
+        if batch_response.overloaded:
             self._overloaded_until = self.clock() + OVERLOAD_VALID_S
-        return reply.responses
+        return batch_response.responses
 
     def _record_failure(self, sent_at: float, leader: PeerClient) -> None:
         """Record that a batch received no response, and pause forwarding if the leader has been silent for too long.
--- a/src/grebestand/heartbeat_relay/worker_assignment.py
+++ b/src/grebestand/heartbeat_relay/worker_assignment.py
@@ -142,7 +142,7 @@
             zone: Zone of this controller.
             max_connections: Largest number of workers' connections to this controller.
             heartbeat_interval_s: Interval between two heartbeats of a worker, in seconds.
-            clock: Returns the current time, in seconds.
+            clock: Monotonic clock, in seconds.
             accepting_peers: Returns the other controllers that answer heartbeats now.
             is_overloaded: Returns whether this controller is overloaded; if so, it accepts workers only if no other
                 controller does.
@@ -250,15 +250,15 @@
 
     # redirects --------------------------------------------------------------------------------------------
 
-    def choose_controller(self, machine: str, zone: str, is_leader: bool, over_limit: bool = False) -> str | None:
+    def choose_controller(self, machine: str, zone: str, is_leader: bool, cannot_keep: bool = False) -> str | None:
         """Choose the controller for a worker that has sent a heartbeat; requires the mode `EVERY_CONTROLLER`.
 
         Args:
             machine: Name of the worker's machine.
             zone: Zone of the machine.
             is_leader: Whether this controller is the leader.
-            over_limit: Whether the worker's connection exceeds the limit of connections, so that this controller cannot
-                keep the worker.
+            cannot_keep: Whether this controller cannot keep the worker, because the worker's connection exceeds the
+                limit of connections or because this controller cannot forward heartbeats.
 
         Returns:
             The name of this controller to keep the worker, the name of another controller to redirect the worker, or
@@ -266,8 +266,8 @@
         """
         peers = self.accepting_peers()
         share = EvenShare(self.machine_count, self.heartbeats_per_s, is_leader, peers)
-        kept = machine in self.kept_workers and not over_limit
-        free_connections = 0 if over_limit else self.free_connections
+        kept = machine in self.kept_workers and not cannot_keep
+        free_connections = 0 if cannot_keep else self.free_connections
         if kept and not self._should_shed(is_leader, share, peers):
             return self.name
         if not kept and machine in self.redirected_at and free_connections:
--- a/src/grebestand/wire/peers.py
+++ b/src/grebestand/wire/peers.py
@@ -13,7 +13,7 @@
 
 from .jobs import JOB_ID
 
-#: job id, checked when a message is decoded because job ids become part of keys in the store
+#: Job id, checked when a message is decoded because job ids become part of keys in the store
 JobName = Annotated[str, msgspec.Meta(pattern=f"^{JOB_ID.pattern}")]
 
 
--- a/tests/heartbeat_relay/test_worker_assignment.py
+++ b/tests/heartbeat_relay/test_worker_assignment.py
@@ -113,7 +113,7 @@
     cluster = AssignmentWithPeers(PeerCapacity("near", "a", True, 290, 3), limit=20)
     destinations = cluster.arrive(40)
     assert destinations["node-0"] == 20 and destinations["near"] == 3 and destinations[None] == 17
-    assert cluster.assignment.choose_controller("n-0", "a", False, over_limit=True) is None
+    assert cluster.assignment.choose_controller("n-0", "a", False, cannot_keep=True) is None
 
 
 def test_overloaded_controller_gets_workers_only_as_a_last_resort() -> None:
