--- a/src/grebestand/federation/feature.py
+++ b/src/grebestand/federation/feature.py
@@ -84,7 +84,7 @@
             values: Federation settings that are expressions.
             settings: The platform's settings.
             local: Federation settings that are not expressions.
-            clock: Steady clock, in seconds.
+            clock: Monotonic clock, in seconds.
             rng: Source of random pauses and orders; by default one with a random seed.
             spawn: Runs a function that waits for a reply of another cluster; by default in a pool of greenlets.
         """
@@ -213,17 +213,17 @@
 
     # expressions ------------------------------------------------------------------------------------------
 
-    def _names(self, job: Job, **more: float) -> dict[str, float]:
+    def _names(self, job: Job, **further_names: float) -> dict[str, float]:
         """Return the values of all names that an expression about a gang can use."""
         gang = {"gang_size": float(job.spec.tasks), "gang_cpus": job.spec.cpus * job.spec.tasks}
-        return {**self.fixed_names, **gang, **more}
+        return {**self.fixed_names, **gang, **further_names}
 
     def overflow_after_s(self, job: Job, now: float) -> float:
         """Evaluate the setting `overflow_after_s` for a gang.
 
         Args:
             job: The gang.
-            now: Time of the steady clock, in seconds.
+            now: Time of the monotonic clock, in seconds.
 
         Returns:
             How long the gang has to wait at home before it is offered to other clusters, in seconds.
@@ -312,19 +312,19 @@
     except NetworkListError as error:
         raise plain.fault("networks", str(error)) from error
     try:
-        ring = Keyring(Path(plain.file).parent / local.keys, local.cluster, federation.clock)
+        keyring = Keyring(Path(plain.file).parent / local.keys, local.cluster, federation.clock)
     except KeyringError as error:
         raise plain.fault("keys", str(error)) from error
     for other in local.others:
         federation.links[other.name] = TlsLink(
             controllers={name: parse_address(address, "others") for name, address in other.controllers.items()},
-            connect=tls_connector(other.name, ring),
-            edition=lambda: ring.edition,
+            connect=tls_connector(other.name, keyring),
+            edition=lambda: keyring.edition,
             clock=federation.clock,
             rng=federation.rng,
         )
-    server = LinkServer(ring, federation.message_handler, federation.leader, federation.clock)
-    gate = LinkAdmission(networks, ring, federation.clock)
+    server = LinkServer(keyring, federation.message_handler, federation.leader, federation.clock)
+    gate = LinkAdmission(networks, keyring, federation.clock)
     return Listener(local.listen[settings.name], "listen", server.app, MAX_LINK_CONNECTIONS, gate)
 
 
--- a/src/grebestand/federation/home.py
+++ b/src/grebestand/federation/home.py
@@ -1,4 +1,4 @@
-"""The home cluster's side: offers waiting gangs, assigns each to at most one cluster, and follows it there.
+"""The home cluster's side: offers waiting gangs, assigns each to at most one cluster, and queries its state there.
 
 An assignment is one conditional write of the leader: the gang's live record then names the other cluster and the
 reservation. A user's cancellation, the end of the job and the assignment are all conditional on the version of that one
@@ -220,9 +220,9 @@
         elif gang.state is HomeState.DECIDING:
             self._resolve_unknown_assignment(gang)
         elif gang.state in (HomeState.COMMITTED, HomeState.ABROAD):
-            self._follow(gang)
+            self._send_due_message(gang)
         elif gang.state is HomeState.RETURNING:
-            self._return(gang)
+            self._return_home(gang)
 
     def _log_summary(self, now: float) -> None:
         if now - self._summary_at < SUMMARY_INTERVAL_S:
@@ -275,32 +275,32 @@
     def _assign(self, gang: RemoteGang) -> None:
         """Assign the gang to one cluster, unless the gang has started or ended at home during the offer."""
         job = gang.job
-        chosen = next(iter(gang.reservations), None)
-        if chosen is None or job.allocations or not job.is_live or job.startable_count() != job.spec.tasks:
+        chosen_cluster = next(iter(gang.reservations), None)
+        if chosen_cluster is None or job.allocations or not job.is_live or job.startable_count() != job.spec.tasks:
             self._release_reservations(gang)
-            if chosen is None:
+            if chosen_cluster is None:
                 reason = "no cluster has reserved machines"
             else:
                 reason = "the gang has started or ended at home, or has tasks that may not start now"
             self.change_state(gang, HomeState.WAITING, reason)
             return
-        gang.assignment = RemoteAssignment(chosen, gang.reservations[chosen])
-        self.change_state(gang, HomeState.DECIDING, f"reserved by {chosen}")
+        gang.assignment = RemoteAssignment(chosen_cluster, gang.reservations[chosen_cluster])
+        self.change_state(gang, HomeState.DECIDING, f"reserved by {chosen_cluster}")
         try:
-            self._write(gang, gang.assignment)
+            self._write_assignment(gang, gang.assignment)
         except (StoreError, FencedError) as error:
-            log.info(LogEvent("remote_assignment_unknown", job_id=job.spec.id, cluster=chosen, error=error))
+            log.info(LogEvent("remote_assignment_unknown", job_id=job.spec.id, cluster=chosen_cluster, error=error))
             gang.next_step_at = self.term.clock() + DECISION_RETRY_S
             return
-        self._release_reservations(gang, except_in=chosen)
+        self._release_reservations(gang, except_in=chosen_cluster)
         if gang.state is HomeState.COMMITTED:
             self.counts["decided"] += 1
             duration_s = self.term.clock() - gang.offered_at
             self.sketches.add("offer", duration_s)
-            log.info(LogEvent("remote_gang_assigned", job_id=job.spec.id, cluster=chosen, after_s=duration_s))
+            log.info(LogEvent("remote_gang_assigned", job_id=job.spec.id, cluster=chosen_cluster, after_s=duration_s))
             self._advance(gang)
 
-    def _write(self, gang: RemoteGang, assignment: RemoteAssignment | None) -> None:
+    def _write_assignment(self, gang: RemoteGang, assignment: RemoteAssignment | None) -> None:
         """Set or clear the assignment in the live record, unless the record has another version than this leader knows.
 
         In that case, the record is read and the gang's state follows from it.
@@ -308,9 +308,9 @@
         if self.records.write(gang.job, assignment):
             self.change_state(gang, HomeState.COMMITTED if assignment else HomeState.WAITING, "live record written")
         else:
-            self._reread(gang)
+            self._reread_record(gang)
 
-    def _reread(self, gang: RemoteGang) -> None:
+    def _reread_record(self, gang: RemoteGang) -> None:
         """Read a live record that has changed, and set the gang's state accordingly.
 
         Either a user's cancellation was written first, or an earlier write without a response took effect.
@@ -330,13 +330,13 @@
         The store may still apply that write. A second write, conditional on the same version, either succeeds, so that
         the first write can no longer take effect, or fails because the first write took effect.
         """
-        self._write(gang, None)
+        self._write_assignment(gang, None)
         if gang.state is HomeState.WAITING:
             self._release_reservations(gang)
 
     # remote gangs -----------------------------------------------------------------------------------------
 
-    def _follow(self, gang: RemoteGang) -> None:
+    def _send_due_message(self, gang: RemoteGang) -> None:
         """Send the message that is due for a gang assigned to another cluster.
 
         This is a `Recall` once the user has cancelled the gang; otherwise a `Commit` until the other cluster confirms
@@ -344,10 +344,10 @@
         """
         assert gang.assignment is not None
         cluster = self.remotes.by_name.get(gang.assignment.cluster)
-        kind = Recall if gang.recalled else Commit if gang.state is HomeState.COMMITTED else StatusQuery
-        self._query(gang, cluster, kind(self.name, gang.job.spec.id, gang.assignment.id))
+        message_type = Recall if gang.recalled else Commit if gang.state is HomeState.COMMITTED else StatusQuery
+        self._send_message(gang, cluster, message_type(self.name, gang.job.spec.id, gang.assignment.id))
 
-    def _query(self, gang: RemoteGang, cluster: RemoteCluster | None, message: Message) -> None:
+    def _send_message(self, gang: RemoteGang, cluster: RemoteCluster | None, message: Message) -> None:
         """Send a message about a remote gang and process the reply."""
         gang.next_step_at = self.term.clock() + QUERY_INTERVAL_S * (0.75 + 0.5 * self.rng.random())
         if cluster is None or not cluster.breaker.allows_request():
@@ -383,7 +383,7 @@
             factor = min(MAX_QUERY_INTERVAL_FACTOR, 2**gang.unanswered_queries)
             gang.next_step_at = self.term.clock() + QUERY_INTERVAL_S * factor * (0.5 + self.rng.random())
 
-    def _return(self, gang: RemoteGang) -> None:
+    def _return_home(self, gang: RemoteGang) -> None:
         """Record that another cluster no longer runs the gang: the gang is done, is cancelled, or waits at home."""
         job = gang.job
         assignment = gang.assignment
@@ -393,7 +393,7 @@
         elif gang.recalled:
             self._cancel(gang)
         else:
-            self._write(gang, None)
+            self._write_assignment(gang, None)
         if gang.state is not HomeState.RETURNING:
             self._ended_reservations.append(EndedReservation(assignment.cluster, job.spec.id, assignment.id))
 
@@ -409,7 +409,7 @@
     def _cancel(self, gang: RemoteGang) -> None:
         """Record the cancellation; its user receives the confirmation only after this write."""
         if not self.records.write_cancellation(gang.job):
-            self._reread(gang)
+            self._reread_record(gang)
             return
         self.term.dispatch.cancel(gang.job, self.term.clock())
         self.change_state(gang, HomeState.OVER, "cancelled by its user")
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -299,18 +299,18 @@
     """The store's watch delivers a write whose response is lost; the repeated write must have no second effect."""
     clusters = FederatedClusters()
     clusters.advance_until(lambda: clusters.running_cluster() == "east")
-    original_return = HomeCluster._return
+    original_return = HomeCluster._return_home
 
     def return_unanswered(self: HomeCluster, gang: RemoteGang) -> None:
         clusters.home.cluster.store.responses_to_drop = 1
         original_return(self, gang)
 
-    monkeypatch.setattr(HomeCluster, "_return", return_unanswered)
+    monkeypatch.setattr(HomeCluster, "_return_home", return_unanswered)
     for worker in clusters.east.workers:
         worker.expire_lease()
         worker.reachable = False
     clusters.advance_until(lambda: not clusters.home.term.registry.jobs[clusters.gang].runs_remotely, 200)
-    monkeypatch.setattr(HomeCluster, "_return", original_return)
+    monkeypatch.setattr(HomeCluster, "_return_home", original_return)
     clusters.home.cluster.store.responses_to_drop = 0
     clusters.advance(10)
     gang = clusters.home.home.gangs.get(clusters.gang)
