--- a/src/grebestand/leader/cancellation_horizon.py
+++ b/src/grebestand/leader/cancellation_horizon.py
@@ -4,10 +4,10 @@
 confirm cancellations that the leader has not received. Each response to a worker renews the leases of the worker's
 tasks and may start a cancelled task. So a worker is answered only if
 
-    now <= known + cancel_s - lease_s - drift - margin
+    now <= known_at + cancel_s - lease_s - drift - margin
 
-where `known` is when the last answered current read of the live records was sent. A cancellation that the leader does
-not know was confirmed after `known`, and the lease renewed by the response expires within `cancel_s` of that
+where `known_at` is when the last answered current read of the live records was sent. A cancellation that the leader
+does not know was confirmed after `known_at`, and the lease renewed by the response expires within `cancel_s` of that
 cancellation. The proof is in docs/design.md, "What a leader must know".
 """
 
@@ -89,7 +89,7 @@
         return self.max_age_s == math.inf or self.clock() <= known_at + MAX_AGE_FOR_STARTS_S
 
     def may_answer_until(self) -> float:
-        """Return until when a response may be sent that does not stop jobs cancelled after `known_at`."""
+        """Return until when a worker may be answered without knowledge of the cancellations after `known_at`."""
         return self.known_at + self.max_age_s if self.max_age_s < math.inf else math.inf
 
     def reset(self) -> None:
--- a/src/grebestand/leader/job_completion.py
+++ b/src/grebestand/leader/job_completion.py
@@ -57,8 +57,8 @@
         record = self._commit(job)
         now = self.clock()
         if job.state is JobState.CLOSING:
-            done = record.state is JobStatus.DONE
-            self.registry.change_job_state(job, JobState.DONE if done else JobState.CANCELLED, now)
+            is_done = record.state is JobStatus.DONE
+            self.registry.change_job_state(job, JobState.DONE if is_done else JobState.CANCELLED, now)
         self.completed_jobs.remember(job.spec.id, record)
         self.registry.closing_jobs.pop(job.spec.id, None)
         self.drop_records(job)
@@ -77,11 +77,11 @@
         conditions, changes = completion_transaction(job_id, job.record_revision, record)
         for hook in self.features.close:
             changes += hook(job, record)
-        began = self.clock()
+        commit_began_at = self.clock()
         try:
             _, failed = self.writer.commit(conditions, changes, Urgency.COMPLETION)
         finally:
-            if self.clock() - began >= SLOW_COMMIT_S:
+            if self.clock() - commit_began_at >= SLOW_COMMIT_S:
                 self.grants.conserve_writes()
         if not failed:
             return record
--- a/src/grebestand/leader/job_watch.py
+++ b/src/grebestand/leader/job_watch.py
@@ -37,7 +37,7 @@
         """Apply a live record: add its job, or record that the job is no longer assigned to another cluster.
 
         Args:
-            value: the value of the record's key.
+            value: the decoded JSON value of the record.
             version: the revision that wrote the key.
             now: the current time of the monotonic clock, in seconds.
         """
@@ -69,7 +69,7 @@
         Raises:
             StoreError: the store could not be reached, or its response is contradictory.
         """
-        self._follow(self.election.cancellation_horizon.watch_ms)
+        self._apply_changes(self.election.cancellation_horizon.watch_ms)
 
     def catch_up(self) -> None:
         """Apply changes with a read that does not wait, which a term has to do before it resumes after a pause.
@@ -79,20 +79,21 @@
         Raises:
             StoreError: the store could not be reached, or its response is contradictory.
         """
-        self._follow(0)
+        self._apply_changes(0)
 
-    def _follow(self, wait_ms: int) -> None:
+    def _apply_changes(self, wait_ms: int) -> None:
+        """Request the changes since `applied_revision`, for which the store may wait `wait_ms`, and apply them."""
         sent_at, since = self.clock(), self.applied_revision
         try:
             changes = self.writer.store.watch(LIVE_PREFIX, since, wait_ms)
         except RevisionCompactedError:
-            self._reread()
+            self._read_all_again()
             return
         if changes.revision < since or any(event.version > changes.revision for event in changes.events):
             raise StoreError(f"revision {changes.revision} after {since}: that cannot be", possibly_applied=False)
         now = self.clock()
         for event in changes.events:
-            # two reads may be under way: the older read must not undo changes that the newer read has applied
+            # two reads may be in progress: the older read must not undo changes that the newer read has applied
             if event.version > self.applied_revision:
                 self._apply_event(event, now)
         self.applied_revision = max(self.applied_revision, changes.revision)
@@ -153,7 +154,7 @@
             self.apply_removal(job_id, self.clock())
         self.election.record_current_read(self.token, self._read_sent_at)
 
-    def _reread(self) -> None:
+    def _read_all_again(self) -> None:
         """Read all live records again, as the store has compacted the changes since the last read."""
         now = self.clock()
         live = self.read_all(now)
--- a/tests/scenarios/test_paused_leader.py
+++ b/tests/scenarios/test_paused_leader.py
@@ -30,7 +30,7 @@
 STEPS: list[tuple[type, str]] = [
     (HeartbeatHandler, "handle"), (CommandBuilder, "build_commands"), (DurableGrants, "write"),
     (FencedWriter, "commit"), (KeyValueStoreClient, "commit"),
-    (LeaderElection, "renew"), (JobWatch, "_follow"), (JobCompletion, "_complete"), (TaskProgress, "save"),
+    (LeaderElection, "renew"), (JobWatch, "_apply_changes"), (JobCompletion, "_complete"), (TaskProgress, "save"),
     (MachineRecords, "record"),
     (Provisioning, "_rent_as"), (MachineReconciliation, "apply_direct_answer"), (LeadershipTransfer, "resign"),
     (JobApi, "_lookup"),
