--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -230,7 +230,7 @@
         #: By zone, the number of free slots at the lowest possible cost.
         cheapest_slots: dict[int, int] = {}
         lowest_cost = IDLE_CPU_WEIGHT * self.images.min_fetch_s(job) * job.task_size[0] / MICRO_UNITS
-        enough = max(SUFFICIENT_CHEAPEST_SLOTS, SUFFICIENT_CHEAPEST_SLOTS_PER_TASK * job.spec.tasks)
+        sufficient_slots = max(SUFFICIENT_CHEAPEST_SLOTS, SUFFICIENT_CHEAPEST_SLOTS_PER_TASK * job.spec.tasks)
         for examined, machine in enumerate(schedulable, 1):
             if not examined % MACHINES_PER_STEP:
                 yield
@@ -242,7 +242,7 @@
                 candidates.append(candidate)
                 if candidate.free_now and candidate.cost <= lowest_cost:
                     cheapest_slots[machine.zone_index] = cheapest_slots.get(machine.zone_index, 0) + candidate.tasks
-            if cheapest_slots.get(machine.zone_index, 0) >= enough:
+            if cheapest_slots.get(machine.zone_index, 0) >= sufficient_slots:
                 break
         return candidates
 
@@ -300,10 +300,10 @@
                 free_by_zone.setdefault(machine.zone_index if job.spec.one_zone else -1, []).append(candidate)
         if not free_by_zone:
             return
-        best = max(free_by_zone.values(), key=lambda free: sum(candidate.tasks for candidate in free))
-        best.sort(key=lambda c: (c.machine.reserved_for is None, c.cost, c.machine.index))
+        selected = max(free_by_zone.values(), key=lambda free: sum(candidate.tasks for candidate in free))
+        selected.sort(key=lambda c: (c.machine.reserved_for is None, c.cost, c.machine.index))
         missing = job.spec.tasks
-        for candidate in best:
+        for candidate in selected:
             if missing <= 0:
                 break
             missing -= candidate.tasks
@@ -405,12 +405,12 @@
         if self.preemption.cannot_free_enough(job, machine, self.preemption.reclaims_for(job, now) >= 0):
             return []
         placements = []
-        free = min(tasks_that_fit(job.task_size, machine.free), job.spec.tasks)
-        if free > 0:
-            placements.append(GangPlacement(free, [], 0.0, free_now=True))
-        if (machine.stopping_count and free > 0) or self._must_not_preempt_yet(job, now):
+        free_slots = min(tasks_that_fit(job.task_size, machine.free), job.spec.tasks)
+        if free_slots > 0:
+            placements.append(GangPlacement(free_slots, [], 0.0, free_now=True))
+        if (machine.stopping_count and free_slots > 0) or self._must_not_preempt_yet(job, now):
             return placements
-        for tasks in range(min(tasks_that_fit(job.task_size, machine.capacity), job.spec.tasks), free, -1):
+        for tasks in range(min(tasks_that_fit(job.task_size, machine.capacity), job.spec.tasks), free_slots, -1):
             eviction = self.preemption.find_victims(job, machine, tasks, now)
             if eviction is not None:
                 victims, cost = eviction
@@ -450,8 +450,8 @@
         def cost_key(candidate: GangCandidate) -> tuple[bool, float]:
             return candidate.machine.reserved_for is None, candidate.cost
 
-        for _, equals in itertools.groupby(sorted(candidates, key=cost_key), cost_key):
-            yield from sorted(equals, key=lambda c: self.placement.preference(job, c.machine))
+        for _, equal_cost in itertools.groupby(sorted(candidates, key=cost_key), cost_key):
+            yield from sorted(equal_cost, key=lambda c: self.placement.preference(job, c.machine))
 
     @staticmethod
     def _take_shares(ranked: Iterator[GangCandidate], tasks: int, max_per_zone: int) -> list[GangShare] | None:
--- a/src/grebestand/scheduling/placement.py
+++ b/src/grebestand/scheduling/placement.py
@@ -60,7 +60,7 @@
         self._queue: list[Job] = []
         #: Millionths of a CPU that the smallest task of the jobs in `_queue` needs.
         self._smallest_cpus = 0
-        #: Task sizes for which this pass found no usable slot, by type, image and whether the job aged.
+        #: Task sizes for which this pass found no usable slot, by type, image and whether the job has aged.
         self._sizes_without_option: dict[tuple[int, int, bool], Resources] = {}
         #: Task sizes for which this pass found no slot in any template, by type and whether the job has aged.
         self._sizes_without_slot: dict[tuple[int, bool], Resources] = {}
@@ -77,7 +77,7 @@
         Cached allowances are kept: an allowance stays valid as long as its machine's change count is the same and the
         set of waiting types, which limits the borrowing of spare slots, has not changed.
         """
-        waiting_types = {j.type_index for j in self.registry.waiting_jobs()}
+        waiting_types = {job.type_index for job in self.registry.waiting_jobs()}
         if waiting_types != self.waiting_types:
             self.clear_cache()
         self.waiting_types = waiting_types
@@ -91,8 +91,8 @@
             waiting: Jobs that the pass considered, the most urgent first. Capacity that heartbeats free before the
                 next pass goes to the jobs among them that still wait.
         """
-        self._queue = [j for j in waiting if not j.is_gang and j.waiting_count() > 0]
-        self._smallest_cpus = min((j.task_size[0] for j in self._queue), default=0)
+        self._queue = [job for job in waiting if not job.is_gang and job.waiting_count() > 0]
+        self._smallest_cpus = min((job.task_size[0] for job in self._queue), default=0)
 
     def clear_cache(self) -> None:
         """Discard cached allowances, because templates or the set of types that may lend spare slots have changed."""
@@ -115,12 +115,12 @@
         # A task that did not fit on this machine before fits only once the machine has changed.
         machine.needs_placement_attempt = False
         queue_outdated = False
-        refused: dict[tuple[int, bool], Resources] = {}
+        sizes_without_slot: dict[tuple[int, bool], Resources] = {}
         for job in self._queue:
             if job.task_size[0] > machine.free[0] or not job.is_live or job.spec.one_zone or job.spec.spread:
                 continue
             key = job.type_index, self._has_aged(job, now)
-            if key in refused and fits(refused[key], job.task_size):
+            if key in sizes_without_slot and fits(sizes_without_slot[key], job.task_size):
                 continue
             if self.context.features.waiting_reason(job, now) is not None:
                 continue
@@ -136,9 +136,9 @@
             if slots > 0:
                 self._start_tasks(job, machine, min(wanted, slots), now)
             else:
-                refused[key] = job.task_size
+                sizes_without_slot[key] = job.task_size
         if queue_outdated:
-            self._queue = [j for j in self._queue if j.waiting_count() > 0]
+            self._queue = [job for job in self._queue if job.waiting_count() > 0]
 
     def place(
         self, job: Job, with_capacity: list[Machine], schedulable: list[Machine], now: float, has_reservation: bool
@@ -276,13 +276,13 @@
     def _start_tasks(self, job: Job, machine: Machine, count: int, now: float) -> int:
         """Start up to `count` waiting tasks of the job on a machine, and return the number started."""
         for started in range(count):
-            fresh = job.first_unallocated
+            first_unallocated = job.first_unallocated
             index = job.take_waiting_task()
             if index is None:
                 return started
             job.last_allocation_at = now
             allocation = self.dispatch.start(job, index, machine, self.dispatch.next_attempt_number(), now)
-            allocation.is_first_attempt = job.first_unallocated > fresh
+            allocation.is_first_attempt = job.first_unallocated > first_unallocated
         return count
 
     def satisfies_constraints(self, job: Job, machine: Machine) -> bool:
@@ -292,10 +292,10 @@
             job: The job to check.
             machine: The machine to check the job's constraints and the machine's reservation against.
         """
-        kinds = self.registry.task_types[job.type_index].machine_types
+        allowed_types = self.registry.task_types[job.type_index].machine_types
         return (
             (job.spec.spot or not machine.spot)
-            and (kinds is None or machine.type_index in kinds)
+            and (allowed_types is None or machine.type_index in allowed_types)
             and (job.zone_index < 0 or job.zone_index == machine.zone_index)
             and (machine.reserved_for is None or machine.reserved_for == job.spec.id)
             and (machine.index not in job.avoided_machines or not job.has_progress)
@@ -310,8 +310,8 @@
         )
         heartbeats_until_fetched = int(self.images.fetch_s(job, machine) / self.inventory.heartbeat_interval_s)
         return (
-            machine.index
-            in job.avoided_machines,  # a start on another machine shows whether the job or the machine is faulty
+            # a start on another machine shows whether the job or the machine is faulty
+            machine.index in job.avoided_machines,
             heartbeats_until_fetched,
             not has_own_slot,
             machine.slowness > SLOW_MACHINE_RATIO,
@@ -342,8 +342,8 @@
     def _slots_for(self, job: Job, machine: Machine, now: float) -> int:
         """Return how many of the job's tasks the machine can take now.
 
-        The rule is the paper's, with two additions: a machine takes whatever fits of the job that it is reserved for,
-        and spare slots may be lent to other types.
+        The rule is that of the scheduling paper (see `scheduling.greedy`), with two additions: a machine takes whatever
+        fits of the job that it is reserved for, and spare slots may be lent to other types.
         """
         fitting = tasks_that_fit(job.task_size, machine.free)
         if fitting <= 0:
@@ -407,7 +407,8 @@
                 continue
             eviction = self._victims_for_one_task(job, machine, now)
             if eviction is not None:
-                costs.append((eviction[1], machine))
+                _, cost = eviction
+                costs.append((cost, machine))
         costs.sort(key=itemgetter(0), reverse=True)
         return [machine for _, machine in costs]
 
@@ -432,7 +433,8 @@
             if eviction is not None:
                 to_clear -= 1
                 self._reserve(machine, job, until=now + CLEARED_RESERVATION_S)
-                self.preemption.displace(eviction[0], job, now)
+                victims, _ = eviction
+                self.preemption.displace(victims, job, now)
 
     def _victims_for_one_task(self, job: Job, machine: Machine, now: float) -> tuple[list[Allocation], float] | None:
         """Find the tasks to preempt on a machine so that one task of the job fits.
