--- a/tests/controller/test_leadership_transfer.py
+++ b/tests/controller/test_leadership_transfer.py
@@ -44,9 +44,9 @@
 
 def test_leader_does_not_resign_for_silence_after_its_own_stall(loop: VirtualLoop) -> None:
     """A leader that was stalled for 25 s has heartbeats left to read, which it must not take for silent workers."""
-    world = SimulatedCluster(loop)
+    cluster = SimulatedCluster(loop)
     gevent.sleep(10)
-    controller = world.controllers[world.current_leaders()[0]]
+    controller = cluster.controllers[cluster.current_leaders()[0]]
     assert controller is not None and controller.term is not None
     controller.leadership_transfer.checked_workers_at -= 25.0
     controller.term.heartbeat_handler.last_heartbeat_at -= 25.0
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -432,12 +432,12 @@
     """If federation is switched off by mistake, the live record still keeps a remote gang from starting at home."""
     clusters = FederatedClusters()
     clusters.advance_until(lambda: clusters.running_cluster() == "east")
-    world = clusters.home.cluster
-    world.clock.now += 13.0
-    clusters.home.controller = InMemoryController(world, "home-plain")
+    home_cluster = clusters.home.cluster
+    home_cluster.clock.now += 13.0
+    clusters.home.controller = InMemoryController(home_cluster, "home-plain")
     term = clusters.home.controller.lead()
     clusters.finish_tasks(clusters.home)
-    world.run_rounds(term, 12)
+    home_cluster.run_rounds(term, 12)
     assert not clusters.gang_tasks()["home"] and term.registry.jobs[clusters.gang].startable_count() == 0
 
 
--- a/tests/scheduling/test_cached_findings.py
+++ b/tests/scheduling/test_cached_findings.py
@@ -46,27 +46,27 @@
     where the template has no slot, or the wrong tasks would be preempted.
     """
     rng = random.Random(5)
-    world = InMemoryCluster(rules="rent = false\ntype_bound = 6\n")
-    controller = InMemoryController(world, "node-0")
+    cluster = InMemoryCluster(rules="rent = false\ntype_bound = 6\n")
+    controller = InMemoryController(cluster, "node-0")
     term = controller.lead()
     for i in range(12):
-        world.add_worker(f"n-{i:06d}", zone="ab"[i % 2])
-    world.run_rounds(term, 3)
+        cluster.add_worker(f"n-{i:06d}", zone="ab"[i % 2])
+    cluster.run_rounds(term, 3)
     compared = 0
     for _ in range(120):
         shape = rng.choice(["array", "array", "ensemble"])
-        world.submit_job(
+        cluster.submit_job(
             controller, shape=shape, crew=rng.choice(["red", "blue"]),
             rank=rng.choice(["high", "standard", "best_effort"]), pullGb=0.5,
             shards=rng.randint(1, 12 if shape == "array" else 2), cpus=rng.choice([1.0, 2.0, 7.0]),
         )  # fmt: skip
-        for worker in world.workers.values():
+        for worker in cluster.workers.values():
             worker.reachable = rng.random() < 0.95
             for task in worker.running_tasks():
                 if rng.random() < 0.1:
                     worker.finish_task(task, ExitReason.ERROR if rng.random() < 0.02 else ExitReason.DONE)
-        world.run_rounds(term, 2)
-        now = world.clock.now
+        cluster.run_rounds(term, 2)
+        now = cluster.clock.now
         term.scheduler.update_targets(now) if rng.random() < 0.2 else term.scheduler.place(now)
         compared += compare_allowances(term) + compare_victims(term)
     assert compared > MIN_COMPARISONS
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -38,10 +38,10 @@
     With 1500 waiting jobs this is expensive, and useless if nothing on the machine has changed.
     """
     cluster = scheduling_cluster(1, monkeypatch)
-    world, term, (worker,) = cluster.cluster, cluster.term, cluster.workers
+    simulation, term, (worker,) = cluster.cluster, cluster.term, cluster.workers
     # the machine has memory for two tasks, and CPUs for three more
-    world.submit_job(cluster.controller, shards=100, cpus=3.0, ramGb=30.0)
-    world.run_rounds(term, 6)
+    simulation.submit_job(cluster.controller, shards=100, cpus=3.0, ramGb=30.0)
+    simulation.run_rounds(term, 6)
     examined: list[str] = []
     slots_for = term.scheduler.placement._slots_for
 
@@ -52,10 +52,10 @@
     monkeypatch.setattr(term.scheduler.placement, "_slots_for", recorded)
     term.scheduling_loop.next_pass_at = term.scheduling_loop.next_targets_at = cluster.now + 100.0
     for _ in range(5):
-        world.clock.now += 1.0
-        assert world.handle_heartbeat(term, worker) is not None
+        simulation.clock.now += 1.0
+        assert simulation.handle_heartbeat(term, worker) is not None
     assert not examined
     worker.finish_task(worker.running_tasks()[0])
-    world.clock.now += 1.0
-    assert world.handle_heartbeat(term, worker) is not None
+    simulation.clock.now += 1.0
+    assert simulation.handle_heartbeat(term, worker) is not None
     assert examined
--- a/tests/scheduling/test_preemption.py
+++ b/tests/scheduling/test_preemption.py
@@ -16,12 +16,12 @@
     waiting jobs examined every machine.
     """
     cluster = scheduling_cluster(4, monkeypatch)
-    world, scheduler = cluster.cluster, cluster.term.scheduler
-    world.submit_job(cluster.controller, shards=64, cpus=1.0, ramGb=0.1, rank="best_effort")
-    world.run_rounds(cluster.term, 5)
+    simulation, scheduler = cluster.cluster, cluster.term.scheduler
+    simulation.submit_job(cluster.controller, shards=64, cpus=1.0, ramGb=0.1, rank="best_effort")
+    simulation.run_rounds(cluster.term, 5)
     assert sum(len(worker.running_tasks()) for worker in cluster.workers) == 64
-    high = [world.submit_job(cluster.controller, cpus=2.0, crew="red", rank="high") for _ in range(6)]
-    world.clock.now += 30.0  # longer than the minimum wait before a preemption
+    high = [simulation.submit_job(cluster.controller, cpus=2.0, crew="red", rank="high") for _ in range(6)]
+    simulation.clock.now += 30.0  # longer than the minimum wait before a preemption
     for job_id in high:
         cluster.job(job_id).waiting_since -= 60.0
     examined: list[str] = []
--- a/tests/scheduling/test_stragglers.py
+++ b/tests/scheduling/test_stragglers.py
@@ -27,17 +27,17 @@
     One of the jobs is slow on every machine, which must not affect any machine's estimate.
     """
     cluster = scheduling_cluster(6, monkeypatch, WIDE_LIMIT_SETTINGS)
-    world, term = cluster.cluster, cluster.term
+    simulation, term = cluster.cluster, cluster.term
     for number in range(JOBS):
-        job_id = world.submit_job(cluster.controller, shards=24, cpus=4.0)
-        world.run_rounds(term, 3)
+        job_id = simulation.submit_job(cluster.controller, shards=24, cpus=4.0)
+        simulation.run_rounds(term, 3)
         started = {w.name: [task for task in w.running_tasks() if task.startswith(job_id)] for w in cluster.workers}
         run_time_s = 100 if number == SLOW_JOB else 10
-        world.run_rounds(term, run_time_s)
+        simulation.run_rounds(term, run_time_s)
         finish_tasks(cluster, started, range(5))
-        world.run_rounds(term, run_time_s)
+        simulation.run_rounds(term, run_time_s)
         finish_tasks(cluster, started, range(5, 6))
-        world.run_rounds(term, 4)
+        simulation.run_rounds(term, 4)
     return cluster
 
 
--- a/tools/cuts.py
+++ b/tools/cuts.py
@@ -92,22 +92,25 @@
     pattern, mode, seed = task
     cut = [link for i, link in enumerate(LINKS) if pattern >> i & 1]
     with simulated_time() as loop:
-        world = SimulatedCluster(loop, seed=seed * 1000 + pattern)
-        world.submit_continuously(0.8, HEALTHY_S + CUT_S + HEALED_S)
+        cluster = SimulatedCluster(loop, seed=seed * 1000 + pattern)
+        cluster.submit_continuously(0.8, HEALTHY_S + CUT_S + HEALED_S)
         gevent.sleep(HEALTHY_S)
-        killed_before, leaders_before = world.lease_expiry_kills, len(world.leader_history)
+        killed_before, leaders_before = cluster.lease_expiry_kills, len(cluster.leader_history)
         for controller, other_end in cut:
             # The machines are in two zones, "a" and "b", and each zone has a link of its own.
             for end in ("a", "b") if other_end == "workers" else (other_end,):
-                world.links.set_mode(controller, end, mode)
+                cluster.links.set_mode(controller, end, mode)
         gevent.sleep(CUT_S)
         now = loop.time
-        longest_pause_s = world.longest_gap_between_starts(HEALTHY_S, now)
-        served = any(start > now - SERVED_WITHIN_S for start in world.task_start_times)
-        leader_changes, killed = len(world.leader_history) - leaders_before, world.lease_expiry_kills - killed_before
-        world.links.open_all()
+        longest_pause_s = cluster.longest_gap_between_starts(HEALTHY_S, now)
+        served = any(start > now - SERVED_WITHIN_S for start in cluster.task_start_times)
+        leader_changes, killed = (
+            len(cluster.leader_history) - leaders_before,
+            cluster.lease_expiry_kills - killed_before,
+        )
+        cluster.links.open_all()
         gevent.sleep(HEALED_S)
-        recovery_s = next((start - now for start in world.task_start_times if start > now), HEALED_S)
+        recovery_s = next((start - now for start in cluster.task_start_times if start > now), HEALED_S)
         return PatternResult(
             tuple(cut),
             has_path(set(cut)),
@@ -116,7 +119,7 @@
             leader_changes,
             killed,
             recovery_s,
-            world.violations(),
+            cluster.violations(),
         )
 
 
--- a/tools/history_digest.py
+++ b/tools/history_digest.py
@@ -78,32 +78,32 @@
 def run_gangs_and_services() -> None:
     """Run arrays, gangs and services of all priorities and placement constraints, without faults, on a full cluster."""
     with simulated_time() as loop:
-        world = SimulatedCluster(loop, seed=41, machines=8)
-        world.submit_continuously(3.0, 100.0)
+        cluster = SimulatedCluster(loop, seed=41, machines=8)
+        cluster.submit_continuously(3.0, 100.0)
         gevent.sleep(6)
         for number in range(24):
             shape = ("ensemble", "array", "daemon")[number % 3]
             rank = ("critical", "high", "standard", "best_effort")[number % 4]
             constraints = PLACEMENT_CONSTRAINTS[number // 2 % len(PLACEMENT_CONSTRAINTS)]
-            world.submit(
+            cluster.submit(
                 ("red", "blue")[number % 2], 2 + number % 5, 1.0 + number % 3, shape=shape, rank=rank, **constraints
             )
             gevent.sleep(4)
-        world.cancel_running_jobs(5)
+        cluster.cancel_running_jobs(5)
         gevent.sleep(60)
 
 
 def run_one_controller() -> None:
     """Run a cluster with a single controller that crashes and restarts twice."""
     with simulated_time() as loop:
-        world = SimulatedCluster(loop, seed=42, controllers=1, machines=6)
-        world.cancelled_job_rate = 0.3
-        world.submit_continuously(2.0, 100.0)
+        cluster = SimulatedCluster(loop, seed=42, controllers=1, machines=6)
+        cluster.cancelled_job_rate = 0.3
+        cluster.submit_continuously(2.0, 100.0)
         for _ in range(2):
             gevent.sleep(25)
-            world.crash("node-0")
+            cluster.crash("node-0")
             gevent.sleep(4)
-            world.start("node-0")
+            cluster.start("node-0")
         gevent.sleep(60)
 
 
