--- a/tests/fault_test/test_history_checker.py
+++ b/tests/fault_test/test_history_checker.py
@@ -92,15 +92,15 @@
         clusters.advance(1)
         now = clusters.clock.now
         current = {}
-        for side in clusters.clusters:
-            is_home = side is clusters.home
-            jobs = {clusters.gang} if is_home else {record.job_id for record in side.guest.records.values()}
-            for worker in side.workers:
+        for cluster in clusters.clusters:
+            is_home = cluster is clusters.home
+            jobs = {clusters.gang} if is_home else {record.job_id for record in cluster.guest.records.values()}
+            for worker in cluster.workers:
                 for task in worker.running_tasks():
                     job, _, index = task.rpartition("/")
                     if job in jobs:
-                        event = TaskEvent(now, side.name, "on", "g", job, int(index), 1, worker.name, tasks=3)
-                        current[side.name, worker.name, task] = event
+                        event = TaskEvent(now, cluster.name, "on", "g", job, int(index), 1, worker.name, tasks=3)
+                        current[cluster.name, worker.name, task] = event
         history.events += [
             dataclasses.replace(event, at=now, what="off") for key, event in previous.items() if key not in current
         ]
--- a/tools/history_digest.py
+++ b/tools/history_digest.py
@@ -151,24 +151,32 @@
 def record_digest() -> Iterator[HistoryDigest]:
     """Return a digest of all visible events of simulated clusters that run within the context."""
     history = HistoryDigest()
-    told, obey, request = ClientHistory.record_response, SimulatedWorker.apply_response, KeyValueStoreEmulator.request
+    original_record_response = ClientHistory.record_response
+    original_apply_response = SimulatedWorker.apply_response
+    original_request = KeyValueStoreEmulator.request
 
     def record_response(
-        self: ClientHistory, status: int, body: bytes, asked: float, now: float, calm_at: float, undone: list[str]
+        self: ClientHistory,
+        status: int,
+        body: bytes,
+        sent_at: float,
+        now: float,
+        faults_ended_at: float,
+        unfinished_tasks: list[str],
     ) -> ClientObservation:
         history.responses += 1
         history.add(now, f"user {self.job_id} {status}", body)
-        return told(self, status, body, asked, now, calm_at, undone)
+        return original_record_response(self, status, body, sent_at, now, faults_ended_at, unfinished_tasks)
 
     def record_commands(self: SimulatedWorker, response: HeartbeatResponse) -> None:
         history.commands += len(response.commands)
         history.add(self.cluster.loop.time, f"worker {self.name} {self.epoch}", msgspec.json.encode(response))
-        obey(self, response)
+        original_apply_response(self, response)
 
     def record_store_request(
         self: KeyValueStoreEmulator, method: str, path: str, body: bytes, timeout: float
     ) -> tuple[int, bytes]:
-        status, response = request(self, method, path, body, timeout)
+        status, response = original_request(self, method, path, body, timeout)
         if method != "GET":
             history.commits += status == 200 and path == "/commit"
             history.add(self.clock(), f"store {method} {path} {status}", body + b" " + response)
