--- a/src/grebestand/cluster_state/machine.py
+++ b/src/grebestand/cluster_state/machine.py
@@ -260,8 +260,8 @@
     def update_pre_restart_bound(self) -> None:
         """Record that all heartbeats so far are from before a restart of the worker.
 
-        Heartbeats sent before the restart and not received yet may have sequence numbers up to `UNHEARD_HEARTBEATS`
-        higher than the last one received.
+        Heartbeats sent before the restart and not received yet may have sequence numbers up to
+        `MAX_UNSEEN_HEARTBEATS` higher than the last one received.
         """
         self.pre_restart_bound = max(self.pre_restart_bound, (self.epoch, self.sequence + MAX_UNSEEN_HEARTBEATS))
 
--- a/src/grebestand/emulators/kv_store.py
+++ b/src/grebestand/emulators/kv_store.py
@@ -11,7 +11,7 @@
 
 from ..clients.http import UnreachableError
 
-#: the number of changes that are kept at least for watches, once there were so many
+#: the minimum number of latest changes kept for watches: the log is trimmed to it when it exceeds twice this number
 MAX_LOGGED_CHANGES = 10_000
 
 
--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -384,7 +384,10 @@
 
 
 def test_random_faults_never_split_a_gang_nor_run_it_twice() -> None:
-    """Random lost messages, crashes and completed tasks; `Clusters.go` checks each second that the gang runs once."""
+    """Random lost messages, crashes and completed tasks.
+
+    `FederatedClusters.advance` checks each second that the gang runs once.
+    """
     outcomes = set()
     for seed in range(12):
         rng = random.Random(seed)
--- a/tests/leader/test_job_watch.py
+++ b/tests/leader/test_job_watch.py
@@ -40,5 +40,5 @@
     monkeypatch.setattr(
         controller.store, "watch", lambda *_: ChangeEvents(term.job_watch.applied_revision, early.events)
     )
-    term.job_watch.watch()  # current, but repeats an old event: applying it would restore the job for ever
+    term.job_watch.watch()  # current, but repeats an old event: applying it would restore the job permanently
     assert job_id not in term.registry.jobs and controller.election.cancellation_horizon.known_at == cluster.clock.now
--- a/tests/support/outer_names.py
+++ b/tests/support/outer_names.py
@@ -1,6 +1,6 @@
-"""Collects the names that leave the process: on the wire, in the store, in files, settings, logs and reports.
+"""Collects the names used outside the process: in messages, stored data, files, settings, logs and reports.
 
-Each section is collected from the code, so that a rename in the code that reaches the outside changes a section.
+Each section of `outputs` is collected from the code, so that a rename that changes an outer name changes a section.
 """
 
 from __future__ import annotations
--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -1,6 +1,6 @@
-"""Each name that leaves the process stands in the code letter for letter, whatever is renamed inside.
+"""Tests that names used outside the process (in messages, stored data, files, settings and logs) stay unchanged.
 
-`python3 tests/test_outer_names.py` writes both fixtures anew: for a change of the outside that is meant, only.
+`python3 tests/test_outer_names.py` regenerates both fixtures. Run it only after changing such a name on purpose.
 """
 
 from __future__ import annotations
