--- a/tests/connectivity/test_partial_partitions.py
+++ b/tests/connectivity/test_partial_partitions.py
@@ -1,4 +1,8 @@
-"""Partial network partitions on simulated time: which controller leads, and which requests go through a proxy."""
+"""Partial network partitions in simulated clusters: some links between controllers, store and workers are interrupted.
+
+The tests check which controller leads, and whether a controller that cannot reach the key-value store sends its
+requests to the store through a peer, which serves as its proxy.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 
 def cut_links(cluster: SimulatedCluster, links: list[tuple[str, str]], mode: LinkMode, seconds: float) -> None:
-    """Set the mode of links, and sleep for a number of seconds."""
+    """Set the mode of links in both directions, and let simulated time pass."""
     for one_end, other_end in links:
         cluster.links.set_mode(one_end, other_end, mode)
     gevent.sleep(seconds)
@@ -32,7 +36,8 @@
     return [(controller, "a"), (controller, "b")]
 
 
-def others_than(cluster: SimulatedCluster, controller: str) -> list[str]:
+def peers_of(cluster: SimulatedCluster, controller: str) -> list[str]:
+    """Return the names of the other controllers."""
     return [name for name in cluster.controller_names if name != controller]
 
 
@@ -45,7 +50,7 @@
     ]
 
 
-# a controller without the key-value store -------------------------------------------------------------------
+# a controller that cannot reach the key-value store ---------------------------------------------------------
 
 
 @pytest.mark.parametrize("mode", [LinkMode.REFUSED, LinkMode.HELD, LinkMode.REQUESTS_LOST, LinkMode.RESPONSES_LOST])
@@ -65,7 +70,7 @@
 def test_users_of_controller_without_store_are_served_through_a_proxy(loop: VirtualLoop) -> None:
     cluster = SimulatedCluster(loop, seed=4)
     gevent.sleep(20)
-    follower = others_than(cluster, cluster.current_leaders()[0])[0]
+    follower = peers_of(cluster, cluster.current_leaders()[0])[0]
     cut_links(cluster, [(follower, STATE)], LinkMode.HELD, 5)
     job_id = cluster.submit(controller=follower)
     gevent.sleep(20)
@@ -87,23 +92,23 @@
     assert len(cluster.leader_history) == 1 and not cluster.violations()
 
 
-# a controller without workers -------------------------------------------------------------------------------
+# a controller that workers cannot reach ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("peers_cut_off", [False, True])
 def test_leader_without_workers_resigns_with_or_without_peers(loop: VirtualLoop, peers_cut_off: bool) -> None:
-    """A leader that workers cannot reach has to resign even if it reaches the store.
+    """Guards against a leader that workers cannot reach and that does not resign because it reaches the store.
 
-    Without a reachable peer, such a leader kept leading for 33 s.
+    If it reached no peer either, such a leader kept leading for 33 s.
     """
     cluster = SimulatedCluster(loop, seed=5)
     cluster.submit_continuously(1.0, 70.0)
     gevent.sleep(20)
     (leader,) = cluster.current_leaders()
-    first, second = others_than(cluster, leader)
+    first_peer, second_peer = peers_of(cluster, leader)
     links = links_to_workers(leader)
     if peers_cut_off:
-        links += [(leader, first), (leader, second), (first, second)]
+        links += [(leader, first_peer), (leader, second_peer), (first_peer, second_peer)]
     cut_links(cluster, links, LinkMode.HELD, 40)
     assert cluster.current_leaders() and cluster.current_leaders() != [leader]
     assert (
@@ -114,12 +119,15 @@
 
 
 def test_peer_that_workers_reach_becomes_leader_before_one_that_they_do_not(loop: VirtualLoop) -> None:
-    """Leadership moved from one controller without workers to another, with ten seconds for each of them."""
+    """Guards against transferring leadership to a controller that workers cannot reach either.
+
+    Leadership moved from one such controller to another, which took ten seconds for each of them.
+    """
     cluster = SimulatedCluster(loop, seed=6)
     cluster.submit_continuously(1.0, 80.0)
     gevent.sleep(20)
     (leader,) = cluster.current_leaders()
-    reached_peer, unreached_peer = others_than(cluster, leader)
+    reached_peer, unreached_peer = peers_of(cluster, leader)
     links = [*links_to_workers(leader), *links_to_workers(unreached_peer), (leader, unreached_peer)]
     cut_links(cluster, links, LinkMode.HELD, 50)
     assert [name for _, name, _ in cluster.leader_history] == [leader, reached_peer]
@@ -129,16 +137,17 @@
 def test_controller_with_workers_leads_through_a_proxy_to_the_store(loop: VirtualLoop) -> None:
     """One controller reaches the workers but not the store, and the other two reach the store but not the workers.
 
-    No task ran in this situation while only a controller with its own link to the store could lead.
+    Guards against a cluster in which no task runs: that was so while only a controller that reached the store directly
+    could lead.
     """
     cluster = SimulatedCluster(loop, seed=7)
     cluster.submit_continuously(1.0, 90.0)
     gevent.sleep(20)
     (leader,) = cluster.current_leaders()
-    third, second = others_than(cluster, leader)
-    links = [*links_to_workers(leader), *links_to_workers(second), (third, STATE)]
+    reached_peer, unreached_peer = peers_of(cluster, leader)
+    links = [*links_to_workers(leader), *links_to_workers(unreached_peer), (reached_peer, STATE)]
     cut_links(cluster, links, LinkMode.HELD, 60)
-    assert cluster.current_leaders() == [third] and len(cluster.leader_history) <= 3
+    assert cluster.current_leaders() == [reached_peer] and len(cluster.leader_history) <= 3
     assert cluster.longest_gap_between_starts(20.0, 80.0) < 16.0 and not cluster.violations()
 
 
@@ -146,7 +155,7 @@
     cluster = SimulatedCluster(loop, seed=9, controllers=2)
     gevent.sleep(20)
     (leader,) = cluster.current_leaders()
-    (follower,) = others_than(cluster, leader)
+    (follower,) = peers_of(cluster, leader)
     cluster.crash(follower)
     cut_links(cluster, links_to_workers(leader), LinkMode.HELD, 8)
     assert cluster.current_leaders() == []
@@ -165,7 +174,7 @@
             cluster.submit_continuously(1.5, 30.0)
             gevent.sleep(15)
             cut_links(cluster, [(cluster.current_leaders()[0], STATE)], LinkMode.HELD, 15)
-            facts: list[Any] = [cluster.leader_history, cluster.task_start_times, cluster.store.changes]
-            return json.dumps(facts)
+            outcome: list[Any] = [cluster.leader_history, cluster.task_start_times, cluster.store.changes]
+            return json.dumps(outcome)
 
     assert history() == history()
--- a/tests/heartbeat_relay/test_relay_failures.py
+++ b/tests/heartbeat_relay/test_relay_failures.py
@@ -1,4 +1,8 @@
-"""The heartbeat relay in simulated clusters, under failures of followers, the leader and the links between them."""
+"""The heartbeat relay in simulated clusters, under failures of followers, the leader and the links between them.
+
+Each worker sends its heartbeats to one controller. A follower forwards them in batches to the leader, and returns the
+leader's responses to the workers.
+"""
 
 from __future__ import annotations
 
@@ -38,8 +42,8 @@
     return cluster
 
 
-def kept_workers(cluster: SimulatedCluster) -> dict[str, int]:
-    """Return the number of workers that each running controller keeps."""
+def assigned_worker_counts(cluster: SimulatedCluster) -> dict[str, int]:
+    """Return by running controller the number of workers assigned to it, which send their heartbeats to it."""
     return {
         name: len(controller.worker_assignment.kept_workers)
         for name, controller in cluster.controllers.items()
@@ -56,13 +60,13 @@
 def test_workers_are_spread_evenly_and_answered_by_the_leader(loop: VirtualLoop) -> None:
     cluster = start_busy_cluster(loop, machines=30)
     even_share = 30 / 3
-    counts = kept_workers(cluster)
+    counts = assigned_worker_counts(cluster)
     assert all(0.8 * even_share <= count <= 1.2 * even_share for count in counts.values()), counts
     statuses = Counter[str]()
-    report_to = SimulatedWorker.send_heartbeat
+    original_send_heartbeat = SimulatedWorker.send_heartbeat
 
     def count_status(self: SimulatedWorker, name: str) -> tuple[int, bytes]:
-        status, body = report_to(self, name)
+        status, body = original_send_heartbeat(self, name)
         statuses[f"{status}"] += 1
         return status, body
 
@@ -105,6 +109,7 @@
 
 
 def follower_loses_leader(cluster: SimulatedCluster, mode: LinkMode = LinkMode.HELD, seconds: float = 25.0) -> None:
+    """Interrupt or slow down the link between a follower and the leader for some time."""
     (leader,) = cluster.current_leaders()
     follower = followers(cluster)[0]
     cluster.links.set_mode(follower, leader, mode)
@@ -130,10 +135,12 @@
 
 
 def follower_is_slow(cluster: SimulatedCluster) -> None:
+    """Slow down the link between a follower and the leader."""
     follower_loses_leader(cluster, LinkMode.SLOW)
 
 
 def follower_loses_its_workers(cluster: SimulatedCluster) -> None:
+    """Cut a follower off from the workers of both zones."""
     follower = followers(cluster)[0]
     for zone in "ab":
         cluster.links.set_mode(follower, zone, LinkMode.HELD)
@@ -159,7 +166,7 @@
 
 
 def leader_is_deposed(cluster: SimulatedCluster) -> None:
-    """Cut the leader off from the store and its peers but not from workers; cancel jobs at its successor."""
+    """Cut the leader off from the store and its peers but not from workers; cancel jobs after a peer has taken over."""
     (leader,) = cluster.current_leaders()
     for peer in (STATE, *followers(cluster)):
         cluster.links.set_mode(leader, peer, LinkMode.HELD)
@@ -245,11 +252,11 @@
 
 def test_followers_keep_their_workers_through_a_failover(loop: VirtualLoop) -> None:
     cluster = start_busy_cluster(loop, machines=30)
-    before = kept_workers(cluster)
+    before = assigned_worker_counts(cluster)
     leader_transfers_leadership(cluster)
     gevent.sleep(12)
     assert len(cluster.leader_history) == 2 and cluster.lease_expiry_kills == 0
-    after = kept_workers(cluster)
+    after = assigned_worker_counts(cluster)
     assert all(abs(count - before[name]) <= 4 for name, count in after.items()), (before, after)
 
 
@@ -263,13 +270,14 @@
     counts = []
     for _ in range(30):
         gevent.sleep(1)
-        counts.append(kept_workers(cluster)[name])
-    assert max(b - a for a, b in itertools.pairwise(counts)) <= 10
-    assert 0.7 * 20 <= counts[-1] <= 1.2 * 20
+        counts.append(assigned_worker_counts(cluster)[name])
+    assert max(later - earlier for earlier, later in itertools.pairwise(counts)) <= 10
+    even_share = 60 / 3
+    assert 0.7 * even_share <= counts[-1] <= 1.2 * even_share
 
 
 def follower_answers_from_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let followers repeat the last response to a worker if the leader's response does not arrive in time."""
+    """Inject a fault: followers repeat the last response to a worker if the leader's does not arrive in time."""
     last_responses: dict[str, tuple[int, bytes]] = {}
     forward = HeartbeatForwarder.forward
 
@@ -286,12 +294,14 @@
 
 
 def leader_answers_without_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let a leader answer batches after its leader lease has expired."""
+    """Inject a fault: a leader answers batches after its leader lease has expired."""
     respond = BatchReceiver._respond
 
     def respond_without_lease(self: BatchReceiver, batch: HeartbeatBatch) -> HeartbeatBatchResponse:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(LeaderElection, "is_leader", lambda lead: lead is self.election or lead.authority_until > 0)
+            patch.setattr(
+                LeaderElection, "is_leader", lambda election: election is self.election or election.authority_until > 0
+            )
             return respond(self, batch)
 
     monkeypatch.setattr(BatchReceiver, "_respond", respond_without_lease)
