--- a/tests/federation/test_gang_handoff.py
+++ b/tests/federation/test_gang_handoff.py
@@ -384,7 +384,10 @@
 
 
 def test_random_faults_never_split_a_gang_nor_run_it_twice() -> None:
-    """Random lost messages, crashes and completed tasks; `Clusters.go` checks each second that the gang runs once."""
+    """Random lost messages, crashes and completed tasks.
+
+    `FederatedClusters.advance` checks each second that the gang runs once.
+    """
     outcomes = set()
     for seed in range(12):
         rng = random.Random(seed)
@@ -432,12 +435,12 @@
     """If federation is switched off by mistake, the live record still keeps a remote gang from starting at home."""
     clusters = FederatedClusters()
     clusters.advance_until(lambda: clusters.running_cluster() == "east")
-    world = clusters.home.cluster
-    world.clock.now += 13.0
-    clusters.home.controller = InMemoryController(world, "home-plain")
+    home_cluster = clusters.home.cluster
+    home_cluster.clock.now += 13.0
+    clusters.home.controller = InMemoryController(home_cluster, "home-plain")
     term = clusters.home.controller.lead()
     clusters.finish_tasks(clusters.home)
-    world.run_rounds(term, 12)
+    home_cluster.run_rounds(term, 12)
     assert not clusters.gang_tasks()["home"] and term.registry.jobs[clusters.gang].startable_count() == 0
 
 
