--- a/src/grebestand/heartbeat_relay/forwarder.py
+++ b/src/grebestand/heartbeat_relay/forwarder.py
@@ -2,7 +2,7 @@
 
 A follower never answers a heartbeat itself, as it has no state, fencing token or commands for a response. It forwards
 each heartbeat once, to one leader; if the leader's response does not arrive in time, the worker receives none. The
-section "Reports over any controller" of docs/design.md shows that a relayed response is as safe as a direct one.
+section "Heartbeats over any controller" of docs/design.md shows that a relayed response is as safe as a direct one.
 """
 
 from __future__ import annotations
--- a/src/grebestand/scheduling/gang_scheduling.py
+++ b/src/grebestand/scheduling/gang_scheduling.py
@@ -289,7 +289,7 @@
 
         The machines are in the zone with the most free slots for the gang, if the gang is bound to one zone. Each
         pass does this for one gang only, the most urgent overdue one, and reserves no more machines than that gang
-        needs. No work is stopped for the reservation. Each pass selects the machines anew, so that reservations
+        needs. No work is stopped for the reservation. Each pass selects the machines again, so that reservations
         expire within `RESERVATION_S` if the gang starts elsewhere, is cancelled, or fits better into another zone.
         """
         self._overdue_gang = job.spec.id
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -203,11 +203,11 @@
 def current_keys() -> dict[str, Any]:
     """Return keys of the state service, most of them as written by a leader, and the commands it sent to workers."""
     commands: set[str] = set()
-    obey = WorkerEmulator.apply_response
+    apply_response = WorkerEmulator.apply_response
 
     def record_commands(self: WorkerEmulator, response: workers.HeartbeatResponse) -> None:
         commands.update(command.op for command in response.commands)
-        obey(self, response)
+        apply_response(self, response)
 
     with mock.patch.object(WorkerEmulator, "apply_response", record_commands):
         cluster = InMemoryCluster()
