--- a/src/grebestand/federation/link_server.py
+++ b/src/grebestand/federation/link_server.py
@@ -103,27 +103,20 @@
     def _read_message(self, environ: dict[str, Any], sender: str) -> Message:
         """Return the message of a request, or raise `RequestRefusedError`."""
         if not self.ring.trusts(environ.get("grebestand.peer")):
-            raise RequestRefusedError("403 Forbidden", f"the certificate of {sender!r} is no longer trusted")
+            raise RequestRefusedError("403 Forbidden", "its certificate is not believed any more")
         if environ.get("PATH_INFO") != LINK_PATH or environ.get("REQUEST_METHOD") != "POST":
-            raise RequestRefusedError("404 Not Found", f"expected POST {LINK_PATH}; the clusters' versions may differ")
+            raise RequestRefusedError("404 Not Found", "no such message here; versions may differ")
         length = environ.get("CONTENT_LENGTH") or ""
         if not length.isdigit() or int(length) > MAX_MESSAGE_BYTES:
-            raise RequestRefusedError(
-                "413 Payload Too Large", f"expected a message of at most {MAX_MESSAGE_BYTES} bytes, got {length[:20]!r}"
-            )
+            raise RequestRefusedError("413 Payload Too Large", f"at most {MAX_MESSAGE_BYTES} bytes are read")
         try:
             message = decode(environ["wsgi.input"].read(int(length)))
         except InvalidMessageError as error:
             raise RequestRefusedError("400 Bad Request", str(error)) from error
         except OSError as error:
-            raise RequestRefusedError(
-                "400 Bad Request", "the connection closed before the message was complete"
-            ) from error
+            raise RequestRefusedError("400 Bad Request", "the message broke off") from error
         if message.home != sender:
-            raise RequestRefusedError(
-                "403 Forbidden",
-                f"message names {message.home!r} as its sender, but the certificate is that of {sender!r}",
-            )
+            raise RequestRefusedError("403 Forbidden", f"it speaks for {message.home!r}")
         return message
 
     def _refuse(self, start: Callable[..., Any], refusal: RequestRefusedError, sender: str) -> list[bytes]:
